--- a/src/main/java/rosespread/adapter/Adapter.java
+++ b/src/main/java/rosespread/adapter/Adapter.java
@@ -16,7 +16,10 @@
 import rosespread.launch.Fields;
 import rosespread.launch.LaunchException;
 
-/** Speaks the simulator's wire: a batch a line in, a reply a line out, for as many conductors as it names. */
+/**
+ * Speaks the simulator's wire: a batch a line in, a reply a line out, for as many conductors as it
+ * names.
+ */
 public final class Adapter {
     private final JsonFactory json = new JsonFactory();
     private final BufferedReader in;
@@ -37,7 +40,8 @@
                 answer(line).writeTo(out);
                 out.flush();
             } catch (JsonProcessingException e) {
-                throw new WireException("line " + number + " is not a batch: " + e.getOriginalMessage());
+                throw new WireException(
+                        "line " + number + " is not a batch: " + e.getOriginalMessage());
             } catch (LaunchException e) {
                 throw new WireException("line " + number + " is not a batch: " + e.getMessage());
             }
@@ -75,7 +79,10 @@
         }
     }
 
-    /** An event of a conductor that has not been launched is passed over: nobody is there to hear it. */
+    /**
+     * An event of a conductor that has not been launched is passed over: nobody is there to hear
+     * it.
+     */
     private void take(Fields event, Map<Integer, Conductor> concerned) throws LaunchException {
         int id = event.integer("conductorId");
         switch (event.text("msg")) {
--- a/src/main/java/rosespread/adapter/Conductor.java
+++ b/src/main/java/rosespread/adapter/Conductor.java
@@ -60,8 +60,16 @@
                 double latency = tries > unanswered && seconds > 0 ? seconds : Double.NaN;
                 long covers = event.nanos("covers");
                 double utilization = names.utilization(event);
-                calls.add(observer ->
-                        observer.sums(node, zone, tries, unanswered, latency, covers, utilization));
+                calls.add(
+                        observer ->
+                                observer.sums(
+                                        node,
+                                        zone,
+                                        tries,
+                                        unanswered,
+                                        latency,
+                                        covers,
+                                        utilization));
             }
             case "OfferedLoad" -> {
                 ProxyId proxy = proxy(event);
@@ -76,7 +84,7 @@
                 calls.add(observer -> observer.probed(node, verdict));
             }
             case "Wakeup" -> calls.add(Observer::woke);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -96,12 +104,17 @@
         calls.add(Observer::listEnds);
     }
 
-    /** Plays the round; what the module throws goes out as the wire's fault and ends the day there. */
+    /**
+     * Plays the round; what the module throws goes out as the wire's fault and ends the day there.
+     */
     void round(long now, JsonGenerator reply) throws IOException {
         List<Consumer<Observer>> round = List.copyOf(calls);
         calls.clear();
         try {
-            brain.round(now, observer -> round.forEach(call -> call.accept(observer)), new Steps(id, reply));
+            brain.round(
+                    now,
+                    observer -> round.forEach(call -> call.accept(observer)),
+                    new Steps(id, reply));
         } catch (UncheckedIOException e) {
             throw e.getCause();
         } catch (RuntimeException e) {
--- a/src/main/java/rosespread/adapter/Steps.java
+++ b/src/main/java/rosespread/adapter/Steps.java
@@ -42,46 +42,56 @@
 
     @Override
     public void line(TableId table, NodeId node, double weight) {
-        step("Assign", () -> {
-            reply.writeNumberField("tbl", table.value());
-            reply.writeNumberField("w", weight);
-            reply.writeNumberField("node", node.value());
-        });
+        step(
+                "Assign",
+                () -> {
+                    reply.writeNumberField("tbl", table.value());
+                    reply.writeNumberField("w", weight);
+                    reply.writeNumberField("node", node.value());
+                });
     }
 
     @Override
     public void bind(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
-        step("Point", () -> {
-            reply.writeNumberField("clientLb", proxy.value());
-            reply.writeNumberField("classBits", bits(methods));
-            reply.writeNumberField("tbl", table.value());
-        });
+        step(
+                "Point",
+                () -> {
+                    reply.writeNumberField("clientLb", proxy.value());
+                    reply.writeNumberField("classBits", bits(methods));
+                    reply.writeNumberField("tbl", table.value());
+                });
     }
 
     @Override
     public void withdraw(NodeId node, boolean out) {
-        step("Cordon", () -> {
-            reply.writeBooleanField("active", out);
-            reply.writeNumberField("node", node.value());
-        });
+        step(
+                "Cordon",
+                () -> {
+                    reply.writeBooleanField("active", out);
+                    reply.writeNumberField("node", node.value());
+                });
     }
 
     @Override
     public void level(TableId table, MethodId method, double admitted) {
-        step("Admit", () -> {
-            reply.writeNumberField("letIn", Math.min(admitted, Names.UNBOUNDED_LEVEL));
-            reply.writeNumberField("secondTry", Names.RETRY_AFTER_PROOF);
-            reply.writeNumberField("tbl", table.value());
-            reply.writeNumberField("classBits", 1L << method.value());
-        });
+        step(
+                "Admit",
+                () -> {
+                    reply.writeNumberField("letIn", Math.min(admitted, Names.UNBOUNDED_LEVEL));
+                    reply.writeNumberField("secondTry", Names.RETRY_AFTER_PROOF);
+                    reply.writeNumberField("tbl", table.value());
+                    reply.writeNumberField("classBits", 1L << method.value());
+                });
     }
 
     @Override
     public void mark(int mark) {
-        step("Mark", () -> {
-            reply.writeNumberField("rev", mark);
-            reply.writeBooleanField("active", false);
-        });
+        step(
+                "Mark",
+                () -> {
+                    reply.writeNumberField("rev", mark);
+                    reply.writeBooleanField("active", false);
+                });
     }
 
     @Override
@@ -96,10 +106,12 @@
 
     @Override
     public void wakeAfter(long nanos) {
-        step("Arm", () -> {
-            reply.writeNumberField("delay", nanos / 1e9);
-            reply.writeStringField("ctx", "round");
-        });
+        step(
+                "Arm",
+                () -> {
+                    reply.writeNumberField("delay", nanos / 1e9);
+                    reply.writeStringField("ctx", "round");
+                });
     }
 
     @Override
--- a/src/main/java/rosespread/adapter/Words.java
+++ b/src/main/java/rosespread/adapter/Words.java
@@ -5,7 +5,7 @@
 
 /** The simulator's words for what happened and what is listed. */
 final class Words {
-    private Words() { }
+    private Words() {}
 
     static Observer.Verdict verdict(String name) {
         return switch (name) {
--- a/src/main/java/rosespread/api/Orders.java
+++ b/src/main/java/rosespread/api/Orders.java
@@ -1,11 +1,16 @@
 package rosespread.api;
 
-/** Takes a round's decisions as they are made; those of one round leave as one message for each proxy. */
+/**
+ * Takes a round's decisions as they are made; those of one round leave as one message for each
+ * proxy.
+ */
 public interface Orders {
     /** Sets a table's line; weight 0 removes it. */
     void line(TableId table, NodeId node, double weight);
 
-    /** Sends a proxy the whole table for these methods; it gets the table's changes from then on. */
+    /**
+     * Sends a proxy the whole table for these methods; it gets the table's changes from then on.
+     */
     void bind(ProxyId proxy, Iterable<MethodId> methods, TableId table);
 
     /** Shuts a node out of everything that the joined proxies hold, or lets it in again. */
--- a/src/main/java/rosespread/api/Settings.java
+++ b/src/main/java/rosespread/api/Settings.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * What a conductor is told at its start; times in nanoseconds. Decoded once, never copied. The order price is
- * what the channel's usual pace costs, as a part of all service.
+ * What a conductor is told at its start; times in nanoseconds. Decoded once, never copied. The
+ * order price is what the channel's usual pace costs, as a part of all service.
  */
 public record Settings(
         List<Method> methods,
@@ -29,11 +29,12 @@
 
     /** A method; the sets name the only kinds and zones open to it, and are empty where all are. */
     public record Method(
-            double criticality,
-            Set<KindId> onlyKinds,
-            Set<ZoneId> onlyZones,
-            boolean ownZone) { }
+            double criticality, Set<KindId> onlyKinds, Set<ZoneId> onlyZones, boolean ownZone) {}
 
     /** What a level is counted in, if proxies heed levels at all. */
-    public enum Throttle { SHARE, RATE, NONE }
+    public enum Throttle {
+        SHARE,
+        RATE,
+        NONE
+    }
 }
--- a/src/main/java/rosespread/api/TableId.java
+++ b/src/main/java/rosespread/api/TableId.java
@@ -7,7 +7,10 @@
         return Integer.compare(value, other.value);
     }
 
-    /** Written out: a record's own goes through a method handle, which is slow without the C2 compiler. */
+    /**
+     * Written out: a record's own goes through a method handle, which is slow without the C2
+     * compiler.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof TableId id && id.value == value;
--- a/src/main/java/rosespread/audit/AuditLog.java
+++ b/src/main/java/rosespread/audit/AuditLog.java
@@ -21,9 +21,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who did what, one line of JSON each, forced to the disk. Each line's {@code chain} is the SHA-256 of the
- * line before's chain and of this line without it, so that a line that is changed, taken out or put in later
- * is found by {@link #check}; cutting off the end is not, but for a copy of an earlier chain.
+ * Who did what, one line of JSON each, forced to the disk. Each line's {@code chain} is the SHA-256
+ * of the line before's chain and of this line without it, so that a line that is changed, taken out
+ * or put in later is found by {@link #check}; cutting off the end is not, but for a copy of an
+ * earlier chain.
  */
 public final class AuditLog implements AutoCloseable {
     /** The chain before the first line. */
@@ -33,14 +34,18 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int LONGEST = 1 << 20;
 
-    /** @param outcome "asked" before it was tried, then what came of it */
-    public record Act(String who, String from, String what, String call, String outcome) { }
+    /**
+     * @param outcome "asked" before it was tried, then what came of it
+     */
+    public record Act(String who, String from, String what, String call, String outcome) {}
 
-    /** @param fault with the line's place; empty if the chain holds */
-    public record Verdict(long lines, String chain, String fault) { }
+    /**
+     * @param fault with the line's place; empty if the chain holds
+     */
+    public record Verdict(long lines, String chain, String fault) {}
 
     /** An act and its moment, by wall clock. */
-    public record Line(long number, long atMillis, Act act) { }
+    public record Line(long number, long atMillis, Act act) {}
 
     private static final int RECENT = 256;
 
@@ -54,7 +59,8 @@
     /**
      * Goes on with a file, or begins it. A last line that is not whole is cut.
      *
-     * @throws IOException if the file cannot be read or its chain does not hold; the message names the line
+     * @throws IOException if the file cannot be read or its chain does not hold; the message names
+     *     the line
      */
     public AuditLog(Path path, LongSupplier wallMillis) throws IOException {
         this.wallMillis = wallMillis;
@@ -71,7 +77,10 @@
         }
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (file.size() > whole) {
-            LOG.warn("{}: the last {} bytes were not a whole line and are cut", path, file.size() - whole);
+            LOG.warn(
+                    "{}: the last {} bytes were not a whole line and are cut",
+                    path,
+                    file.size() - whole);
             file.truncate(whole);
         }
         file.position(whole);
@@ -95,8 +104,12 @@
     public synchronized boolean write(Act act) {
         ObjectNode line = JSON.createObjectNode();
         long now = wallMillis.getAsLong();
-        line.put("n", number + 1).put("at", now).put("who", act.who())
-                .put("from", act.from()).put("what", act.what()).put("call", act.call())
+        line.put("n", number + 1)
+                .put("at", now)
+                .put("who", act.who())
+                .put("from", act.from())
+                .put("what", act.what())
+                .put("call", act.call())
                 .put("outcome", act.outcome());
         String next = chain(chain, line);
         line.put("chain", next);
@@ -166,8 +179,8 @@
                     return new Verdict(lines, chain, place + "its number is " + object.path("n"));
                 }
                 if (!chain(chain, object).equals(told)) {
-                    return new Verdict(lines, chain, place
-                            + "its chain does not follow from the line before");
+                    return new Verdict(
+                            lines, chain, place + "its chain does not follow from the line before");
                 }
                 chain = told;
                 lines++;
--- a/src/main/java/rosespread/channel/ChannelCodec.java
+++ b/src/main/java/rosespread/channel/ChannelCodec.java
@@ -13,8 +13,9 @@
 import org.apache.mina.filter.codec.ProtocolEncoderOutput;
 
 /**
- * The channel's frames as a codec of MINA. What is written is a {@link Frame} or bytes of frames. MINA asks
- * for a decoder at every read, so the session keeps its own; after an error it takes nothing more.
+ * The channel's frames as a codec of MINA. What is written is a {@link Frame} or bytes of frames.
+ * MINA asks for a decoder at every read, so the session keeps its own; after an error it takes
+ * nothing more.
  */
 public final class ChannelCodec implements ProtocolCodecFactory {
     private static final String DECODER = "frame decoder";
@@ -22,7 +23,9 @@
     private final int longest;
     private final int unpackedMost;
 
-    /** @param unpackedMost bytes to which a packed frame may come, 0 if none may come */
+    /**
+     * @param unpackedMost bytes to which a packed frame may come, 0 if none may come
+     */
     public ChannelCodec(int longest, int unpackedMost) {
         this.longest = longest;
         this.unpackedMost = unpackedMost;
@@ -33,8 +36,11 @@
         return new ProtocolEncoderAdapter() {
             @Override
             public void encode(IoSession s, Object message, ProtocolEncoderOutput out) {
-                out.write(IoBuffer.wrap(message instanceof Frame frame
-                        ? FrameWriter.bytes(frame) : (byte[]) message));
+                out.write(
+                        IoBuffer.wrap(
+                                message instanceof Frame frame
+                                        ? FrameWriter.bytes(frame)
+                                        : (byte[]) message));
             }
         };
     }
@@ -56,7 +62,8 @@
             private boolean broken;
 
             @Override
-            public void decode(IoSession s, IoBuffer in, ProtocolDecoderOutput out) throws FrameException {
+            public void decode(IoSession s, IoBuffer in, ProtocolDecoderOutput out)
+                    throws FrameException {
                 if (broken) {
                     in.skip(in.remaining());
                     return;
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -11,12 +11,14 @@
 import rosespread.api.TableId;
 
 /**
- * Reads a stream of frames that may be cut at every byte. Holds at most one frame, which grows with the bytes
- * that came and not with the length that was announced; throws nothing but {@link FrameException}.
+ * Reads a stream of frames that may be cut at every byte. Holds at most one frame, which grows with
+ * the bytes that came and not with the length that was announced; throws nothing but {@link
+ * FrameException}.
  */
 public final class FrameReader {
     /** Longest frames in bytes that a conductor and a proxy take. */
     public static final int FROM_PROXY = 1 << 20, FROM_CONDUCTOR = 1 << 20;
+
     private static final int HEAD = 4;
     private static final int FIRST_ROOM = 256;
 
@@ -33,7 +35,9 @@
         this(longest, 0, out);
     }
 
-    /** @param unpackedMost bytes to which a packed frame may come, 0 if none may come */
+    /**
+     * @param unpackedMost bytes to which a packed frame may come, 0 if none may come
+     */
     public FrameReader(int longest, int unpackedMost, Consumer<Frame> out) {
         this.longest = longest;
         this.unpackedMost = unpackedMost;
@@ -53,8 +57,13 @@
             if (length < 0 && held.position() == HEAD) {
                 length = held.getInt(0);
                 if (length < 2 || length > longest) {
-                    throw error(Frame.Reason.BAD_FRAME, "a frame of " + Integer.toUnsignedString(length)
-                            + " bytes; 2 to " + longest + " are allowed");
+                    throw error(
+                            Frame.Reason.BAD_FRAME,
+                            "a frame of "
+                                    + Integer.toUnsignedString(length)
+                                    + " bytes; 2 to "
+                                    + longest
+                                    + " are allowed");
                 }
                 consumed += HEAD;
                 held.clear();
@@ -64,7 +73,10 @@
                 take();
                 consumed += length;
                 length = -1;
-                held = held.capacity() > FIRST_ROOM ? ByteBuffer.allocate(FIRST_ROOM) : held.clear();
+                held =
+                        held.capacity() > FIRST_ROOM
+                                ? ByteBuffer.allocate(FIRST_ROOM)
+                                : held.clear();
             }
         }
     }
@@ -84,7 +96,9 @@
         Kind kind = Kind.of(code);
         if (kind == null) {
             if ((flags & Kind.OPTIONAL) == 0) {
-                throw error(Frame.Reason.BAD_FRAME, "frame kind " + code + " is unknown and not optional");
+                throw error(
+                        Frame.Reason.BAD_FRAME,
+                        "frame kind " + code + " is unknown and not optional");
             }
             return;
         }
@@ -92,42 +106,60 @@
             unpack();
             return;
         }
-        Frame frame = switch (kind) {
-            case PACKED -> throw new IllegalStateException();
-            case HELLO -> new Frame.Hello(u16(), text("name"), names());
-            case JOIN -> new Frame.Join(name("proxy"), name("zone"), measure("rate", false),
-                    flag("unpacks"), holdings());
-            case NODE -> new Frame.Node(node(), name("host"), u16(), text("zone"));
-            case BIND -> new Frame.Bind(table(), i64(), i64(), methods(), lines(), levels());
-            case LINES -> new Frame.Lines(table(), i64(), i64(), i64(), lines());
-            case MISSED -> new Frame.Missed(table(), i64());
-            case WITHDRAW -> new Frame.Withdraw(node(), flag("out"));
-            case LEVELS -> new Frame.Levels(table(), levels());
-            case MARK -> new Frame.Mark(i64(), i64(), count("lines"), count("waiting"), span("queued"));
-            case INSTALLED -> new Frame.Installed(i64());
-            case SUMS -> new Frame.Sums(span("covers"), sums());
-            case OFFERED -> new Frame.Offered(span("covers"), counts());
-            case KEEP_ALIVE -> new Frame.KeepAlive(i64(), flag("answer"));
-            case CLOSE -> new Frame.Close(reason(), text("text"));
-        };
+        Frame frame =
+                switch (kind) {
+                    case PACKED -> throw new IllegalStateException();
+                    case HELLO -> new Frame.Hello(u16(), text("name"), names());
+                    case JOIN ->
+                            new Frame.Join(
+                                    name("proxy"),
+                                    name("zone"),
+                                    measure("rate", false),
+                                    flag("unpacks"),
+                                    holdings());
+                    case NODE -> new Frame.Node(node(), name("host"), u16(), text("zone"));
+                    case BIND ->
+                            new Frame.Bind(table(), i64(), i64(), methods(), lines(), levels());
+                    case LINES -> new Frame.Lines(table(), i64(), i64(), i64(), lines());
+                    case MISSED -> new Frame.Missed(table(), i64());
+                    case WITHDRAW -> new Frame.Withdraw(node(), flag("out"));
+                    case LEVELS -> new Frame.Levels(table(), levels());
+                    case MARK ->
+                            new Frame.Mark(
+                                    i64(), i64(), count("lines"), count("waiting"), span("queued"));
+                    case INSTALLED -> new Frame.Installed(i64());
+                    case SUMS -> new Frame.Sums(span("covers"), sums());
+                    case OFFERED -> new Frame.Offered(span("covers"), counts());
+                    case KEEP_ALIVE -> new Frame.KeepAlive(i64(), flag("answer"));
+                    case CLOSE -> new Frame.Close(reason(), text("text"));
+                };
         if (body.hasRemaining()) {
-            throw error(Frame.Reason.BAD_FRAME, kind + " frame has " + body.remaining() + " bytes too many");
+            throw error(
+                    Frame.Reason.BAD_FRAME,
+                    kind + " frame has " + body.remaining() + " bytes too many");
         }
         out.accept(frame);
     }
 
-    /** The announced length is believed only up to the bound, and the bytes must come to just that. */
+    /**
+     * The announced length is believed only up to the bound, and the bytes must come to just that.
+     */
     private void unpack() throws FrameException {
         int length = count("unpacked bytes");
         if (length > unpackedMost) {
-            throw error(Frame.Reason.BAD_FRAME, unpackedMost == 0 ? "a packed frame is not taken here"
-                    : "a packed frame of " + length + " bytes; at most " + unpackedMost);
+            throw error(
+                    Frame.Reason.BAD_FRAME,
+                    unpackedMost == 0
+                            ? "a packed frame is not taken here"
+                            : "a packed frame of " + length + " bytes; at most " + unpackedMost);
         }
         byte[] packed = new byte[body.remaining()];
         body.get(packed);
         byte[] frames = Packing.unpack(packed, length);
         if (frames == null) {
-            throw error(Frame.Reason.BAD_FRAME, "a packed frame does not unpack to " + length + " bytes");
+            throw error(
+                    Frame.Reason.BAD_FRAME,
+                    "a packed frame does not unpack to " + length + " bytes");
         }
         FrameReader within = new FrameReader(longest, out);
         try {
@@ -172,7 +204,8 @@
 
     private int entries(int count, int bytesEach, String what) throws FrameException {
         if (count < 0 || count > Kind.ENTRIES_MOST) {
-            throw error(Frame.Reason.BAD_FRAME, count + " " + what + "; at most " + Kind.ENTRIES_MOST);
+            throw error(
+                    Frame.Reason.BAD_FRAME, count + " " + what + "; at most " + Kind.ENTRIES_MOST);
         }
         need(count * bytesEach, what);
         return count;
@@ -310,10 +343,16 @@
             int tries = count("tries");
             int unanswered = count("unanswered");
             if (unanswered > tries) {
-                throw error(Frame.Reason.BAD_FRAME, unanswered + " of " + tries + " tries unanswered");
+                throw error(
+                        Frame.Reason.BAD_FRAME, unanswered + " of " + tries + " tries unanswered");
             }
-            sums.add(new Frame.Sum(node, tries, unanswered, measure("latency", true),
-                    measure("utilization", true)));
+            sums.add(
+                    new Frame.Sum(
+                            node,
+                            tries,
+                            unanswered,
+                            measure("latency", true),
+                            measure("utilization", true)));
         }
         return sums;
     }
--- a/src/main/java/rosespread/channel/FrameWriter.java
+++ b/src/main/java/rosespread/channel/FrameWriter.java
@@ -10,7 +10,7 @@
 
 /** Writes frames; a frame that goes to several proxies is written once and its bytes are shared. */
 public final class FrameWriter {
-    private FrameWriter() { }
+    private FrameWriter() {}
 
     private interface Body {
         void to(DataOutputStream out) throws IOException;
@@ -19,118 +19,146 @@
     /** Whole frames, one after another, as one that holds them packed. */
     public static byte[] packed(byte[] frames) {
         byte[] packed = Packing.pack(frames);
-        return frame(Kind.PACKED, out -> {
-            out.writeInt(frames.length);
-            out.write(packed);
-        });
+        return frame(
+                Kind.PACKED,
+                out -> {
+                    out.writeInt(frames.length);
+                    out.write(packed);
+                });
     }
 
     public static byte[] bytes(Frame frame) {
         if (frame instanceof Frame.Hello f) {
-            return frame(Kind.HELLO, out -> {
-                out.writeShort(f.version());
-                text(out, f.name());
-                out.writeByte(f.methods().size());
-                for (String method : f.methods()) {
-                    text(out, method);
-                }
-            });
+            return frame(
+                    Kind.HELLO,
+                    out -> {
+                        out.writeShort(f.version());
+                        text(out, f.name());
+                        out.writeByte(f.methods().size());
+                        for (String method : f.methods()) {
+                            text(out, method);
+                        }
+                    });
         } else if (frame instanceof Frame.Join f) {
-            return frame(Kind.JOIN, out -> {
-                text(out, f.proxy());
-                text(out, f.zone());
-                out.writeDouble(f.rate());
-                out.writeBoolean(f.unpacks());
-                out.writeShort(f.held().size());
-                for (Frame.Holding held : f.held()) {
-                    out.writeShort(held.table().value());
-                    out.writeLong(held.version());
-                }
-            });
+            return frame(
+                    Kind.JOIN,
+                    out -> {
+                        text(out, f.proxy());
+                        text(out, f.zone());
+                        out.writeDouble(f.rate());
+                        out.writeBoolean(f.unpacks());
+                        out.writeShort(f.held().size());
+                        for (Frame.Holding held : f.held()) {
+                            out.writeShort(held.table().value());
+                            out.writeLong(held.version());
+                        }
+                    });
         } else if (frame instanceof Frame.Node f) {
-            return frame(Kind.NODE, out -> {
-                out.writeLong(f.node().value());
-                text(out, f.host());
-                out.writeShort(f.port());
-                text(out, f.zone());
-            });
+            return frame(
+                    Kind.NODE,
+                    out -> {
+                        out.writeLong(f.node().value());
+                        text(out, f.host());
+                        out.writeShort(f.port());
+                        text(out, f.zone());
+                    });
         } else if (frame instanceof Frame.Bind f) {
-            return frame(Kind.BIND, out -> {
-                out.writeShort(f.table().value());
-                out.writeLong(f.version());
-                out.writeLong(f.digest());
-                int bits = 0;
-                for (MethodId method : f.methods()) {
-                    bits |= 1 << method.value();
-                }
-                out.writeInt(bits);
-                lines(out, f.lines());
-                levels(out, f.levels());
-            });
+            return frame(
+                    Kind.BIND,
+                    out -> {
+                        out.writeShort(f.table().value());
+                        out.writeLong(f.version());
+                        out.writeLong(f.digest());
+                        int bits = 0;
+                        for (MethodId method : f.methods()) {
+                            bits |= 1 << method.value();
+                        }
+                        out.writeInt(bits);
+                        lines(out, f.lines());
+                        levels(out, f.levels());
+                    });
         } else if (frame instanceof Frame.Lines f) {
-            return frame(Kind.LINES, out -> {
-                out.writeShort(f.table().value());
-                out.writeLong(f.from());
-                out.writeLong(f.to());
-                out.writeLong(f.digest());
-                lines(out, f.lines());
-            });
+            return frame(
+                    Kind.LINES,
+                    out -> {
+                        out.writeShort(f.table().value());
+                        out.writeLong(f.from());
+                        out.writeLong(f.to());
+                        out.writeLong(f.digest());
+                        lines(out, f.lines());
+                    });
         } else if (frame instanceof Frame.Missed f) {
-            return frame(Kind.MISSED, out -> {
-                out.writeShort(f.table().value());
-                out.writeLong(f.held());
-            });
+            return frame(
+                    Kind.MISSED,
+                    out -> {
+                        out.writeShort(f.table().value());
+                        out.writeLong(f.held());
+                    });
         } else if (frame instanceof Frame.Withdraw f) {
-            return frame(Kind.WITHDRAW, out -> {
-                out.writeLong(f.node().value());
-                out.writeBoolean(f.out());
-            });
+            return frame(
+                    Kind.WITHDRAW,
+                    out -> {
+                        out.writeLong(f.node().value());
+                        out.writeBoolean(f.out());
+                    });
         } else if (frame instanceof Frame.Levels f) {
-            return frame(Kind.LEVELS, out -> {
-                out.writeShort(f.table().value());
-                levels(out, f.levels());
-            });
+            return frame(
+                    Kind.LEVELS,
+                    out -> {
+                        out.writeShort(f.table().value());
+                        levels(out, f.levels());
+                    });
         } else if (frame instanceof Frame.Mark f) {
-            return frame(Kind.MARK, out -> {
-                out.writeLong(f.number());
-                out.writeLong(f.round());
-                out.writeInt(f.lines());
-                out.writeInt(f.waiting());
-                out.writeLong(f.queuedMicros());
-            });
+            return frame(
+                    Kind.MARK,
+                    out -> {
+                        out.writeLong(f.number());
+                        out.writeLong(f.round());
+                        out.writeInt(f.lines());
+                        out.writeInt(f.waiting());
+                        out.writeLong(f.queuedMicros());
+                    });
         } else if (frame instanceof Frame.Installed f) {
             return frame(Kind.INSTALLED, out -> out.writeLong(f.number()));
         } else if (frame instanceof Frame.Sums f) {
-            return frame(Kind.SUMS, out -> {
-                out.writeLong(f.coversMicros());
-                out.writeShort(f.sums().size());
-                for (Frame.Sum sum : f.sums()) {
-                    out.writeLong(sum.node().value());
-                    out.writeInt(sum.tries());
-                    out.writeInt(sum.unanswered());
-                    out.writeDouble(sum.latency());
-                    out.writeDouble(sum.utilization());
-                }
-            });
+            return frame(
+                    Kind.SUMS,
+                    out -> {
+                        out.writeLong(f.coversMicros());
+                        out.writeShort(f.sums().size());
+                        for (Frame.Sum sum : f.sums()) {
+                            out.writeLong(sum.node().value());
+                            out.writeInt(sum.tries());
+                            out.writeInt(sum.unanswered());
+                            out.writeDouble(sum.latency());
+                            out.writeDouble(sum.utilization());
+                        }
+                    });
         } else if (frame instanceof Frame.Offered f) {
-            return frame(Kind.OFFERED, out -> {
-                out.writeLong(f.coversMicros());
-                out.writeByte(f.counts().size());
-                for (Frame.Count count : f.counts()) {
-                    out.writeByte(count.method().value());
-                    out.writeInt(count.came());
-                }
-            });
+            return frame(
+                    Kind.OFFERED,
+                    out -> {
+                        out.writeLong(f.coversMicros());
+                        out.writeByte(f.counts().size());
+                        for (Frame.Count count : f.counts()) {
+                            out.writeByte(count.method().value());
+                            out.writeInt(count.came());
+                        }
+                    });
         } else if (frame instanceof Frame.KeepAlive f) {
-            return frame(Kind.KEEP_ALIVE, out -> {
-                out.writeLong(f.number());
-                out.writeBoolean(f.answer());
-            });
+            return frame(
+                    Kind.KEEP_ALIVE,
+                    out -> {
+                        out.writeLong(f.number());
+                        out.writeBoolean(f.answer());
+                    });
         } else if (frame instanceof Frame.Close f) {
-            return frame(Kind.CLOSE, out -> {
-                out.writeByte(f.reason().ordinal());
-                text(out, f.text());
-            });
+            return frame(
+                    Kind.CLOSE,
+                    out -> {
+                        out.writeByte(f.reason().ordinal());
+                        text(out, f.text());
+                    });
         }
         throw new IllegalArgumentException(frame.toString());
     }
@@ -152,7 +180,10 @@
         }
     }
 
-    /** A text too long for its length byte is cut at a whole character; only free texts can be that long. */
+    /**
+     * A text too long for its length byte is cut at a whole character; only free texts can be that
+     * long.
+     */
     private static void text(DataOutputStream out, String text) throws IOException {
         String cut = text;
         byte[] bytes = cut.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/rosespread/channel/Packing.java
+++ b/src/main/java/rosespread/channel/Packing.java
@@ -5,13 +5,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Packs bytes with Zstandard. Its library is native: where it cannot be loaded, nothing is packed. */
+/**
+ * Packs bytes with Zstandard. Its library is native: where it cannot be loaded, nothing is packed.
+ */
 public final class Packing {
     private static final Logger LOG = LoggerFactory.getLogger(Packing.class);
     private static final int LEVEL = 3;
     private static final boolean AVAILABLE = available();
 
-    private Packing() { }
+    private Packing() {}
 
     private static boolean available() {
         try {
@@ -38,7 +40,8 @@
         }
         byte[] bytes = new byte[length];
         try {
-            return Zstd.decompressByteArray(bytes, 0, length, packed, 0, packed.length) == length ? bytes
+            return Zstd.decompressByteArray(bytes, 0, length, packed, 0, packed.length) == length
+                    ? bytes
                     : null;
         } catch (ZstdException e) {
             return null;
--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -11,14 +11,19 @@
 import rosespread.audit.AuditLog;
 
 /** Checks an audit log's chain. */
-@Command(name = "audit", mixinStandardHelpOptions = true,
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
         description = "Checks that no line of an audit log was changed, taken out or put in later.",
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:the chain holds", "1:it does not, or the file cannot be read", "2:bad input"},
+        exitCodeList = {
+            "0:the chain holds",
+            "1:it does not, or the file cannot be read",
+            "2:bad input"
+        },
         footer = {"", "Example: rosespread audit ./state/audit.log"})
 final class AuditCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "FILE")
     private Path file;
@@ -30,7 +35,9 @@
         }
         AuditLog.Verdict verdict = AuditLog.check(file);
         if (verdict.fault().isEmpty()) {
-            spec.commandLine().getOut().println(verdict.lines() + " lines, chain " + verdict.chain());
+            spec.commandLine()
+                    .getOut()
+                    .println(verdict.lines() + " lines, chain " + verdict.chain());
             return 0;
         }
         spec.commandLine().getErr().println(file + ": " + verdict.fault());
--- a/src/main/java/rosespread/cli/ConductorCommand.java
+++ b/src/main/java/rosespread/cli/ConductorCommand.java
@@ -10,23 +10,38 @@
 import rosespread.release.Gate;
 
 /** Runs one conductor until it is told to stop. */
-@Command(name = "conductor", mixinStandardHelpOptions = true, sortOptions = false,
-        description = "Runs a conductor. Without settings it waits: PUT /v1/settings on the control address.",
-        footer = {"", "Example: rosespread conductor --name c1 --state ./c1 --listen 127.0.0.1:7400"
-            + " --control 127.0.0.1:7401"})
+@Command(
+        name = "conductor",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description =
+                "Runs a conductor. Without settings it waits: PUT /v1/settings on the control address.",
+        footer = {
+            "",
+            "Example: rosespread conductor --name c1 --state ./c1 --listen 127.0.0.1:7400"
+                    + " --control 127.0.0.1:7401"
+        })
 public final class ConductorCommand implements Callable<Integer> {
-    @Option(names = "--name", defaultValue = "conductor",
+    @Option(
+            names = "--name",
+            defaultValue = "conductor",
             description = "How it calls itself to the server list (${DEFAULT-VALUE}).")
     private String name;
 
     @Option(names = "--state", required = true, description = "Folder of the saved snapshot.")
     private Path state;
 
-    @Option(names = "--listen", defaultValue = "127.0.0.1:7400", converter = AddressConverter.class,
+    @Option(
+            names = "--listen",
+            defaultValue = "127.0.0.1:7400",
+            converter = AddressConverter.class,
             description = "Where proxies dial (${DEFAULT-VALUE}).")
     private InetSocketAddress listen;
 
-    @Option(names = "--control", defaultValue = "127.0.0.1:7401", converter = AddressConverter.class,
+    @Option(
+            names = "--control",
+            defaultValue = "127.0.0.1:7401",
+            converter = AddressConverter.class,
             description = "Where the control API answers (${DEFAULT-VALUE}).")
     private InetSocketAddress control;
 
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -8,20 +8,37 @@
 import rosespread.adapter.WireException;
 
 /** The program: one subcommand a job. */
-@Command(name = "rosespread", mixinStandardHelpOptions = true, version = "rosespread 0.1.0",
+@Command(
+        name = "rosespread",
+        mixinStandardHelpOptions = true,
+        version = "rosespread 0.1.0",
         description = "A central planner behind plain proxies.",
         synopsisSubcommandLabel = "SUBCOMMAND",
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:done; for a rehearsal, all rules kept", "1:it failed while running",
-            "2:bad input, named with its place", "3:a rehearsal broke a rule"},
+        exitCodeList = {
+            "0:done; for a rehearsal, all rules kept",
+            "1:it failed while running",
+            "2:bad input, named with its place",
+            "3:a rehearsal broke a rule"
+        },
         footer = {"", "Example: rosespread rehearse bad-day --seed 7"},
-        subcommands = {Main.AdapterCommand.class, ServeCommand.class, ConductorCommand.class,
-            TableCommand.class, FleetCommand.class, AuditCommand.class, StandinCommand.class,
-            RehearseCommand.class})
+        subcommands = {
+            Main.AdapterCommand.class,
+            ServeCommand.class,
+            ConductorCommand.class,
+            TableCommand.class,
+            FleetCommand.class,
+            AuditCommand.class,
+            StandinCommand.class,
+            RehearseCommand.class
+        })
 public final class Main {
-    private Main() { }
+    private Main() {}
 
-    /** The adapter and serve are started often and by programs, so they go past the reading of arguments. */
+    /**
+     * The adapter and serve are started often and by programs, so they go past the reading of
+     * arguments.
+     */
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("adapter")) {
             System.exit(adapter());
@@ -41,10 +58,11 @@
         line.setOut(out);
         line.setErr(err);
         line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
-            command.getErr().println(command.getCommandName() + ": " + e.getMessage());
-            return 1;
-        });
+        line.setExecutionExceptionHandler(
+                (e, command, parsed) -> {
+                    command.getErr().println(command.getCommandName() + ": " + e.getMessage());
+                    return 1;
+                });
         if (args.length == 0) {
             line.usage(err);
             return 2;
@@ -62,8 +80,11 @@
         }
     }
 
-    @Command(name = "adapter", mixinStandardHelpOptions = true,
-            description = "Decides on the simulator's wire, from standard input to standard output.",
+    @Command(
+            name = "adapter",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Decides on the simulator's wire, from standard input to standard output.",
             footer = {"", "Example: rosespread adapter < batches > replies"})
     static final class AdapterCommand implements java.util.concurrent.Callable<Integer> {
         @Override
--- a/src/main/java/rosespread/cli/RehearseCommand.java
+++ b/src/main/java/rosespread/cli/RehearseCommand.java
@@ -14,15 +14,26 @@
 import rosespread.rehearse.ScenarioException;
 
 /** Plays a scripted day on loopback and judges the five rules from the sockets. */
-@Command(name = "rehearse", mixinStandardHelpOptions = true, sortOptions = false,
-        description = "Plays a scripted day on loopback and judges the five rules from its sockets.",
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        sortOptions = false,
+        description =
+                "Plays a scripted day on loopback and judges the five rules from its sockets.",
         exitCodeListHeading = "Exit codes:%n",
-        exitCodeList = {"0:all rules kept", "1:it could not be played", "2:bad input", "3:a rule was broken"},
+        exitCodeList = {
+            "0:all rules kept",
+            "1:it could not be played",
+            "2:bad input",
+            "3:a rule was broken"
+        },
         footer = {"", "Example: rosespread rehearse bad-day --seed 7 --out day.json"})
 final class RehearseCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SCENARIO",
-            description = "bad-day, quiet-day, full-size, rollback-day, kill-day, drain-day, or the path of"
-                + " a file.")
+    @Parameters(
+            paramLabel = "SCENARIO",
+            description =
+                    "bad-day, quiet-day, full-size, rollback-day, kill-day, drain-day, or the path of"
+                            + " a file.")
     private String scenario;
 
     @Option(names = "--seed", defaultValue = "1", description = "Draws the day (${DEFAULT-VALUE}).")
@@ -31,17 +42,21 @@
     @Option(names = "--out", description = "Where the report goes as JSON.")
     private Path out;
 
-    @Option(names = "--no-conductor", description = "Proxies keep their starting tables, for comparison.")
+    @Option(
+            names = "--no-conductor",
+            description = "Proxies keep their starting tables, for comparison.")
     private boolean noConductor;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
         try {
-            Report report = Rehearsal.play(scenario,
-                    new Rehearsal.Options(seed, !noConductor, Main.class.getName(), List.of()));
+            Report report =
+                    Rehearsal.play(
+                            scenario,
+                            new Rehearsal.Options(
+                                    seed, !noConductor, Main.class.getName(), List.of()));
             if (out != null) {
                 Files.writeString(out, report.json());
             }
--- a/src/main/java/rosespread/cli/StandinCommand.java
+++ b/src/main/java/rosespread/cli/StandinCommand.java
@@ -14,14 +14,20 @@
 import rosespread.rehearse.ScenarioException;
 
 /** Stand-ins for conductors that were started by hand. */
-@Command(name = "standin", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "SUBCOMMAND",
-        description = "Stand-ins of nodes, list, proxies and clients, for a conductor started by hand.",
+@Command(
+        name = "standin",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "SUBCOMMAND",
+        description =
+                "Stand-ins of nodes, list, proxies and clients, for a conductor started by hand.",
         subcommands = {StandinCommand.Site.class, StandinCommand.SettingsText.class},
-        footer = {"", "Example: rosespread standin settings quiet-day |"
-            + " curl -X PUT -d @- 127.0.0.1:7401/v1/settings"})
+        footer = {
+            "",
+            "Example: rosespread standin settings quiet-day |"
+                    + " curl -X PUT -d @- 127.0.0.1:7401/v1/settings"
+        })
 final class StandinCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -34,23 +40,27 @@
         @Parameters(paramLabel = "SCENARIO", description = "A scenario that ships, or a file.")
         private String scenario;
 
-        @Option(names = "--seed", defaultValue = "1", description = "Draws the day (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "Draws the day (${DEFAULT-VALUE}).")
         private long seed;
 
-        @Option(names = "--list-port", defaultValue = "8500",
+        @Option(
+                names = "--list-port",
+                defaultValue = "8500",
                 description = "Where the server list answers (${DEFAULT-VALUE}).")
         private int listPort;
 
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
 
         abstract void run(String name, long from, int port, PrintStream out) throws Exception;
 
         @Override
         public Integer call() throws Exception {
             if (listPort < 1 || listPort > 65_535) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
-                        "--list-port " + listPort + " is not from 1 to 65535");
+                throw new CommandLine.ParameterException(
+                        spec.commandLine(), "--list-port " + listPort + " is not from 1 to 65535");
             }
             try {
                 run(scenario, seed, listPort, System.out);
@@ -62,11 +72,16 @@
         }
     }
 
-    @Command(name = "site", mixinStandardHelpOptions = true,
-            description = "Runs nodes and list; with conductors, proxies and clients too, for a day.",
+    @Command(
+            name = "site",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Runs nodes and list; with conductors, proxies and clients too, for a day.",
             footer = {"", "Example: rosespread standin site quiet-day --conductor 127.0.0.1:7400"})
     static final class Site extends Common {
-        @Option(names = "--conductor", converter = AddressConverter.class,
+        @Option(
+                names = "--conductor",
+                converter = AddressConverter.class,
                 description = "Where proxies dial; may be given several times.")
         private List<InetSocketAddress> conductors = List.of();
 
@@ -76,7 +91,9 @@
         }
     }
 
-    @Command(name = "settings", mixinStandardHelpOptions = true,
+    @Command(
+            name = "settings",
+            mixinStandardHelpOptions = true,
             description = "Prints the settings for a conductor of this site.",
             footer = {"", "Example: rosespread standin settings quiet-day --list-port 8500"})
     static final class SettingsText extends Common {
--- a/src/main/java/rosespread/cli/TableCommand.java
+++ b/src/main/java/rosespread/cli/TableCommand.java
@@ -17,15 +17,22 @@
 import rosespread.fleet.Reply;
 
 /** Looks at a conductor's tables and their versions, and goes back to one. */
-@Command(name = "table", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "SUBCOMMAND",
+@Command(
+        name = "table",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "SUBCOMMAND",
         description = "Shows a conductor's tables and versions, holds them, goes back.",
-        subcommands = {TableCommand.ListTables.class, TableCommand.Show.class, TableCommand.Diff.class,
+        subcommands = {
+            TableCommand.ListTables.class,
+            TableCommand.Show.class,
+            TableCommand.Diff.class,
             TableCommand.Rollback.class,
-            TableCommand.Pin.class, TableCommand.Release.class},
+            TableCommand.Pin.class,
+            TableCommand.Release.class
+        },
         footer = {"", "Example: rosespread table rollback 1 42 --control 127.0.0.1:7401"})
 final class TableCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -37,15 +44,17 @@
     abstract static class Call implements Callable<Integer> {
         private static final long TIMEOUT = 3_000_000_000L;
 
-        @Option(names = "--control", defaultValue = "127.0.0.1:7401", converter = AddressConverter.class,
+        @Option(
+                names = "--control",
+                defaultValue = "127.0.0.1:7401",
+                converter = AddressConverter.class,
                 description = "The conductor's control address (${DEFAULT-VALUE}).")
         private InetSocketAddress control;
 
         @Option(names = "--json", description = "Prints the answer as JSON.")
         private boolean asJson;
 
-        @Spec
-        private CommandSpec spec;
+        @Spec private CommandSpec spec;
 
         abstract Integer run(PrintWriter out, PrintWriter err) throws IOException;
 
@@ -61,9 +70,12 @@
             return asJson;
         }
 
-        /** @throws IOException if no answer came */
+        /**
+         * @throws IOException if no answer came
+         */
         Reply ask(String verb, String path) throws IOException {
-            try (Fleet fleet = new Fleet(List.of(control), System.getProperty("user.name"), TIMEOUT)) {
+            try (Fleet fleet =
+                    new Fleet(List.of(control), System.getProperty("user.name"), TIMEOUT)) {
                 Reply reply = fleet.ask(control, verb, path, "");
                 if (reply.status() == 0) {
                     throw new IOException(reply.address() + ": " + reply.detail());
@@ -78,10 +90,15 @@
 
         Integer act(String path, PrintWriter out, PrintWriter err) throws IOException {
             Reply reply = ask("POST", path);
-            (reply.isOk() ? out : err).println(asJson() ? reply.body().toPrettyString()
-                    : !reply.isOk() ? reply.detail()
-                    : reply.body().path("kept").asBoolean() ? "done"
-                    : "done, but not kept: a restart of the conductor forgets it; see /v1/state");
+            (reply.isOk() ? out : err)
+                    .println(
+                            asJson()
+                                    ? reply.body().toPrettyString()
+                                    : !reply.isOk()
+                                            ? reply.detail()
+                                            : reply.body().path("kept").asBoolean()
+                                                    ? "done"
+                                                    : "done, but not kept: a restart of the conductor forgets it; see /v1/state");
             err.flush();
             return reply.isOk() ? 0 : 1;
         }
@@ -96,11 +113,19 @@
                 out.println(all.toPrettyString());
                 return 0;
             }
-            out.printf("%5s %8s %6s %9s %8s  %s%n", "table", "version", "lines", "held", "refused",
-                    "refusals");
-            all.forEach(t -> out.printf("%5d %8d %6d %9s %8d  %s%n", t.path("table").asInt(),
-                    t.path("version").asLong(), t.path("lines").size(), t.path("held").asText(),
-                    refused(t.path("refused")), t.path("refusals").toString()));
+            out.printf(
+                    "%5s %8s %6s %9s %8s  %s%n",
+                    "table", "version", "lines", "held", "refused", "refusals");
+            all.forEach(
+                    t ->
+                            out.printf(
+                                    "%5d %8d %6d %9s %8d  %s%n",
+                                    t.path("table").asInt(),
+                                    t.path("version").asLong(),
+                                    t.path("lines").size(),
+                                    t.path("held").asText(),
+                                    refused(t.path("refused")),
+                                    t.path("refusals").toString()));
             return 0;
         }
 
@@ -113,7 +138,10 @@
         }
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "A table's lines and versions.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "A table's lines and versions.")
     static final class Show extends Call {
         @Parameters(paramLabel = "TABLE")
         private int table;
@@ -136,20 +164,42 @@
                 out.println(t.toPrettyString());
                 return;
             }
-            out.println("table " + table + ", version " + t.path("version") + ", held "
-                    + t.path("held").asText());
-            t.path("lines").properties().forEach(line -> out.printf(Locale.ROOT, "  %-30s %10.4f%n",
-                    line.getKey(), line.getValue().asDouble()));
-            out.printf("%8s %-10s %-24s %6s %7s  %s%n", "version", "cause", "at", "lines", "changed",
-                    "digest");
-            t.path("versions").forEach(v -> out.printf("%8d %-10s %-24s %6d %7d  %s%n",
-                    v.path("number").asLong(),
-                    v.path("cause").asText(), Instant.ofEpochMilli(v.path("atMillis").asLong()),
-                    v.path("lines").asInt(), v.path("changed").asInt(), v.path("digest").asText()));
+            out.println(
+                    "table "
+                            + table
+                            + ", version "
+                            + t.path("version")
+                            + ", held "
+                            + t.path("held").asText());
+            t.path("lines")
+                    .properties()
+                    .forEach(
+                            line ->
+                                    out.printf(
+                                            Locale.ROOT,
+                                            "  %-30s %10.4f%n",
+                                            line.getKey(),
+                                            line.getValue().asDouble()));
+            out.printf(
+                    "%8s %-10s %-24s %6s %7s  %s%n",
+                    "version", "cause", "at", "lines", "changed", "digest");
+            t.path("versions")
+                    .forEach(
+                            v ->
+                                    out.printf(
+                                            "%8d %-10s %-24s %6d %7d  %s%n",
+                                            v.path("number").asLong(),
+                                            v.path("cause").asText(),
+                                            Instant.ofEpochMilli(v.path("atMillis").asLong()),
+                                            v.path("lines").asInt(),
+                                            v.path("changed").asInt(),
+                                            v.path("digest").asText()));
         }
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true,
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
             description = "What changes from one kept version to another.",
             footer = {"", "Example: rosespread table diff 1 41 42"})
     static final class Diff extends Call {
@@ -175,24 +225,45 @@
                 out.println(told.toPrettyString());
                 return 0;
             }
-            out.println("table " + table + ", version " + from + " to " + to + ", "
-                    + told.path("lines").size() + " lines change");
-            told.path("lines").forEach(line -> out.printf(Locale.ROOT, "%s %-30s %10s %10s%n",
-                    sign(line), line.path("node").asText(), weight(line.path("before")),
-                    weight(line.path("after"))));
+            out.println(
+                    "table "
+                            + table
+                            + ", version "
+                            + from
+                            + " to "
+                            + to
+                            + ", "
+                            + told.path("lines").size()
+                            + " lines change");
+            told.path("lines")
+                    .forEach(
+                            line ->
+                                    out.printf(
+                                            Locale.ROOT,
+                                            "%s %-30s %10s %10s%n",
+                                            sign(line),
+                                            line.path("node").asText(),
+                                            weight(line.path("before")),
+                                            weight(line.path("after"))));
             return 0;
         }
 
         private static String sign(JsonNode line) {
-            return line.path("before").asDouble() == 0 ? "+" : line.path("after").asDouble() == 0 ? "-" : "~";
+            return line.path("before").asDouble() == 0
+                    ? "+"
+                    : line.path("after").asDouble() == 0 ? "-" : "~";
         }
 
         private static String weight(JsonNode weight) {
-            return weight.asDouble() == 0 ? "none" : String.format(Locale.ROOT, "%.4f", weight.asDouble());
+            return weight.asDouble() == 0
+                    ? "none"
+                    : String.format(Locale.ROOT, "%.4f", weight.asDouble());
         }
     }
 
-    @Command(name = "rollback", mixinStandardHelpOptions = true,
+    @Command(
+            name = "rollback",
+            mixinStandardHelpOptions = true,
             description = "Commits a kept version's lines as the newest one and holds the table.",
             footer = {"", "Example: rosespread table rollback 1 42"})
     static final class Rollback extends Call {
@@ -208,7 +279,10 @@
         }
     }
 
-    @Command(name = "pin", mixinStandardHelpOptions = true, description = "Holds a table at what is out now.")
+    @Command(
+            name = "pin",
+            mixinStandardHelpOptions = true,
+            description = "Holds a table at what is out now.")
     static final class Pin extends Call {
         @Parameters(paramLabel = "TABLE")
         private int table;
@@ -219,7 +293,9 @@
         }
     }
 
-    @Command(name = "release", mixinStandardHelpOptions = true,
+    @Command(
+            name = "release",
+            mixinStandardHelpOptions = true,
             description = "Lets a held table follow the module again, step by step.")
     static final class Release extends Call {
         @Parameters(paramLabel = "TABLE")
--- a/src/main/java/rosespread/conductor/Book.java
+++ b/src/main/java/rosespread/conductor/Book.java
@@ -24,15 +24,16 @@
 import rosespread.table.TableVersion;
 
 /**
- * All tables as they were committed, and how they are held. It outlives the module, and through its log the
- * process: each change is appended before any message can tell of it.
+ * All tables as they were committed, and how they are held. It outlives the module, and through its
+ * log the process: each change is appended before any message can tell of it.
  */
 public final class Book {
     /**
-     * Numbers jump to a multiple of this beyond what a proxy holds, so that the next proxy of the same past
-     * needs no further jump.
+     * Numbers jump to a multiple of this beyond what a proxy holds, so that the next proxy of the
+     * same past needs no further jump.
      */
     private static final long JUMP = 1024;
+
     /** No conductor comes so far; what a proxy says beyond is a mistake. */
     private static final long NUMBER_MOST = 1L << 53;
 
@@ -43,22 +44,34 @@
         final TreeMap<NodeId, Double> wanted = new TreeMap<>();
         final Set<MethodId> methods = new TreeSet<>();
         final Set<ZoneId> homes = new TreeSet<>();
-        /** What a pinned table still has to send; a newer change of a line overwrites the pending one. */
+
+        /**
+         * What a pinned table still has to send; a newer change of a line overwrites the pending
+         * one.
+         */
         final TreeMap<NodeId, Double> pending = new TreeMap<>();
+
         Hold hold = Hold.NONE;
+
         /** The version that it goes back to; 0 if it has arrived or goes to none. */
         long to;
+
         /** Whether the module that runs now has not ordered any line of it yet. */
         boolean awaited;
+
         /** The number that proxies which follow its deltas hold. */
         long sent;
+
         List<Gate.Refusal> refusals = List.of();
         final TreeMap<Gate.Reason, Long> refused = new TreeMap<>();
         long steppedAt = Long.MIN_VALUE / 2;
+
         /** What the gate knows of the lines that are out. */
         final Gate.Standing standing = new Gate.Standing();
+
         /** When, and by which facts, a table that is held was looked at last. */
         long lookedAt = Long.MIN_VALUE / 2;
+
         long lookedBy = -1;
 
         Table(TableId id, History history) {
@@ -74,8 +87,10 @@
 
     private final TableLog log;
     private final TreeMap<TableId, Table> tables = new TreeMap<>();
+
     /** Numbers that proxies hold of tables that are not there yet. */
     private final TreeMap<TableId, Long> floors = new TreeMap<>();
+
     private final Drains drains = new Drains();
     private long layout;
     private long last;
@@ -112,7 +127,10 @@
         }
     }
 
-    /** Tables are laid out by this from now on; if that is another way, numbers go on and nothing else. */
+    /**
+     * Tables are laid out by this from now on; if that is another way, numbers go on and nothing
+     * else.
+     */
     void layout(long next) {
         if (next == layout) {
             return;
@@ -128,7 +146,8 @@
     }
 
     Table table(TableId id) {
-        return tables.computeIfAbsent(id, t -> new Table(t, new History(t, floors.getOrDefault(t, 0L))));
+        return tables.computeIfAbsent(
+                id, t -> new Table(t, new History(t, floors.getOrDefault(t, 0L))));
     }
 
     /** The table if there is one. */
@@ -150,7 +169,8 @@
     }
 
     /** Commits a change, if it truly is one. */
-    TableVersion commit(Table table, Map<NodeId, Double> delta, TableVersion.Cause cause, long wallMillis) {
+    TableVersion commit(
+            Table table, Map<NodeId, Double> delta, TableVersion.Cause cause, long wallMillis) {
         TableVersion before = table.out();
         TableVersion next = table.history.commit(delta, cause, wallMillis);
         if (next != before) {
@@ -159,7 +179,10 @@
         return next;
     }
 
-    /** Holds a table or lets go of it; {@code pending} is what it has to change to come to {@code to}. */
+    /**
+     * Holds a table or lets go of it; {@code pending} is what it has to change to come to {@code
+     * to}.
+     */
     void hold(Table table, Hold hold, long to, Map<NodeId, Double> pending) {
         table.pending.clear();
         table.pending.putAll(pending);
@@ -170,13 +193,16 @@
             table.history.keep(to, true);
         }
         if (lasts && !table.history.isEmpty()) {
-            last = log.append(new Entry.Holding(table.id, hold.lasting(), to, new TreeMap<>(pending)));
+            last =
+                    log.append(
+                            new Entry.Holding(
+                                    table.id, hold.lasting(), to, new TreeMap<>(pending)));
         }
     }
 
     /**
-     * A proxy holds this number of a table, of another conductor or of a past that was not kept: numbers go
-     * on beyond it, so that none goes backwards for it.
+     * A proxy holds this number of a table, of another conductor or of a past that was not kept:
+     * numbers go on beyond it, so that none goes backwards for it.
      */
     void met(TableId id, long held, long wallMillis) {
         Table table = tables.get(id);
--- a/src/main/java/rosespread/conductor/ChannelServer.java
+++ b/src/main/java/rosespread/conductor/ChannelServer.java
@@ -14,7 +14,9 @@
 import rosespread.channel.FrameReader;
 import rosespread.turn.Inbox;
 
-/** The proxies' side of the conductor's sockets: turns what happens there into events for the inbox. */
+/**
+ * The proxies' side of the conductor's sockets: turns what happens there into events for the inbox.
+ */
 final class ChannelServer implements AutoCloseable {
     private static final String LINK = "link";
     private static final int CLOSE_MILLIS = 500;
@@ -37,8 +39,10 @@
         acceptor.setCloseOnDeactivation(false);
         acceptor.setBacklog(1024);
         acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.getFilterChain().addLast("frames",
-                new ProtocolCodecFilter(new ChannelCodec(FrameReader.FROM_PROXY, 0)));
+        acceptor.getFilterChain()
+                .addLast(
+                        "frames",
+                        new ProtocolCodecFilter(new ChannelCodec(FrameReader.FROM_PROXY, 0)));
         acceptor.setHandler(new Sessions());
     }
 
@@ -47,12 +51,16 @@
         return acceptor.getLocalAddress();
     }
 
-    /** What was written before, such as why it closes, leaves first if the peer reads it in time. */
+    /**
+     * What was written before, such as why it closes, leaves first if the peer reads it in time.
+     */
     @Override
     public void close() {
         acceptor.unbind();
-        List<CloseFuture> closing = acceptor.getManagedSessions().values().stream()
-                .map(IoSession::closeOnFlush).toList();
+        List<CloseFuture> closing =
+                acceptor.getManagedSessions().values().stream()
+                        .map(IoSession::closeOnFlush)
+                        .toList();
         long until = System.nanoTime() + CLOSE_MILLIS * 1_000_000L;
         for (CloseFuture each : closing) {
             each.awaitUninterruptibly(Math.max(1, (until - System.nanoTime()) / 1_000_000));
@@ -82,7 +90,9 @@
         /** A peer that does not read would never take the reason: it is closed without. */
         @Override
         public void close(Frame.Reason reason, String text) {
-            if (reason == Frame.Reason.SLOW || reason == Frame.Reason.SILENT || !session.isConnected()) {
+            if (reason == Frame.Reason.SLOW
+                    || reason == Frame.Reason.SILENT
+                    || !session.isConnected()) {
                 session.closeNow();
             } else {
                 session.write(new Frame.Close(reason, text));
--- a/src/main/java/rosespread/conductor/Conductor.java
+++ b/src/main/java/rosespread/conductor/Conductor.java
@@ -34,8 +34,8 @@
 import rosespread.turn.Inbox;
 
 /**
- * The running conductor: one decision thread round a {@link Core}, fed through a lock-free inbox by MINA's
- * I/O threads. Nothing else calls the core, and nothing blocks that thread.
+ * The running conductor: one decision thread round a {@link Core}, fed through a lock-free inbox by
+ * MINA's I/O threads. Nothing else calls the core, and nothing blocks that thread.
  */
 public final class Conductor implements AutoCloseable {
     /** Makes the planner; the module by default, something worse in experiments. */
@@ -44,15 +44,21 @@
         Planner planner(FleetSettings settings, long seed);
     }
 
-    public static final Planning MODULE = (settings, seed) -> {
-        Brain brain = new Brain(settings.module(), new SplittableRandom(seed));
-        return brain::round;
-    };
+    public static final Planning MODULE =
+            (settings, seed) -> {
+                Brain brain = new Brain(settings.module(), new SplittableRandom(seed));
+                return brain::round;
+            };
 
     private static final Logger LOG = LoggerFactory.getLogger(Conductor.class);
     private static final long ACT_SECONDS = 2;
-    /** How long a start waits for what other conductors know; a dead one must not hold it up for long. */
+
+    /**
+     * How long a start waits for what other conductors know; a dead one must not hold it up for
+     * long.
+     */
     private static final long PEERS_NANOS = 500_000_000L;
+
     private static final int CONNECT_MILLIS = 500;
     private static final int IDLE_SECONDS = 10;
 
@@ -64,12 +70,15 @@
     private final Book book;
     private final Core core;
     private final ChannelServer server;
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(task, "conductor-timer");
-        thread.setDaemon(true);
-        return thread;
-    });
-    private final HttpClient http = new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
+    private final ScheduledExecutorService timer =
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> {
+                        Thread thread = new Thread(task, "conductor-timer");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
+    private final HttpClient http =
+            new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
     private final PeerDrains peers;
     private final Thread thread;
     private final DecisionLoop loop;
@@ -79,25 +88,31 @@
     private ListClient list;
     private Prober prober;
 
-    /** @param folder where the snapshot of the settings is; made if it is not there */
+    /**
+     * @param folder where the snapshot of the settings is; made if it is not there
+     */
     public Conductor(String name, Path folder, Planning planning, Gate gate) {
         this.name = name;
         this.planning = planning;
         this.snapshot = new Snapshot(folder);
         // The store wakes the decision thread, as messages may wait for what is now kept.
-        this.store = new TableStore(folder, Sink.DISK, System::currentTimeMillis,
-                () -> inbox.put(now -> { }));
+        this.store =
+                new TableStore(
+                        folder, Sink.DISK, System::currentTimeMillis, () -> inbox.put(now -> {}));
         this.book = new Book(store);
         this.core = new Core(new Outside(), gate, book, System::currentTimeMillis);
         this.server = new ChannelServer(2, inbox, core);
         this.state = core.state();
         this.peers = new PeerDrains(http, timer, words -> inbox.put(now -> core.hear(now, words)));
         this.loop = new DecisionLoop(inbox, core::turn, this::undecided);
-        this.thread = new Thread(() -> {
-            loop.run();
-            core.stop(System.nanoTime());
-            inbox.close();
-        }, "decisions");
+        this.thread =
+                new Thread(
+                        () -> {
+                            loop.run();
+                            core.stop(System.nanoTime());
+                            inbox.close();
+                        },
+                        "decisions");
     }
 
     /** Nobody decides any more: proxies must not take it for alive. */
@@ -107,7 +122,8 @@
     }
 
     /**
-     * Starts and listens for proxies; returns the address. Takes the settings saved last, if they are whole.
+     * Starts and listens for proxies; returns the address. Takes the settings saved last, if they
+     * are whole.
      */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
         book.restore(store.open());
@@ -139,11 +155,12 @@
      * @param done whether they hold now, or held since a call of the same id
      * @param inForce what holds now, empty before any settings
      */
-    public record Applied(boolean done, Optional<Snapshot.Saved> inForce) { }
+    public record Applied(boolean done, Optional<Snapshot.Saved> inForce) {}
 
     /**
-     * Applies settings and saves them; they hold as a whole or not at all. Those of a call that was made
-     * before do nothing, nor those made against another revision than the one in force (negative: any).
+     * Applies settings and saves them; they hold as a whole or not at all. Those of a call that was
+     * made before do nothing, nor those made against another revision than the one in force
+     * (negative: any).
      *
      * @throws SettingsException if they are at fault; nothing has changed then
      * @throws IOException if they could not be saved; nothing has changed then
@@ -158,43 +175,61 @@
         if (revision >= 0 && revision != known) {
             return new Applied(false, Optional.ofNullable(inForce));
         }
-        Snapshot.Saved next = new Snapshot.Saved(text, known + 1, by, call, System.currentTimeMillis());
+        Snapshot.Saved next =
+                new Snapshot.Saved(text, known + 1, by, call, System.currentTimeMillis());
         Optional<Path> aside = snapshot.save(next);
         aside.ifPresent(path -> LOG.warn("the damaged snapshot was set aside as {}", path));
         settingsTrouble = "";
         inForce = next;
         take(settings);
         peers.pull(0);
-        LOG.atInfo().addKeyValue("revision", next.revision()).addKeyValue("by", by)
+        LOG.atInfo()
+                .addKeyValue("revision", next.revision())
+                .addKeyValue("by", by)
                 .log("settings applied and saved");
         return new Applied(true, Optional.of(next));
     }
 
     private void take(FleetSettings settings) {
         CompletableFuture<Void> taken = new CompletableFuture<>();
-        inbox.put(now -> {
-            if (list != null) {
-                list.close();
-            }
-            FleetSettings.Catalogue at = settings.list();
-            prober = new Prober(http, settings.probes().path(), settings.probes().timeout());
-            list = new ListClient(http, new InetSocketAddress(at.host(), at.port()), at.service(),
-                    "rosespread/" + name, at.block(), at.silentAfter(), at.backwardsAfter(), at.onDemand(),
-                            timer,
-                    System::nanoTime, new SplittableRandom(settings.seed() ^ name.hashCode()),
-                            new ListEars());
-            core.apply(now, settings);
-            peers.follow(settings.peers());
-            if (!at.onDemand()) {
-                list.follow();
-            }
-            taken.complete(null);
-        });
+        inbox.put(
+                now -> {
+                    if (list != null) {
+                        list.close();
+                    }
+                    FleetSettings.Catalogue at = settings.list();
+                    prober =
+                            new Prober(http, settings.probes().path(), settings.probes().timeout());
+                    list =
+                            new ListClient(
+                                    http,
+                                    new InetSocketAddress(at.host(), at.port()),
+                                    at.service(),
+                                    "rosespread/" + name,
+                                    at.block(),
+                                    at.silentAfter(),
+                                    at.backwardsAfter(),
+                                    at.onDemand(),
+                                    timer,
+                                    System::nanoTime,
+                                    new SplittableRandom(settings.seed() ^ name.hashCode()),
+                                    new ListEars());
+                    core.apply(now, settings);
+                    peers.follow(settings.peers());
+                    if (!at.onDemand()) {
+                        list.follow();
+                    }
+                    taken.complete(null);
+                });
         taken.join();
     }
 
     /** What an operator may do with a table. */
-    public enum TableAct { ROLLBACK, PIN, RELEASE }
+    public enum TableAct {
+        ROLLBACK,
+        PIN,
+        RELEASE
+    }
 
     /**
      * What came of an act.
@@ -202,27 +237,31 @@
      * @param why it could not be; empty if it was done
      * @param kept whether it is on the disk, so that a restart knows of it
      */
-    public record Outcome(String why, boolean kept) { }
+    public record Outcome(String why, boolean kept) {}
 
     /**
-     * Acts on a table; {@code version} is the one to go back to. Waits until the act is kept, as long as the
-     * disk has no trouble.
+     * Acts on a table; {@code version} is the one to go back to. Waits until the act is kept, as
+     * long as the disk has no trouble.
      *
      * @throws IOException if the decision thread does not take it up in time
      */
     public Outcome act(TableAct act, int table, long version) throws IOException {
         TableId id = new TableId(table);
         long[] last = new long[1];
-        String why = decide(now -> {
-            String told = switch (act) {
-                case ROLLBACK -> core.rollback(now, id, version);
-                case PIN -> core.pin(now, id);
-                case RELEASE -> core.release(now, id);
-            };
-            last[0] = book.last();
-            return told;
-        });
-        return new Outcome(why, why.isEmpty() && store.await(last[0], ACT_SECONDS * 1_000_000_000L));
+        String why =
+                decide(
+                        now -> {
+                            String told =
+                                    switch (act) {
+                                        case ROLLBACK -> core.rollback(now, id, version);
+                                        case PIN -> core.pin(now, id);
+                                        case RELEASE -> core.release(now, id);
+                                    };
+                            last[0] = book.last();
+                            return told;
+                        });
+        return new Outcome(
+                why, why.isEmpty() && store.await(last[0], ACT_SECONDS * 1_000_000_000L));
     }
 
     /** A table as it is at this moment, with what it still has to send. */
@@ -239,11 +278,13 @@
     /** Takes a call on a node up; waits until it is kept as long as the disk has no trouble. */
     public DrainOutcome drain(DrainCall call) throws IOException {
         long[] last = new long[1];
-        DrainOutcome outcome = decide(now -> {
-            DrainOutcome told = core.drain(now, call);
-            last[0] = book.last();
-            return told;
-        });
+        DrainOutcome outcome =
+                decide(
+                        now -> {
+                            DrainOutcome told = core.drain(now, call);
+                            last[0] = book.last();
+                            return told;
+                        });
         store.await(last[0], ACT_SECONDS * 1_000_000_000L);
         return outcome;
     }
@@ -262,13 +303,14 @@
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("the conductor did not take it up within " + ACT_SECONDS + " s", e);
+            throw new IOException(
+                    "the conductor did not take it up within " + ACT_SECONDS + " s", e);
         }
     }
 
     /**
-     * The state as it is now; that of the last time it was asked for if the decision thread does not answer.
-     * It is gathered only when asked for, as it grows with the fleet.
+     * The state as it is now; that of the last time it was asked for if the decision thread does
+     * not answer. It is gathered only when asked for, as it grows with the fleet.
      */
     public ConductorState state() {
         try {
@@ -336,7 +378,9 @@
 
         @Override
         public void probe(ListedNode node) {
-            prober.probe(node.address(), verdict -> inbox.put(now -> core.probed(now, node.id(), verdict)));
+            prober.probe(
+                    node.address(),
+                    verdict -> inbox.put(now -> core.probed(now, node.id(), verdict)));
         }
 
         @Override
--- a/src/main/java/rosespread/conductor/ConductorState.java
+++ b/src/main/java/rosespread/conductor/ConductorState.java
@@ -12,73 +12,149 @@
 import rosespread.turn.Rounds;
 
 /** The conductor at one moment, for those who look from outside. Ages and times in milliseconds. */
-public record ConductorState(String phase, int proxies, int proxiesBound, long linesWaiting,
+public record ConductorState(
+        String phase,
+        int proxies,
+        int proxiesBound,
+        long linesWaiting,
         long mostLinesWaiting,
-        long messages, long rounds, double meanRoundMs, double worstRoundMs, long joins, long strayAnswers,
-        long sumsOfUnknownNodes, long moduleFaults, long missedDeltas, long silentStreams, long slowStreams,
-                long lists,
-        long listFailures, String listTrouble, String lastMode, List<Node> nodes, List<Table> tables,
-        List<Proxy> proxyList, Storage storage) {
+        long messages,
+        long rounds,
+        double meanRoundMs,
+        double worstRoundMs,
+        long joins,
+        long strayAnswers,
+        long sumsOfUnknownNodes,
+        long moduleFaults,
+        long missedDeltas,
+        long silentStreams,
+        long slowStreams,
+        long lists,
+        long listFailures,
+        String listTrouble,
+        String lastMode,
+        List<Node> nodes,
+        List<Table> tables,
+        List<Proxy> proxyList,
+        Storage storage) {
 
     /**
-     * @param drainedBy the operator who drains it, empty if none; @param triedAgoMs since the last report of
-     * a
-     * try there, -1 if there was none; @param unheard proxies without a report for three periods, from which
-     * it cannot be known
+     * @param drainedBy the operator who drains it, empty if none; @param triedAgoMs since the last
+     *     report of a try there, -1 if there was none; @param unheard proxies without a report for
+     *     three periods, from which it cannot be known
      */
-    public record Node(String name, String address, String zone, String kind, String state,
-            boolean withdrawn, String drainedBy, long triedAgoMs, int unheard) { }
+    public record Node(
+            String name,
+            String address,
+            String zone,
+            String kind,
+            String state,
+            boolean withdrawn,
+            String drainedBy,
+            long triedAgoMs,
+            int unheard) {}
 
-    public record Table(int table, long version, String held, List<String> refusals,
+    public record Table(
+            int table,
+            long version,
+            String held,
+            List<String> refusals,
             Map<String, Long> refused,
-            Map<String, Double> lines, List<Version> versions) { }
+            Map<String, Double> lines,
+            List<Version> versions) {}
 
     private static final int REPORTS_MISSED = 3;
 
     /** What changes from one version to another; a weight of 0 stands for no line. */
-    public record Difference(int table, long from, long to, List<Changed> lines) { }
+    public record Difference(int table, long from, long to, List<Changed> lines) {}
 
-    public record Changed(String node, double before, double after) { }
+    public record Changed(String node, double before, double after) {}
 
     /** How versions and acts are kept; {@code waiting} entries are not on the disk yet. */
-    public record Storage(String trouble, boolean late, long waiting, long unkeptMessages, long bytes) { }
+    public record Storage(
+            String trouble, boolean late, long waiting, long unkeptMessages, long bytes) {}
 
     /** A version that can be gone back to. */
-    public record Version(long number, String cause, long atMillis, int lines, int changed, String digest) { }
+    public record Version(
+            long number, String cause, long atMillis, int lines, int changed, String digest) {}
 
-    public record Proxy(String name, int unanswered, long messages, long heardAgoMs, int tables) { }
+    public record Proxy(String name, int unanswered, long messages, long heardAgoMs, int tables) {}
 
     /** Before any settings came. */
-    static ConductorState of(FleetSettings settings, Collection<Link> links, Collection<ListedNode> listed,
-            List<Table> tables, Drains drains, Map<NodeId, Long> triedAt, Collection<NodeId> withdrawn,
-                    PacedChannel channel,
-                    Core.Counts counts, Rounds rounds,
-            Storage storage, long now) {
-        int unheard = settings == null ? 0 : (int) links.stream().filter(link ->
-                now - link.reportedAt > REPORTS_MISSED * settings.reportPeriod()).count();
+    static ConductorState of(
+            FleetSettings settings,
+            Collection<Link> links,
+            Collection<ListedNode> listed,
+            List<Table> tables,
+            Drains drains,
+            Map<NodeId, Long> triedAt,
+            Collection<NodeId> withdrawn,
+            PacedChannel channel,
+            Core.Counts counts,
+            Rounds rounds,
+            Storage storage,
+            long now) {
+        int unheard =
+                settings == null
+                        ? 0
+                        : (int)
+                                links.stream()
+                                        .filter(
+                                                link ->
+                                                        now - link.reportedAt
+                                                                > REPORTS_MISSED
+                                                                        * settings.reportPeriod())
+                                        .count();
         List<Node> nodeList = new ArrayList<>();
         for (ListedNode node : listed) {
-            nodeList.add(new Node(node.name(), node.host() + ":" + node.port(), node.zone(), node.kind(),
-                    node.state().name(), withdrawn.contains(node.id()),
-                    drains.word(node.id()).filter(Drain::on).map(Drain::by).orElse(""),
-                    triedAt.containsKey(node.id()) ? (now - triedAt.get(node.id())) / 1_000_000 : -1,
-                    unheard));
+            nodeList.add(
+                    new Node(
+                            node.name(),
+                            node.host() + ":" + node.port(),
+                            node.zone(),
+                            node.kind(),
+                            node.state().name(),
+                            withdrawn.contains(node.id()),
+                            drains.word(node.id()).filter(Drain::on).map(Drain::by).orElse(""),
+                            triedAt.containsKey(node.id())
+                                    ? (now - triedAt.get(node.id())) / 1_000_000
+                                    : -1,
+                            unheard));
         }
         List<Proxy> proxies = new ArrayList<>();
         for (Link link : links) {
-            proxies.add(new Proxy(link.name, link.marks.size(), link.messages,
-                    (now - link.heardAt) / 1_000_000,
-                    link.bound.size()));
+            proxies.add(
+                    new Proxy(
+                            link.name,
+                            link.marks.size(),
+                            link.messages,
+                            (now - link.heardAt) / 1_000_000,
+                            link.bound.size()));
         }
-        return new ConductorState(settings == null ? "waiting for settings" : "serving", links.size(),
+        return new ConductorState(
+                settings == null ? "waiting for settings" : "serving",
+                links.size(),
                 (int) links.stream().filter(link -> !link.bound.isEmpty()).count(),
-                channel == null ? 0 : channel.linesWaiting(), channel == null ? 0 : channel.mostWaiting(),
-                channel == null ? 0 : channel.messagesLeft(), rounds.played(),
-                rounds.meanNanos() / 1e6, rounds.worstNanos() / 1e6,
-                counts.joins, counts.strayAnswers, counts.unknownNodes, rounds.faults(), counts.missed,
-                        counts.silent,
-                counts.slow, counts.lists, counts.listFailures, counts.listTrouble, counts.mode, nodeList,
-                        tables,
-                proxies, storage);
+                channel == null ? 0 : channel.linesWaiting(),
+                channel == null ? 0 : channel.mostWaiting(),
+                channel == null ? 0 : channel.messagesLeft(),
+                rounds.played(),
+                rounds.meanNanos() / 1e6,
+                rounds.worstNanos() / 1e6,
+                counts.joins,
+                counts.strayAnswers,
+                counts.unknownNodes,
+                rounds.faults(),
+                counts.missed,
+                counts.silent,
+                counts.slow,
+                counts.lists,
+                counts.listFailures,
+                counts.listTrouble,
+                counts.mode,
+                nodeList,
+                tables,
+                proxies,
+                storage);
     }
 }
--- a/src/main/java/rosespread/conductor/Core.java
+++ b/src/main/java/rosespread/conductor/Core.java
@@ -2,14 +2,12 @@
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -33,9 +31,9 @@
 import rosespread.turn.Rounds;
 
 /**
- * The conductor without its threads and sockets: tells the module what happened and carries out its orders.
- * All of it runs on one thread; the caller brings events and the time, so that a test can drive it by a clock
- * of its own. It decides nothing: what was ordered leaves as it was ordered.
+ * The conductor without its threads and sockets: tells the module what happened and carries out its
+ * orders. All of it runs on one thread; the caller brings events and the time, so that a test can
+ * drive it by a clock of its own. It decides nothing: what was ordered leaves as it was ordered.
  */
 public final class Core {
     /** What the core asks of the world outside. */
@@ -50,10 +48,13 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
     private static final long JOIN_WITHIN = 5_000_000_000L;
+
     /** Keep-alives missed in a row that break a stream. */
     private static final int KEEP_ALIVES_MISSED = 4;
+
     /** A change of the list, or much unanswered, is a cause for large moves for so long. */
     private static final long CAUSE_LASTS = 10_000_000_000L;
+
     private static final double MUCH_UNANSWERED = 0.3;
     private static final int LEAST_TRIES = 5;
     private static final int PROXIES_MOST = 1 << 16;
@@ -68,8 +69,10 @@
     private final TreeMap<ProxyId, Link> joined = new TreeMap<>();
     private final TreeMap<String, ProxyId> byName = new TreeMap<>();
     private final TreeMap<NodeId, ListedNode> nodes = new TreeMap<>();
+
     /** What the list told last, and that with the drains of operators. */
     private final TreeMap<NodeId, ListedNode> told = new TreeMap<>();
+
     private final TreeMap<NodeId, ListedNode> listed = new TreeMap<>();
     private final TreeMap<NodeId, Long> triedAt = new TreeMap<>();
     private final TreeMap<NodeId, Start> starts = new TreeMap<>();
@@ -91,7 +94,7 @@
     private long lastCause = Long.MIN_VALUE / 2;
     private final Counts counts = new Counts();
 
-    private record Start(long millis, long nanos) { }
+    private record Start(long millis, long nanos) {}
 
     /** What happened since the start, for the state page. */
     static final class Counts {
@@ -107,23 +110,26 @@
         String mode = "";
     }
 
-    /** @param book what was committed so far; restored before the first settings */
+    /**
+     * @param book what was committed so far; restored before the first settings
+     */
     public Core(World world, Gate gate, Book book, LongSupplier wallMillis) {
         this.book = book;
         this.views = new TableViews(book, nodes);
         this.world = world;
         this.gate = gate;
         this.wallMillis = wallMillis;
-        // Numbers of messages rise over restarts too, so that no answer fits a message of an earlier process.
+        // Numbers of messages rise over restarts too, so that no answer fits a message of an
+        // earlier process.
         this.number = wallMillis.getAsLong() << 20;
     }
 
     // ---- settings ----
 
     /**
-     * Takes settings as a whole. Numbers of methods, zones and tables may mean something else from here on,
-     * so all streams are closed and a fresh module begins, as after a restart; proxies keep their tables and
-     * rejoin.
+     * Takes settings as a whole. Numbers of methods, zones and tables may mean something else from
+     * here on, so all streams are closed and a fresh module begins, as after a restart; proxies
+     * keep their tables and rejoin.
      */
     public void apply(long time, FleetSettings next) {
         now = time;
@@ -139,8 +145,14 @@
     /** What tables are laid out by: the places, and where methods may go. */
     private static long layout(FleetSettings settings) {
         StringBuilder text = new StringBuilder().append(settings.zones()).append(settings.kinds());
-        settings.methods().forEach(m -> text.append('|').append(m.name()).append(m.onlyKinds())
-                .append(m.onlyZones()).append(m.ownZone()));
+        settings.methods()
+                .forEach(
+                        m ->
+                                text.append('|')
+                                        .append(m.name())
+                                        .append(m.onlyKinds())
+                                        .append(m.onlyZones())
+                                        .append(m.ownZone()));
         return Hashing.xxh3_64().hashBytesToLong(text.toString().getBytes(StandardCharsets.UTF_8));
     }
 
@@ -150,8 +162,11 @@
         }
         rounds.begin();
         sums = new SumsGatherer();
-        channel = new PacedChannel(settings.channel().linesPerSecond(), book.log(),
-                new Patience(settings.drainGrace()));
+        channel =
+                new PacedChannel(
+                        settings.channel().linesPerSecond(),
+                        book.log(),
+                        new Patience(settings.drainGrace()));
         number = turn == null ? number : turn.number();
         lastCause = now;
         book.moduleBegins();
@@ -202,8 +217,10 @@
         } else if (frame instanceof Frame.Offered offered) {
             offered(link, offered);
         } else {
-            close(link, Frame.Reason.BAD_FRAME, frame.getClass().getSimpleName()
-                    + " is not a proxy's to send");
+            close(
+                    link,
+                    Frame.Reason.BAD_FRAME,
+                    frame.getClass().getSimpleName() + " is not a proxy's to send");
         }
     }
 
@@ -211,14 +228,17 @@
         if (!(frame instanceof Frame.Hello hello)) {
             close(link, Frame.Reason.BAD_FRAME, "the first frame must be Hello");
         } else if (hello.version() != Frame.VERSION) {
-            close(link, Frame.Reason.BAD_VERSION, "version " + hello.version() + "; this conductor speaks "
-                    + Frame.VERSION);
+            close(
+                    link,
+                    Frame.Reason.BAD_VERSION,
+                    "version " + hello.version() + "; this conductor speaks " + Frame.VERSION);
         } else if (settings == null) {
             close(link, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
         } else {
             link.greeted = true;
-            link.wire.write(FrameWriter.bytes(new Frame.Hello(Frame.VERSION, "conductor",
-                    settings.methodNames())));
+            link.wire.write(
+                    FrameWriter.bytes(
+                            new Frame.Hello(Frame.VERSION, "conductor", settings.methodNames())));
         }
     }
 
@@ -228,13 +248,21 @@
             return;
         }
         if (!settings.zones().contains(join.zone())) {
-            close(link, Frame.Reason.BAD_JOIN, "zone \"" + join.zone() + "\"; known are "
-                    + String.join(", ", settings.zones()));
+            close(
+                    link,
+                    Frame.Reason.BAD_JOIN,
+                    "zone \""
+                            + join.zone()
+                            + "\"; known are "
+                            + String.join(", ", settings.zones()));
             return;
         }
         ProxyId before = byName.get(join.proxy());
         if (before != null) {
-            close(joined.get(before), Frame.Reason.REPLACED, "a newer stream of proxy " + join.proxy());
+            close(
+                    joined.get(before),
+                    Frame.Reason.REPLACED,
+                    "a newer stream of proxy " + join.proxy());
         }
         int free = 0;
         while (joined.containsKey(new ProxyId(free))) {
@@ -252,16 +280,23 @@
         joined.put(id, link);
         byName.put(link.name, id);
         counts.joins++;
-        LOG.atInfo().addKeyValue("proxy", link.name).addKeyValue("zone", join.zone())
-                .addKeyValue("from", link.wire.remote()).log("proxy joined");
+        LOG.atInfo()
+                .addKeyValue("proxy", link.name)
+                .addKeyValue("zone", join.zone())
+                .addKeyValue("from", link.wire.remote())
+                .log("proxy joined");
         long wall = wallMillis.getAsLong();
         join.held().forEach(held -> book.met(held.table(), held.version(), wall));
         rounds.add(observer -> observer.proxyJoined(id, link.zone, join.rate()));
     }
 
-    /** An answer to a mark that was not written on this stream is nobody's: it may be of an earlier one. */
+    /**
+     * An answer to a mark that was not written on this stream is nobody's: it may be of an earlier
+     * one.
+     */
     private void installed(Link link, long answered) {
-        Link.Marked found = link.marks.stream().filter(m -> m.number() == answered).findFirst().orElse(null);
+        Link.Marked found =
+                link.marks.stream().filter(m -> m.number() == answered).findFirst().orElse(null);
         if (found == null) {
             counts.strayAnswers++;
             return;
@@ -277,12 +312,17 @@
     }
 
     private Frame.Sums known(Frame.Sums met) {
-        met.sums().stream().filter(sum -> sum.tries() > 0 && nodes.containsKey(sum.node()))
+        met.sums().stream()
+                .filter(sum -> sum.tries() > 0 && nodes.containsKey(sum.node()))
                 .forEach(sum -> triedAt.put(sum.node(), now));
-        List<Frame.Sum> known = met.sums().stream().filter(sum -> nodes.containsKey(sum.node())).toList();
+        List<Frame.Sum> known =
+                met.sums().stream().filter(sum -> nodes.containsKey(sum.node())).toList();
         counts.unknownNodes += met.sums().size() - known.size();
-        if (known.stream().anyMatch(sum -> sum.tries() >= LEAST_TRIES
-                && sum.unanswered() > MUCH_UNANSWERED * sum.tries())) {
+        if (known.stream()
+                .anyMatch(
+                        sum ->
+                                sum.tries() >= LEAST_TRIES
+                                        && sum.unanswered() > MUCH_UNANSWERED * sum.tries())) {
             lastCause = now;
         }
         return known.size() == met.sums().size() ? met : new Frame.Sums(met.coversMicros(), known);
@@ -291,12 +331,19 @@
     private void offered(Link link, Frame.Offered offered) {
         for (Frame.Count count : offered.counts()) {
             if (count.method().value() >= settings.methods().size()) {
-                close(link, Frame.Reason.BAD_FRAME, "method " + count.method().value() + " of "
-                        + settings.methods().size());
+                close(
+                        link,
+                        Frame.Reason.BAD_FRAME,
+                        "method " + count.method().value() + " of " + settings.methods().size());
                 return;
             }
-            rounds.add(observer -> observer.offered(link.proxy, count.method(), count.came(),
-                    offered.coversMicros() * 1000));
+            rounds.add(
+                    observer ->
+                            observer.offered(
+                                    link.proxy,
+                                    count.method(),
+                                    count.came(),
+                                    offered.coversMicros() * 1000));
         }
     }
 
@@ -329,8 +376,11 @@
         if (channel != null) {
             channel.drop(link);
         }
-        LOG.atInfo().addKeyValue("proxy", link.name).addKeyValue("from", link.wire.remote())
-                .addKeyValue("reason", reason).log("stream closed: " + text);
+        LOG.atInfo()
+                .addKeyValue("proxy", link.name)
+                .addKeyValue("from", link.wire.remote())
+                .addKeyValue("reason", reason)
+                .log("stream closed: " + text);
         link.wire.close(reason == null ? Frame.Reason.STOPPING : reason, text);
     }
 
@@ -350,33 +400,52 @@
     }
 
     /**
-     * A node that the list no longer tells of needs no drain any more; one that comes back is a fresh one.
+     * A node that the list no longer tells of needs no drain any more; one that comes back is a
+     * fresh one.
      */
     private void endDrainsOfGone(Set<NodeId> before) {
         for (Drain word : List.copyOf(book.drains().words())) {
-            // Only one that was listed here: this list may be behind the one by which the word was given.
+            // Only one that was listed here: this list may be behind the one by which the word was
+            // given.
             if (word.on() && before.contains(word.node()) && !told.containsKey(word.node())) {
                 long stamp = book.drains().next();
-                book.take(new Drain(word.node(), word.name(), false, stamp, "list", "gone-" + stamp,
-                        wallMillis.getAsLong()));
-                LOG.info("the drain of {} by {} ends: the list no longer tells of it", word.name(),
+                book.take(
+                        new Drain(
+                                word.node(),
+                                word.name(),
+                                false,
+                                stamp,
+                                "list",
+                                "gone-" + stamp,
+                                wallMillis.getAsLong()));
+                LOG.info(
+                        "the drain of {} by {} ends: the list no longer tells of it",
+                        word.name(),
                         word.by());
             }
         }
     }
 
-    /** Works out what the module is told: the list, with nodes that operators drain as the list would say. */
+    /**
+     * Works out what the module is told: the list, with nodes that operators drain as the list
+     * would say.
+     */
     private void relist() {
         Map<NodeId, ListedNode> next = new TreeMap<>();
         told.forEach((id, node) -> next.put(id, book.drains().drains(id) ? node.draining() : node));
-        next.values().forEach(node -> lastCause = same(listed.get(node.id()), node) ? lastCause : now);
+        next.values()
+                .forEach(node -> lastCause = same(listed.get(node.id()), node) ? lastCause : now);
         lastCause = next.size() == listed.size() ? lastCause : now;
         listed.clear();
         listed.putAll(next);
         nodes.putAll(listed);
         if (turn != null) {
-            nodes.keySet().removeIf(id -> !listed.containsKey(id) && !turn.withdrawn().contains(id)
-                    && !turn.names(id));
+            nodes.keySet()
+                    .removeIf(
+                            id ->
+                                    !listed.containsKey(id)
+                                            && !turn.withdrawn().contains(id)
+                                            && !turn.names(id));
             starts.keySet().retainAll(nodes.keySet());
             triedAt.keySet().retainAll(nodes.keySet());
             factsChange();
@@ -397,7 +466,8 @@
     }
 
     private static boolean same(ListedNode before, ListedNode after) {
-        return before != null && before.state() == after.state()
+        return before != null
+                && before.state() == after.state()
                 && before.startedMillis() == after.startedMillis();
     }
 
@@ -405,20 +475,25 @@
         List<ListedNode> told = List.copyOf(listed.values());
         Map<NodeId, Long> up = new TreeMap<>();
         told.forEach(node -> up.put(node.id(), started(node)));
-        rounds.add(observer -> {
-            observer.listBegins(kind);
-            for (ListedNode node : told) {
-                observer.node(node.id(), new KindId(place(kinds, node.kind())),
-                        new ZoneId(place(zones, node.zone())), node.weight(), node.state(),
+        rounds.add(
+                observer -> {
+                    observer.listBegins(kind);
+                    for (ListedNode node : told) {
+                        observer.node(
+                                node.id(),
+                                new KindId(place(kinds, node.kind())),
+                                new ZoneId(place(zones, node.zone())),
+                                node.weight(),
+                                node.state(),
                                 up.get(node.id()));
-            }
-            observer.listEnds();
-        });
+                    }
+                    observer.listEnds();
+                });
     }
 
     /**
-     * Worked out once for each start that the list names: wall clock and monotone clock drift, and a start
-     * that seems to move would be taken for another one.
+     * Worked out once for each start that the list names: wall clock and monotone clock drift, and
+     * a start that seems to move would be taken for another one.
      */
     private long started(ListedNode node) {
         if (node.startedMillis() == 0) {
@@ -442,14 +517,16 @@
         now = time;
         counts.listFailures++;
         if (counts.listTrouble.isEmpty()) {
-            LOG.atWarn().addKeyValue("nodes", listed.size()).log("list unavailable, the last one stays: "
-                    + why);
+            LOG.atWarn()
+                    .addKeyValue("nodes", listed.size())
+                    .log("list unavailable, the last one stays: " + why);
         }
         counts.listTrouble = why;
-        rounds.add(observer -> {
-            observer.listBegins(Observer.ListKind.UNAVAILABLE);
-            observer.listEnds();
-        });
+        rounds.add(
+                observer -> {
+                    observer.listBegins(Observer.ListKind.UNAVAILABLE);
+                    observer.listEnds();
+                });
     }
 
     public void probed(long time, NodeId node, Observer.Verdict verdict) {
@@ -500,8 +577,10 @@
         for (Link link : List.copyOf(links)) {
             if (now - link.heardAt > KEEP_ALIVES_MISSED * every && link.joined()) {
                 counts.silent++;
-                close(link, Frame.Reason.SILENT, "nothing heard for " + (now - link.heardAt) / 1_000_000
-                        + " ms");
+                close(
+                        link,
+                        Frame.Reason.SILENT,
+                        "nothing heard for " + (now - link.heardAt) / 1_000_000 + " ms");
             } else if (!link.joined() && now - link.openedAt > JOIN_WITHIN) {
                 close(link, Frame.Reason.SILENT, "not joined in time");
             } else if (link.wire.unwritten() > UNWRITTEN_MOST) {
@@ -511,7 +590,10 @@
                 link.keptAt = now;
                 link.wire.write(FrameWriter.bytes(new Frame.KeepAlive(now, false)));
             }
-            next = Math.min(next, link.joined() ? link.keptAt + every : link.openedAt + JOIN_WITHIN);
+            next =
+                    Math.min(
+                            next,
+                            link.joined() ? link.keptAt + every : link.openedAt + JOIN_WITHIN);
         }
         return next;
     }
@@ -526,23 +608,36 @@
 
     /** What there is to see, as it is now. */
     public ConductorState state() {
-        return ConductorState.of(settings, joined.values(), listed.values(),
-                views.all(), book.drains(), triedAt,
-                turn == null ? List.<NodeId>of() : turn.withdrawn(), channel, counts, rounds, storage(), now);
+        return ConductorState.of(
+                settings,
+                joined.values(),
+                listed.values(),
+                views.all(),
+                book.drains(),
+                triedAt,
+                turn == null ? List.<NodeId>of() : turn.withdrawn(),
+                channel,
+                counts,
+                rounds,
+                storage(),
+                now);
     }
 
     private ConductorState.Storage storage() {
         Patience patience = channel == null ? null : channel.patience();
-        return new ConductorState.Storage(book.log().trouble(), patience != null && patience.late(),
-                Math.max(0, book.last() - book.log().durable()), patience == null ? 0 : patience.unkept(),
+        return new ConductorState.Storage(
+                book.log().trouble(),
+                patience != null && patience.late(),
+                Math.max(0, book.last() - book.log().durable()),
+                patience == null ? 0 : patience.unkept(),
                 book.log().bytes());
     }
 
     // ---- drains ----
 
     /**
-     * Takes an operator's call on a node up: once for each id, against the revision that it names, and not if
-     * the guard is against it.
+     * Takes an operator's call on a node up: once for each id, against the revision that it names,
+     * and not if the guard is against it.
      */
     public DrainOutcome drain(long time, DrainCall call) {
         now = time;
@@ -552,30 +647,85 @@
         }
         List<Drain> since = call.revision() < 0 ? List.of() : drains.since(call.revision());
         if (!since.isEmpty()) {
-            return new DrainOutcome(DrainOutcome.Kind.STALE, drains.revision(), since.stream().map(word ->
-                    word.name() + (word.on() ? " was drained by " : " was undrained by ") + word.by()
-                    + " (revision " + word.stamp() + ")").toList());
+            return new DrainOutcome(
+                    DrainOutcome.Kind.STALE,
+                    drains.revision(),
+                    since.stream()
+                            .map(
+                                    word ->
+                                            word.name()
+                                                    + (word.on()
+                                                            ? " was drained by "
+                                                            : " was undrained by ")
+                                                    + word.by()
+                                                    + " (revision "
+                                                    + word.stamp()
+                                                    + ")")
+                            .toList());
         }
         List<ListedNode> named = told.values().stream().filter(node -> call.names(node)).toList();
         if (named.size() != 1) {
-            return named.isEmpty() ? new DrainOutcome(DrainOutcome.Kind.NO_NODE, drains.revision(),
-                    List.of("no node " + call.node() + " among " + told.size() + " listed"))
-                    : new DrainOutcome(DrainOutcome.Kind.AMBIGUOUS, drains.revision(), named.stream()
-                            .map(node -> node.name() + "@" + node.host() + ":" + node.port()).toList());
+            return named.isEmpty()
+                    ? new DrainOutcome(
+                            DrainOutcome.Kind.NO_NODE,
+                            drains.revision(),
+                            List.of("no node " + call.node() + " among " + told.size() + " listed"))
+                    : new DrainOutcome(
+                            DrainOutcome.Kind.AMBIGUOUS,
+                            drains.revision(),
+                            named.stream()
+                                    .map(
+                                            node ->
+                                                    node.name()
+                                                            + "@"
+                                                            + node.host()
+                                                            + ":"
+                                                            + node.port())
+                                    .toList());
         }
         ListedNode node = named.get(0);
-        List<String> against = call.on() && !call.force() && settings != null
-                ? new DrainGuard(settings.drainLeastShare()).against(node.name(), listed.values().stream()
-                        .map(n -> new DrainGuard.Node(n.name(), n.zone(), n.kind(), n.weight(),
-                                n.state() == Observer.NodeState.READY)).toList(),
-                        settings.methods().stream().map(m -> new DrainGuard.Method(m.name(),
-                                Set.copyOf(m.onlyKinds()), Set.copyOf(m.onlyZones()))).toList()) : List.of();
+        List<String> against =
+                call.on() && !call.force() && settings != null
+                        ? new DrainGuard(settings.drainLeastShare())
+                                .against(
+                                        node.name(),
+                                        listed.values().stream()
+                                                .map(
+                                                        n ->
+                                                                new DrainGuard.Node(
+                                                                        n.name(),
+                                                                        n.zone(),
+                                                                        n.kind(),
+                                                                        n.weight(),
+                                                                        n.state()
+                                                                                == Observer
+                                                                                        .NodeState
+                                                                                        .READY))
+                                                .toList(),
+                                        settings.methods().stream()
+                                                .map(
+                                                        m ->
+                                                                new DrainGuard.Method(
+                                                                        m.name(),
+                                                                        Set.copyOf(m.onlyKinds()),
+                                                                        Set.copyOf(m.onlyZones())))
+                                                .toList())
+                        : List.of();
         if (!against.isEmpty()) {
             return new DrainOutcome(DrainOutcome.Kind.GUARDED, drains.revision(), against);
         }
-        book.take(new Drain(node.id(), node.name(), call.on(), drains.next(), call.by(), call.id(),
-                wallMillis.getAsLong()));
-        LOG.atInfo().addKeyValue("node", node.name()).addKeyValue("by", call.by())
+        book.take(
+                new Drain(
+                        node.id(),
+                        node.name(),
+                        call.on(),
+                        drains.next(),
+                        call.by(),
+                        call.id(),
+                        wallMillis.getAsLong()));
+        LOG.atInfo()
+                .addKeyValue("node", node.name())
+                .addKeyValue("by", call.by())
                 .log((call.on() ? "drain of " : "end of the drain of ") + node.name());
         relist();
         return DrainOutcome.done(drains.revision(), false);
@@ -588,9 +738,13 @@
         for (Drain word : words) {
             if (word.after(book.drains().word(word.node()).orElse(null)) && book.take(word)) {
                 changes++;
-                LOG.atInfo().addKeyValue("node", word.name()).addKeyValue("by", word.by())
-                        .log("heard of the " + (word.on() ? "drain of " : "end of the drain of ")
-                        + word.name());
+                LOG.atInfo()
+                        .addKeyValue("node", word.name())
+                        .addKeyValue("by", word.by())
+                        .log(
+                                "heard of the "
+                                        + (word.on() ? "drain of " : "end of the drain of ")
+                                        + word.name());
             }
         }
         if (changes > 0 && listKnown) {
@@ -609,10 +763,14 @@
     /** See {@link TurnOrders#rollback}. */
     public String rollback(long time, TableId table, long version) {
         now = time;
-        return turn == null ? "no settings yet" : turn.rollback(table, version, now, wallMillis.getAsLong());
+        return turn == null
+                ? "no settings yet"
+                : turn.rollback(table, version, now, wallMillis.getAsLong());
     }
 
-    /** Lets a table that is held follow the module again, step by step. Returns why not, or nothing. */
+    /**
+     * Lets a table that is held follow the module again, step by step. Returns why not, or nothing.
+     */
     public String release(long time, TableId table) {
         now = time;
         return turn == null ? "no settings yet" : turn.release(table);
@@ -637,11 +795,16 @@
     private final class Acts implements TurnOrders.Effects {
         @Override
         public Gate.Scene scene(Set<MethodId> methods, Set<ZoneId> homes, double carried) {
-            Map<NodeId, Gate.Fact> facts = new FactsView(nodes, node -> {
-                ListedNode is = listed.get(node.id());
-                return new Gate.Fact(is == null ? Observer.NodeState.GONE : is.state(), warmth(node),
-                        open(node, methods, homes));
-            });
+            Map<NodeId, Gate.Fact> facts =
+                    new FactsView(
+                            nodes,
+                            node -> {
+                                ListedNode is = listed.get(node.id());
+                                return new Gate.Fact(
+                                        is == null ? Observer.NodeState.GONE : is.state(),
+                                        warmth(node),
+                                        open(node, methods, homes));
+                            });
             return new Gate.Scene(facts, factsVersion(), now - lastCause < CAUSE_LASTS, carried);
         }
 
@@ -666,17 +829,27 @@
         private double warmth(ListedNode node) {
             long up = started(node);
             long time = settings.cold().time();
-            return up == Long.MIN_VALUE || now - up >= time ? 1 : settings.cold().share()
-                    + (1 - settings.cold().share()) * Math.max(0, now - up) / time;
+            return up == Long.MIN_VALUE || now - up >= time
+                    ? 1
+                    : settings.cold().share()
+                            + (1 - settings.cold().share()) * Math.max(0, now - up) / time;
         }
 
-        /** Whether any of the table's methods may go there; a table of one zone stays in its zone. */
+        /**
+         * Whether any of the table's methods may go there; a table of one zone stays in its zone.
+         */
         private boolean open(ListedNode node, Set<MethodId> methods, Set<ZoneId> homes) {
             ZoneId zone = new ZoneId(place(zones, node.zone()));
-            return methods.isEmpty() || methods.stream().map(m -> settings.methods().get(m.value()))
-                    .anyMatch(m -> (m.onlyKinds().isEmpty() || m.onlyKinds().contains(node.kind()))
-                            && (m.onlyZones().isEmpty() || m.onlyZones().contains(node.zone()))
-                            && (!m.ownZone() || homes.contains(zone)));
+            return methods.isEmpty()
+                    || methods.stream()
+                            .map(m -> settings.methods().get(m.value()))
+                            .anyMatch(
+                                    m ->
+                                            (m.onlyKinds().isEmpty()
+                                                            || m.onlyKinds().contains(node.kind()))
+                                                    && (m.onlyZones().isEmpty()
+                                                            || m.onlyZones().contains(node.zone()))
+                                                    && (!m.ownZone() || homes.contains(zone)));
         }
 
         @Override
--- a/src/main/java/rosespread/conductor/DrainCall.java
+++ b/src/main/java/rosespread/conductor/DrainCall.java
@@ -10,7 +10,8 @@
  * @param id repeated calls of one id are one
  * @param force whether the guard is passed over
  */
-public record DrainCall(String node, boolean on, String by, String id, long revision, boolean force) {
+public record DrainCall(
+        String node, boolean on, String by, String id, long revision, boolean force) {
     boolean names(ListedNode listed) {
         return node.equals(listed.name())
                 || node.equals(listed.name() + "@" + listed.host() + ":" + listed.port());
--- a/src/main/java/rosespread/conductor/DrainJson.java
+++ b/src/main/java/rosespread/conductor/DrainJson.java
@@ -17,18 +17,27 @@
     private static final long STAMP_MOST = 1L << 53;
     private static final int TEXT_MOST = 255;
 
-    private DrainJson() { }
+    private DrainJson() {}
 
     public static ObjectNode write(List<Drain> words) {
         ObjectNode all = JSON.createObjectNode();
         ArrayNode each = all.putArray("words");
-        words.forEach(word -> each.addObject().put("node", Long.toHexString(word.node().value()))
-                .put("name", word.name()).put("on", word.on()).put("stamp", word.stamp())
-                .put("by", word.by()).put("call", word.call()).put("at", word.atMillis()));
+        words.forEach(
+                word ->
+                        each.addObject()
+                                .put("node", Long.toHexString(word.node().value()))
+                                .put("name", word.name())
+                                .put("on", word.on())
+                                .put("stamp", word.stamp())
+                                .put("by", word.by())
+                                .put("call", word.call())
+                                .put("at", word.atMillis()));
         return all;
     }
 
-    /** @throws IOException if it is not that; the message names the word */
+    /**
+     * @throws IOException if it is not that; the message names the word
+     */
     public static List<Drain> read(byte[] json) throws IOException {
         JsonNode words = JSON.readTree(json).path("words");
         if (!words.isArray() || words.size() > WORDS_MOST) {
@@ -38,13 +47,21 @@
         for (int i = 0; i < words.size(); i++) {
             JsonNode word = words.get(i);
             long stamp = word.path("stamp").asLong(-1);
-            if (stamp < 0 || stamp > STAMP_MOST || !word.path("on").isBoolean()
+            if (stamp < 0
+                    || stamp > STAMP_MOST
+                    || !word.path("on").isBoolean()
                     || !word.path("node").asText().matches("[0-9a-f]{1,16}")) {
                 throw new IOException("words[" + i + "] is not a word on a node: " + word);
             }
-            all.add(new Drain(new NodeId(Long.parseUnsignedLong(word.path("node").asText(), 16)),
-                    text(word, "name"), word.path("on").asBoolean(), stamp, text(word, "by"),
-                    text(word, "call"), word.path("at").asLong()));
+            all.add(
+                    new Drain(
+                            new NodeId(Long.parseUnsignedLong(word.path("node").asText(), 16)),
+                            text(word, "name"),
+                            word.path("on").asBoolean(),
+                            stamp,
+                            text(word, "by"),
+                            text(word, "call"),
+                            word.path("at").asLong()));
         }
         return all;
     }
--- a/src/main/java/rosespread/conductor/DrainOutcome.java
+++ b/src/main/java/rosespread/conductor/DrainOutcome.java
@@ -5,7 +5,14 @@
 /** What came of a call on a node; {@code told} says why not, or what changed since its revision. */
 public record DrainOutcome(Kind kind, long revision, List<String> told) {
     /** REPEATED: a call of this id was taken up before. */
-    public enum Kind { DONE, REPEATED, NO_NODE, AMBIGUOUS, STALE, GUARDED }
+    public enum Kind {
+        DONE,
+        REPEATED,
+        NO_NODE,
+        AMBIGUOUS,
+        STALE,
+        GUARDED
+    }
 
     static DrainOutcome done(long revision, boolean before) {
         return new DrainOutcome(before ? Kind.REPEATED : Kind.DONE, revision, List.of());
--- a/src/main/java/rosespread/conductor/Link.java
+++ b/src/main/java/rosespread/conductor/Link.java
@@ -27,7 +27,7 @@
     }
 
     /** A message that was written and is not answered yet. */
-    record Marked(long number, long round, int mark, long orderedAt, int lines, long writtenAt) { }
+    record Marked(long number, long round, int mark, long orderedAt, int lines, long writtenAt) {}
 
     final Wire wire;
     final long openedAt;
@@ -43,9 +43,12 @@
     long heardAt;
     long keptAt;
     long messages;
+
     /** When its last sums came. */
     long reportedAt;
+
     final ArrayDeque<Long> written = new ArrayDeque<>();
+
     /** Tables that it could not follow and must be sent whole. */
     final TreeSet<TableId> owes = new TreeSet<>();
 
--- a/src/main/java/rosespread/conductor/PacedChannel.java
+++ b/src/main/java/rosespread/conductor/PacedChannel.java
@@ -9,16 +9,20 @@
 import rosespread.store.TableLog;
 
 /**
- * The conductor's way out: messages leave one after the other at the settings' pace, in lines a second. A
- * message that has left waits at most in its own stream, so a proxy that reads slowly holds up nobody.
+ * The conductor's way out: messages leave one after the other at the settings' pace, in lines a
+ * second. A message that has left waits at most in its own stream, so a proxy that reads slowly
+ * holds up nobody.
  */
 final class PacedChannel {
     private static final double SECOND = 1e9;
 
-    /** How often a message that waits for the disk is looked at, unless the disk says so earlier. */
+    /**
+     * How often a message that waits for the disk is looked at, unless the disk says so earlier.
+     */
     private static final long LOOK_EVERY = 2_000_000L;
 
-    private record Waiting(Link link, List<byte[]> frames, int lines, Link.Marked marked, long after) { }
+    private record Waiting(
+            Link link, List<byte[]> frames, int lines, Link.Marked marked, long after) {}
 
     private final double linesPerSecond;
     private final TableLog log;
@@ -36,28 +40,38 @@
         this.patience = patience;
     }
 
-    /** @param after the sequence that must be kept before the message leaves */
+    /**
+     * @param after the sequence that must be kept before the message leaves
+     */
     void offer(Link link, List<byte[]> frames, int count, Link.Marked marked, long after) {
         queue.addLast(new Waiting(link, frames, count, marked, after));
         lines += count;
         most = Math.max(most, lines);
     }
 
-    /** Lets out what is due by now; returns when the next is due, the largest number if nothing waits. */
+    /**
+     * Lets out what is due by now; returns when the next is due, the largest number if nothing
+     * waits.
+     */
     long pump(long now) {
         while (!queue.isEmpty()) {
             Waiting head = queue.peekFirst();
-            long due = Math.max(freeAt, head.marked.orderedAt())
-                    + (long) (head.lines / linesPerSecond * SECOND);
+            long due =
+                    Math.max(freeAt, head.marked.orderedAt())
+                            + (long) (head.lines / linesPerSecond * SECOND);
             if (due > now) {
                 return due;
             }
-            if (!patience.mayLeave(head.after, log.durable(), !log.trouble().isEmpty(),
+            if (!patience.mayLeave(
+                    head.after,
+                    log.durable(),
+                    !log.trouble().isEmpty(),
                     now - head.marked.orderedAt())) {
                 held = true;
                 return now + LOOK_EVERY;
             }
-            // After a wait for the disk the pace begins anew: what gathered does not leave in a burst.
+            // After a wait for the disk the pace begins anew: what gathered does not leave in a
+            // burst.
             freeAt = held ? now : due;
             held = false;
             write(head, now);
@@ -69,8 +83,14 @@
 
     private void write(Waiting message, long now) {
         long queued = (now - message.marked.orderedAt()) / 1000;
-        byte[] mark = FrameWriter.bytes(new Frame.Mark(message.marked.number(),
-                message.marked.round(), message.lines, (int) lines, queued));
+        byte[] mark =
+                FrameWriter.bytes(
+                        new Frame.Mark(
+                                message.marked.number(),
+                                message.marked.round(),
+                                message.lines,
+                                (int) lines,
+                                queued));
         int length = mark.length;
         for (byte[] frame : message.frames) {
             length += frame.length;
@@ -83,8 +103,14 @@
         }
         System.arraycopy(mark, 0, all, at, mark.length);
         Link.Marked marked = message.marked;
-        message.link.marks.addLast(new Link.Marked(marked.number(), marked.round(), marked.mark(),
-                marked.orderedAt(), message.lines, now));
+        message.link.marks.addLast(
+                new Link.Marked(
+                        marked.number(),
+                        marked.round(),
+                        marked.mark(),
+                        marked.orderedAt(),
+                        message.lines,
+                        now));
         message.link.messages++;
         left++;
         message.link.wire.write(all);
@@ -92,7 +118,7 @@
 
     /** What waits for a stream that is gone is lost, as what was on its way. */
     void drop(Link link) {
-        for (Iterator<Waiting> i = queue.iterator(); i.hasNext();) {
+        for (Iterator<Waiting> i = queue.iterator(); i.hasNext(); ) {
             Waiting message = i.next();
             if (message.link == link) {
                 lines -= message.lines;
--- a/src/main/java/rosespread/conductor/PeerDrains.java
+++ b/src/main/java/rosespread/conductor/PeerDrains.java
@@ -15,8 +15,8 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Asks other conductors for operators' words on nodes: at a start before proxies can dial, as a conductor
- * that was down may have missed a drain, and every few seconds after.
+ * Asks other conductors for operators' words on nodes: at a start before proxies can dial, as a
+ * conductor that was down may have missed a drain, and every few seconds after.
  */
 final class PeerDrains {
     private static final Logger LOG = LoggerFactory.getLogger(PeerDrains.class);
@@ -30,7 +30,8 @@
     PeerDrains(HttpClient http, ScheduledExecutorService timer, Consumer<List<Drain>> ears) {
         this.http = http;
         this.ears = ears;
-        timer.scheduleWithFixedDelay(() -> pull(0), EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                () -> pull(0), EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     void follow(List<InetSocketAddress> next) {
@@ -42,8 +43,14 @@
         List<InetSocketAddress> all = peers;
         CountDownLatch open = new CountDownLatch(all.size());
         for (InetSocketAddress peer : all) {
-            http.call(peer, new HttpMessage.Call("GET", "/v1/drains", HttpHeaders.of("host",
-                    peer.getHostString() + ":" + peer.getPort()), new byte[0]), TIMEOUT,
+            http.call(
+                    peer,
+                    new HttpMessage.Call(
+                            "GET",
+                            "/v1/drains",
+                            HttpHeaders.of("host", peer.getHostString() + ":" + peer.getPort()),
+                            new byte[0]),
+                    TIMEOUT,
                     new HttpClient.Taker() {
                         @Override
                         public void answered(HttpMessage.Answer answer) {
@@ -61,7 +68,10 @@
         }
         try {
             if (nanos > 0 && !open.await(nanos, TimeUnit.NANOSECONDS)) {
-                LOG.warn("{} of {} peers did not tell their drains in time", open.getCount(), all.size());
+                LOG.warn(
+                        "{} of {} peers did not tell their drains in time",
+                        open.getCount(),
+                        all.size());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/rosespread/conductor/RoundFrames.java
+++ b/src/main/java/rosespread/conductor/RoundFrames.java
@@ -20,11 +20,15 @@
 
 /** The frames of one round, each written once however many proxies it goes to. */
 final class RoundFrames {
-    /** Below this frames are not worth packing, nor if less than a part is saved: weights hardly pack. */
+    /**
+     * Below this frames are not worth packing, nor if less than a part is saved: weights hardly
+     * pack.
+     */
     private static final int PACKED_FROM = 1024;
+
     private static final double WORTH = 0.9;
 
-    private record Whole(TableId table, Set<MethodId> methods, boolean named, boolean packed) { }
+    private record Whole(TableId table, Set<MethodId> methods, boolean named, boolean packed) {}
 
     private final Map<NodeId, ListedNode> nodes;
     private final Map<MethodId, Frame.Tries> tries;
@@ -46,17 +50,22 @@
     }
 
     byte[] levels(TableId table, Map<MethodId, Double> ordered) {
-        return levels.computeIfAbsent(table, t -> FrameWriter.bytes(new Frame.Levels(table,
-                levels(ordered))));
+        return levels.computeIfAbsent(
+                table, t -> FrameWriter.bytes(new Frame.Levels(table, levels(ordered))));
     }
 
-    /** @param named whether the nodes are named before their lines, for a stream that knows none of them */
+    /**
+     * @param named whether the nodes are named before their lines, for a stream that knows none of
+     *     them
+     */
     byte[] bind(History history, Set<MethodId> methods, boolean named, boolean packed) {
         TableId table = history.current().table();
-        return wholes.computeIfAbsent(new Whole(table, methods, named, packed && Packing.isAvailable()),
+        return wholes.computeIfAbsent(
+                new Whole(table, methods, named, packed && Packing.isAvailable()),
                 key -> {
                     byte[] frames = whole(history, key);
-                    if (!key.packed || frames.length < PACKED_FROM
+                    if (!key.packed
+                            || frames.length < PACKED_FROM
                             || frames.length > FrameReader.FROM_CONDUCTOR) {
                         return frames;
                     }
@@ -70,20 +79,33 @@
         TreeMap<NodeId, Double> sorted = new TreeMap<>(version.lines());
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
         if (key.named) {
-            sorted.keySet().stream().filter(nodes::containsKey)
+            sorted.keySet().stream()
+                    .filter(nodes::containsKey)
                     .forEach(id -> frames.writeBytes(node(nodes.get(id))));
         }
         List<Frame.Line> all = new ArrayList<>(sorted.size());
         sorted.forEach((node, weight) -> all.add(new Frame.Line(node, weight)));
-        frames.writeBytes(FrameWriter.bytes(new Frame.Bind(key.table, version.number(), version.digest(),
-                List.copyOf(key.methods), all, levels(history.levels()))));
+        frames.writeBytes(
+                FrameWriter.bytes(
+                        new Frame.Bind(
+                                key.table,
+                                version.number(),
+                                version.digest(),
+                                List.copyOf(key.methods),
+                                all,
+                                levels(history.levels()))));
         return frames.toByteArray();
     }
 
     private List<Frame.Level> levels(Map<MethodId, Double> ordered) {
         List<Frame.Level> all = new ArrayList<>(ordered.size());
-        ordered.forEach((method, admitted) -> all.add(new Frame.Level(method, admitted,
-                tries.getOrDefault(method, Frame.Tries.AFTER_PROOF))));
+        ordered.forEach(
+                (method, admitted) ->
+                        all.add(
+                                new Frame.Level(
+                                        method,
+                                        admitted,
+                                        tries.getOrDefault(method, Frame.Tries.AFTER_PROOF))));
         return all;
     }
 }
--- a/src/main/java/rosespread/conductor/SumsGatherer.java
+++ b/src/main/java/rosespread/conductor/SumsGatherer.java
@@ -10,9 +10,9 @@
 import rosespread.channel.Frame;
 
 /**
- * Adds up what proxies of a zone met at each node until it is handed to the module, once a report period. The
- * time covered is that of all reports over the number of proxies that reported, so that several late reports
- * of a proxy that come at once cover as many periods.
+ * Adds up what proxies of a zone met at each node until it is handed to the module, once a report
+ * period. The time covered is that of all reports over the number of proxies that reported, so that
+ * several late reports of a proxy that come at once cover as many periods.
  */
 final class SumsGatherer {
     private static final class Met {
@@ -57,8 +57,14 @@
             long covers = zone.covers / zone.proxies.size();
             for (Map.Entry<NodeId, Met> line : zone.met.entrySet()) {
                 Met met = line.getValue();
-                observer.sums(line.getKey(), entry.getKey(), met.tries, met.unanswered,
-                        met.timed > 0 ? met.seconds / met.timed : Double.NaN, covers, met.utilization);
+                observer.sums(
+                        line.getKey(),
+                        entry.getKey(),
+                        met.tries,
+                        met.unanswered,
+                        met.timed > 0 ? met.seconds / met.timed : Double.NaN,
+                        covers,
+                        met.utilization);
             }
         }
     }
--- a/src/main/java/rosespread/conductor/TableViews.java
+++ b/src/main/java/rosespread/conductor/TableViews.java
@@ -30,28 +30,45 @@
 
     /** One table as it will be once what it has to send has left. */
     Optional<ConductorState.Table> one(TableId id) {
-        return Optional.ofNullable(book.find(id)).map(table -> {
-            Map<NodeId, Double> lines = new TreeMap<>(table.out().lines());
-            table.pending.forEach((node, weight) -> {
-                if (weight > 0) {
-                    lines.put(node, weight);
-                } else {
-                    lines.remove(node);
-                }
-            });
-            return view(table, lines);
-        });
+        return Optional.ofNullable(book.find(id))
+                .map(
+                        table -> {
+                            Map<NodeId, Double> lines = new TreeMap<>(table.out().lines());
+                            table.pending.forEach(
+                                    (node, weight) -> {
+                                        if (weight > 0) {
+                                            lines.put(node, weight);
+                                        } else {
+                                            lines.remove(node);
+                                        }
+                                    });
+                            return view(table, lines);
+                        });
     }
 
     private ConductorState.Table view(Table table, Map<NodeId, Double> lines) {
-        List<ConductorState.Version> versions = table.history.versions().stream().map(v ->
-                new ConductorState.Version(v.number(), v.cause().name(), v.atMillis(), v.lines().size(),
-                        v.changes().size(), Long.toHexString(v.digest()))).toList();
+        List<ConductorState.Version> versions =
+                table.history.versions().stream()
+                        .map(
+                                v ->
+                                        new ConductorState.Version(
+                                                v.number(),
+                                                v.cause().name(),
+                                                v.atMillis(),
+                                                v.lines().size(),
+                                                v.changes().size(),
+                                                Long.toHexString(v.digest())))
+                        .toList();
         Map<String, Long> refused = new TreeMap<>();
         table.refused.forEach((reason, count) -> refused.put(reason.name(), count));
-        return new ConductorState.Table(table.id.value(), table.out().number(), table.hold.name(),
-                table.refusals.stream().map(r -> r.reason() + ": " + r.figures()).toList(), refused,
-                named(lines), versions);
+        return new ConductorState.Table(
+                table.id.value(),
+                table.out().number(),
+                table.hold.name(),
+                table.refusals.stream().map(r -> r.reason() + ": " + r.figures()).toList(),
+                refused,
+                named(lines),
+                versions);
     }
 
     private Map<String, Double> named(Map<NodeId, Double> lines) {
@@ -60,16 +77,30 @@
         return named;
     }
 
-    /** What changes from one kept version to another, by the nodes' names; nothing if one is not kept. */
+    /**
+     * What changes from one kept version to another, by the nodes' names; nothing if one is not
+     * kept.
+     */
     Optional<ConductorState.Difference> difference(TableId id, long from, long to) {
         Table table = book.find(id);
-        return table == null ? Optional.empty() : table.history.difference(from, to).map(changes -> {
-            Map<NodeId, Double> before = table.history.version(from).orElseThrow().lines();
-            List<ConductorState.Changed> all = new ArrayList<>();
-            changes.forEach((node, weight) -> all.add(new ConductorState.Changed(ListedNode.name(nodes, node),
-                    before.getOrDefault(node, 0.0), weight)));
-            all.sort(Comparator.comparing(ConductorState.Changed::node));
-            return new ConductorState.Difference(id.value(), from, to, all);
-        });
+        return table == null
+                ? Optional.empty()
+                : table.history
+                        .difference(from, to)
+                        .map(
+                                changes -> {
+                                    Map<NodeId, Double> before =
+                                            table.history.version(from).orElseThrow().lines();
+                                    List<ConductorState.Changed> all = new ArrayList<>();
+                                    changes.forEach(
+                                            (node, weight) ->
+                                                    all.add(
+                                                            new ConductorState.Changed(
+                                                                    ListedNode.name(nodes, node),
+                                                                    before.getOrDefault(node, 0.0),
+                                                                    weight)));
+                                    all.sort(Comparator.comparing(ConductorState.Changed::node));
+                                    return new ConductorState.Difference(id.value(), from, to, all);
+                                });
     }
 }
--- a/src/main/java/rosespread/conductor/TurnOrders.java
+++ b/src/main/java/rosespread/conductor/TurnOrders.java
@@ -18,18 +18,19 @@
 import rosespread.api.ZoneId;
 import rosespread.channel.Frame;
 import rosespread.channel.FrameWriter;
+import rosespread.conductor.Book.Table;
 import rosespread.list.ListedNode;
 import rosespread.release.Gate;
 import rosespread.release.Room;
 import rosespread.settings.FleetSettings;
-import rosespread.conductor.Book.Table;
 import rosespread.table.History;
 import rosespread.table.Hold;
 import rosespread.table.TableVersion;
 
 /**
- * Takes one round's orders, has the gate judge them, commits what passes as versions, and makes one message
- * of it for each proxy concerned. A table's change is written once and shared by all its proxies.
+ * Takes one round's orders, has the gate judge them, commits what passes as versions, and makes one
+ * message of it for each proxy concerned. A table's change is written once and shared by all its
+ * proxies.
  */
 public final class TurnOrders implements Orders {
     /** What the orders act on besides the proxies, and what the gate must know. */
@@ -71,16 +72,26 @@
     private final TreeMap<MethodId, Frame.Tries> tries = new TreeMap<>();
     private final Map<ProxyId, Map<TableId, Set<MethodId>>> binds = new LinkedHashMap<>();
     private final Map<NodeId, Boolean> shut = new LinkedHashMap<>();
+
     /** Lines that were written and should have been answered by now. */
     private long overdue;
+
     /** Lines that this round's commits so far will put into the channel. */
     private double committed;
+
     private int mark = -1;
     private long number;
     private long round;
 
-    TurnOrders(Map<ProxyId, Link> links, Map<NodeId, ListedNode> nodes, PacedChannel channel,
-            FleetSettings settings, Gate gate, Book book, long firstNumber, Effects effects) {
+    TurnOrders(
+            Map<ProxyId, Link> links,
+            Map<NodeId, ListedNode> nodes,
+            PacedChannel channel,
+            FleetSettings settings,
+            Gate gate,
+            Book book,
+            long firstNumber,
+            Effects effects) {
         this.gate = gate;
         this.book = book;
         this.links = links;
@@ -97,7 +108,8 @@
     public void line(TableId id, NodeId node, double weight) {
         Table table = book.table(id);
         if (table.awaited) {
-            // What the module orders takes the place of all lines that are out, not only of those it names.
+            // What the module orders takes the place of all lines that are out, not only of those
+            // it names.
             table.awaited = false;
             table.hold = table.hold == Hold.NONE ? Hold.REFUSED : table.hold;
         }
@@ -143,8 +155,8 @@
     }
 
     /**
-     * When proxies make a further try of a method, from the next order about it on. The module never asks for
-     * other than the channel's default, after proof that the first try never ran.
+     * When proxies make a further try of a method, from the next order about it on. The module
+     * never asks for other than the channel's default, after proof that the first try never ran.
      */
     public void furtherTries(MethodId method, Frame.Tries when) {
         tries.put(method, when);
@@ -181,8 +193,8 @@
 
     /** Whether a table or a version that is out names the node. */
     boolean names(NodeId node) {
-        return book.tables().stream().anyMatch(t -> t.out().lines().containsKey(node)
-                || t.wanted.containsKey(node));
+        return book.tables().stream()
+                .anyMatch(t -> t.out().lines().containsKey(node) || t.wanted.containsKey(node));
     }
 
     /** The last number given to a message. */
@@ -193,9 +205,9 @@
     // ---- acts of operators ----
 
     /**
-     * Commits a kept version's lines as the newest one and holds them. Lines of nodes that drain, are gone or
-     * unknown are dropped and cold ones bounded. A later rollback replaces an earlier one; what is in flight
-     * is overtaken, as the stream is ordered. Returns why not, or nothing.
+     * Commits a kept version's lines as the newest one and holds them. Lines of nodes that drain,
+     * are gone or unknown are dropped and cold ones bounded. A later rollback replaces an earlier
+     * one; what is in flight is overtaken, as the stream is ordered. Returns why not, or nothing.
      */
     String rollback(TableId id, long version, long now, long wallMillis) {
         Table table = book.find(id);
@@ -206,11 +218,17 @@
         if (target == null) {
             return "table " + id.value() + " has no version " + version + " any more";
         }
-        Map<NodeId, Double> lines = effects.listKnown() ? gate.kept(target.lines(), scene(table))
-                : target.lines();
+        Map<NodeId, Double> lines =
+                effects.listKnown() ? gate.kept(target.lines(), scene(table)) : target.lines();
         book.hold(table, Hold.PINNED, version, table.out().changesTo(lines));
-        effects.log("table " + id.value() + " goes back to version " + version + ": "
-                + table.pending.size() + " lines change");
+        effects.log(
+                "table "
+                        + id.value()
+                        + " goes back to version "
+                        + version
+                        + ": "
+                        + table.pending.size()
+                        + " lines change");
         close(now, wallMillis);
         return "";
     }
@@ -244,55 +262,95 @@
     private Gate.Scene scene(Table table) {
         if (table.homes.isEmpty()) {
             // A table that was restored: its zones are those of its lines.
-            table.out().lines().keySet().stream().filter(nodes::containsKey)
+            table.out().lines().keySet().stream()
+                    .filter(nodes::containsKey)
                     .forEach(node -> table.homes.add(effects.zone(nodes.get(node))));
         }
-        return effects.scene(table.methods, table.homes, Room.carried(limits.linesPerSecond(), grace,
-                limits.queueLimit(), channel.linesWaiting() + committed, users(table.id).size(),
-                linesPerMessage + 1));
+        return effects.scene(
+                table.methods,
+                table.homes,
+                Room.carried(
+                        limits.linesPerSecond(),
+                        grace,
+                        limits.queueLimit(),
+                        channel.linesWaiting() + committed,
+                        users(table.id).size(),
+                        linesPerMessage + 1));
     }
 
     /**
-     * Commits what goes out of each table. The module's own change goes as ordered if it passes; what the
-     * gate puts in its place, and what held tables send, goes as far as there is room beside the module's
-     * messages.
+     * Commits what goes out of each table. The module's own change goes as ordered if it passes;
+     * what the gate puts in its place, and what held tables send, goes as far as there is room
+     * beside the module's messages.
      */
     private Map<TableId, Frame.Lines> commit(long now, long wallMillis) {
         Map<TableId, Frame.Lines> deltas = new TreeMap<>();
-        long[] late = links.values().stream().mapToLong(link -> link.marks.stream()
-                .filter(m -> Room.overdue(now - m.writtenAt(), limits.longestWay()))
-                .mapToLong(Link.Marked::lines).sum()).filter(lines -> lines > 0).toArray();
+        long[] late =
+                links.values().stream()
+                        .mapToLong(
+                                link ->
+                                        link.marks.stream()
+                                                .filter(
+                                                        m ->
+                                                                Room.overdue(
+                                                                        now - m.writtenAt(),
+                                                                        limits.longestWay()))
+                                                .mapToLong(Link.Marked::lines)
+                                                .sum())
+                        .filter(lines -> lines > 0)
+                        .toArray();
         overdue = Room.overdue(Arrays.stream(late).sum(), late.length, links.size());
-        // Whatever goes out, each proxy that the module meant to reach gets a message with its mark.
-        committed = mark < 0 ? 0 : (linesPerMessage + 1.0) * links.values().stream()
-                .filter(link -> !Collections.disjoint(link.bound.keySet(), changed.keySet())).count();
+        // Whatever goes out, each proxy that the module meant to reach gets a message with its
+        // mark.
+        committed =
+                mark < 0
+                        ? 0
+                        : (linesPerMessage + 1.0)
+                                * links.values().stream()
+                                        .filter(
+                                                link ->
+                                                        !Collections.disjoint(
+                                                                link.bound.keySet(),
+                                                                changed.keySet()))
+                                        .count();
         for (Table table : book.tables()) {
             TableVersion out = table.out();
             TableVersion next = moves(table, now) ? committed(table, now, wallMillis) : out;
             if (next.number() != table.sent) {
                 List<Frame.Line> lines = new ArrayList<>();
                 if (next != out) {
-                    next.changes().forEach((node, weight) -> lines.add(new Frame.Line(node, weight)));
+                    next.changes()
+                            .forEach((node, weight) -> lines.add(new Frame.Line(node, weight)));
                 }
-                deltas.put(table.id, new Frame.Lines(table.id, table.sent, next.number(), next.digest(),
-                        lines));
+                deltas.put(
+                        table.id,
+                        new Frame.Lines(table.id, table.sent, next.number(), next.digest(), lines));
                 table.sent = next.number();
                 boolean marked = mark >= 0 && changed.containsKey(table.id);
-                committed += (lines.size() + (marked ? 0 : linesPerMessage + 1.0)) * users(table.id).size();
+                committed +=
+                        (lines.size() + (marked ? 0 : linesPerMessage + 1.0))
+                                * users(table.id).size();
             }
         }
         return deltas;
     }
 
     /**
-     * Whether a table is to be looked at: it was ordered, or is held and the list can tell what must go. One
-     * that is held is looked at as facts change, as long as it has something to send, and now and then.
+     * Whether a table is to be looked at: it was ordered, or is held and the list can tell what
+     * must go. One that is held is looked at as facts change, as long as it has something to send,
+     * and now and then.
      */
     private boolean moves(Table table, long now) {
-        boolean held = effects.listKnown() && (table.hold != Hold.NONE
-                || table.awaited && !table.out().lines().isEmpty());
-        if (!changed.containsKey(table.id) && !(held && (table.to > 0 || !table.pending.isEmpty()
-                || table.lookedBy != effects.factsVersion() || now - table.lookedAt >= LOOK_EVERY))) {
+        boolean held =
+                effects.listKnown()
+                        && (table.hold != Hold.NONE
+                                || table.awaited && !table.out().lines().isEmpty());
+        if (!changed.containsKey(table.id)
+                && !(held
+                        && (table.to > 0
+                                || !table.pending.isEmpty()
+                                || table.lookedBy != effects.factsVersion()
+                                || now - table.lookedAt >= LOOK_EVERY))) {
             return false;
         }
         table.lookedAt = now;
@@ -305,8 +363,10 @@
         return switch (table.hold) {
             case PINNED -> goingBack(table, scene, now, wallMillis);
             case RELEASING -> released(table, scene, now, wallMillis);
-            default -> table.awaited ? awaited(table, scene, now, wallMillis)
-                    : judged(table, scene, now, wallMillis);
+            default ->
+                    table.awaited
+                            ? awaited(table, scene, now, wallMillis)
+                            : judged(table, scene, now, wallMillis);
         };
     }
 
@@ -315,11 +375,17 @@
         if (table.hold != Hold.NONE) {
             table.standing.forget();
         }
-        Gate.Verdict verdict = gate.judge(table.standing, out.lines(), table.wanted,
-                changed.getOrDefault(table.id, Map.of()), scene);
+        Gate.Verdict verdict =
+                gate.judge(
+                        table.standing,
+                        out.lines(),
+                        table.wanted,
+                        changed.getOrDefault(table.id, Map.of()),
+                        scene);
         boolean followed = table.hold == Hold.NONE && verdict.refusals().isEmpty();
         refused(table, verdict.refusals());
-        Map<NodeId, Double> delta = followed ? changed.get(table.id) : out.changesTo(verdict.lines());
+        Map<NodeId, Double> delta =
+                followed ? changed.get(table.id) : out.changesTo(verdict.lines());
         if (!followed) {
             table.standing.forget();
             Map<NodeId, Double> all = delta;
@@ -327,26 +393,31 @@
             // What was held back is caught up with before the module's changes go out as they come.
             table.hold = delta.size() < all.size() ? Hold.REFUSED : table.hold;
         }
-        return book.commit(table, delta, verdict.refusals().isEmpty() ? TableVersion.Cause.MODULE
-                : TableVersion.Cause.GUARD, wallMillis);
+        return book.commit(
+                table,
+                delta,
+                verdict.refusals().isEmpty() ? TableVersion.Cause.MODULE : TableVersion.Cause.GUARD,
+                wallMillis);
     }
 
     /** Until the module has spoken of a table, only what may not stay goes. */
     private TableVersion awaited(Table table, Gate.Scene scene, long now, long wallMillis) {
         Map<NodeId, Double> delta = table.out().changesTo(gate.kept(table.out().lines(), scene));
-        return book.commit(table, fitting(table, delta, scene, now), TableVersion.Cause.GUARD, wallMillis);
+        return book.commit(
+                table, fitting(table, delta, scene, now), TableVersion.Cause.GUARD, wallMillis);
     }
 
     private TableVersion goingBack(Table table, Gate.Scene scene, long now, long wallMillis) {
         TableVersion out = table.out();
         Map<NodeId, Double> target = new TreeMap<>(out.lines());
-        table.pending.forEach((node, weight) -> {
-            if (weight > 0) {
-                target.put(node, weight);
-            } else {
-                target.remove(node);
-            }
-        });
+        table.pending.forEach(
+                (node, weight) -> {
+                    if (weight > 0) {
+                        target.put(node, weight);
+                    } else {
+                        target.remove(node);
+                    }
+                });
         Map<NodeId, Double> all = out.changesTo(gate.kept(target, scene));
         Map<NodeId, Double> delta = fitting(table, all, scene, now);
         TableVersion next = book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
@@ -360,13 +431,16 @@
     private TableVersion released(Table table, Gate.Scene scene, long now, long wallMillis) {
         TableVersion out = table.out();
         boolean due = now - table.steppedAt >= STEP_EVERY;
-        Map<NodeId, Double> aim = due && !table.awaited
-                ? gate.towards(out.lines(), table.wanted, scene) : gate.kept(out.lines(), scene);
+        Map<NodeId, Double> aim =
+                due && !table.awaited
+                        ? gate.towards(out.lines(), table.wanted, scene)
+                        : gate.kept(out.lines(), scene);
         Map<NodeId, Double> delta = fitting(table, out.changesTo(aim), scene, now);
         table.steppedAt = due ? now : table.steppedAt;
         if (!table.awaited && out.changesTo(table.wanted).isEmpty()) {
             book.hold(table, Hold.NONE, 0, Map.of());
-            effects.log("table " + table.id.value() + " follows the module at version " + out.number());
+            effects.log(
+                    "table " + table.id.value() + " follows the module at version " + out.number());
         }
         return book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
     }
@@ -376,9 +450,17 @@
         if (!refusals.stream().map(Gate.Refusal::reason).toList().equals(before)) {
             for (Gate.Refusal refusal : refusals) {
                 table.refused.merge(refusal.reason(), 1L, Long::sum);
-                effects.log("table " + table.id.value() + " after version " + table.out().number()
-                        + " refused, " + refusal.reason() + ": " + refusal.figures() + " "
-                        + refusal.lines().stream().limit(10).map(this::name).toList());
+                effects.log(
+                        "table "
+                                + table.id.value()
+                                + " after version "
+                                + table.out().number()
+                                + " refused, "
+                                + refusal.reason()
+                                + ": "
+                                + refusal.figures()
+                                + " "
+                                + refusal.lines().stream().limit(10).map(this::name).toList());
             }
             if (refusals.isEmpty()) {
                 effects.log("table " + table.id.value() + " passes its checks again");
@@ -392,16 +474,22 @@
         return ListedNode.name(nodes, node);
     }
 
-    private static boolean urgent(Map.Entry<NodeId, Double> line, Map<NodeId, Double> old,
-            Gate.Scene scene) {
+    private static boolean urgent(
+            Map.Entry<NodeId, Double> line, Map<NodeId, Double> old, Gate.Scene scene) {
         Gate.Fact fact = scene.nodes().get(line.getKey());
-        return line.getValue() == 0 ? fact == null || fact.leaving()
-                : fact != null && fact.warmth() < 1 && line.getValue() < old.getOrDefault(line.getKey(), 0.0);
+        return line.getValue() == 0
+                ? fact == null || fact.leaving()
+                : fact != null
+                        && fact.warmth() < 1
+                        && line.getValue() < old.getOrDefault(line.getKey(), 0.0);
     }
 
-    /** As many changes as may leave now: nodes that leave and cold ones that get less, then the largest. */
-    private Map<NodeId, Double> fitting(Table table, Map<NodeId, Double> delta, Gate.Scene scene,
-            long now) {
+    /**
+     * As many changes as may leave now: nodes that leave and cold ones that get less, then the
+     * largest.
+     */
+    private Map<NodeId, Double> fitting(
+            Table table, Map<NodeId, Double> delta, Gate.Scene scene, long now) {
         List<Link> users = users(table.id);
         Map<NodeId, Double> old = table.out().lines();
         // A node that leaves and one that has started cold may wait for neither room nor messages.
@@ -409,17 +497,34 @@
         if (users.isEmpty() || delta.isEmpty()) {
             return delta;
         }
-        if (!users.stream().allMatch(link -> Room.message(limits.messageLimit(),
-                link.writtenWithin(now, limits.messageSpan()), drain
-                        || table.hold == Hold.PINNED))) {
+        if (!users.stream()
+                .allMatch(
+                        link ->
+                                Room.message(
+                                        limits.messageLimit(),
+                                        link.writtenWithin(now, limits.messageSpan()),
+                                        drain || table.hold == Hold.PINNED))) {
             return Map.of();
         }
-        int fit = Room.lines(limits.queueLimit(), channel.linesWaiting() + overdue + committed,
-                users.size(), linesPerMessage + 1, drain);
+        int fit =
+                Room.lines(
+                        limits.queueLimit(),
+                        channel.linesWaiting() + overdue + committed,
+                        users.size(),
+                        linesPerMessage + 1,
+                        drain);
         Map<NodeId, Double> some = new TreeMap<>();
-        delta.entrySet().stream().sorted(Comparator.comparing((Map.Entry<NodeId, Double> l) ->
-                !urgent(l, old, scene))
-                .thenComparing(l -> -Math.abs(l.getValue() - old.getOrDefault(l.getKey(), 0.0)))).limit(fit)
+        delta.entrySet().stream()
+                .sorted(
+                        Comparator.comparing(
+                                        (Map.Entry<NodeId, Double> l) -> !urgent(l, old, scene))
+                                .thenComparing(
+                                        l ->
+                                                -Math.abs(
+                                                        l.getValue()
+                                                                - old.getOrDefault(
+                                                                        l.getKey(), 0.0))))
+                .limit(fit)
                 .forEach(line -> some.put(line.getKey(), line.getValue()));
         return some;
     }
@@ -431,25 +536,30 @@
         round = number + 1;
         for (Link link : links.values()) {
             Message message = new Message(link);
-            Map<TableId, Set<MethodId>> bound = new LinkedHashMap<>(binds.getOrDefault(link.proxy, Map.of()));
+            Map<TableId, Set<MethodId>> bound =
+                    new LinkedHashMap<>(binds.getOrDefault(link.proxy, Map.of()));
             owed(link, bound, now);
             for (TableId table : link.bound.keySet()) {
                 if (!bound.containsKey(table)) {
-                    // The module waits for an answer of each proxy that it meant to reach, whatever went out.
+                    // The module waits for an answer of each proxy that it meant to reach, whatever
+                    // went out.
                     message.due |= mark >= 0 && changed.containsKey(table);
                     if (deltas.containsKey(table)) {
                         message.lines(frames.lines(deltas.get(table)), deltas.get(table));
                     }
                     if (leveled.containsKey(table)) {
-                        message.add(frames.levels(table, leveled.get(table)), leveled.get(table).size());
+                        message.add(
+                                frames.levels(table, leveled.get(table)),
+                                leveled.get(table).size());
                     }
                 }
             }
-            shut.forEach((node, out) -> {
-                if (link.bound.isEmpty() || holds(link, node)) {
-                    message.add(FrameWriter.bytes(new Frame.Withdraw(node, out)), 1);
-                }
-            });
+            shut.forEach(
+                    (node, out) -> {
+                        if (link.bound.isEmpty() || holds(link, node)) {
+                            message.add(FrameWriter.bytes(new Frame.Withdraw(node, out)), 1);
+                        }
+                    });
             bound.forEach((table, methods) -> bind(frames, message, table, methods));
             message.send(now);
         }
@@ -461,20 +571,28 @@
     }
 
     /**
-     * A proxy that could not follow a table gets it whole at once, as far as its messages and the queue
-     * allow.
+     * A proxy that could not follow a table gets it whole at once, as far as its messages and the
+     * queue allow.
      */
     private void owed(Link link, Map<TableId, Set<MethodId>> bound, long now) {
-        if (link.owes.isEmpty() || !Room.message(limits.messageLimit(),
-                link.writtenWithin(now, limits.messageSpan()), true)) {
+        if (link.owes.isEmpty()
+                || !Room.message(
+                        limits.messageLimit(),
+                        link.writtenWithin(now, limits.messageSpan()),
+                        true)) {
             return;
         }
         for (TableId id : List.copyOf(link.owes)) {
             int lines = book.table(id).out().lines().size();
             if (!link.bound.containsKey(id) || bound.containsKey(id)) {
                 link.owes.remove(id);
-            } else if (lines <= Room.lines(limits.queueLimit(), channel.linesWaiting() + overdue
-                    + committed, 1, linesPerMessage + 1, true)) {
+            } else if (lines
+                    <= Room.lines(
+                            limits.queueLimit(),
+                            channel.linesWaiting() + overdue + committed,
+                            1,
+                            linesPerMessage + 1,
+                            true)) {
                 link.owes.remove(id);
                 bound.put(id, new TreeSet<>(link.bound.get(id)));
             }
@@ -482,11 +600,14 @@
     }
 
     private boolean holds(Link link, NodeId node) {
-        return link.bound.keySet().stream().anyMatch(t ->
-                book.table(t).out().lines().containsKey(node));
+        return link.bound.keySet().stream()
+                .anyMatch(t -> book.table(t).out().lines().containsKey(node));
     }
 
-    /** A whole table; with it goes which of its nodes are withdrawn, as the bind clears what was before. */
+    /**
+     * A whole table; with it goes which of its nodes are withdrawn, as the bind clears what was
+     * before.
+     */
     private void bind(RoundFrames frames, Message message, TableId id, Set<MethodId> methods) {
         Link link = message.link;
         History history = book.table(id).history;
@@ -497,7 +618,8 @@
         } else {
             message.tell(new TreeSet<>(named));
         }
-        message.add(frames.bind(history, methods, fresh, link.unpacks),
+        message.add(
+                frames.bind(history, methods, fresh, link.unpacks),
                 1 + named.size() + history.levels().size());
         for (NodeId node : withdrawn) {
             if (named.contains(node)) {
@@ -518,11 +640,13 @@
         }
 
         void lines(byte[] frame, Frame.Lines delta) {
-            delta.lines().forEach(line -> {
-                if (line.weight() > 0) {
-                    tell(Set.of(line.node()));
-                }
-            });
+            delta.lines()
+                    .forEach(
+                            line -> {
+                                if (line.weight() > 0) {
+                                    tell(Set.of(line.node()));
+                                }
+                            });
             add(frame, delta.lines().size());
         }
 
@@ -531,7 +655,10 @@
             lines += count;
         }
 
-        /** Names nodes to the stream before their first line; this counts no line, as no proxy acts on it. */
+        /**
+         * Names nodes to the stream before their first line; this counts no line, as no proxy acts
+         * on it.
+         */
         void tell(Set<NodeId> named) {
             for (NodeId id : named) {
                 ListedNode node = nodes.get(id);
@@ -544,8 +671,12 @@
         void send(long now) {
             if (!frames.isEmpty() || due) {
                 link.written.addLast(now);
-                channel.offer(link, frames, lines + linesPerMessage + 1, new Link.Marked(++number, round,
-                        mark, now, lines, now), book.last());
+                channel.offer(
+                        link,
+                        frames,
+                        lines + linesPerMessage + 1,
+                        new Link.Marked(++number, round, mark, now, lines, now),
+                        book.last());
             }
         }
     }
--- a/src/main/java/rosespread/control/Caller.java
+++ b/src/main/java/rosespread/control/Caller.java
@@ -13,22 +13,30 @@
 record Caller(String who, String id, long revision) {
     private static final String NAME = "[\\x21-\\x7e]{1,64}";
 
-    /** @throws IllegalArgumentException if a header is not what it may be; the message names it */
+    /**
+     * @throws IllegalArgumentException if a header is not what it may be; the message names it
+     */
     static Caller of(HttpMessage.Call call, String ownId) {
         String who = call.headers().first("x-operator").orElse("unnamed");
         String id = call.headers().first("idempotency-key").orElse(ownId);
         Optional<String> match = call.headers().first("if-match");
         if (!who.matches(NAME)) {
-            throw new IllegalArgumentException("header x-operator is not 1 to 64 visible characters");
+            throw new IllegalArgumentException(
+                    "header x-operator is not 1 to 64 visible characters");
         }
         if (!id.matches(NAME)) {
-            throw new IllegalArgumentException("header idempotency-key is not 1 to 64 visible characters");
+            throw new IllegalArgumentException(
+                    "header idempotency-key is not 1 to 64 visible characters");
         }
         if (match.isPresent() && !match.get().matches("\\*|\"?[0-9]{1,18}\"?")) {
-            throw new IllegalArgumentException("header if-match is " + match.get()
-                    + ", not a revision as a number or *");
+            throw new IllegalArgumentException(
+                    "header if-match is " + match.get() + ", not a revision as a number or *");
         }
-        return new Caller(who, id, match.isEmpty() || match.get().equals("*") ? -1
-                : Long.parseLong(match.get().replace("\"", "")));
+        return new Caller(
+                who,
+                id,
+                match.isEmpty() || match.get().equals("*")
+                        ? -1
+                        : Long.parseLong(match.get().replace("\"", "")));
     }
 }
