--- a/src/main/java/rosespread/control/ControlServer.java
+++ b/src/main/java/rosespread/control/ControlServer.java
@@ -38,19 +38,21 @@
 import rosespread.settings.Snapshot;
 
 /**
- * The API for operators; docs/daemon.md lists its calls. Acts name their caller, may name the revision that
- * they are made against and an id under which they are done once, and are audited.
+ * The API for operators; docs/daemon.md lists its calls. Acts name their caller, may name the
+ * revision that they are made against and an id under which they are done once, and are audited.
  */
 public final class ControlServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
     private static final Pattern ONE = Pattern.compile("/v1/tables/([0-9]{1,5})");
     private static final Pattern ACT =
-            Pattern.compile("/v1/tables/([0-9]{1,5})/(rollback|pin|release)(?:\\?version=([0-9]{1,18}))?");
+            Pattern.compile(
+                    "/v1/tables/([0-9]{1,5})/(rollback|pin|release)(?:\\?version=([0-9]{1,18}))?");
     private static final Pattern DIFF =
             Pattern.compile("/v1/tables/([0-9]{1,5})/diff\\?from=([0-9]{1,18})&to=([0-9]{1,18})");
     private static final int WAITING_MOST = 64;
 
-    private final ObjectMapper json = JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
+    private final ObjectMapper json =
+            JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
     private static final Pattern NODE_ACT =
             Pattern.compile("/v1/nodes/([^/?]{1,400})/(drain|undrain)(?:\\?force=(true|false))?");
     private final Conductor conductor;
@@ -58,20 +60,29 @@
     private final String ownIds = "own-" + System.currentTimeMillis() + "-";
     private long ownId;
     private final HttpServer http;
+
     /** Saving a snapshot waits for the disk, which I/O threads must not. */
-    private final ExecutorService worker = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(WAITING_MOST), task -> {
-                Thread thread = new Thread(task, "control");
-                thread.setDaemon(true);
-                return thread;
-            });
+    private final ExecutorService worker =
+            new ThreadPoolExecutor(
+                    1,
+                    1,
+                    0,
+                    TimeUnit.SECONDS,
+                    new LinkedBlockingQueue<>(WAITING_MOST),
+                    task -> {
+                        Thread thread = new Thread(task, "control");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
 
     /** Without an audit log. */
     public ControlServer(Conductor conductor) {
         this(conductor, null);
     }
 
-    /** @param audit where acts go, or null */
+    /**
+     * @param audit where acts go, or null
+     */
     public ControlServer(Conductor conductor, AuditLog audit) {
         this.conductor = conductor;
         this.audit = audit;
@@ -103,22 +114,37 @@
             Caller caller = Caller.of(call, ownIds + ownId++);
             return switch (call.path()) {
                 case "/v1/settings" -> settings(call, caller);
-                case "/v1/state" -> call.verb().equals("GET")
-                        ? json(200, conductor.state()) : error(405, "only GET " + call.path());
-                case "/v1/health" -> call.verb().equals("GET") ? health(conductor.state())
-                        : error(405, "only GET " + call.path());
-                case "/v1/status" -> call.verb().equals("GET") ? json(200, status(conductor.state()))
-                        : error(405, "only GET " + call.path());
-                case "/v1/acts" -> call.verb().equals("GET") ? json(200, audit == null ? List.of()
-                        : audit.recent()) : error(405, "only GET " + call.path());
-                case "/v1/drains" -> call.verb().equals("GET")
-                        ? json(200, DrainJson.write(conductor.drains())) : error(405, "only GET "
-                        + call.path());
-                default -> call.path().startsWith("/v1/tables") ? tables(call, caller)
-                        : call.path().startsWith("/v1/nodes") ? nodes(call, caller)
-                        : error(404, "no " + call.path()
-                        + "; there are /v1/settings, /v1/status, /v1/state, /v1/health, "
-                                + "/v1/nodes, /v1/drains, /v1/tables, /v1/acts");
+                case "/v1/state" ->
+                        call.verb().equals("GET")
+                                ? json(200, conductor.state())
+                                : error(405, "only GET " + call.path());
+                case "/v1/health" ->
+                        call.verb().equals("GET")
+                                ? health(conductor.state())
+                                : error(405, "only GET " + call.path());
+                case "/v1/status" ->
+                        call.verb().equals("GET")
+                                ? json(200, status(conductor.state()))
+                                : error(405, "only GET " + call.path());
+                case "/v1/acts" ->
+                        call.verb().equals("GET")
+                                ? json(200, audit == null ? List.of() : audit.recent())
+                                : error(405, "only GET " + call.path());
+                case "/v1/drains" ->
+                        call.verb().equals("GET")
+                                ? json(200, DrainJson.write(conductor.drains()))
+                                : error(405, "only GET " + call.path());
+                default ->
+                        call.path().startsWith("/v1/tables")
+                                ? tables(call, caller)
+                                : call.path().startsWith("/v1/nodes")
+                                        ? nodes(call, caller)
+                                        : error(
+                                                404,
+                                                "no "
+                                                        + call.path()
+                                                        + "; there are /v1/settings, /v1/status, /v1/state, /v1/health, "
+                                                        + "/v1/nodes, /v1/drains, /v1/tables, /v1/acts");
             };
         } catch (IllegalArgumentException e) {
             return error(400, e.getMessage());
@@ -129,14 +155,24 @@
     }
 
     /** Does an act between two lines of the audit log; tells whether it is audited. */
-    private HttpMessage.Answer audited(HttpMessage.Call call, Caller caller, Act act) throws IOException {
+    private HttpMessage.Answer audited(HttpMessage.Call call, Caller caller, Act act)
+            throws IOException {
         if (audit != null) {
             audit.write(line(call, caller, "asked"));
         }
         HttpMessage.Answer answer = act.run();
         if (audit != null) {
-            audit.write(line(call, caller, answer.status() + (answer.status() == 200 ? " done"
-                    : " " + json.readTree(answer.body()).path("detail").asText())));
+            audit.write(
+                    line(
+                            call,
+                            caller,
+                            answer.status()
+                                    + (answer.status() == 200
+                                            ? " done"
+                                            : " "
+                                                    + json.readTree(answer.body())
+                                                            .path("detail")
+                                                            .asText())));
         }
         return answer;
     }
@@ -146,8 +182,12 @@
     }
 
     private static AuditLog.Act line(HttpMessage.Call call, Caller caller, String outcome) {
-        return new AuditLog.Act(caller.who(), call.headers().first("host").orElse(""), call.verb() + " "
-                + call.target(), caller.id(), outcome);
+        return new AuditLog.Act(
+                caller.who(),
+                call.headers().first("host").orElse(""),
+                call.verb() + " " + call.target(),
+                caller.id(),
+                outcome);
     }
 
     /**
@@ -156,73 +196,137 @@
      */
     private HttpMessage.Answer nodes(HttpMessage.Call call, Caller caller) throws IOException {
         if (call.path().equals("/v1/nodes")) {
-            return call.verb().equals("GET") ? json(200, conductor.state().nodes())
+            return call.verb().equals("GET")
+                    ? json(200, conductor.state().nodes())
                     : error(405, "only GET " + call.path());
         }
         Matcher act = NODE_ACT.matcher(call.target());
         if (!act.matches()) {
-            return error(404, "not /v1/nodes, /v1/nodes/NAME/drain or /v1/nodes/NAME/undrain: "
-                    + call.target());
+            return error(
+                    404,
+                    "not /v1/nodes, /v1/nodes/NAME/drain or /v1/nodes/NAME/undrain: "
+                            + call.target());
         }
         if (!call.verb().equals("POST")) {
             return error(405, "only POST " + call.path());
         }
         String name = URLDecoder.decode(act.group(1).replace("+", "%2B"), StandardCharsets.UTF_8);
-        return audited(call, caller, () -> {
-            DrainOutcome outcome = conductor.drain(new DrainCall(name, act.group(2).equals("drain"),
-                    caller.who(), caller.id(), caller.revision(), "true".equals(act.group(3))));
-            String told = String.join("; ", outcome.told());
-            return switch (outcome.kind()) {
-                case DONE, REPEATED -> json(200, json.createObjectNode().put("done", true)
-                        .put("repeated", outcome.kind() == DrainOutcome.Kind.REPEATED)
-                        .put("revision", outcome.revision()));
-                case NO_NODE -> Problem.of(404, "No such node", told);
-                case AMBIGUOUS -> Problem.of(409, "Several nodes have this name", "name one of " + told);
-                case STALE -> Problem.of(412, "Changed since", "since revision " + caller.revision() + ": "
-                        + told, outcome.told(), outcome.revision());
-                case GUARDED -> Problem.of(409, "Too much would be drained", told, outcome.told(),
-                        outcome.revision());
-            };
-        });
+        return audited(
+                call,
+                caller,
+                () -> {
+                    DrainOutcome outcome =
+                            conductor.drain(
+                                    new DrainCall(
+                                            name,
+                                            act.group(2).equals("drain"),
+                                            caller.who(),
+                                            caller.id(),
+                                            caller.revision(),
+                                            "true".equals(act.group(3))));
+                    String told = String.join("; ", outcome.told());
+                    return switch (outcome.kind()) {
+                        case DONE, REPEATED ->
+                                json(
+                                        200,
+                                        json.createObjectNode()
+                                                .put("done", true)
+                                                .put(
+                                                        "repeated",
+                                                        outcome.kind()
+                                                                == DrainOutcome.Kind.REPEATED)
+                                                .put("revision", outcome.revision()));
+                        case NO_NODE -> Problem.of(404, "No such node", told);
+                        case AMBIGUOUS ->
+                                Problem.of(
+                                        409, "Several nodes have this name", "name one of " + told);
+                        case STALE ->
+                                Problem.of(
+                                        412,
+                                        "Changed since",
+                                        "since revision " + caller.revision() + ": " + told,
+                                        outcome.told(),
+                                        outcome.revision());
+                        case GUARDED ->
+                                Problem.of(
+                                        409,
+                                        "Too much would be drained",
+                                        told,
+                                        outcome.told(),
+                                        outcome.revision());
+                    };
+                });
     }
 
     /** One screen's worth: counts, versions and troubles, without lines, nodes and proxies. */
     private ObjectNode status(ConductorState state) {
-        ObjectNode all = json.createObjectNode().put("name", conductor.name()).put("phase", state.phase())
-                .put("proxies", state.proxies()).put("proxiesBound", state.proxiesBound())
-                .put("linesWaiting", state.linesWaiting()).put("lastMode", state.lastMode())
-                .put("listTrouble", state.listTrouble()).put("settingsTrouble", conductor.settingsTrouble())
-                .put("storageTrouble", state.storage().trouble())
-                .put("auditTrouble", audit == null ? "" : audit.trouble());
-        conductor.settings().ifPresent(is -> all.put("settingsRevision", is.revision())
-                .put("settingsBy", is.by()));
+        ObjectNode all =
+                json.createObjectNode()
+                        .put("name", conductor.name())
+                        .put("phase", state.phase())
+                        .put("proxies", state.proxies())
+                        .put("proxiesBound", state.proxiesBound())
+                        .put("linesWaiting", state.linesWaiting())
+                        .put("lastMode", state.lastMode())
+                        .put("listTrouble", state.listTrouble())
+                        .put("settingsTrouble", conductor.settingsTrouble())
+                        .put("storageTrouble", state.storage().trouble())
+                        .put("auditTrouble", audit == null ? "" : audit.trouble());
+        conductor
+                .settings()
+                .ifPresent(
+                        is ->
+                                all.put("settingsRevision", is.revision())
+                                        .put("settingsBy", is.by()));
         ObjectNode nodes = all.putObject("nodes");
-        state.nodes().forEach(node -> nodes.put(node.state(), nodes.path(node.state()).asInt() + 1));
+        state.nodes()
+                .forEach(node -> nodes.put(node.state(), nodes.path(node.state()).asInt() + 1));
         ObjectNode drained = all.putObject("drained");
-        state.nodes().stream().filter(node -> !node.drainedBy().isEmpty())
+        state.nodes().stream()
+                .filter(node -> !node.drainedBy().isEmpty())
                 .forEach(node -> drained.put(node.name(), node.drainedBy()));
         ArrayNode tables = all.putArray("tables");
-        state.tables().forEach(table -> tables.addObject().put("table", table.table())
-                .put("version", table.version()).put("held", table.held())
-                .put("refusals", String.join("; ", table.refusals())));
+        state.tables()
+                .forEach(
+                        table ->
+                                tables.addObject()
+                                        .put("table", table.table())
+                                        .put("version", table.version())
+                                        .put("held", table.held())
+                                        .put("refusals", String.join("; ", table.refusals())));
         return all;
     }
 
     /** Serving without storage is serving; the trouble is told beside. */
     private HttpMessage.Answer health(ConductorState state) throws IOException {
-        return json(state.phase().equals("serving") ? 200 : 503, json.createObjectNode()
-                .put("phase", state.phase()).put("trouble", conductor.settingsTrouble())
-                .put("storage", state.storage().trouble())
-                .put("audit", audit == null ? "" : audit.trouble()));
+        return json(
+                state.phase().equals("serving") ? 200 : 503,
+                json.createObjectNode()
+                        .put("phase", state.phase())
+                        .put("trouble", conductor.settingsTrouble())
+                        .put("storage", state.storage().trouble())
+                        .put("audit", audit == null ? "" : audit.trouble()));
     }
 
     private HttpMessage.Answer settings(HttpMessage.Call call, Caller caller) throws IOException {
         Optional<Snapshot.Saved> now = conductor.settings();
         if (call.verb().equals("GET")) {
-            return now.isEmpty() ? error(404, "no settings yet" + (conductor.settingsTrouble().isEmpty() ? ""
-                    : "; " + conductor.settingsTrouble()))
-                    : new HttpMessage.Answer(200, HttpHeaders.of("content-type", "application/json", "etag",
-                            "\"" + now.get().revision() + "\"", "x-applied-by", now.get().by()),
+            return now.isEmpty()
+                    ? error(
+                            404,
+                            "no settings yet"
+                                    + (conductor.settingsTrouble().isEmpty()
+                                            ? ""
+                                            : "; " + conductor.settingsTrouble()))
+                    : new HttpMessage.Answer(
+                            200,
+                            HttpHeaders.of(
+                                    "content-type",
+                                    "application/json",
+                                    "etag",
+                                    "\"" + now.get().revision() + "\"",
+                                    "x-applied-by",
+                                    now.get().by()),
                             now.get().text().getBytes(StandardCharsets.UTF_8));
         }
         if (!call.verb().equals("PUT")) {
@@ -233,27 +337,50 @@
         }
         if (!call.target().equals(call.path())) {
             // Nothing is applied by a mistaken word where a trial may have been meant.
-            return error(400, "query " + call.target().substring(call.path().length())
-                    + " is not ?dry-run=true; nothing was applied");
+            return error(
+                    400,
+                    "query "
+                            + call.target().substring(call.path().length())
+                            + " is not ?dry-run=true; nothing was applied");
         }
-        return audited(call, caller, () -> {
-            try {
-                Conductor.Applied applied = conductor.apply(call.text(), caller.who(), caller.id(),
-                        caller.revision());
-                long revision = applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
-                if (applied.done()) {
-                    return json(200, json.createObjectNode().put("applied", true).put("revision", revision));
-                }
-                String since = applied.inForce().map(is -> "revision " + is.revision() + " was applied by "
-                        + is.by() + " at " + Instant.ofEpochMilli(is.atMillis()))
-                        .orElse("there are no settings");
-                return Problem.of(412, "Changed since", since, List.of(since), revision);
-            } catch (SettingsException e) {
-                return faults(e);
-            } catch (IOException e) {
-                return error(503, "settings not applied, the snapshot cannot be written: " + e.getMessage());
-            }
-        });
+        return audited(
+                call,
+                caller,
+                () -> {
+                    try {
+                        Conductor.Applied applied =
+                                conductor.apply(
+                                        call.text(), caller.who(), caller.id(), caller.revision());
+                        long revision = applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
+                        if (applied.done()) {
+                            return json(
+                                    200,
+                                    json.createObjectNode()
+                                            .put("applied", true)
+                                            .put("revision", revision));
+                        }
+                        String since =
+                                applied.inForce()
+                                        .map(
+                                                is ->
+                                                        "revision "
+                                                                + is.revision()
+                                                                + " was applied by "
+                                                                + is.by()
+                                                                + " at "
+                                                                + Instant.ofEpochMilli(
+                                                                        is.atMillis()))
+                                        .orElse("there are no settings");
+                        return Problem.of(412, "Changed since", since, List.of(since), revision);
+                    } catch (SettingsException e) {
+                        return faults(e);
+                    } catch (IOException e) {
+                        return error(
+                                503,
+                                "settings not applied, the snapshot cannot be written: "
+                                        + e.getMessage());
+                    }
+                });
     }
 
     /** Whether settings would hold; nothing changes. */
@@ -269,24 +396,33 @@
     private static HttpMessage.Answer faults(SettingsException e) {
         ObjectNode told = Problem.members(422, "Settings not applied", e.getMessage());
         ArrayNode faults = told.putArray("faults");
-        e.faults().forEach(fault -> faults.addObject().put("field", fault.field())
-                .put("value", fault.value()).put("allowed", fault.allowed()));
+        e.faults()
+                .forEach(
+                        fault ->
+                                faults.addObject()
+                                        .put("field", fault.field())
+                                        .put("value", fault.value())
+                                        .put("allowed", fault.allowed()));
         return Problem.answer(told);
     }
 
     /**
-     * {@code GET /v1/tables}, {@code /v1/tables/N} as it will be, {@code /v1/tables/N/diff?from=V&to=V};
-     * {@code POST /v1/tables/N/rollback?version=V}, {@code .../pin}, {@code .../release}.
+     * {@code GET /v1/tables}, {@code /v1/tables/N} as it will be, {@code
+     * /v1/tables/N/diff?from=V&to=V}; {@code POST /v1/tables/N/rollback?version=V}, {@code
+     * .../pin}, {@code .../release}.
      */
     private HttpMessage.Answer tables(HttpMessage.Call call, Caller caller) throws IOException {
         if (call.path().equals("/v1/tables")) {
-            return call.verb().equals("GET") ? json(200, conductor.state().tables())
+            return call.verb().equals("GET")
+                    ? json(200, conductor.state().tables())
                     : error(405, "only GET " + call.path());
         }
         Matcher one = ONE.matcher(call.target());
         if (one.matches() && call.verb().equals("GET")) {
             Optional<ConductorState.Table> table = conductor.table(Integer.parseInt(one.group(1)));
-            return table.isPresent() ? json(200, table.get()) : error(404, "no table " + one.group(1));
+            return table.isPresent()
+                    ? json(200, table.get())
+                    : error(404, "no table " + one.group(1));
         }
         Matcher diff = DIFF.matcher(call.target());
         if (diff.matches() && call.verb().equals("GET")) {
@@ -294,23 +430,35 @@
         }
         Matcher act = ACT.matcher(call.target());
         if (!act.matches()) {
-            return error(404, "not /v1/tables/N, /v1/tables/N/diff?from=V&to=V, "
-                    + "/v1/tables/N/rollback?version=V, /v1/tables/N/pin or /v1/tables/N/release: "
-                    + call.target());
+            return error(
+                    404,
+                    "not /v1/tables/N, /v1/tables/N/diff?from=V&to=V, "
+                            + "/v1/tables/N/rollback?version=V, /v1/tables/N/pin or /v1/tables/N/release: "
+                            + call.target());
         }
         if (!call.verb().equals("POST")) {
             return error(405, "only POST " + call.path());
         }
         Conductor.TableAct what = Conductor.TableAct.valueOf(act.group(2).toUpperCase(Locale.ROOT));
         if ((what == Conductor.TableAct.ROLLBACK) != (act.group(3) != null)) {
-            return error(400, "version is " + act.group(3) + "; a rollback, and only that, names one");
+            return error(
+                    400, "version is " + act.group(3) + "; a rollback, and only that, names one");
         }
         long version = act.group(3) == null ? 0 : Long.parseLong(act.group(3));
-        return audited(call, caller, () -> {
-            Conductor.Outcome outcome = conductor.act(what, Integer.parseInt(act.group(1)), version);
-            return outcome.why().isEmpty() ? json(200, json.createObjectNode().put("done", true)
-                    .put("kept", outcome.kept())) : error(409, outcome.why());
-        });
+        return audited(
+                call,
+                caller,
+                () -> {
+                    Conductor.Outcome outcome =
+                            conductor.act(what, Integer.parseInt(act.group(1)), version);
+                    return outcome.why().isEmpty()
+                            ? json(
+                                    200,
+                                    json.createObjectNode()
+                                            .put("done", true)
+                                            .put("kept", outcome.kept()))
+                            : error(409, outcome.why());
+                });
     }
 
     private HttpMessage.Answer difference(Matcher diff) throws IOException {
@@ -322,19 +470,30 @@
             return json(200, found.get());
         }
         Optional<ConductorState.Table> there = conductor.table(table);
-        return error(404, there.isEmpty() ? "no table " + table : "table " + table + " does not keep version "
-                + (there.get().versions().stream().anyMatch(v -> v.number() == from) ? to : from));
+        return error(
+                404,
+                there.isEmpty()
+                        ? "no table " + table
+                        : "table "
+                                + table
+                                + " does not keep version "
+                                + (there.get().versions().stream().anyMatch(v -> v.number() == from)
+                                        ? to
+                                        : from));
     }
 
     private static HttpMessage.Answer error(int status, String detail) {
-        return Problem.of(status, switch (status) {
-            case 400 -> "Bad call";
-            case 404 -> "Not found";
-            case 405 -> "Wrong verb";
-            case 409 -> "Not possible now";
-            case 503 -> "Not available";
-            default -> "Internal error";
-        }, detail);
+        return Problem.of(
+                status,
+                switch (status) {
+                    case 400 -> "Bad call";
+                    case 404 -> "Not found";
+                    case 405 -> "Wrong verb";
+                    case 409 -> "Not possible now";
+                    case 503 -> "Not available";
+                    default -> "Internal error";
+                },
+                detail);
     }
 
     private HttpMessage.Answer json(int status, Object body) throws JsonProcessingException {
--- a/src/main/java/rosespread/control/Daemon.java
+++ b/src/main/java/rosespread/control/Daemon.java
@@ -15,25 +15,37 @@
 public final class Daemon {
     private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
 
-    private Daemon() { }
+    private Daemon() {}
 
     /** Runs until the process is told to end; proxies are told before it does. */
-    public static void run(String name, Path state, InetSocketAddress listen, InetSocketAddress control,
-            Conductor.Planning planning, Gate gate) throws IOException, InterruptedException {
+    public static void run(
+            String name,
+            Path state,
+            InetSocketAddress listen,
+            InetSocketAddress control,
+            Conductor.Planning planning,
+            Gate gate)
+            throws IOException, InterruptedException {
         CountDownLatch forever = new CountDownLatch(1);
         Conductor conductor = new Conductor(name, state, planning, gate);
         AuditLog audit = audit(state.resolve("audit.log"));
         ControlServer api = new ControlServer(conductor, audit);
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            api.close();
-            conductor.close();
-        }, "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    api.close();
+                                    conductor.close();
+                                },
+                                "stop"));
         conductor.start(listen);
         api.listen(control);
         forever.await();
     }
 
-    /** A log whose chain does not hold is set aside for a look, and the conductor begins another. */
+    /**
+     * A log whose chain does not hold is set aside for a look, and the conductor begins another.
+     */
     private static AuditLog audit(Path path) throws IOException {
         try {
             return new AuditLog(path, System::currentTimeMillis);
--- a/src/main/java/rosespread/control/Problem.java
+++ b/src/main/java/rosespread/control/Problem.java
@@ -9,15 +9,15 @@
 final class Problem {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Problem() { }
+    private Problem() {}
 
     static HttpMessage.Answer of(int status, String title, String detail) {
         return answer(members(status, title, detail));
     }
 
     /** With sentences that say why, or what changed, each on its own. */
-    static HttpMessage.Answer of(int status, String title, String detail, List<String> reasons,
-            long revision) {
+    static HttpMessage.Answer of(
+            int status, String title, String detail, List<String> reasons, long revision) {
         ObjectNode members = members(status, title, detail);
         reasons.forEach(members.putArray("reasons")::add);
         members.put("revision", revision);
@@ -25,12 +25,17 @@
     }
 
     static ObjectNode members(int status, String title, String detail) {
-        return JSON.createObjectNode().put("type", "about:blank").put("title", title).put("status", status)
+        return JSON.createObjectNode()
+                .put("type", "about:blank")
+                .put("title", title)
+                .put("status", status)
                 .put("detail", detail);
     }
 
     static HttpMessage.Answer answer(ObjectNode members) {
-        return HttpMessage.Answer.of(members.path("status").asInt(), "application/problem+json",
+        return HttpMessage.Answer.of(
+                members.path("status").asInt(),
+                "application/problem+json",
                 members.toPrettyString() + "\n");
     }
 }
--- a/src/main/java/rosespread/drain/DrainGuard.java
+++ b/src/main/java/rosespread/drain/DrainGuard.java
@@ -8,13 +8,16 @@
 import java.util.TreeSet;
 
 /**
- * Decides whether one more node may drain: not if a method would keep too small a part of its able size, nor
- * if it would lose its last node of a zone. Guards against drains that are each right and together too much.
- * It does no I/O and has no clock; it judges by what the list and earlier words tell, so it sees no load.
+ * Decides whether one more node may drain: not if a method would keep too small a part of its able
+ * size, nor if it would lose its last node of a zone. Guards against drains that are each right and
+ * together too much. It does no I/O and has no clock; it judges by what the list and earlier words
+ * tell, so it sees no load.
  */
 public final class DrainGuard {
-    /** @param ready whether RPCs may go there now */
-    public record Node(String name, String zone, String kind, double size, boolean ready) { }
+    /**
+     * @param ready whether RPCs may go there now
+     */
+    public record Node(String name, String zone, String kind, double size, boolean ready) {}
 
     /** Where a method may go; empty sets allow all. */
     public record Method(String name, Set<String> onlyKinds, Set<String> onlyZones) {
@@ -26,7 +29,9 @@
 
     private final double leastShare;
 
-    /** @param leastShare the part of all listed size that a method must keep, 0 to 1 */
+    /**
+     * @param leastShare the part of all listed size that a method must keep, 0 to 1
+     */
     public DrainGuard(double leastShare) {
         this.leastShare = leastShare;
     }
@@ -55,13 +60,23 @@
             }
             // A method that the node does not serve now loses nothing by it.
             if (left < before && left < leastShare * all) {
-                reasons.add(String.format(Locale.ROOT,
-                        "method %s would keep %.2f of %.2f, that is %.0f%% where %.0f%% must stay",
-                        method.name(), left, all, 100 * left / all, 100 * leastShare));
+                reasons.add(
+                        String.format(
+                                Locale.ROOT,
+                                "method %s would keep %.2f of %.2f, that is %.0f%% where %.0f%% must stay",
+                                method.name(),
+                                left,
+                                all,
+                                100 * left / all,
+                                100 * leastShare));
             }
             for (String zone : zonesHit) {
                 if (ofZone.get(zone) == 0) {
-                    reasons.add("method " + method.name() + " would lose its last node of zone " + zone);
+                    reasons.add(
+                            "method "
+                                    + method.name()
+                                    + " would lose its last node of zone "
+                                    + zone);
                 }
             }
         }
--- a/src/main/java/rosespread/drain/Drains.java
+++ b/src/main/java/rosespread/drain/Drains.java
@@ -14,16 +14,18 @@
 import rosespread.api.NodeId;
 
 /**
- * All words of operators on nodes, the last one each. Words that were taken back stay for a while, so that a
- * conductor that missed one learns of it.
+ * All words of operators on nodes, the last one each. Words that were taken back stay for a while,
+ * so that a conductor that missed one learns of it.
  */
 public final class Drains {
     private static final int CALLS_MOST = 4096;
     private static final int TAKEN_BACK_MOST = 1024;
 
     private final TreeMap<NodeId, Drain> words = new TreeMap<>();
+
     /** The calls that gave a word lately, oldest first. */
     private final Map<String, Drain> calls = new LinkedHashMap<>();
+
     private long stamp;
 
     /** Takes a word given here or elsewhere; tells whether it changes anything. */
@@ -34,9 +36,13 @@
             return false;
         }
         words.put(word.node(), word);
-        List<Drain> back = words.values().stream().filter(w -> !w.on())
-                .sorted(Comparator.comparingLong(Drain::stamp)).toList();
-        back.subList(0, Math.max(0, back.size() - TAKEN_BACK_MOST)).forEach(w -> words.remove(w.node()));
+        List<Drain> back =
+                words.values().stream()
+                        .filter(w -> !w.on())
+                        .sorted(Comparator.comparingLong(Drain::stamp))
+                        .toList();
+        back.subList(0, Math.max(0, back.size() - TAKEN_BACK_MOST))
+                .forEach(w -> words.remove(w.node()));
         return true;
     }
 
--- a/src/main/java/rosespread/fleet/Emptied.java
+++ b/src/main/java/rosespread/fleet/Emptied.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Decides from conductors' own words whether a drained node is empty: told as draining, no try reported for a
- * while, and every proxy heard lately, as a proxy that is not heard may go on sending unseen.
+ * Decides from conductors' own words whether a drained node is empty: told as draining, no try
+ * reported for a while, and every proxy heard lately, as a proxy that is not heard may go on
+ * sending unseen.
  */
 public final class Emptied {
-    private Emptied() { }
+    private Emptied() {}
 
     /** Why it is not known to be empty yet, a sentence a conductor; empty if it is. */
     public static List<String> not(String node, List<Reply> nodes, long quietMillis) {
@@ -21,7 +22,8 @@
             }
             for (JsonNode each : reply.body()) {
                 String name = each.path("name").asText();
-                if (!name.equals(node) && !(name + "@" + each.path("address").asText()).equals(node)) {
+                if (!name.equals(node)
+                        && !(name + "@" + each.path("address").asText()).equals(node)) {
                     continue;
                 }
                 long ago = each.path("triedAgoMs").asLong(-1);
@@ -30,8 +32,11 @@
                 } else if (ago >= 0 && ago < quietMillis) {
                     reasons.add(reply.address() + " heard of a try " + ago + " ms ago");
                 } else if (each.path("unheard").asInt() > 0) {
-                    reasons.add(reply.address() + " cannot know: " + each.path("unheard")
-                            + " of its proxies have not reported");
+                    reasons.add(
+                            reply.address()
+                                    + " cannot know: "
+                                    + each.path("unheard")
+                                    + " of its proxies have not reported");
                 }
             }
         }
--- a/src/main/java/rosespread/fleet/FieldChanges.java
+++ b/src/main/java/rosespread/fleet/FieldChanges.java
@@ -9,7 +9,7 @@
 
 /** Which fields of one JSON document another would change. */
 public final class FieldChanges {
-    private FieldChanges() { }
+    private FieldChanges() {}
 
     /** A line for each leaf that differs, by its path; "none" stands for one that is not there. */
     public static List<String> between(JsonNode before, JsonNode after) {
@@ -32,8 +32,15 @@
 
     private static void leaves(String path, JsonNode node, Map<String, String> into) {
         if (node.isObject()) {
-            node.properties().forEach(field -> leaves(path.isEmpty() ? field.getKey() : path + "."
-                    + field.getKey(), field.getValue(), into));
+            node.properties()
+                    .forEach(
+                            field ->
+                                    leaves(
+                                            path.isEmpty()
+                                                    ? field.getKey()
+                                                    : path + "." + field.getKey(),
+                                            field.getValue(),
+                                            into));
         } else if (node.isArray()) {
             for (int i = 0; i < node.size(); i++) {
                 leaves(path + "[" + i + "]", node.get(i), into);
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -23,9 +23,12 @@
     private final List<InetSocketAddress> conductors;
     private final String operator;
     private final long nanos;
-    private final HttpClient http = new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
+    private final HttpClient http =
+            new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
 
-    /** @param nanos how long one call may take */
+    /**
+     * @param nanos how long one call may take
+     */
     public Fleet(List<InetSocketAddress> conductors, String operator, long nanos) {
         this.conductors = List.copyOf(conductors);
         this.operator = operator;
@@ -46,28 +49,44 @@
     }
 
     /** Asks one. */
-    public Reply ask(InetSocketAddress conductor, String verb, String path, String body, String... headers) {
+    public Reply ask(
+            InetSocketAddress conductor, String verb, String path, String body, String... headers) {
         return start(conductor, verb, path, body, headers).join();
     }
 
-    private CompletableFuture<Reply> start(InetSocketAddress to, String verb, String path, String body,
-            String... headers) {
+    private CompletableFuture<Reply> start(
+            InetSocketAddress to, String verb, String path, String body, String... headers) {
         CompletableFuture<Reply> done = new CompletableFuture<>();
-        HttpHeaders all = HttpHeaders.of(headers).add("host", to.getHostString() + ":" + to.getPort())
-                .add("x-operator", operator);
-        http.call(to, new HttpMessage.Call(verb, path, all, body.getBytes(StandardCharsets.UTF_8)), nanos,
+        HttpHeaders all =
+                HttpHeaders.of(headers)
+                        .add("host", to.getHostString() + ":" + to.getPort())
+                        .add("x-operator", operator);
+        http.call(
+                to,
+                new HttpMessage.Call(verb, path, all, body.getBytes(StandardCharsets.UTF_8)),
+                nanos,
                 new HttpClient.Taker() {
                     @Override
                     public void answered(HttpMessage.Answer answer) {
                         JsonNode read = read(answer.body());
-                        done.complete(new Reply(to, answer.status(), read,
-                                read.path("detail").asText(""), true));
+                        done.complete(
+                                new Reply(
+                                        to,
+                                        answer.status(),
+                                        read,
+                                        read.path("detail").asText(""),
+                                        true));
                     }
 
                     @Override
                     public void failed(HttpClient.Failure failure, String detail) {
-                        done.complete(new Reply(to, 0, MissingNode.getInstance(), detail,
-                                failure != HttpClient.Failure.NOT_CONNECTED));
+                        done.complete(
+                                new Reply(
+                                        to,
+                                        0,
+                                        MissingNode.getInstance(),
+                                        detail,
+                                        failure != HttpClient.Failure.NOT_CONNECTED));
                     }
                 });
         return done;
--- a/src/main/java/rosespread/fleet/Reply.java
+++ b/src/main/java/rosespread/fleet/Reply.java
@@ -6,10 +6,12 @@
 /**
  * What one conductor answered.
  *
- * @param status of HTTP, 0 if no answer came; @param body null then; @param detail why not, in a sentence
+ * @param status of HTTP, 0 if no answer came; @param body null then; @param detail why not, in a
+ *     sentence
  * @param ran whether the call may have been taken up
  */
-public record Reply(InetSocketAddress conductor, int status, JsonNode body, String detail, boolean ran) {
+public record Reply(
+        InetSocketAddress conductor, int status, JsonNode body, String detail, boolean ran) {
     public boolean isOk() {
         return status == 200;
     }
--- a/src/main/java/rosespread/fleet/StagedApply.java
+++ b/src/main/java/rosespread/fleet/StagedApply.java
@@ -6,8 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Applies settings to one conductor after the other. Between two it waits until the one before serves as many
- * proxies as it did; if that does not come in time, or one is refused, the rest keep what they have.
+ * Applies settings to one conductor after the other. Between two it waits until the one before
+ * serves as many proxies as it did; if that does not come in time, or one is refused, the rest keep
+ * what they have.
  */
 public final class StagedApply {
     private static final long LOOK_MILLIS = 100;
@@ -16,19 +17,25 @@
     private final long patienceNanos;
     private final Consumer<String> progress;
 
-    /** @param patienceNanos how long a conductor may take to have its proxies back */
+    /**
+     * @param patienceNanos how long a conductor may take to have its proxies back
+     */
     public StagedApply(Fleet fleet, long patienceNanos, Consumer<String> progress) {
         this.fleet = fleet;
         this.patienceNanos = patienceNanos;
         this.progress = progress;
     }
 
-    /** Returns at how many conductors the settings hold now; the progress says where and why it stopped. */
+    /**
+     * Returns at how many conductors the settings hold now; the progress says where and why it
+     * stopped.
+     */
     public int run(String settings, String call) throws InterruptedException {
         List<Reply> tried = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
         for (Reply reply : tried) {
             if (!reply.isOk()) {
-                progress.accept(reply.address() + ": " + why(reply) + "; nothing was applied anywhere");
+                progress.accept(
+                        reply.address() + ": " + why(reply) + "; nothing was applied anywhere");
                 return 0;
             }
         }
@@ -36,9 +43,18 @@
         for (InetSocketAddress conductor : fleet.conductors()) {
             Reply before = fleet.ask(conductor, "GET", "/v1/status", "");
             int bound = before.body().path("proxiesBound").asInt();
-            // Against what it has now: another operator's settings of this moment are not overwritten.
-            Reply put = fleet.ask(conductor, "PUT", "/v1/settings", settings, "idempotency-key", call,
-                    "if-match", String.valueOf(before.body().path("settingsRevision").asLong()));
+            // Against what it has now: another operator's settings of this moment are not
+            // overwritten.
+            Reply put =
+                    fleet.ask(
+                            conductor,
+                            "PUT",
+                            "/v1/settings",
+                            settings,
+                            "idempotency-key",
+                            call,
+                            "if-match",
+                            String.valueOf(before.body().path("settingsRevision").asLong()));
             if (!put.isOk()) {
                 progress.accept(put.address() + ": " + why(put) + "; stopped here");
                 return done;
@@ -46,8 +62,11 @@
             done++;
             progress.accept(put.address() + ": applied as revision " + put.body().path("revision"));
             if (done < fleet.conductors().size() && !backTo(conductor, bound)) {
-                progress.accept(put.address() + ": its " + bound
-                        + " proxies are not back in time; stopped here");
+                progress.accept(
+                        put.address()
+                                + ": its "
+                                + bound
+                                + " proxies are not back in time; stopped here");
                 return done;
             }
         }
@@ -68,12 +87,19 @@
     }
 
     private static String why(Reply reply) {
-        StringBuilder why = new StringBuilder(reply.detail().isEmpty() ? "status " + reply.status()
-                : reply.detail());
-        reply.body().path("faults").forEach(fault -> why.append("; field ").append(fault.path("field")
-                .asText())
-                .append(" is ").append(fault.path("value").asText()).append(", allowed: ")
-                .append(fault.path("allowed").asText()));
+        StringBuilder why =
+                new StringBuilder(
+                        reply.detail().isEmpty() ? "status " + reply.status() : reply.detail());
+        reply.body()
+                .path("faults")
+                .forEach(
+                        fault ->
+                                why.append("; field ")
+                                        .append(fault.path("field").asText())
+                                        .append(" is ")
+                                        .append(fault.path("value").asText())
+                                        .append(", allowed: ")
+                                        .append(fault.path("allowed").asText()));
         return why.toString();
     }
 }
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -20,9 +20,10 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Makes calls over kept connections, one call at a time on each; every call ends in exactly one outcome. The
- * other end may close a kept connection just as a call is written on it; a call that changes nothing (GET,
- * HEAD) is then made once more on a new connection within the same time, as RFC 9110, 9.2.2 allows.
+ * Makes calls over kept connections, one call at a time on each; every call ends in exactly one
+ * outcome. The other end may close a kept connection just as a call is written on it; a call that
+ * changes nothing (GET, HEAD) is then made once more on a new connection within the same time, as
+ * RFC 9110, 9.2.2 allows.
  */
 public final class HttpClient implements AutoCloseable {
     /** Why no answer came. */
@@ -46,6 +47,7 @@
     private static final String TALK = "talk";
     private static final String KEPT_FOR = "kept for";
     private static final int MOST_IDLE = 64;
+
     /** Methods whose calls change nothing at the other end. */
     private static final Set<String> SAFE = Set.of("GET", "HEAD");
 
@@ -54,31 +56,45 @@
     private final Map<InetSocketAddress, Deque<IoSession>> idle = new ConcurrentHashMap<>();
 
     /**
-     * @param connectMillis how long a connection may take; @param idleSeconds how long an unused one is kept
+     * @param connectMillis how long a connection may take; @param idleSeconds how long an unused
+     *     one is kept
      */
     public HttpClient(int threads, HttpLimits limits, int connectMillis, int idleSeconds) {
         connector = new NioSocketConnector(threads);
         connector.setConnectTimeoutMillis(connectMillis);
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getSessionConfig().setIdleTime(IdleStatus.BOTH_IDLE, idleSeconds);
-        connector.getFilterChain().addLast("http", new ProtocolCodecFilter(new HttpCodec(false, limits)));
+        connector
+                .getFilterChain()
+                .addLast("http", new ProtocolCodecFilter(new HttpCodec(false, limits)));
         connector.setHandler(new Sessions());
-        timer = (ScheduledThreadPoolExecutor) Executors.newScheduledThreadPool(1, task -> {
-            Thread thread = new Thread(task, "http-timer");
-            thread.setDaemon(true);
-            return thread;
-        });
+        timer =
+                (ScheduledThreadPoolExecutor)
+                        Executors.newScheduledThreadPool(
+                                1,
+                                task -> {
+                                    Thread thread = new Thread(task, "http-timer");
+                                    thread.setDaemon(true);
+                                    return thread;
+                                });
         timer.setRemoveOnCancelPolicy(true);
     }
 
     /**
-     * Makes a call; {@code nanos} runs until the whole answer is there. A call that is given up on closes its
-     * connection, so that the other side can stop. Returns what cancels it.
+     * Makes a call; {@code nanos} runs until the whole answer is there. A call that is given up on
+     * closes its connection, so that the other side can stop. Returns what cancels it.
      */
     public Runnable call(InetSocketAddress to, HttpMessage.Call call, long nanos, Taker taker) {
         Talk talk = new Talk(to, call, taker);
-        talk.deadline = timer(nanos, () -> talk.fail(Failure.TIMED_OUT, "no answer within "
-                + TimeUnit.NANOSECONDS.toMillis(nanos) + " ms"));
+        talk.deadline =
+                timer(
+                        nanos,
+                        () ->
+                                talk.fail(
+                                        Failure.TIMED_OUT,
+                                        "no answer within "
+                                                + TimeUnit.NANOSECONDS.toMillis(nanos)
+                                                + " ms"));
         IoSession kept = take(to);
         if (kept != null) {
             talk.again = SAFE.contains(call.verb());
@@ -90,14 +106,19 @@
     }
 
     private void connect(Talk talk) {
-        connector.connect(talk.to).addListener(future -> {
-            ConnectFuture made = (ConnectFuture) future;
-            if (made.isConnected()) {
-                talk.start(made.getSession());
-            } else {
-                talk.fail(Failure.NOT_CONNECTED, "no connection to " + talk.to + ": " + made.getException());
-            }
-        });
+        connector
+                .connect(talk.to)
+                .addListener(
+                        future -> {
+                            ConnectFuture made = (ConnectFuture) future;
+                            if (made.isConnected()) {
+                                talk.start(made.getSession());
+                            } else {
+                                talk.fail(
+                                        Failure.NOT_CONNECTED,
+                                        "no connection to " + talk.to + ": " + made.getException());
+                            }
+                        });
     }
 
     private ScheduledFuture<?> timer(long nanos, Runnable then) {
@@ -107,40 +128,49 @@
 
     private IoSession take(InetSocketAddress to) {
         IoSession[] taken = new IoSession[1];
-        idle.computeIfPresent(to, (address, kept) -> {
-            while (taken[0] == null && !kept.isEmpty()) {
-                IoSession last = kept.pollLast();
-                taken[0] = last.isActive() ? last : null;
-            }
-            return kept.isEmpty() ? null : kept;
-        });
+        idle.computeIfPresent(
+                to,
+                (address, kept) -> {
+                    while (taken[0] == null && !kept.isEmpty()) {
+                        IoSession last = kept.pollLast();
+                        taken[0] = last.isActive() ? last : null;
+                    }
+                    return kept.isEmpty() ? null : kept;
+                });
         return taken[0];
     }
 
     private void keep(InetSocketAddress to, IoSession session) {
         session.setAttribute(KEPT_FOR, to);
         boolean[] room = new boolean[1];
-        idle.compute(to, (address, kept) -> {
-            Deque<IoSession> all = kept == null ? new ArrayDeque<>() : kept;
-            room[0] = all.size() < MOST_IDLE && session.isActive();
-            if (room[0]) {
-                all.addLast(session);
-            }
-            return all.isEmpty() ? null : all;
-        });
+        idle.compute(
+                to,
+                (address, kept) -> {
+                    Deque<IoSession> all = kept == null ? new ArrayDeque<>() : kept;
+                    room[0] = all.size() < MOST_IDLE && session.isActive();
+                    if (room[0]) {
+                        all.addLast(session);
+                    }
+                    return all.isEmpty() ? null : all;
+                });
         if (!room[0]) {
             session.closeNow();
         }
     }
 
-    /** Nothing is held of a connection that is gone, nor of an address that is: nodes come and go all day. */
+    /**
+     * Nothing is held of a connection that is gone, nor of an address that is: nodes come and go
+     * all day.
+     */
     private void forget(IoSession session) {
         InetSocketAddress to = (InetSocketAddress) session.getAttribute(KEPT_FOR);
         if (to != null) {
-            idle.computeIfPresent(to, (address, kept) -> {
-                kept.remove(session);
-                return kept.isEmpty() ? null : kept;
-            });
+            idle.computeIfPresent(
+                    to,
+                    (address, kept) -> {
+                        kept.remove(session);
+                        return kept.isEmpty() ? null : kept;
+                    });
         }
     }
 
@@ -164,7 +194,10 @@
         private final AtomicBoolean over = new AtomicBoolean();
         private volatile IoSession session;
         private volatile ScheduledFuture<?> deadline;
-        /** Whether the call may be made once more, if the kept connection breaks before its answer. */
+
+        /**
+         * Whether the call may be made once more, if the kept connection breaks before its answer.
+         */
         private volatile boolean again;
 
         Talk(InetSocketAddress to, HttpMessage.Call call, Taker taker) {
--- a/src/main/java/rosespread/http/HttpCodec.java
+++ b/src/main/java/rosespread/http/HttpCodec.java
@@ -12,8 +12,8 @@
 import org.apache.mina.filter.codec.ProtocolEncoderOutput;
 
 /**
- * The parser and the writer as a codec of MINA. MINA asks for a decoder at every read, so the session keeps
- * its own, with the parser's place; after an error it takes nothing more.
+ * The parser and the writer as a codec of MINA. MINA asks for a decoder at every read, so the
+ * session keeps its own, with the parser's place; after an error it takes nothing more.
  */
 final class HttpCodec implements ProtocolCodecFactory {
     private static final String DECODER = "http decoder";
@@ -53,7 +53,8 @@
             private boolean broken;
 
             @Override
-            public void decode(IoSession s, IoBuffer in, ProtocolDecoderOutput out) throws HttpException {
+            public void decode(IoSession s, IoBuffer in, ProtocolDecoderOutput out)
+                    throws HttpException {
                 if (broken) {
                     in.skip(in.remaining());
                     return;
@@ -77,10 +78,12 @@
             }
 
             @Override
-            public void dispose(IoSession s) { }
+            public void dispose(IoSession s) {}
 
             private void flush(ProtocolDecoderOutput out) {
-                for (HttpMessage message = parsed.poll(); message != null; message = parsed.poll()) {
+                for (HttpMessage message = parsed.poll();
+                        message != null;
+                        message = parsed.poll()) {
                     out.write(message);
                 }
             }
--- a/src/main/java/rosespread/http/HttpException.java
+++ b/src/main/java/rosespread/http/HttpException.java
@@ -1,7 +1,8 @@
 package rosespread.http;
 
 /**
- * What came in is not the HTTP/1.1 that this codec takes; the message names the byte offset in the stream.
+ * What came in is not the HTTP/1.1 that this codec takes; the message names the byte offset in the
+ * stream.
  */
 public final class HttpException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/rosespread/http/HttpHeaders.java
+++ b/src/main/java/rosespread/http/HttpHeaders.java
@@ -33,11 +33,12 @@
     /** All values of a field, in order. */
     public List<String> all(String name) {
         List<String> found = new ArrayList<>();
-        each((n, value) -> {
-            if (n.equals(name)) {
-                found.add(value);
-            }
-        });
+        each(
+                (n, value) -> {
+                    if (n.equals(name)) {
+                        found.add(value);
+                    }
+                });
         return found;
     }
 
@@ -53,7 +54,8 @@
 
     /** Whether the field, a list of words, has this word (RFC 9110 section 5.6.1). */
     public boolean names(String field, String word) {
-        return all(field).stream().flatMap(v -> List.of(v.split(",")).stream())
+        return all(field).stream()
+                .flatMap(v -> List.of(v.split(",")).stream())
                 .anyMatch(part -> part.trim().equalsIgnoreCase(word));
     }
 }
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -17,8 +17,11 @@
         return new String(body(), StandardCharsets.UTF_8);
     }
 
-    /** @param target the path and query as they stand in the first line */
-    record Call(String verb, String target, HttpHeaders headers, byte[] body) implements HttpMessage {
+    /**
+     * @param target the path and query as they stand in the first line
+     */
+    record Call(String verb, String target, HttpHeaders headers, byte[] body)
+            implements HttpMessage {
         public String path() {
             int query = target.indexOf('?');
             return query < 0 ? target : target.substring(0, query);
@@ -27,7 +30,9 @@
 
     record Answer(int status, HttpHeaders headers, byte[] body) implements HttpMessage {
         public static Answer of(int status, String type, String text) {
-            return new Answer(status, HttpHeaders.of("content-type", type),
+            return new Answer(
+                    status,
+                    HttpHeaders.of("content-type", type),
                     text.getBytes(StandardCharsets.UTF_8));
         }
 
--- a/src/main/java/rosespread/http/HttpParser.java
+++ b/src/main/java/rosespread/http/HttpParser.java
@@ -7,12 +7,22 @@
 import java.util.function.Consumer;
 
 /**
- * Parses a stream of HTTP/1.1 messages (RFC 9112) that may be cut at every byte; what is left after a message
- * begins the next one. Framing that two readers could take differently is refused, never guessed: several or
- * conflicting lengths, a length beside a transfer coding, a bare CR, space before a colon, folded lines.
+ * Parses a stream of HTTP/1.1 messages (RFC 9112) that may be cut at every byte; what is left after
+ * a message begins the next one. Framing that two readers could take differently is refused, never
+ * guessed: several or conflicting lengths, a length beside a transfer coding, a bare CR, space
+ * before a colon, folded lines.
  */
 public final class HttpParser {
-    private enum Place { FIRST, HEADER, FIXED, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, TO_CLOSE }
+    private enum Place {
+        FIRST,
+        HEADER,
+        FIXED,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        TO_CLOSE
+    }
 
     private final boolean calls;
     private final HttpLimits limits;
@@ -26,7 +36,9 @@
     private int headerBytes, left;
     private ByteArrayOutputStream body;
 
-    /** @param calls whether the stream brings calls (a server's side) or answers */
+    /**
+     * @param calls whether the stream brings calls (a server's side) or answers
+     */
     public HttpParser(boolean calls, HttpLimits limits, Consumer<HttpMessage> out) {
         this.calls = calls;
         this.limits = limits;
@@ -98,8 +110,9 @@
         } else {
             line.write(b);
             if (line.size() > limits.line()) {
-                throw error(place == Place.FIRST && calls ? 414 : 431, "line over " + limits.line()
-                        + " bytes");
+                throw error(
+                        place == Place.FIRST && calls ? 414 : 431,
+                        "line over " + limits.line() + " bytes");
             }
         }
     }
@@ -134,8 +147,11 @@
     }
 
     private void takeFirst(String text) throws HttpException {
-        boolean well = calls ? text.matches("[!#$%&'*+.^_`|~0-9A-Za-z-]{1,20} [\\x21-\\x7e]+ HTTP/1\\.[01]")
-                : text.matches("HTTP/1\\.[01] [1-9][0-9]{2}( .*)?");
+        boolean well =
+                calls
+                        ? text.matches(
+                                "[!#$%&'*+.^_`|~0-9A-Za-z-]{1,20} [\\x21-\\x7e]+ HTTP/1\\.[01]")
+                        : text.matches("HTTP/1\\.[01] [1-9][0-9]{2}( .*)?");
         if (!well) {
             throw error(400, "not a first line of HTTP/1.1: \"" + shown(text) + "\"");
         }
@@ -152,8 +168,13 @@
             throw error(400, "not a header field: \"" + shown(text) + "\"");
         }
         if (headers.size() >= limits.headers() || headerBytes > limits.headerBytes()) {
-            throw error(431, "over " + limits.headers() + " header fields or " + limits.headerBytes()
-                    + " bytes");
+            throw error(
+                    431,
+                    "over "
+                            + limits.headers()
+                            + " header fields or "
+                            + limits.headerBytes()
+                            + " bytes");
         }
         if (place == Place.HEADER) {
             headers.add(text.substring(0, colon), text.substring(colon + 1).trim());
@@ -168,13 +189,18 @@
         if (!codings.isEmpty() && (!lengths.isEmpty() || first.contains("HTTP/1.0"))) {
             throw error(400, "a transfer coding beside a length or in HTTP/1.0");
         }
-        if (!codings.isEmpty() && !(codings.size() == 1 && codings.get(0).equalsIgnoreCase("chunked"))) {
-            throw error(calls ? 501 : 502, "transfer coding \"" + shown(codings.get(0))
-                    + "\" is not chunked");
+        if (!codings.isEmpty()
+                && !(codings.size() == 1 && codings.get(0).equalsIgnoreCase("chunked"))) {
+            throw error(
+                    calls ? 501 : 502,
+                    "transfer coding \"" + shown(codings.get(0)) + "\" is not chunked");
         }
         if (lengths.size() > 1 || !lengths.isEmpty() && !lengths.get(0).matches("[0-9]{1,18}")) {
-            throw error(400, "content-length \"" + shown(String.join(", ", lengths))
-                    + "\" is not one number");
+            throw error(
+                    400,
+                    "content-length \""
+                            + shown(String.join(", ", lengths))
+                            + "\" is not one number");
         }
         if (!lengths.isEmpty() && Long.parseLong(lengths.get(0)) > limits.body()) {
             throw error(413, "body over " + limits.body() + " bytes");
@@ -225,10 +251,14 @@
         }
     }
 
-    /** HTTP/1.0 closes unless it says otherwise; said so here once, so that nobody asks for the version. */
+    /**
+     * HTTP/1.0 closes unless it says otherwise; said so here once, so that nobody asks for the
+     * version.
+     */
     private HttpHeaders closing() {
         return first.contains("HTTP/1.0") && !headers.names("connection", "keep-alive")
-                ? headers.add("connection", "close") : headers;
+                ? headers.add("connection", "close")
+                : headers;
     }
 
     private HttpException error(int status, String message) {
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -10,11 +10,15 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Answers calls on any number of addresses. Calls of one connection are handed out one by one, so that
- * answers keep their order (RFC 9112 section 9.3.2); at most {@value #MOST_WAITING} more may wait behind one.
+ * Answers calls on any number of addresses. Calls of one connection are handed out one by one, so
+ * that answers keep their order (RFC 9112 section 9.3.2); at most {@value #MOST_WAITING} more may
+ * wait behind one.
  */
 public final class HttpServer implements AutoCloseable {
-    /** Takes calls on an I/O thread and must not block; the answer may come later and from any thread. */
+    /**
+     * Takes calls on an I/O thread and must not block; the answer may come later and from any
+     * thread.
+     */
     @FunctionalInterface
     public interface Handler {
         void take(HttpMessage.Call call, Exchange exchange);
@@ -50,7 +54,8 @@
         acceptor.setCloseOnDeactivation(false);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getSessionConfig().setIdleTime(IdleStatus.READER_IDLE, IDLE_SECONDS);
-        acceptor.getFilterChain().addLast("http", new ProtocolCodecFilter(new HttpCodec(true, limits)));
+        acceptor.getFilterChain()
+                .addLast("http", new ProtocolCodecFilter(new HttpCodec(true, limits)));
         acceptor.setHandler(new Sessions());
     }
 
@@ -219,7 +224,8 @@
         public void exceptionCaught(IoSession session, Throwable cause) {
             for (Throwable at = cause; at != null; at = at.getCause()) {
                 if (at instanceof HttpException e && session.isConnected()) {
-                    session.write(HttpMessage.Answer.of(e.status(), "text/plain", e.getMessage() + "\n"));
+                    session.write(
+                            HttpMessage.Answer.of(e.status(), "text/plain", e.getMessage() + "\n"));
                     session.closeOnFlush();
                     return;
                 }
--- a/src/main/java/rosespread/http/HttpWriter.java
+++ b/src/main/java/rosespread/http/HttpWriter.java
@@ -5,20 +5,29 @@
 
 /** Writes whole messages with a length; a value can bring no line of its own. */
 final class HttpWriter {
-    private HttpWriter() { }
+    private HttpWriter() {}
 
     static byte[] bytes(HttpMessage message) {
         StringBuilder head = new StringBuilder(128);
         if (message instanceof HttpMessage.Call call) {
             head.append(call.verb()).append(' ').append(call.target()).append(" HTTP/1.1\r\n");
         } else if (message instanceof HttpMessage.Answer answer) {
-            head.append("HTTP/1.1 ").append(answer.status()).append(' ').append(reason(answer.status()))
+            head.append("HTTP/1.1 ")
+                    .append(answer.status())
+                    .append(' ')
+                    .append(reason(answer.status()))
                     .append("\r\n");
         }
-        message.headers().each((name, value) ->
-                head.append(name).append(": ").append(value.replaceAll("[\\r\\n\\x00]", " ")).append("\r\n"));
+        message.headers()
+                .each(
+                        (name, value) ->
+                                head.append(name)
+                                        .append(": ")
+                                        .append(value.replaceAll("[\\r\\n\\x00]", " "))
+                                        .append("\r\n"));
         head.append("content-length: ").append(message.body().length).append("\r\n\r\n");
-        ByteArrayOutputStream all = new ByteArrayOutputStream(head.length() + message.body().length);
+        ByteArrayOutputStream all =
+                new ByteArrayOutputStream(head.length() + message.body().length);
         all.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
         all.writeBytes(message.body());
         return all.toByteArray();
--- a/src/main/java/rosespread/launch/Fields.java
+++ b/src/main/java/rosespread/launch/Fields.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON object as it was read, with a plain complaint where a field lacks or is of another type. */
+/**
+ * A JSON object as it was read, with a plain complaint where a field lacks or is of another type.
+ */
 public final class Fields {
     private static final double SECOND = 1e9;
 
--- a/src/main/java/rosespread/launch/Names.java
+++ b/src/main/java/rosespread/launch/Names.java
@@ -17,6 +17,7 @@
 public final class Names {
     /** Stands for a level without bound, far above what a proxy can meet. */
     public static final double UNBOUNDED_LEVEL = 1e6;
+
     /** How a further try is told that comes only after proof that the first never ran. */
     public static final int RETRY_AFTER_PROOF = 1;
 
@@ -39,7 +40,10 @@
             methodNames.add(method.text("name"));
         }
         namedZones = zones.size();
-        utilization = info.has("report") ? info.object("report").array("columns").indexOf("utilization") : -1;
+        utilization =
+                info.has("report")
+                        ? info.object("report").array("columns").indexOf("utilization")
+                        : -1;
     }
 
     /** A name that the settings lack gets the next number; asked by several threads. */
@@ -78,7 +82,9 @@
     public double utilization(Fields event) throws LaunchException {
         List<?> report = event.array("report");
         boolean told = utilization >= 0 && utilization < report.size();
-        return told && report.get(utilization) instanceof Number value ? value.doubleValue() : Double.NaN;
+        return told && report.get(utilization) instanceof Number value
+                ? value.doubleValue()
+                : Double.NaN;
     }
 
     public Settings settings(Fields info) throws LaunchException {
--- a/src/main/java/rosespread/list/CatalogueReader.java
+++ b/src/main/java/rosespread/list/CatalogueReader.java
@@ -9,24 +9,30 @@
 import rosespread.api.Observer.NodeState;
 
 /**
- * Reads an answer of Consul's {@code /v1/health/service/NAME}. Zone, kind and start come from {@code Meta}
- * (zone, kind, started as epoch milliseconds) or else from tags "zone=…", "kind=…", "started=…"; maintenance
- * of the service or its machine is a drain, any other critical check means that no process runs.
+ * Reads an answer of Consul's {@code /v1/health/service/NAME}. Zone, kind and start come from
+ * {@code Meta} (zone, kind, started as epoch milliseconds) or else from tags "zone=…", "kind=…",
+ * "started=…"; maintenance of the service or its machine is a drain, any other critical check means
+ * that no process runs.
  */
 final class CatalogueReader {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MOST = 100_000;
 
-    private CatalogueReader() { }
+    private CatalogueReader() {}
 
-    /** @throws ListException if the body is not such an answer; names entry and field */
+    /**
+     * @throws ListException if the body is not such an answer; names entry and field
+     */
     static List<ListedNode> read(String body) throws ListException {
         JsonNode all;
         try {
             all = JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            throw new ListException("not JSON at line " + e.getLocation().getLineNr() + ", column "
-                    + e.getLocation().getColumnNr());
+            throw new ListException(
+                    "not JSON at line "
+                            + e.getLocation().getLineNr()
+                            + ", column "
+                            + e.getLocation().getColumnNr());
         }
         if (all == null || !all.isArray() || all.size() > MOST) {
             throw new ListException("not an array of at most " + MOST + " entries");
@@ -36,7 +42,8 @@
         for (int i = 0; i < all.size(); i++) {
             ListedNode node = node(all.get(i), "[" + i + "]");
             if (!seen.add(node.id().value())) {
-                throw new ListException("[" + i + "].Service.ID " + node.name() + " is listed twice");
+                throw new ListException(
+                        "[" + i + "].Service.ID " + node.name() + " is listed twice");
             }
             nodes.add(node);
         }
@@ -60,7 +67,8 @@
         for (JsonNode check : entry.path("Checks")) {
             String id = check.path("CheckID").asText();
             String status = check.path("Status").asText();
-            boolean maintenance = id.equals("_node_maintenance") || id.startsWith("_service_maintenance");
+            boolean maintenance =
+                    id.equals("_node_maintenance") || id.startsWith("_service_maintenance");
             draining |= maintenance && status.equals("critical") || status.equals("maintenance");
             critical |= !maintenance && status.equals("critical");
             warning |= status.equals("warning");
@@ -72,9 +80,18 @@
         } catch (NumberFormatException e) {
             throw new ListException(at + ".Service.Meta.started is not a whole number");
         }
-        NodeState state = critical ? NodeState.GONE : draining ? NodeState.DRAINING : NodeState.READY;
-        return new ListedNode(ListedNode.id(name, host, port), name, host, port, label(service, "zone", ""),
-                label(service, "kind", ""), weight, state, started);
+        NodeState state =
+                critical ? NodeState.GONE : draining ? NodeState.DRAINING : NodeState.READY;
+        return new ListedNode(
+                ListedNode.id(name, host, port),
+                name,
+                host,
+                port,
+                label(service, "zone", ""),
+                label(service, "kind", ""),
+                weight,
+                state,
+                started);
     }
 
     private static String label(JsonNode service, String name, String absent) {
--- a/src/main/java/rosespread/list/ListClient.java
+++ b/src/main/java/rosespread/list/ListClient.java
@@ -11,10 +11,10 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Follows a service in Consul's health catalogue by blocking queries. The index only rises: an answer that is
- * older than what is known is not believed until such answers have come for a stated time (the list has then
- * begun anew). A query that fails, or is silent past its wait, tells that the list is unavailable; what was
- * known stays.
+ * Follows a service in Consul's health catalogue by blocking queries. The index only rises: an
+ * answer that is older than what is known is not believed until such answers have come for a stated
+ * time (the list has then begun anew). A query that fails, or is silent past its wait, tells that
+ * the list is unavailable; what was known stays.
  */
 public final class ListClient implements AutoCloseable {
     /** Called on I/O and timer threads; must not block. */
@@ -47,11 +47,22 @@
 
     /**
      * @param agent who asks, as the list's operators see it
-     * @param onDemand after a failure, whether to wait for {@link #follow} instead of going on by itself
+     * @param onDemand after a failure, whether to wait for {@link #follow} instead of going on by
+     *     itself
      */
-    public ListClient(HttpClient http, InetSocketAddress server, String service, String agent, long wait,
-            long silentAfter, long backwardsAfter, boolean onDemand, ScheduledExecutorService timer,
-            LongSupplier clock, RandomGenerator random, Follower follower) {
+    public ListClient(
+            HttpClient http,
+            InetSocketAddress server,
+            String service,
+            String agent,
+            long wait,
+            long silentAfter,
+            long backwardsAfter,
+            boolean onDemand,
+            ScheduledExecutorService timer,
+            LongSupplier clock,
+            RandomGenerator random,
+            Follower follower) {
         this.http = http;
         this.server = server;
         this.path = "/v1/health/service/" + service;
@@ -81,24 +92,37 @@
 
     private void ask() {
         boolean blocking = index > 0 && backwardsSince == Long.MIN_VALUE;
-        String query = blocking ? "?index=" + index + "&wait=" + TimeUnit.NANOSECONDS.toMillis(wait) + "ms"
-                : "";
-        HttpMessage.Call call = new HttpMessage.Call("GET", path + query,
-                HttpHeaders.of("host", server.getHostString() + ":" + server.getPort(), "user-agent", agent),
-                new byte[0]);
+        String query =
+                blocking
+                        ? "?index=" + index + "&wait=" + TimeUnit.NANOSECONDS.toMillis(wait) + "ms"
+                        : "";
+        HttpMessage.Call call =
+                new HttpMessage.Call(
+                        "GET",
+                        path + query,
+                        HttpHeaders.of(
+                                "host",
+                                server.getHostString() + ":" + server.getPort(),
+                                "user-agent",
+                                agent),
+                        new byte[0]);
         // Consul adds up to a sixteenth of the wait, so that clients do not come back all at once.
         long patience = (blocking ? wait + wait / 16 : 0) + silentAfter;
-        http.call(server, call, patience, new HttpClient.Taker() {
-            @Override
-            public void answered(HttpMessage.Answer answer) {
-                take(answer);
-            }
+        http.call(
+                server,
+                call,
+                patience,
+                new HttpClient.Taker() {
+                    @Override
+                    public void answered(HttpMessage.Answer answer) {
+                        take(answer);
+                    }
 
-            @Override
-            public void failed(HttpClient.Failure failure, String detail) {
-                ListClient.this.failed(failure + ": " + detail);
-            }
-        });
+                    @Override
+                    public void failed(HttpClient.Failure failure, String detail) {
+                        ListClient.this.failed(failure + ": " + detail);
+                    }
+                });
     }
 
     private synchronized void take(HttpMessage.Answer answer) {
--- a/src/main/java/rosespread/list/ListedNode.java
+++ b/src/main/java/rosespread/list/ListedNode.java
@@ -7,14 +7,21 @@
 import rosespread.api.Observer.NodeState;
 
 /**
- * A node as the list has it. Its id is a hash of the service's id and address: the same for every conductor
- * and over restarts of its process, without any shared numbering.
+ * A node as the list has it. Its id is a hash of the service's id and address: the same for every
+ * conductor and over restarts of its process, without any shared numbering.
  *
  * @param startedMillis wall clock of the last start, 0 if long ago or not told
  */
-public record ListedNode(NodeId id, String name, String host, int port, String zone, String kind,
+public record ListedNode(
+        NodeId id,
+        String name,
+        String host,
+        int port,
+        String zone,
+        String kind,
         double weight,
-        NodeState state, long startedMillis) {
+        NodeState state,
+        long startedMillis) {
 
     public static NodeId id(String name, String host, int port) {
         return new NodeId(Hashing.wyhashFinal4().hashCharsToLong(name + "@" + host + ":" + port));
@@ -27,8 +34,18 @@
 
     /** The same node as the list would tell of it while it drains, if it is ready now. */
     public ListedNode draining() {
-        return state != NodeState.READY ? this
-                : new ListedNode(id, name, host, port, zone, kind, weight, NodeState.DRAINING, startedMillis);
+        return state != NodeState.READY
+                ? this
+                : new ListedNode(
+                        id,
+                        name,
+                        host,
+                        port,
+                        zone,
+                        kind,
+                        weight,
+                        NodeState.DRAINING,
+                        startedMillis);
     }
 
     public InetSocketAddress address() {
--- a/src/main/java/rosespread/list/Prober.java
+++ b/src/main/java/rosespread/list/Prober.java
@@ -20,24 +20,37 @@
     }
 
     public void probe(InetSocketAddress node, Consumer<Verdict> then) {
-        HttpMessage.Call call = new HttpMessage.Call("GET", path,
-                HttpHeaders.of("host", node.getHostString() + ":" + node.getPort()), new byte[0]);
-        http.call(node, call, timeout, new HttpClient.Taker() {
-            @Override
-            public void answered(HttpMessage.Answer answer) {
-                int status = answer.status();
-                then.accept(status < 400 ? Verdict.OK
-                        : status == 429 || status == 503 ? Verdict.PUSHED_BACK : Verdict.ABORTED);
-            }
+        HttpMessage.Call call =
+                new HttpMessage.Call(
+                        "GET",
+                        path,
+                        HttpHeaders.of("host", node.getHostString() + ":" + node.getPort()),
+                        new byte[0]);
+        http.call(
+                node,
+                call,
+                timeout,
+                new HttpClient.Taker() {
+                    @Override
+                    public void answered(HttpMessage.Answer answer) {
+                        int status = answer.status();
+                        then.accept(
+                                status < 400
+                                        ? Verdict.OK
+                                        : status == 429 || status == 503
+                                                ? Verdict.PUSHED_BACK
+                                                : Verdict.ABORTED);
+                    }
 
-            @Override
-            public void failed(HttpClient.Failure failure, String detail) {
-                then.accept(switch (failure) {
-                    case TIMED_OUT -> Verdict.TIMED_OUT;
-                    case MALFORMED -> Verdict.ABORTED;
-                    default -> Verdict.UNREACHABLE;
+                    @Override
+                    public void failed(HttpClient.Failure failure, String detail) {
+                        then.accept(
+                                switch (failure) {
+                                    case TIMED_OUT -> Verdict.TIMED_OUT;
+                                    case MALFORMED -> Verdict.ABORTED;
+                                    default -> Verdict.UNREACHABLE;
+                                });
+                    }
                 });
-            }
-        });
     }
 }
--- a/src/main/java/rosespread/measure/DecayingSum.java
+++ b/src/main/java/rosespread/measure/DecayingSum.java
@@ -6,7 +6,9 @@
     private double value;
     private long at;
 
-    /** @param timeConstant nanoseconds after which a part counts for 1/e */
+    /**
+     * @param timeConstant nanoseconds after which a part counts for 1/e
+     */
     public DecayingSum(double timeConstant) {
         this.timeConstant = timeConstant;
     }
--- a/src/main/java/rosespread/measure/FairShare.java
+++ b/src/main/java/rosespread/measure/FairShare.java
@@ -2,9 +2,12 @@
 
 /** Max-min fair shares: small demands are met in full, the largest are cut to one limit. */
 public final class FairShare {
-    private FairShare() { }
+    private FairShare() {}
 
-    /** The limit that cuts these rates, in rising order, to the total; infinite if they don't exceed it. */
+    /**
+     * The limit that cuts these rates, in rising order, to the total; infinite if they don't exceed
+     * it.
+     */
     public static double limit(double[] risingRates, double total) {
         double left = total;
         for (int i = 0; i < risingRates.length; i++) {
--- a/src/main/java/rosespread/measure/MessageLedger.java
+++ b/src/main/java/rosespread/measure/MessageLedger.java
@@ -6,14 +6,14 @@
 import rosespread.api.ProxyId;
 
 /**
- * The messages that proxies have not answered yet, with a running total of their lines, so that asking how
- * much may still wait in the channel costs nothing however many proxies there are.
+ * The messages that proxies have not answered yet, with a running total of their lines, so that
+ * asking how much may still wait in the channel costs nothing however many proxies there are.
  */
 public final class MessageLedger {
     /** The bits of a sequence number that travel as the mark of a message. */
     private static final int MARK_BITS = 0xFFFF;
 
-    private record Message(long sequence, double lines, long at) { }
+    private record Message(long sequence, double lines, long at) {}
 
     private final Map<ProxyId, ArrayDeque<Message>> unanswered = new TreeMap<>();
     private int messages;
@@ -21,7 +21,8 @@
 
     /** A message of so many lines was written. */
     public void written(ProxyId proxy, long sequence, double itsLines, long now) {
-        unanswered.computeIfAbsent(proxy, first -> new ArrayDeque<>())
+        unanswered
+                .computeIfAbsent(proxy, first -> new ArrayDeque<>())
                 .addLast(new Message(sequence, itsLines, now));
         messages++;
         lines += itsLines;
--- a/src/main/java/rosespread/measure/WindowRate.java
+++ b/src/main/java/rosespread/measure/WindowRate.java
@@ -1,8 +1,8 @@
 package rosespread.measure;
 
 /**
- * Counts over the time that they cover, in a window that may change. Late or missing counts leave the rate as
- * it was.
+ * Counts over the time that they cover, in a window that may change. Late or missing counts leave
+ * the rate as it was.
  */
 public final class WindowRate {
     /** With less time covered than this, in seconds, nothing can be said of a rate. */
@@ -11,7 +11,9 @@
     private final DecayingSum count = new DecayingSum(1);
     private final DecayingSum covered = new DecayingSum(1);
 
-    /** Adds what was counted over some seconds; {@code window} is the time constant in nanoseconds. */
+    /**
+     * Adds what was counted over some seconds; {@code window} is the time constant in nanoseconds.
+     */
     public void add(long now, double counted, double seconds, double window) {
         count.timeConstant(window);
         covered.timeConstant(window);
--- a/src/main/java/rosespread/platform/ChannelFit.java
+++ b/src/main/java/rosespread/platform/ChannelFit.java
@@ -6,34 +6,51 @@
 import rosespread.api.Settings;
 
 /**
- * Tells operators at the start where the settings leave no way to keep the rule on drains, however well it is
- * decided: a channel too slow for the number of proxies, a queue without room, or too few messages.
+ * Tells operators at the start where the settings leave no way to keep the rule on drains, however
+ * well it is decided: a channel too slow for the number of proxies, a queue without room, or too
+ * few messages.
  */
 final class ChannelFit {
     private static final double NANOS = 1e9;
 
-    private ChannelFit() { }
+    private ChannelFit() {}
 
-    /** One sentence for each thing that does not fit while all of these proxies are at one conductor. */
+    /**
+     * One sentence for each thing that does not fit while all of these proxies are at one
+     * conductor.
+     */
     static List<String> warnings(Settings settings, int proxies) {
         List<String> warnings = new ArrayList<>();
         double grace = settings.drainGrace() / NANOS;
-        // A message that takes one node out: its head, the line and the mark that asks for an answer.
+        // A message that takes one node out: its head, the line and the mark that asks for an
+        // answer.
         double removal = settings.linesPerMessage() + 2;
-        double toAll = proxies * removal / settings.linesPerSecond() + settings.longestWay() / NANOS;
+        double toAll =
+                proxies * removal / settings.linesPerSecond() + settings.longestWay() / NANOS;
         if (toAll > grace) {
-            warnings.add(text("to take one node out at %d proxies takes the channel %.1f s, the drain grace is"
-                    + " %.1f s: drains can't be kept if all proxies come here", proxies, toAll, grace));
+            warnings.add(
+                    text(
+                            "to take one node out at %d proxies takes the channel %.1f s, the drain grace is"
+                                    + " %.1f s: drains can't be kept if all proxies come here",
+                            proxies, toAll, grace));
         }
         if (settings.queueLimit() < removal) {
-            warnings.add(text("the channel's queue takes %.0f lines, the shortest message has %.0f: nothing"
-                    + " can be told", settings.queueLimit(), removal));
+            warnings.add(
+                    text(
+                            "the channel's queue takes %.0f lines, the shortest message has %.0f: nothing"
+                                    + " can be told",
+                            settings.queueLimit(), removal));
         }
-        double apart = settings.messageLimit() == 0 ? 0
-                : settings.messageSpan() / NANOS / settings.messageLimit();
+        double apart =
+                settings.messageLimit() == 0
+                        ? 0
+                        : settings.messageSpan() / NANOS / settings.messageLimit();
         if (apart > grace) {
-            warnings.add(text("a proxy may be written to once in %.1f s, the drain grace is %.1f s: drains"
-                    + " can't be kept", apart, grace));
+            warnings.add(
+                    text(
+                            "a proxy may be written to once in %.1f s, the drain grace is %.1f s: drains"
+                                    + " can't be kept",
+                            apart, grace));
         }
         return warnings;
     }
--- a/src/main/java/rosespread/platform/Counts.java
+++ b/src/main/java/rosespread/platform/Counts.java
@@ -28,8 +28,13 @@
 
     /** Messages dropped by reason, those that occurred. */
     String drops() {
-        return dropped.entrySet().stream().filter(e -> e.getValue().sum() > 0)
-                .map(e -> e.getKey().name().toLowerCase(java.util.Locale.ROOT) + ":" + e.getValue().sum())
+        return dropped.entrySet().stream()
+                .filter(e -> e.getValue().sum() > 0)
+                .map(
+                        e ->
+                                e.getKey().name().toLowerCase(java.util.Locale.ROOT)
+                                        + ":"
+                                        + e.getValue().sum())
                 .collect(Collectors.joining(","));
     }
 }
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -11,9 +11,9 @@
 import rosespread.launch.LaunchException;
 
 /**
- * Follows discovery: the whole list first, then a watch that is asked for anew as soon as it is answered,
- * from the I/O thread, so that it goes on. A call that fails, is silent past its wait or brings
- * what is no list is made again soon; the list that is held stays.
+ * Follows discovery: the whole list first, then a watch that is asked for anew as soon as it is
+ * answered, from the I/O thread, so that it goes on. A call that fails, is silent past its wait or
+ * brings what is no list is made again soon; the list that is held stays.
  */
 final class DiscoveryWatch implements AutoCloseable {
     /** Called on I/O and timer threads; must not block. */
@@ -23,15 +23,24 @@
         void unavailable(String why);
     }
 
-    /** How long a watch may wait there: short, so that a connection gone silent is soon seen to be. */
+    /**
+     * How long a watch may wait there: short, so that a connection gone silent is soon seen to be.
+     */
     private static final long WAIT_MILLIS = 1_000;
+
     /** What an answer may take beyond that. */
     private static final long SILENT_MILLIS = 700;
+
     /** Pauses after failures, doubled up to the most, with jitter. */
     private static final long FIRST_PAUSE = 20_000_000L;
+
     private static final long MOST_PAUSE = 320_000_000L;
     private static final int MOST_DOUBLINGS = 4;
-    /** For so long a list older than the one held is not taken; after that its source has begun anew. */
+
+    /**
+     * For so long a list older than the one held is not taken; after that its source has begun
+     * anew.
+     */
     private static final long OLDER_NANOS = 1_000_000_000L;
 
     private final HttpClient http;
@@ -40,14 +49,20 @@
     private final Ears ears;
     private InetSocketAddress at;
     private long version = -1;
-    /** The version of what was taken last, whatever is asked next; and since when only older ones came. */
+
+    /**
+     * The version of what was taken last, whatever is asked next; and since when only older ones
+     * came.
+     */
     private long taken = -1;
+
     private OptionalLong olderSince = OptionalLong.empty();
     private int failures;
     private boolean closed;
     private Call open;
 
-    DiscoveryWatch(HttpClient http, ScheduledExecutorService timer, RandomGenerator random, Ears ears) {
+    DiscoveryWatch(
+            HttpClient http, ScheduledExecutorService timer, RandomGenerator random, Ears ears) {
         this.http = http;
         this.timer = timer;
         this.random = random;
@@ -78,10 +93,16 @@
             return;
         }
         boolean whole = version < 0;
-        String target = whole ? "/api/targets"
-                : "/api/targets?since=" + version + "&timeout_ms=" + WAIT_MILLIS;
-        HttpMessage.Call call = new HttpMessage.Call("GET", target,
-                HttpHeaders.of("host", at.getHostString() + ":" + at.getPort()), new byte[0]);
+        String target =
+                whole
+                        ? "/api/targets"
+                        : "/api/targets?since=" + version + "&timeout_ms=" + WAIT_MILLIS;
+        HttpMessage.Call call =
+                new HttpMessage.Call(
+                        "GET",
+                        target,
+                        HttpHeaders.of("host", at.getHostString() + ":" + at.getPort()),
+                        new byte[0]);
         long millis = SILENT_MILLIS + (whole ? 0 : WAIT_MILLIS);
         Call next = new Call();
         open = next;
@@ -90,7 +111,7 @@
 
     /** One call; what comes of it after another has been made is not heard. */
     private final class Call implements HttpClient.Taker {
-        private Runnable cancel = () -> { };
+        private Runnable cancel = () -> {};
 
         @Override
         public void answered(HttpMessage.Answer answer) {
@@ -101,7 +122,8 @@
             try {
                 take(this, TargetList.parse(answer.body()));
             } catch (LaunchException | RuntimeException | StackOverflowError e) {
-                // Whatever an answer does to its reader, the next call is made: else nobody would ask again.
+                // Whatever an answer does to its reader, the next call is made: else nobody would
+                // ask again.
                 failed(String.valueOf(e.getMessage()));
             }
         }
@@ -117,8 +139,9 @@
     }
 
     /**
-     * A version that went back leaves it unknown what is held, so all is asked for. What is older than the list
-     * held is not taken, as it would undo what was told since: an agent that was moved to may be behind.
+     * A version that went back leaves it unknown what is held, so all is asked for. What is older
+     * than the list held is not taken, as it would undo what was told since: an agent that was
+     * moved to may be behind.
      */
     private synchronized void take(Call call, TargetList list) {
         if (call != open || closed) {
@@ -126,7 +149,9 @@
         }
         if (list.version() < taken && !(list.full() && begunAnew())) {
             version = -1;
-            failed(call, "version " + list.version() + " is older than " + taken + ", which is held");
+            failed(
+                    call,
+                    "version " + list.version() + " is older than " + taken + ", which is held");
             return;
         }
         failures = 0;
@@ -152,7 +177,8 @@
         failures++;
         ears.unavailable(why);
         InetSocketAddress asked = at;
-        timer.schedule(() -> again(asked), pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
+        timer.schedule(
+                () -> again(asked), pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
     }
 
     private synchronized void again(InetSocketAddress asked) {
--- a/src/main/java/rosespread/platform/Heard.java
+++ b/src/main/java/rosespread/platform/Heard.java
@@ -6,8 +6,8 @@
 import rosespread.api.NodeId;
 
 /**
- * What reports told since it was last asked: sums of RPCs as they came, before the module makes anything of
- * them, so that its view can be held against them.
+ * What reports told since it was last asked: sums of RPCs as they came, before the module makes
+ * anything of them, so that its view can be held against them.
  */
 final class Heard {
     private long reports;
@@ -31,7 +31,10 @@
         At at = nodes.computeIfAbsent(node, fresh -> new At());
         at.tries += sums.tries();
         at.unanswered += sums.unanswered();
-        at.latency += Double.isNaN(sums.latency()) ? 0 : sums.latency() * (sums.tries() - sums.unanswered());
+        at.latency +=
+                Double.isNaN(sums.latency())
+                        ? 0
+                        : sums.latency() * (sums.tries() - sums.unanswered());
         at.busy = Double.isNaN(sums.utilization()) ? at.busy : sums.utilization();
         reports++;
         tries += sums.tries();
@@ -50,15 +53,26 @@
     /** One node's figures: tries, how many of them unanswered, mean milliseconds, busy share. */
     String read(NodeId node) {
         At at = nodes.getOrDefault(node, new At());
-        return String.format(Locale.ROOT, "%d-%d %.0fms %.2f", at.tries, at.unanswered,
-                at.latency / Math.max(1, at.tries - at.unanswered) * 1e3, at.busy);
+        return String.format(
+                Locale.ROOT,
+                "%d-%d %.0fms %.2f",
+                at.tries,
+                at.unanswered,
+                at.latency / Math.max(1, at.tries - at.unanswered) * 1e3,
+                at.busy);
     }
 
     /** The figures, and begins anew. */
     String read() {
-        String told = String.format(Locale.ROOT,
-                "heard reports %d tries %d unanswered %d offered %d busy %.2f",
-                reports, tries, unanswered, offered, busyReports == 0 ? Double.NaN : busy / busyReports);
+        String told =
+                String.format(
+                        Locale.ROOT,
+                        "heard reports %d tries %d unanswered %d offered %d busy %.2f",
+                        reports,
+                        tries,
+                        unanswered,
+                        offered,
+                        busyReports == 0 ? Double.NaN : busy / busyReports);
         reports = 0;
         tries = 0;
         unanswered = 0;
--- a/src/main/java/rosespread/platform/Json.java
+++ b/src/main/java/rosespread/platform/Json.java
@@ -11,9 +11,11 @@
 final class Json {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Json() { }
+    private Json() {}
 
-    /** @throws LaunchException naming line and column, if the bytes are not one object */
+    /**
+     * @throws LaunchException naming line and column, if the bytes are not one object
+     */
     static Fields object(String what, byte[] bytes) throws LaunchException {
         try (JsonParser parser = JSON.createParser(bytes)) {
             Object value = parser.nextToken() == null ? null : Fields.read(parser);
@@ -22,8 +24,12 @@
             }
             return Fields.of(what, value);
         } catch (JsonProcessingException e) {
-            throw new LaunchException(what + " is not JSON at line " + e.getLocation().getLineNr()
-                    + ", column " + e.getLocation().getColumnNr());
+            throw new LaunchException(
+                    what
+                            + " is not JSON at line "
+                            + e.getLocation().getLineNr()
+                            + ", column "
+                            + e.getLocation().getColumnNr());
         } catch (IOException e) {
             throw new LaunchException(what + " can't be read: " + e.getMessage());
         }
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -11,18 +11,25 @@
 import rosespread.platform.SpoiltException.Reason;
 
 /**
- * Reads the platform's messages: first the kind, then names and values in turn. Each is checked whole before
- * anything of it is used. Fields that are not known are passed over.
+ * Reads the platform's messages: first the kind, then names and values in turn. Each is checked
+ * whole before anything of it is used. Fields that are not known are passed over.
  */
 final class MessageReader {
     /**
-     * What a load report calls the busy share of a node's cores: the platform's page writes it short, while
-     * its collectors were seen to send the names that the settings give their columns.
+     * What a load report calls the busy share of a node's cores: the platform's page writes it
+     * short, while its collectors were seen to send the names that the settings give their columns.
      */
     private static final Set<String> UTILIZATION = Set.of("util", "utilization");
-    /** Bounds that no true figure comes near: counts of one report, times, rates, a share of cores. */
+
+    /**
+     * Bounds that no true figure comes near: counts of one report, times, rates, a share of cores.
+     */
     private static final int MOST_COUNT = 10_000_000;
-    private static final double MOST_MILLIS = 600_000, MOST_RATE = 1e7, MOST_SHARE = 16, MOST_LOAD = 1e9;
+
+    private static final double MOST_MILLIS = 600_000,
+            MOST_RATE = 1e7,
+            MOST_SHARE = 16,
+            MOST_LOAD = 1e9;
     private static final double NANOS = 1e6;
 
     private final Names names;
@@ -41,13 +48,19 @@
         Words in = new Words(words);
         return switch (kind) {
             case "telemetry" -> new Message.Collector(in.zone());
-            case "attach" -> new Message.Join(in.proxy(), in.zone(), in.number("w", 0, MOST_RATE),
-                    in.flag("cold"));
-            case "done" -> new Message.Done(in.proxy(), in.whole("nonce", 0, 65_535),
-                    Math.round(in.number("latency", 0, MOST_MILLIS) * NANOS));
+            case "attach" ->
+                    new Message.Join(
+                            in.proxy(), in.zone(), in.number("w", 0, MOST_RATE), in.flag("cold"));
+            case "done" ->
+                    new Message.Done(
+                            in.proxy(),
+                            in.whole("nonce", 0, 65_535),
+                            Math.round(in.number("latency", 0, MOST_MILLIS) * NANOS));
             case "upstream_stats" -> in.sums();
             case "client_stats" -> in.offered();
-            default -> throw new SpoiltException(Reason.KIND, "a message of kind \"" + shown(kind) + "\"");
+            default ->
+                    throw new SpoiltException(
+                            Reason.KIND, "a message of kind \"" + shown(kind) + "\"");
         };
     }
 
@@ -81,14 +94,20 @@
             return number(field, text(field), least, most);
         }
 
-        /** Plain figures only: what Java takes beyond them, such as NaN or 0x1p3, is no number here. */
-        private double number(String field, String text, double least, double most) throws SpoiltException {
-            if (!text.matches("[+-]?([0-9]{1,18}(\\.[0-9]{0,18})?|\\.[0-9]{1,18})([eE][+-]?[0-9]{1,3})?")) {
-                throw new SpoiltException(Reason.TYPE, field + " \"" + shown(text) + "\" is not a number");
+        /**
+         * Plain figures only: what Java takes beyond them, such as NaN or 0x1p3, is no number here.
+         */
+        private double number(String field, String text, double least, double most)
+                throws SpoiltException {
+            if (!text.matches(
+                    "[+-]?([0-9]{1,18}(\\.[0-9]{0,18})?|\\.[0-9]{1,18})([eE][+-]?[0-9]{1,3})?")) {
+                throw new SpoiltException(
+                        Reason.TYPE, field + " \"" + shown(text) + "\" is not a number");
             }
             double value = Double.parseDouble(text);
             if (!(value >= least && value <= most)) {
-                throw new SpoiltException(Reason.RANGE, field + " " + shown(text) + " is out of range");
+                throw new SpoiltException(
+                        Reason.RANGE, field + " " + shown(text) + " is out of range");
             }
             return value;
         }
@@ -137,10 +156,13 @@
             if (unanswered > tries) {
                 throw new SpoiltException(Reason.RANGE, "more errors than tries");
             }
-            double millis = fields.containsKey("rtt") || tries > unanswered
-                    ? number("rtt", 0, MOST_MILLIS) : 0;
+            double millis =
+                    fields.containsKey("rtt") || tries > unanswered
+                            ? number("rtt", 0, MOST_MILLIS)
+                            : 0;
             double latency = tries > unanswered && millis > 0 ? millis / 1e3 : Double.NaN;
-            return new Message.Sums(node, zone, tries, unanswered, latency, covers(), utilization());
+            return new Message.Sums(
+                    node, zone, tries, unanswered, latency, covers(), utilization());
         }
 
         private double utilization() throws SpoiltException {
@@ -149,11 +171,17 @@
             for (String pair : metrics == null ? new String[0] : metrics.split(",", -1)) {
                 int colon = pair.indexOf(':');
                 if (colon < 1) {
-                    throw new SpoiltException(Reason.TYPE, "metrics \"" + shown(pair) + "\" is not a pair");
+                    throw new SpoiltException(
+                            Reason.TYPE, "metrics \"" + shown(pair) + "\" is not a pair");
                 }
                 String name = pair.substring(0, colon);
                 boolean told = UTILIZATION.contains(name);
-                double value = number("metrics", pair.substring(colon + 1), 0, told ? MOST_SHARE : MOST_LOAD);
+                double value =
+                        number(
+                                "metrics",
+                                pair.substring(colon + 1),
+                                0,
+                                told ? MOST_SHARE : MOST_LOAD);
                 found = told ? value : found;
             }
             return found;
@@ -162,8 +190,13 @@
         private Message offered() throws SpoiltException {
             ProxyId proxy = proxy();
             String route = text("route");
-            MethodId method = names.findMethod(route).orElseThrow(() ->
-                    new SpoiltException(Reason.UNKNOWN, "no method \"" + shown(route) + "\""));
+            MethodId method =
+                    names.findMethod(route)
+                            .orElseThrow(
+                                    () ->
+                                            new SpoiltException(
+                                                    Reason.UNKNOWN,
+                                                    "no method \"" + shown(route) + "\""));
             int count = whole("total", 0, MOST_COUNT);
             whole("errors", 0, MOST_COUNT);
             return new Message.Offered(proxy, method, count, covers());
--- a/src/main/java/rosespread/platform/NodeNames.java
+++ b/src/main/java/rosespread/platform/NodeNames.java
@@ -6,8 +6,8 @@
 import rosespread.api.NodeId;
 
 /**
- * The platform's names of nodes and the module's ids of them, in the order in which they were first heard.
- * Used from the decision thread only.
+ * The platform's names of nodes and the module's ids of them, in the order in which they were first
+ * heard. Used from the decision thread only.
  */
 final class NodeNames {
     private final Map<String, NodeId> ids = new HashMap<>();
@@ -15,18 +15,22 @@
     private long last;
 
     NodeId give(String name) {
-        return ids.computeIfAbsent(name, fresh -> {
-            NodeId id = new NodeId(++last);
-            names.put(id, fresh);
-            return id;
-        });
+        return ids.computeIfAbsent(
+                name,
+                fresh -> {
+                    NodeId id = new NodeId(++last);
+                    names.put(id, fresh);
+                    return id;
+                });
     }
 
     Optional<NodeId> find(String name) {
         return Optional.ofNullable(ids.get(name));
     }
 
-    /** @throws IllegalStateException if no list ever named it: such an order would cost the stream */
+    /**
+     * @throws IllegalStateException if no list ever named it: such an order would cost the stream
+     */
     String name(NodeId id) {
         String name = names.get(id);
         if (name == null) {
--- a/src/main/java/rosespread/platform/Part.java
+++ b/src/main/java/rosespread/platform/Part.java
@@ -12,8 +12,13 @@
  * @param whole whether the lines are the whole table, which forgets levels
  * @param level how much is let in; NaN: not told, infinite: all
  */
-record Part(List<MethodId> methods, boolean whole, Map<NodeId, Double> lines, double level,
-        List<NodeId> out, List<NodeId> back) {
+record Part(
+        List<MethodId> methods,
+        boolean whole,
+        Map<NodeId, Double> lines,
+        double level,
+        List<NodeId> out,
+        List<NodeId> back) {
     /** What shuts nodes out of everything that a proxy holds, or lets them back. */
     static Part shut(List<NodeId> out, List<NodeId> back) {
         return new Part(List.of(), false, Map.of(), Double.NaN, out, back);
--- a/src/main/java/rosespread/platform/PartWriter.java
+++ b/src/main/java/rosespread/platform/PartWriter.java
@@ -15,6 +15,7 @@
 final class PartWriter {
     /** A message has at most so many parts. */
     static final int MOST_PARTS = 64;
+
     private static final MathContext FIGURES = new MathContext(6);
 
     private final Names names;
@@ -26,7 +27,8 @@
     }
 
     /**
-     * One message; the last part carries the mark that is to be answered, if there is one (negative: none).
+     * One message; the last part carries the mark that is to be answered, if there is one
+     * (negative: none).
      *
      * @throws IllegalStateException at what a proxy can't use, as that would cost its stream
      */
@@ -44,15 +46,21 @@
         List<String> words = new ArrayList<>();
         words.add("assign");
         if (!part.methods().isEmpty()) {
-            add(words, "classes", part.methods().stream().map(this::method).collect(Collectors.joining("+")));
+            add(
+                    words,
+                    "classes",
+                    part.methods().stream().map(this::method).collect(Collectors.joining("+")));
         }
         if (part.whole()) {
             add(words, "whole", "1");
         }
         if (!part.lines().isEmpty()) {
-            add(words, "lines", part.lines().entrySet().stream()
-                    .map(line -> nodes.name(line.getKey()) + ":" + figure(line.getValue()))
-                    .collect(Collectors.joining(",")));
+            add(
+                    words,
+                    "lines",
+                    part.lines().entrySet().stream()
+                            .map(line -> nodes.name(line.getKey()) + ":" + figure(line.getValue()))
+                            .collect(Collectors.joining(",")));
         }
         if (!Double.isNaN(part.level())) {
             add(words, "level", figure(Math.min(part.level(), Names.UNBOUNDED_LEVEL)));
--- a/src/main/java/rosespread/platform/Peer.java
+++ b/src/main/java/rosespread/platform/Peer.java
@@ -6,7 +6,12 @@
 
 /** One connection and who is at its other end. Written by its I/O thread only. */
 final class Peer implements Wire {
-    enum Role { STRANGER, COLLECTOR, PROXY, REJECTED }
+    enum Role {
+        STRANGER,
+        COLLECTOR,
+        PROXY,
+        REJECTED
+    }
 
     final IoSession session;
     final long openedAt;
--- a/src/main/java/rosespread/platform/PlatformConductor.java
+++ b/src/main/java/rosespread/platform/PlatformConductor.java
@@ -25,32 +25,40 @@
 import rosespread.turn.Inbox;
 
 /**
- * One conductor on the platform, in the foreground: told by the environment and a file, stopped by SIGTERM,
- * told of a new file by SIGHUP. Nothing of it is kept on disk.
+ * One conductor on the platform, in the foreground: told by the environment and a file, stopped by
+ * SIGTERM, told of a new file by SIGHUP. Nothing of it is kept on disk.
  */
 public final class PlatformConductor {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformConductor.class);
     private static final int CONNECT_MILLIS = 500;
+
     /** Unused connections are dropped soon, as descriptors are few. */
     private static final int IDLE_SECONDS = 1;
+
     private static final long PROBE_NANOS = 500_000_000L;
     private static final long SWEEP_MILLIS = 50;
+
     /** While discovery is out of reach, the file is looked at so often. */
     private static final long LOOK_NANOS = 1_000_000_000L;
+
     /** EX_SOFTWARE of sysexits.h. */
     private static final int BROKEN = 70;
+
     /** Descriptors kept back from connections that come in: discovery, probes, files, selectors. */
     private static final int KEPT_BACK = 72;
 
     private final Map<String, String> environment;
     private final Inbox inbox = new Inbox();
     private final Counts counts = new Counts();
-    private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
-        Thread thread = new Thread(task, "timer");
-        thread.setDaemon(true);
-        return thread;
-    });
-    private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, CONNECT_MILLIS, IDLE_SECONDS);
+    private final ScheduledExecutorService timer =
+            Executors.newSingleThreadScheduledExecutor(
+                    task -> {
+                        Thread thread = new Thread(task, "timer");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
+    private final HttpClient http =
+            new HttpClient(1, HttpLimits.USUAL, CONNECT_MILLIS, IDLE_SECONDS);
     private final Prober prober = new Prober(http, "/-/healthy", PROBE_NANOS);
     private final DiscoveryWatch watch;
     private final PlatformCore core;
@@ -64,9 +72,16 @@
         this.lookedAt = System.nanoTime();
         long wallOffset = System.nanoTime() - System.currentTimeMillis() * 1_000_000;
         core = new PlatformCore(config, new Outside(), counts, wallOffset);
-        server = new StreamServer(inbox, core, new MessageReader(config.names(), config.proxies()), counts,
-                most(config));
-        watch = new DiscoveryWatch(http, timer, new SplittableRandom(config.seed()), new ListEars());
+        server =
+                new StreamServer(
+                        inbox,
+                        core,
+                        new MessageReader(config.names(), config.proxies()),
+                        counts,
+                        most(config));
+        watch =
+                new DiscoveryWatch(
+                        http, timer, new SplittableRandom(config.seed()), new ListEars());
     }
 
     /** Runs until the process is told to end; returns its exit code if it can't begin. */
@@ -74,17 +89,24 @@
         return serve(environment, Signals::handle);
     }
 
-    /** @param signals takes a signal's name and what is run at it; false if the process is not told of it */
+    /**
+     * @param signals takes a signal's name and what is run at it; false if the process is not told
+     *     of it
+     */
     static int serve(Map<String, String> environment, BiPredicate<String, Runnable> signals) {
         CompletableFuture<PlatformConductor> running = new CompletableFuture<>();
-        signals.test("TERM", () -> {
-            LOG.info("told to end");
-            System.exit(0);
-        });
-        // One that comes before the start is over, such as right after the first hb_ok, is not lost.
+        signals.test(
+                "TERM",
+                () -> {
+                    LOG.info("told to end");
+                    System.exit(0);
+                });
+        // One that comes before the start is over, such as right after the first hb_ok, is not
+        // lost.
         if (!signals.test("HUP", () -> running.join().reload())) {
-            LOG.warn("SIGHUP is ignored, as whoever started this process set it (nohup does): the configuration"
-                    + " is looked at only while discovery is out of reach");
+            LOG.warn(
+                    "SIGHUP is ignored, as whoever started this process set it (nohup does): the configuration"
+                            + " is looked at only while discovery is out of reach");
         }
         try {
             PlatformConfig config = PlatformConfig.read(environment);
@@ -111,20 +133,29 @@
     }
 
     private void start() throws IOException {
-        Thread decisions = new Thread(new DecisionLoop(inbox, core::turn, this::undecided),
-                "decisions");
+        Thread decisions =
+                new Thread(new DecisionLoop(inbox, core::turn, this::undecided), "decisions");
         decisions.setDaemon(true);
         decisions.start();
         watch.follow(config.discovery());
         timer.scheduleAtFixedRate(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
         InetSocketAddress bound = server.listen(config.listen());
-        LOG.info("{} listens on {}, discovery {}, {} nodes known, {} sockets, {} proxies at most, {}",
-                config.name(), bound, config.discovery(), config.known().targets().size(), config.sockets(),
-                config.proxies(), config.settings());
+        LOG.info(
+                "{} listens on {}, discovery {}, {} nodes known, {} sockets, {} proxies at most, {}",
+                config.name(),
+                bound,
+                config.discovery(),
+                config.known().targets().size(),
+                config.sockets(),
+                config.proxies(),
+                config.settings());
         ChannelFit.warnings(config.settings(), config.proxies()).forEach(LOG::warn);
     }
 
-    /** A timer's task that throws is never run again: strangers would keep their descriptors for good. */
+    /**
+     * A timer's task that throws is never run again: strangers would keep their descriptors for
+     * good.
+     */
     private void sweep() {
         try {
             server.sweep(System.nanoTime());
@@ -133,15 +164,19 @@
         }
     }
 
-    /** I/O threads would go on saying that all is well; the platform starts a process that ended anew. */
+    /**
+     * I/O threads would go on saying that all is well; the platform starts a process that ended
+     * anew.
+     */
     private void undecided() {
         LOG.error("the decision thread ended, so the process does");
         Runtime.getRuntime().halt(BROKEN);
     }
 
     /**
-     * A SIGHUP may be lost: to a parent that ignores it, or to a file that was not whole yet. Guards against a
-     * list that goes quiet for good because discovery has moved and nobody heard of it.
+     * A SIGHUP may be lost: to a parent that ignores it, or to a file that was not whole yet.
+     * Guards against a list that goes quiet for good because discovery has moved and nobody heard
+     * of it.
      */
     private synchronized void look() {
         long now = System.nanoTime();
@@ -203,17 +238,33 @@
 
         @Override
         public String seen() {
-            return "open " + server.open() + " opened " + counts.opened.sum() + " rejected "
-                    + counts.rejected.sum() + " late " + counts.strangersClosed.sum() + " evicted "
-                    + counts.evicted.sum() + " garbled " + counts.garbled.sum() + " not accepted "
-                    + counts.notAccepted.sum() + " unread " + server.unwritten() + " resident "
-                    + resident() + " KB descriptors " + descriptors();
+            return "open "
+                    + server.open()
+                    + " opened "
+                    + counts.opened.sum()
+                    + " rejected "
+                    + counts.rejected.sum()
+                    + " late "
+                    + counts.strangersClosed.sum()
+                    + " evicted "
+                    + counts.evicted.sum()
+                    + " garbled "
+                    + counts.garbled.sum()
+                    + " not accepted "
+                    + counts.notAccepted.sum()
+                    + " unread "
+                    + server.unwritten()
+                    + " resident "
+                    + resident()
+                    + " KB descriptors "
+                    + descriptors();
         }
 
         private long resident() {
             try {
-                String[] pages = Files.readString(Path.of("/proc/self/statm"), StandardCharsets.US_ASCII)
-                        .split(" ");
+                String[] pages =
+                        Files.readString(Path.of("/proc/self/statm"), StandardCharsets.US_ASCII)
+                                .split(" ");
                 return Long.parseLong(pages[1]) * 4;
             } catch (IOException | RuntimeException e) {
                 return -1;
--- a/src/main/java/rosespread/platform/PlatformConfig.java
+++ b/src/main/java/rosespread/platform/PlatformConfig.java
@@ -11,8 +11,16 @@
 import rosespread.launch.Names;
 
 /** What the platform tells a conductor at its start and, by the same file, while it runs. */
-record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        int sockets, TargetList known, Names names, Settings settings, int proxies) {
+record PlatformConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        int sockets,
+        TargetList known,
+        Names names,
+        Settings settings,
+        int proxies) {
     private static final long MOST_BYTES = 16L << 20;
 
     /**
@@ -45,15 +53,24 @@
             throw new LaunchException("settings.domain.agents is not 1 to 65536");
         }
         int sockets = all.has("limits") ? all.object("limits").integer("sockets", 1024) : 1024;
-        TargetList known = all.has("known") ? TargetList.read(all.object("known"))
-                : new TargetList(0, true, java.util.List.of());
-        return new PlatformConfig(all.text("name", environment.getOrDefault("ROUTER_NAME", "conductor")),
+        TargetList known =
+                all.has("known")
+                        ? TargetList.read(all.object("known"))
+                        : new TargetList(0, true, java.util.List.of());
+        return new PlatformConfig(
+                all.text("name", environment.getOrDefault("ROUTER_NAME", "conductor")),
                 address(all, "listen", environment.get("ROUTER_LISTEN")),
                 address(all, "discovery", environment.get("ROUTER_DISCOVERY")),
-                seed(all.text("seed", "0")), sockets, known, names, names.settings(info), proxies);
+                seed(all.text("seed", "0")),
+                sockets,
+                known,
+                names,
+                names.settings(info),
+                proxies);
     }
 
-    private static InetSocketAddress address(Fields all, String field, String absent) throws LaunchException {
+    private static InetSocketAddress address(Fields all, String field, String absent)
+            throws LaunchException {
         return Addresses.read(field, absent == null ? all.text(field) : all.text(field, absent));
     }
 
--- a/src/main/java/rosespread/platform/PlatformCore.java
+++ b/src/main/java/rosespread/platform/PlatformCore.java
@@ -4,10 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.SplittableRandom;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.Brain;
@@ -19,8 +18,8 @@
 import rosespread.turn.Rounds;
 
 /**
- * The conductor's state on the decision thread: who is joined by which stream, what is listed, and the
- * module. Everything here is called from that thread only.
+ * The conductor's state on the decision thread: who is joined by which stream, what is listed, and
+ * the module. Everything here is called from that thread only.
  */
 final class PlatformCore {
     /** What it needs of the outside. */
@@ -33,8 +32,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(PlatformCore.class);
     private static final long SECOND = 1_000_000_000L;
+
     /** A stream that leaves so much unread is of no use, and what waits for it must not grow. */
     private static final long UNWRITTEN_MOST = 512L << 10;
+
     private static final int MARKS_MOST = 1024;
     private static final int TICKETS = 1 << 16;
 
@@ -73,11 +74,11 @@
     }
 
     /** A mark of the module that a ticket stands for, and when it was written. */
-    private record Mark(int mark, long at) { }
+    private record Mark(int mark, long at) {}
 
     /**
-     * @param wallOffset what is added to nanoseconds of the wall clock to have the module's time; fixed, so
-     *     that a start always comes out the same
+     * @param wallOffset what is added to nanoseconds of the wall clock to have the module's time;
+     *     fixed, so that a start always comes out the same
      */
     PlatformCore(PlatformConfig config, World world, Counts counts, long wallOffset) {
         this.config = config;
@@ -93,7 +94,9 @@
     private void begin() {
         brain = new Brain(config.settings(), new SplittableRandom(config.seed() + begun));
         begun++;
-        orders = new RoundOrders(config.settings().methods().size(), restless::contains, new Asking());
+        orders =
+                new RoundOrders(
+                        config.settings().methods().size(), restless::contains, new Asking());
         rounds.begin();
         streams.values().forEach(stream -> stream.marks.clear());
         tellList(Observer.ListKind.REMEMBERED, listed);
@@ -103,13 +106,15 @@
     // ---- the list ----
 
     /**
-     * A whole list without a node while nodes are held is not believed: it would take all lines away on the
-     * word of one answer. What is held stays, and changes since that version count.
+     * A whole list without a node while nodes are held is not believed: it would take all lines
+     * away on the word of one answer. What is held stays, and changes since that version count.
      */
     void list(long time, TargetList list) {
         now = time;
         if (list.full() && list.targets().isEmpty() && !listed.isEmpty()) {
-            LOG.warn("discovery: whole list version {} names no node: the {} held stay", list.version(),
+            LOG.warn(
+                    "discovery: whole list version {} names no node: the {} held stay",
+                    list.version(),
                     listed.size());
             listUnavailable();
             return;
@@ -124,32 +129,40 @@
         }
         Map<NodeId, Target> told = new TreeMap<>();
         list.targets().forEach(target -> told.put(nodes.give(target.name()), target));
-        told.forEach((id, target) -> {
-            if (mayBeShutOut(target, listed.get(id))) {
-                restless.add(id);
-            }
-        });
+        told.forEach(
+                (id, target) -> {
+                    if (mayBeShutOut(target, listed.get(id))) {
+                        restless.add(id);
+                    }
+                });
         if (whole) {
             listed.keySet().stream().filter(id -> !told.containsKey(id)).forEach(restless::add);
             listed.clear();
         }
-        told.forEach((id, target) -> {
-            if (target.state() == Observer.NodeState.GONE) {
-                listed.remove(id);
-            } else {
-                listed.put(id, target);
-            }
-        });
+        told.forEach(
+                (id, target) -> {
+                    if (target.state() == Observer.NodeState.GONE) {
+                        listed.remove(id);
+                    } else {
+                        listed.put(id, target);
+                    }
+                });
         tellList(kind, told);
-        LOG.info("list {} version {}: {} told, {} listed, {} draining", kind, list.version(), told.size(),
-                listed.size(), listed.values().stream()
-                        .filter(target -> target.state() == Observer.NodeState.DRAINING).count());
+        LOG.info(
+                "list {} version {}: {} told, {} listed, {} draining",
+                kind,
+                list.version(),
+                told.size(),
+                listed.size(),
+                listed.values().stream()
+                        .filter(target -> target.state() == Observer.NodeState.DRAINING)
+                        .count());
     }
 
     /**
-     * Whether some conductor may have shut it out: it leaves, or has started anew since it was listed. That it
-     * is young says nothing: a release brings new nodes under new names, and a line of a message for each of
-     * them at each proxy would fill the channel for nothing.
+     * Whether some conductor may have shut it out: it leaves, or has started anew since it was
+     * listed. That it is young says nothing: a release brings new nodes under new names, and a line
+     * of a message for each of them at each proxy would fill the channel for nothing.
      */
     private static boolean mayBeShutOut(Target target, Target before) {
         return target.state() != Observer.NodeState.READY
@@ -158,12 +171,22 @@
 
     private void tellList(Observer.ListKind kind, Map<NodeId, Target> told) {
         rounds.add(observer -> observer.listBegins(kind));
-        told.forEach((id, target) -> {
-            long started = target.startedMillis() == 0 ? Long.MIN_VALUE
-                    : target.startedMillis() * 1_000_000 + wallOffset;
-            rounds.add(observer -> observer.node(id, config.names().kind(target.kind()),
-                    config.names().zone(target.zone()), target.weight(), target.state(), started));
-        });
+        told.forEach(
+                (id, target) -> {
+                    long started =
+                            target.startedMillis() == 0
+                                    ? Long.MIN_VALUE
+                                    : target.startedMillis() * 1_000_000 + wallOffset;
+                    rounds.add(
+                            observer ->
+                                    observer.node(
+                                            id,
+                                            config.names().kind(target.kind()),
+                                            config.names().zone(target.zone()),
+                                            target.weight(),
+                                            target.state(),
+                                            started));
+                });
         rounds.add(Observer::listEnds);
     }
 
@@ -189,7 +212,10 @@
             old.wire.close();
         }
         tellJoin(join);
-        LOG.info("proxy {} joined{}{}", join.proxy().value(), join.fresh() ? ", fresh" : "",
+        LOG.info(
+                "proxy {} joined{}{}",
+                join.proxy().value(),
+                join.fresh() ? ", fresh" : "",
                 old == null ? "" : ", in place of its old stream");
     }
 
@@ -198,7 +224,10 @@
         rounds.add(observer -> observer.proxyJoined(join.proxy(), join.zone(), join.rate()));
     }
 
-    /** Only the stream that stands ends; the late end of one that was replaced takes nothing with it. */
+    /**
+     * Only the stream that stands ends; the late end of one that was replaced takes nothing with
+     * it.
+     */
     void closed(long time, Wire wire, ProxyId proxy) {
         now = time;
         Stream stream = streams.get(proxy);
@@ -214,7 +243,8 @@
     void done(long time, Wire wire, Message.Done done) {
         now = time;
         Stream stream = streams.get(done.proxy());
-        Mark mark = stream == null || stream.wire != wire ? null : stream.marks.remove(done.ticket());
+        Mark mark =
+                stream == null || stream.wire != wire ? null : stream.marks.remove(done.ticket());
         if (mark == null) {
             strayAnswers++;
             return;
@@ -233,15 +263,28 @@
         }
         reports.merge(sums.zone(), 1L, Long::sum);
         heard.sums(node, sums);
-        rounds.add(observer -> observer.sums(node, sums.zone(), sums.tries(), sums.unanswered(),
-                sums.latency(), sums.covers(), sums.utilization()));
+        rounds.add(
+                observer ->
+                        observer.sums(
+                                node,
+                                sums.zone(),
+                                sums.tries(),
+                                sums.unanswered(),
+                                sums.latency(),
+                                sums.covers(),
+                                sums.utilization()));
     }
 
     void offered(long time, Message.Offered offered) {
         now = time;
         heard.offered(offered);
-        rounds.add(observer ->
-                observer.offered(offered.proxy(), offered.method(), offered.count(), offered.covers()));
+        rounds.add(
+                observer ->
+                        observer.offered(
+                                offered.proxy(),
+                                offered.method(),
+                                offered.count(),
+                                offered.covers()));
     }
 
     // ---- rounds ----
@@ -252,8 +295,15 @@
         if (now - seenAt >= SECOND) {
             seenAt = now;
             if (LOG.isDebugEnabled()) {
-                listed.forEach((id, target) -> LOG.debug("node {} {} {} weight {} met {}", target.name(),
-                        target.kind(), target.state(), orders.weight(id), heard.read(id)));
+                listed.forEach(
+                        (id, target) ->
+                                LOG.debug(
+                                        "node {} {} {} weight {} met {}",
+                                        target.name(),
+                                        target.kind(),
+                                        target.state(),
+                                        orders.weight(id),
+                                        heard.read(id)));
             }
             LOG.info("{}", seen());
         }
@@ -262,15 +312,43 @@
 
     String seen() {
         long open = streams.values().stream().mapToLong(stream -> stream.marks.size()).sum();
-        long oldest = streams.values().stream().flatMap(stream -> stream.marks.values().stream())
-                .mapToLong(mark -> now - mark.at()).max().orElse(0);
+        long oldest =
+                streams.values().stream()
+                        .flatMap(stream -> stream.marks.values().stream())
+                        .mapToLong(mark -> now - mark.at())
+                        .max()
+                        .orElse(0);
         List<String> zones = new ArrayList<>();
         reports.forEach((zone, count) -> zones.add(zone.value() + ":" + count));
-        return "joined " + streams.size() + " bound " + orders.bound() + " withdrawn " + orders.withdrawn()
-                + " listed " + listed.size() + " rounds " + rounds.played() + " worst "
-                + rounds.worstNanos() / 1000 + " us messages " + messages + " bytes " + bytes + " marks "
-                + open + " oldest " + oldest / 1_000_000 + " ms stray " + strayAnswers + " reports "
-                + String.join(",", zones) + " drops " + counts.drops() + " " + heard.read() + " "
+        return "joined "
+                + streams.size()
+                + " bound "
+                + orders.bound()
+                + " withdrawn "
+                + orders.withdrawn()
+                + " listed "
+                + listed.size()
+                + " rounds "
+                + rounds.played()
+                + " worst "
+                + rounds.worstNanos() / 1000
+                + " us messages "
+                + messages
+                + " bytes "
+                + bytes
+                + " marks "
+                + open
+                + " oldest "
+                + oldest / 1_000_000
+                + " ms stray "
+                + strayAnswers
+                + " reports "
+                + String.join(",", zones)
+                + " drops "
+                + counts.drops()
+                + " "
+                + heard.read()
+                + " "
                 + world.seen();
     }
 
@@ -292,12 +370,14 @@
     }
 
     /**
-     * Proxies that get the same parts share the bytes, as all of a round carry the one mark. It goes out under
-     * a ticket of our own, one a round: an answer that is late, or from before the module began anew, fits none.
+     * Proxies that get the same parts share the bytes, as all of a round carry the one mark. It
+     * goes out under a ticket of our own, one a round: an answer that is late, or from before the
+     * module began anew, fits none.
      */
     private void send(ProxyId proxy, List<Part> parts, int mark, Map<List<Part>, byte[]> written) {
         Stream stream = streams.get(proxy);
-        byte[] message = written.computeIfAbsent(parts, p -> writer.bytes(p, mark < 0 ? -1 : ticket));
+        byte[] message =
+                written.computeIfAbsent(parts, p -> writer.bytes(p, mark < 0 ? -1 : ticket));
         if (stream.wire.unwritten() > UNWRITTEN_MOST) {
             LOG.warn("proxy {} takes nothing: its stream is ended", proxy.value());
             stream.wire.close();
@@ -325,7 +405,7 @@
 
         /** Discovery is followed from the start on, so there is nothing to begin. */
         @Override
-        public void followList() { }
+        public void followList() {}
 
         @Override
         public void wakeAfter(long nanos) {
@@ -341,7 +421,10 @@
     /** The module speaks of nodes by number; whoever reads the log knows them by name. */
     private String named(String line) {
         String[] words = line.split(" ", 3);
-        boolean node = words.length == 3 && words[0].equals("node") && words[1].matches("[0-9]{1,18}");
-        return node ? "node " + nodes.name(new NodeId(Long.parseLong(words[1]))) + " " + words[2] : line;
+        boolean node =
+                words.length == 3 && words[0].equals("node") && words[1].matches("[0-9]{1,18}");
+        return node
+                ? "node " + nodes.name(new NodeId(Long.parseLong(words[1]))) + " " + words[2]
+                : line;
     }
 }
--- a/src/main/java/rosespread/platform/RoundOrders.java
+++ b/src/main/java/rosespread/platform/RoundOrders.java
@@ -14,9 +14,10 @@
 import rosespread.api.TableId;
 
 /**
- * Turns a round's orders into one message for each proxy concerned. Pure: it knows the tables as ordered, who
- * is bound to what, and whom a node may be shut out at. The platform has no tables of ours: what a proxy
- * holds is written to it for the methods concerned, with changes against what was last written on its stream.
+ * Turns a round's orders into one message for each proxy concerned. Pure: it knows the tables as
+ * ordered, who is bound to what, and whom a node may be shut out at. The platform has no tables of
+ * ours: what a proxy holds is written to it for the methods concerned, with changes against what
+ * was last written on its stream.
  */
 final class RoundOrders implements Orders {
     /** What the module asks for besides messages. */
@@ -46,8 +47,12 @@
     private static final class Held {
         final Map<TableId, List<MethodId>> bound = new TreeMap<>();
         final TreeSet<TableId> whole = new TreeSet<>();
-        /** Nodes that were shut out on this stream; and those that surely are not, from whenever. */
+
+        /**
+         * Nodes that were shut out on this stream; and those that surely are not, from whenever.
+         */
         final TreeSet<NodeId> out = new TreeSet<>();
+
         final TreeSet<NodeId> in = new TreeSet<>();
     }
 
@@ -62,7 +67,8 @@
 
     /**
      * @param methods how many there are
-     * @param restless whether a node ever left or started anew, so that some conductor may have shut it out
+     * @param restless whether a node ever left or started anew, so that some conductor may have
+     *     shut it out
      */
     RoundOrders(int methods, Predicate<NodeId> restless, Besides besides) {
         this.methods = methods;
@@ -85,8 +91,11 @@
 
     /** A node's weight in the first table that names it, 0 if none does. */
     double weight(NodeId node) {
-        return tables.values().stream().filter(table -> table.lines.containsKey(node))
-                .mapToDouble(table -> table.lines.get(node)).findFirst().orElse(0);
+        return tables.values().stream()
+                .filter(table -> table.lines.containsKey(node))
+                .mapToDouble(table -> table.lines.get(node))
+                .findFirst()
+                .orElse(0);
     }
 
     int withdrawn() {
@@ -112,7 +121,8 @@
         }
         List<MethodId> all = new ArrayList<>();
         methods.forEach(all::add);
-        held.bound.replaceAll((other, bound) -> bound.stream().filter(m -> !all.contains(m)).toList());
+        held.bound.replaceAll(
+                (other, bound) -> bound.stream().filter(m -> !all.contains(m)).toList());
         held.bound.values().removeIf(List::isEmpty);
         held.bound.put(table, List.copyOf(all));
         held.whole.add(table);
@@ -164,32 +174,40 @@
         return tables.computeIfAbsent(id, fresh -> new Table());
     }
 
-    /** Ends the round: hands out each proxy's message, and forgets what was particular to the round. */
+    /**
+     * Ends the round: hands out each proxy's message, and forgets what was particular to the round.
+     */
     void close(Sink sink) {
         Map<List<MethodId>, Map<TableId, List<Part>>> changes = new LinkedHashMap<>();
-        proxies.forEach((proxy, held) -> {
-            List<Part> parts = new ArrayList<>();
-            held.bound.forEach((id, bound) -> {
-                if (held.whole.contains(id)) {
-                    parts.addAll(whole(table(id), bound));
-                } else {
-                    parts.addAll(changes.computeIfAbsent(bound, b -> new TreeMap<>())
-                            .computeIfAbsent(id, t -> changed(table(id), bound)));
-                }
-            });
-            Part shutting = shutting(held);
-            if (shutting != null) {
-                parts.add(shutting);
-            }
-            held.whole.clear();
-            if (!parts.isEmpty()) {
-                sink.message(proxy, parts, mark);
-            }
-        });
-        tables.values().forEach(table -> {
-            table.changed.clear();
-            table.changedLevels.clear();
-        });
+        proxies.forEach(
+                (proxy, held) -> {
+                    List<Part> parts = new ArrayList<>();
+                    held.bound.forEach(
+                            (id, bound) -> {
+                                if (held.whole.contains(id)) {
+                                    parts.addAll(whole(table(id), bound));
+                                } else {
+                                    parts.addAll(
+                                            changes.computeIfAbsent(bound, b -> new TreeMap<>())
+                                                    .computeIfAbsent(
+                                                            id, t -> changed(table(id), bound)));
+                                }
+                            });
+                    Part shutting = shutting(held);
+                    if (shutting != null) {
+                        parts.add(shutting);
+                    }
+                    held.whole.clear();
+                    if (!parts.isEmpty()) {
+                        sink.message(proxy, parts, mark);
+                    }
+                });
+        tables.values()
+                .forEach(
+                        table -> {
+                            table.changed.clear();
+                            table.changedLevels.clear();
+                        });
         shut.clear();
         mark = -1;
     }
@@ -202,8 +220,14 @@
         return parts(false, table.changed, table.changedLevels, bound);
     }
 
-    /** Lines first; a level that all share goes with them, others follow, as a whole table forgets levels. */
-    private List<Part> parts(boolean whole, Map<NodeId, Double> lines, Map<MethodId, Double> levels,
+    /**
+     * Lines first; a level that all share goes with them, others follow, as a whole table forgets
+     * levels.
+     */
+    private List<Part> parts(
+            boolean whole,
+            Map<NodeId, Double> lines,
+            Map<MethodId, Double> levels,
             List<MethodId> bound) {
         Map<Double, List<MethodId>> byLevel = new LinkedHashMap<>();
         for (MethodId method : bound) {
@@ -213,14 +237,25 @@
             }
         }
         List<Part> parts = new ArrayList<>();
-        boolean shared = byLevel.size() == 1 && byLevel.values().iterator().next().size() == bound.size();
+        boolean shared =
+                byLevel.size() == 1 && byLevel.values().iterator().next().size() == bound.size();
         if (whole || !lines.isEmpty() || shared) {
-            parts.add(new Part(named(bound), whole, new TreeMap<>(lines),
-                    shared ? byLevel.keySet().iterator().next() : Double.NaN, List.of(), List.of()));
+            parts.add(
+                    new Part(
+                            named(bound),
+                            whole,
+                            new TreeMap<>(lines),
+                            shared ? byLevel.keySet().iterator().next() : Double.NaN,
+                            List.of(),
+                            List.of()));
         }
         if (!shared) {
-            byLevel.forEach((level, of) -> parts.add(
-                    new Part(named(of), false, Map.of(), level, List.of(), List.of())));
+            byLevel.forEach(
+                    (level, of) ->
+                            parts.add(
+                                    new Part(
+                                            named(of), false, Map.of(), level, List.of(),
+                                            List.of())));
         }
         return parts;
     }
@@ -231,28 +266,35 @@
     }
 
     /**
-     * Who hears of nodes shut out: a bound proxy whose tables name the node, and each that is not bound yet,
-     * as it may hold it. Let back are all that were told, and those whose table names the node by now: a
-     * proxy brings what another conductor shut out there, which can only be nodes that left or started anew.
+     * Who hears of nodes shut out: a bound proxy whose tables name the node, and each that is not
+     * bound yet, as it may hold it. Let back are all that were told, and those whose table names
+     * the node by now: a proxy brings what another conductor shut out there, which can only be
+     * nodes that left or started anew.
      */
     private Part shutting(Held held) {
         List<NodeId> out = new ArrayList<>();
         List<NodeId> back = new ArrayList<>();
-        shut.forEach((node, isOut) -> {
-            if (isOut && (held.bound.isEmpty() || names(held, node)) && held.out.add(node)) {
-                out.add(node);
-                held.in.remove(node);
-            } else if (!isOut && held.out.contains(node)) {
-                back.add(node);
-                held.out.remove(node);
-                held.in.add(node);
-            }
-        });
+        shut.forEach(
+                (node, isOut) -> {
+                    if (isOut
+                            && (held.bound.isEmpty() || names(held, node))
+                            && held.out.add(node)) {
+                        out.add(node);
+                        held.in.remove(node);
+                    } else if (!isOut && held.out.contains(node)) {
+                        back.add(node);
+                        held.out.remove(node);
+                        held.in.add(node);
+                    }
+                });
         for (Map.Entry<TableId, List<MethodId>> bound : held.bound.entrySet()) {
             Table table = table(bound.getKey());
-            for (NodeId node : held.whole.contains(bound.getKey()) ? table.lines.keySet()
-                    : table.changed.keySet()) {
-                boolean maybe = held.out.contains(node) || restless.test(node) && !held.in.contains(node);
+            for (NodeId node :
+                    held.whole.contains(bound.getKey())
+                            ? table.lines.keySet()
+                            : table.changed.keySet()) {
+                boolean maybe =
+                        held.out.contains(node) || restless.test(node) && !held.in.contains(node);
                 if (table.lines.containsKey(node) && maybe && !withdrawn.contains(node)) {
                     back.add(node);
                     held.out.remove(node);
@@ -260,7 +302,9 @@
                 }
             }
         }
-        return out.isEmpty() && back.isEmpty() ? null : Part.shut(List.copyOf(out), List.copyOf(back));
+        return out.isEmpty() && back.isEmpty()
+                ? null
+                : Part.shut(List.copyOf(out), List.copyOf(back));
     }
 
     private boolean names(Held held, NodeId node) {
--- a/src/main/java/rosespread/platform/SpoiltException.java
+++ b/src/main/java/rosespread/platform/SpoiltException.java
@@ -5,7 +5,15 @@
     private static final long serialVersionUID = 1L;
 
     /** Why, few enough to be counted each for itself. */
-    enum Reason { KIND, PAIRS, MISSING, TYPE, RANGE, UNKNOWN, PLACE }
+    enum Reason {
+        KIND,
+        PAIRS,
+        MISSING,
+        TYPE,
+        RANGE,
+        UNKNOWN,
+        PLACE
+    }
 
     private final Reason reason;
 
--- a/src/main/java/rosespread/platform/StreamServer.java
+++ b/src/main/java/rosespread/platform/StreamServer.java
@@ -22,18 +22,24 @@
 import rosespread.turn.Inbox;
 
 /**
- * Where proxies and collectors connect, and strangers too. Who has not joined holds little and not for long;
- * near the limit of sockets the one that has waited longest goes first, so that a proxy finds room.
+ * Where proxies and collectors connect, and strangers too. Who has not joined holds little and not
+ * for long; near the limit of sockets the one that has waited longest goes first, so that a proxy
+ * finds room.
  */
 final class StreamServer implements AutoCloseable {
     private static final String PEER = "peer";
+
     /** Bounds of a message before joining, and after. */
     private static final RespLimits STRANGER = new RespLimits(4 << 10, 64);
+
     private static final RespLimits JOINED = new RespLimits(1 << 20, 256);
+
     /** How long a connection may take to join. */
     private static final long JOIN_WITHIN = 1_000_000_000L;
+
     /** Who asks for signs of life and reads none must not fill the memory. */
     private static final long UNREAD_MOST = 128L << 10;
+
     private static final long FULL_PAUSE = 2_000_000L;
     private static final byte[] ALIVE = RespWriter.bytes(List.of("hb_ok"));
 
@@ -46,7 +52,9 @@
     private final Set<Peer> strangers = new LinkedHashSet<>();
     private volatile int most;
 
-    /** @param most how many connections may be open at once */
+    /**
+     * @param most how many connections may be open at once
+     */
     StreamServer(Inbox inbox, PlatformCore core, MessageReader reader, Counts counts, int most) {
         this.inbox = inbox;
         this.core = core;
@@ -77,15 +85,17 @@
 
     /** The most that one connection has not taken yet, in bytes. */
     long unwritten() {
-        return acceptor.getManagedSessions().values().stream().mapToLong(IoSession::getScheduledWriteBytes)
-                .max().orElse(0);
+        return acceptor.getManagedSessions().values().stream()
+                .mapToLong(IoSession::getScheduledWriteBytes)
+                .max()
+                .orElse(0);
     }
 
     /** Closes those that had their time to join. */
     void sweep(long now) {
         List<Peer> late = new ArrayList<>();
         synchronized (strangers) {
-            for (Iterator<Peer> all = strangers.iterator(); all.hasNext();) {
+            for (Iterator<Peer> all = strangers.iterator(); all.hasNext(); ) {
                 Peer peer = all.next();
                 if (now - peer.openedAt < JOIN_WITHIN) {
                     break;
@@ -125,7 +135,10 @@
         acceptor.dispose(false);
     }
 
-    /** Takes no connection over the limit: it waits in the backlog until one that has not joined is gone. */
+    /**
+     * Takes no connection over the limit: it waits in the backlog until one that has not joined is
+     * gone.
+     */
     private final class Acceptor extends NioSocketAcceptor {
         Acceptor() {
             super(1);
@@ -150,8 +163,9 @@
         }
 
         /**
-         * MINA's acceptor sleeps for a second when accepting throws. Guards against one peer that is gone before
-         * it was accepted, or descriptors that lack for a moment, holding up all that join.
+         * MINA's acceptor sleeps for a second when accepting throws. Guards against one peer that
+         * is gone before it was accepted, or descriptors that lack for a moment, holding up all
+         * that join.
          */
         private NioSession taken(IoProcessor<NioSession> processor, ServerSocketChannel handle)
                 throws Exception {
@@ -202,7 +216,8 @@
                 } else {
                     peer.write(ALIVE);
                 }
-            } else if (message instanceof Message.Collector collector && peer.role == Peer.Role.STRANGER) {
+            } else if (message instanceof Message.Collector collector
+                    && peer.role == Peer.Role.STRANGER) {
                 peer.zone = collector.zone();
                 joined(peer, Peer.Role.COLLECTOR);
             } else if (message instanceof Message.Join join && peer.role == Peer.Role.STRANGER) {
@@ -211,8 +226,8 @@
                 inbox.put(now -> core.joined(now, peer, join));
             } else if (message instanceof Message.Done done && done.proxy().equals(peer.proxy)) {
                 inbox.put(now -> core.done(now, peer, done));
-            } else if (message instanceof Message.Offered offered && (peer.role == Peer.Role.COLLECTOR
-                    || offered.proxy().equals(peer.proxy))) {
+            } else if (message instanceof Message.Offered offered
+                    && (peer.role == Peer.Role.COLLECTOR || offered.proxy().equals(peer.proxy))) {
                 inbox.putReport(now -> core.offered(now, offered));
             } else if (message instanceof Message.Sums sums && peer.role == Peer.Role.COLLECTOR) {
                 inbox.putReport(now -> core.sums(now, sums));
@@ -228,8 +243,9 @@
         }
 
         /**
-         * One word why, then the end; what still comes is not read, nor taken if it came along. It stays among
-         * the strangers: guards against one that never reads its word and would keep its descriptor for good.
+         * One word why, then the end; what still comes is not read, nor taken if it came along. It
+         * stays among the strangers: guards against one that never reads its word and would keep
+         * its descriptor for good.
          */
         private void reject(Peer peer, String why) {
             counts.rejected.increment();
--- a/src/main/java/rosespread/platform/Target.java
+++ b/src/main/java/rosespread/platform/Target.java
@@ -8,5 +8,11 @@
  *
  * @param startedMillis wall clock of its last start, 0 if long ago
  */
-record Target(String name, InetSocketAddress address, String zone, String kind, double weight,
-        NodeState state, long startedMillis) { }
+record Target(
+        String name,
+        InetSocketAddress address,
+        String zone,
+        String kind,
+        double weight,
+        NodeState state,
+        long startedMillis) {}
--- a/src/main/java/rosespread/platform/TargetList.java
+++ b/src/main/java/rosespread/platform/TargetList.java
@@ -7,13 +7,18 @@
 import rosespread.launch.Fields;
 import rosespread.launch.LaunchException;
 
-/** One answer of discovery: the whole list, or the entries that changed since an earlier version. */
+/**
+ * One answer of discovery: the whole list, or the entries that changed since an earlier version.
+ */
 record TargetList(long version, boolean full, List<Target> targets) {
     private static final int MOST = 100_000;
+
     /** The last wall time in milliseconds that nanoseconds can still tell, in the year 2255. */
     private static final long MOST_STARTED = 9_000_000_000_000L;
 
-    /** @throws LaunchException if it is no such answer; names line and column, or entry and field */
+    /**
+     * @throws LaunchException if it is no such answer; names line and column, or entry and field
+     */
     static TargetList parse(byte[] body) throws LaunchException {
         return read(Json.object("the answer", body));
     }
@@ -40,21 +45,31 @@
         if (name.isEmpty() || name.length() > 255 || name.matches(".*[,:+\\s].*")) {
             throw new LaunchException("id \"" + name + "\" can't be written in an order");
         }
-        NodeState state = switch (entry.text("state")) {
-            case "SERVING" -> NodeState.READY;
-            case "DRAINING" -> NodeState.DRAINING;
-            case "DELETED" -> NodeState.GONE;
-            default -> throw new LaunchException("state \"" + entry.text("state") + "\" is not known");
-        };
+        NodeState state =
+                switch (entry.text("state")) {
+                    case "SERVING" -> NodeState.READY;
+                    case "DRAINING" -> NodeState.DRAINING;
+                    case "DELETED" -> NodeState.GONE;
+                    default ->
+                            throw new LaunchException(
+                                    "state \"" + entry.text("state") + "\" is not known");
+                };
         double weight = entry.number("weight", 1);
         long started = entry.has("started_ms") ? (long) entry.number("started_ms") : 0;
-        if (!(weight >= 0) || Double.isInfinite(weight) || started < 0
-                || started > MOST_STARTED) {
+        if (!(weight >= 0) || Double.isInfinite(weight) || started < 0 || started > MOST_STARTED) {
             throw new LaunchException("weight or started_ms is out of range");
         }
-        InetSocketAddress address = state == NodeState.GONE && !entry.has("addr") ? null
-                : Addresses.read("addr", entry.text("addr"));
-        return new Target(name, address, entry.text("zone", ""), entry.text("kind", ""), weight, state,
+        InetSocketAddress address =
+                state == NodeState.GONE && !entry.has("addr")
+                        ? null
+                        : Addresses.read("addr", entry.text("addr"));
+        return new Target(
+                name,
+                address,
+                entry.text("zone", ""),
+                entry.text("kind", ""),
+                weight,
+                state,
                 started);
     }
 }
--- a/src/main/java/rosespread/rehearse/Auditor.java
+++ b/src/main/java/rosespread/rehearse/Auditor.java
@@ -15,8 +15,9 @@
 import rosespread.standin.Site;
 
 /**
- * Judges the five rules from what the stand-ins' ends of the sockets saw, and from nothing else but the
- * contract and the times at which a conductor's process or the links were held up by the scenario.
+ * Judges the five rules from what the stand-ins' ends of the sockets saw, and from nothing else but
+ * the contract and the times at which a conductor's process or the links were held up by the
+ * scenario.
  */
 final class Auditor implements Record {
     private static final double MILLI = 1e6;
@@ -58,7 +59,11 @@
         long since;
         long started;
         String kind = "";
-        /** The longest that a joined proxy went on sending since it was told and the proxy was joined. */
+
+        /**
+         * The longest that a joined proxy went on sending since it was told and the proxy was
+         * joined.
+         */
         long longest;
     }
 
@@ -77,8 +82,8 @@
     /** What proxies of a conductor answered for: the digest of each version, by table. */
     private final Map<String, Map<Integer, TreeMap<Long, Long>>> answered = new TreeMap<>();
 
-    private record Rollback(long at, String conductor, int table, Map<String, Double> lines,
-            Set<String> seen) { }
+    private record Rollback(
+            long at, String conductor, int table, Map<String, Double> lines, Set<String> seen) {}
 
     private static final class Round {
         final long orderedAt;
@@ -90,7 +95,7 @@
         }
     }
 
-    private record Held(long from, long until, double factor) { }
+    private record Held(long from, long until, double factor) {}
 
     final Rule noProxyWithoutNode = new Rule();
     final Rule noEffectTwice = new Rule();
@@ -106,13 +111,19 @@
     private final List<Rollback> goingBack = new ArrayList<>();
     private final List<Rollback> interrupted = new ArrayList<>();
     final Histogram drains = new Histogram(3);
-    /** Every try at a node that an operator drains, by milliseconds since the conductor took it up. */
+
+    /**
+     * Every try at a node that an operator drains, by milliseconds since the conductor took it up.
+     */
     final Histogram operatorDrains = new Histogram(3);
+
     private final Scenario scenario;
     private long start;
     private final Map<String, Map<String, Told>> told = new TreeMap<>();
+
     /** When a conductor took an operator's drain up; it outlives the conductor's process. */
     private final Map<String, Map<String, Long>> drainedByOperator = new TreeMap<>();
+
     private final Map<String, Proxy> proxies = new TreeMap<>();
     private final Map<Long, Integer> effects = new HashMap<>();
     private final Set<Long> doubled = new HashSet<>();
@@ -145,7 +156,8 @@
 
     /** The conductor's process is gone: it knows nothing any more. */
     void conductorDown(String conductor) {
-        // A restarted conductor goes on with it: its time runs from the first proxy that joins again.
+        // A restarted conductor goes on with it: its time runs from the first proxy that joins
+        // again.
         goingBack.removeIf(back -> back.conductor().equals(conductor) && interrupted.add(back));
         told.remove(conductor);
     }
@@ -159,8 +171,9 @@
         Long since = stoppedAt.remove(conductor);
         if (since != null) {
             stalls.add(new Held(since, at, 1));
-            told.getOrDefault(conductor, Map.of()).values().forEach(t -> t.since = t.since > since ? at
-                    : t.since);
+            told.getOrDefault(conductor, Map.of())
+                    .values()
+                    .forEach(t -> t.since = t.since > since ? at : t.since);
         }
     }
 
@@ -175,14 +188,20 @@
         }
     }
 
-    /** A bound on time grows by the factor of a slow channel and by the time its conductor stood still. */
+    /**
+     * A bound on time grows by the factor of a slow channel and by the time its conductor stood
+     * still.
+     */
     private double stretched(double bound, long from, long until) {
         double factor = 1;
         for (Held held : slow) {
-            // What queued up while the channel was slow still lies in it for as long as the queue's limit
+            // What queued up while the channel was slow still lies in it for as long as the queue's
+            // limit
             // allows.
-            double after = scenario.channel().queueLimit() / scenario.channel().linesPerSecond() * 1e9;
-            if (held.from() < until && (held.until() == Long.MAX_VALUE || held.until() + after > from)) {
+            double after =
+                    scenario.channel().queueLimit() / scenario.channel().linesPerSecond() * 1e9;
+            if (held.from() < until
+                    && (held.until() == Long.MAX_VALUE || held.until() + after > from)) {
                 factor = Math.max(factor, held.factor());
             }
         }
@@ -201,10 +220,13 @@
         start = at;
     }
 
-    /** A conductor has taken up that a node drains; from here on it is as if the list had told it. */
+    /**
+     * A conductor has taken up that a node drains; from here on it is as if the list had told it.
+     */
     void operatorDrains(long at, String conductor, String node) {
         drainedByOperator.computeIfAbsent(conductor, c -> new TreeMap<>()).putIfAbsent(node, at);
-        drainsKept.checked += proxies.values().stream().filter(p -> conductor.equals(p.conductor)).count();
+        drainsKept.checked +=
+                proxies.values().stream().filter(p -> conductor.equals(p.conductor)).count();
     }
 
     void operatorUndrains(String conductor, String node) {
@@ -216,38 +238,47 @@
     @Override
     public void told(long at, String conductor, Map<String, Listed> nodes) {
         Map<String, Told> known = told.computeIfAbsent(conductor, c -> new TreeMap<>());
-        nodes.forEach((name, listed) -> {
-            Told node = known.computeIfAbsent(name, n -> new Told());
-            if (node.state != listed.state()) {
-                closeDrain(node);
-                if (listed.state() != NodeState.READY) {
-                    drainsKept.checked += proxies.values().stream()
-                            .filter(p -> conductor.equals(p.conductor)).count();
-                }
-                node.since = at;
-                node.longest = 0;
-            }
-            if (node.started != listed.startedMillis()) {
-                node.since = listed.state() == NodeState.READY ? at : node.since;
-            }
-            node.state = listed.state();
-            node.started = listed.startedMillis();
-            node.kind = listed.kind();
-        });
-        known.forEach((name, node) -> {
-            if (!nodes.containsKey(name) && node.state != NodeState.GONE) {
-                if (node.state == NodeState.READY) {
-                    node.since = at;
-                    node.longest = 0;
-                    drainsKept.checked += proxies.values().stream()
-                            .filter(p -> conductor.equals(p.conductor)).count();
-                }
-                node.state = NodeState.GONE;
-            }
-        });
+        nodes.forEach(
+                (name, listed) -> {
+                    Told node = known.computeIfAbsent(name, n -> new Told());
+                    if (node.state != listed.state()) {
+                        closeDrain(node);
+                        if (listed.state() != NodeState.READY) {
+                            drainsKept.checked +=
+                                    proxies.values().stream()
+                                            .filter(p -> conductor.equals(p.conductor))
+                                            .count();
+                        }
+                        node.since = at;
+                        node.longest = 0;
+                    }
+                    if (node.started != listed.startedMillis()) {
+                        node.since = listed.state() == NodeState.READY ? at : node.since;
+                    }
+                    node.state = listed.state();
+                    node.started = listed.startedMillis();
+                    node.kind = listed.kind();
+                });
+        known.forEach(
+                (name, node) -> {
+                    if (!nodes.containsKey(name) && node.state != NodeState.GONE) {
+                        if (node.state == NodeState.READY) {
+                            node.since = at;
+                            node.longest = 0;
+                            drainsKept.checked +=
+                                    proxies.values().stream()
+                                            .filter(p -> conductor.equals(p.conductor))
+                                            .count();
+                        }
+                        node.state = NodeState.GONE;
+                    }
+                });
     }
 
-    /** How long the last of a conductor's proxies went on sending there, once it was told and joined. */
+    /**
+     * How long the last of a conductor's proxies went on sending there, once it was told and
+     * joined.
+     */
     private void closeDrain(Told node) {
         if (node.state != NodeState.READY && node.since > 0) {
             drains.recordValue(node.longest / 1_000_000);
@@ -260,8 +291,16 @@
         joined.highest.clear();
         joined.highest.putAll(held);
         joined.conductor = conductor;
-        interrupted.removeIf(back -> back.conductor().equals(conductor) && goingBack.add(
-                new Rollback(at, conductor, back.table(), back.lines(), new HashSet<>())));
+        interrupted.removeIf(
+                back ->
+                        back.conductor().equals(conductor)
+                                && goingBack.add(
+                                        new Rollback(
+                                                at,
+                                                conductor,
+                                                back.table(),
+                                                back.lines(),
+                                                new HashSet<>())));
         joined.joinedAt = at;
         joined.messages.clear();
         joined.firstMessage = Long.MIN_VALUE;
@@ -304,32 +343,46 @@
     /** Looks at every proxy that lacks a line; called often. */
     void sample(long at) {
         rollbacksDone(at);
-        proxies.forEach((name, proxy) -> proxy.lackSince.forEach((method, since) -> {
-            if (proxy.conductor == null) {
-                return;
-            }
-            if (!hasOpenWarm(proxy.conductor, method, at)) {
-                proxy.lackSince.put(method, at);
-                return;
-            }
-            double span = at - since;
-            String where = name + " for " + method + " at " + at(at);
-            noProxyWithoutNode.value(span / MILLI, where);
-            if (span > stretched(scenario.rules().lack(), since, at)) {
-                noProxyWithoutNode.broke(where + ": no line to pick for " + (long) (span / MILLI) + " ms");
-                proxy.lackSince.put(method, at);
-            }
-        }));
+        proxies.forEach(
+                (name, proxy) ->
+                        proxy.lackSince.forEach(
+                                (method, since) -> {
+                                    if (proxy.conductor == null) {
+                                        return;
+                                    }
+                                    if (!hasOpenWarm(proxy.conductor, method, at)) {
+                                        proxy.lackSince.put(method, at);
+                                        return;
+                                    }
+                                    double span = at - since;
+                                    String where = name + " for " + method + " at " + at(at);
+                                    noProxyWithoutNode.value(span / MILLI, where);
+                                    if (span > stretched(scenario.rules().lack(), since, at)) {
+                                        noProxyWithoutNode.broke(
+                                                where
+                                                        + ": no line to pick for "
+                                                        + (long) (span / MILLI)
+                                                        + " ms");
+                                        proxy.lackSince.put(method, at);
+                                    }
+                                }));
     }
 
     private boolean hasOpenWarm(String conductor, String method, long at) {
-        Site.Method of = scenario.site().methods().stream().filter(m -> m.name().equals(method)).findFirst()
-                .orElseThrow();
+        Site.Method of =
+                scenario.site().methods().stream()
+                        .filter(m -> m.name().equals(method))
+                        .findFirst()
+                        .orElseThrow();
         long wall = System.currentTimeMillis();
         long cold = scenario.site().cold().time() / 1_000_000;
         return told.getOrDefault(conductor, Map.of()).values().stream()
-                .anyMatch(node -> node.state == NodeState.READY && wall - node.started > cold
-                        && (of.onlyKinds().isEmpty() || of.onlyKinds().contains(node.kind)));
+                .anyMatch(
+                        node ->
+                                node.state == NodeState.READY
+                                        && wall - node.started > cold
+                                        && (of.onlyKinds().isEmpty()
+                                                || of.onlyKinds().contains(node.kind)));
     }
 
     // ---- no effect twice ----
@@ -347,10 +400,18 @@
             return;
         }
         int count = effects.merge(rpc, 1, Integer::sum);
-        noEffectTwice.value(count, "rpc " + rpc + " of " + method.name() + " at " + node + ", " + at(at));
+        noEffectTwice.value(
+                count, "rpc " + rpc + " of " + method.name() + " at " + node + ", " + at(at));
         if (count > 1 && doubled.add(rpc)) {
-            noEffectTwice.broke("rpc " + rpc + " of " + method.name() + " took effect again at " + node + ", "
-                    + at(at));
+            noEffectTwice.broke(
+                    "rpc "
+                            + rpc
+                            + " of "
+                            + method.name()
+                            + " took effect again at "
+                            + node
+                            + ", "
+                            + at(at));
         }
     }
 
@@ -375,11 +436,22 @@
         String where = name + " to " + node + " at " + at(at);
         drainsKept.value((at - from) / MILLI, where);
         if (at - from > stretched(scenario.rules().drainGrace(), from, at)) {
-            drainsKept.broke(where + ": " + (long) ((at - from) / MILLI) + " ms after " + proxy.conductor
-                    + " was told that it is " + known.state + "; joined " + ago(at, proxy.joinedAt)
+            drainsKept.broke(
+                    where
+                            + ": "
+                            + (long) ((at - from) / MILLI)
+                            + " ms after "
+                            + proxy.conductor
+                            + " was told that it is "
+                            + known.state
+                            + "; joined "
+                            + ago(at, proxy.joinedAt)
                             + ", told "
-                    + ago(at, known.since) + ", first message " + ago(at, proxy.firstMessage) + ", last one "
-                    + ago(at, proxy.lastMessage));
+                            + ago(at, known.since)
+                            + ", first message "
+                            + ago(at, proxy.firstMessage)
+                            + ", last one "
+                            + ago(at, proxy.lastMessage));
         }
     }
 
@@ -389,8 +461,14 @@
         drainsKept.value((at - from) / MILLI, where);
         operatorDrains.recordValue((at - from) / 1_000_000);
         if (at - from > stretched(scenario.rules().drainGrace(), from, at)) {
-            drainsKept.broke(where + ": " + (long) ((at - from) / MILLI) + " ms after " + proxy.conductor
-                    + " took an operator's drain up; joined " + ago(at, proxy.joinedAt));
+            drainsKept.broke(
+                    where
+                            + ": "
+                            + (long) ((at - from) / MILLI)
+                            + " ms after "
+                            + proxy.conductor
+                            + " took an operator's drain up; joined "
+                            + ago(at, proxy.joinedAt));
         }
     }
 
@@ -402,24 +480,38 @@
     }
 
     /**
-     * The rule is broken if two thirds of the work came from proxies whose last message was sent in knowledge
-     * of the start, or whose conductor had known of it for the grace.
+     * The rule is broken if two thirds of the work came from proxies whose last message was sent in
+     * knowledge of the start, or whose conductor had known of it for the grace.
      */
     @Override
     public void fell(long at, String node, long startedAt, Map<String, Double> work) {
         double informed = 0;
         for (Map.Entry<String, Double> part : work.entrySet()) {
             Proxy proxy = proxy(part.getKey());
-            Told known = proxy.conductor == null ? null
-                    : told.getOrDefault(proxy.conductor, Map.of()).get(node);
-            boolean knows = known != null && known.state == NodeState.READY && known.since >= startedAt
-                    && (proxy.lastMessage > known.since
-                        || at - known.since > stretched(scenario.rules().drainGrace(), known.since, at));
+            Told known =
+                    proxy.conductor == null
+                            ? null
+                            : told.getOrDefault(proxy.conductor, Map.of()).get(node);
+            boolean knows =
+                    known != null
+                            && known.state == NodeState.READY
+                            && known.since >= startedAt
+                            && (proxy.lastMessage > known.since
+                                    || at - known.since
+                                            > stretched(
+                                                    scenario.rules().drainGrace(),
+                                                    known.since,
+                                                    at));
             informed += knows ? part.getValue() : 0;
         }
         double all = work.values().stream().mapToDouble(w -> w).sum();
-        String where = node + " fell over at " + at(at) + ", " + Math.round(100 * informed / all)
-                + "% of the work from informed proxies";
+        String where =
+                node
+                        + " fell over at "
+                        + at(at)
+                        + ", "
+                        + Math.round(100 * informed / all)
+                        + "% of the work from informed proxies";
         noColdNodePushedOver.value(informed / all, where);
         if (informed >= INFORMED_SHARE * all) {
             noColdNodePushedOver.broke(where);
@@ -429,8 +521,8 @@
     // ---- tables as proxies hold them ----
 
     /**
-     * No rule of the contract, but what no good conductor sends: empty, unknown nodes, weights out of all
-     * measure.
+     * No rule of the contract, but what no good conductor sends: empty, unknown nodes, weights out
+     * of all measure.
      */
     @Override
     public void table(long at, String name, String conductor, Holds held) {
@@ -442,8 +534,16 @@
         versionsRise.checked++;
         Long before = proxy(name).highest.put(held.table(), held.version());
         if (before != null && held.version() < before) {
-            versionsRise.broke(name + " at " + at(at) + ": table " + held.table() + " goes from version "
-                    + before + " to " + held.version());
+            versionsRise.broke(
+                    name
+                            + " at "
+                            + at(at)
+                            + ": table "
+                            + held.table()
+                            + " goes from version "
+                            + before
+                            + " to "
+                            + held.version());
         }
         rollbacksDone(at);
         tables.checked++;
@@ -465,8 +565,8 @@
     }
 
     /**
-     * An operator's rollback was accepted; these are the lines that the conductor goes back to. A later one
-     * of the same table takes the place of an earlier one.
+     * An operator's rollback was accepted; these are the lines that the conductor goes back to. A
+     * later one of the same table takes the place of an earlier one.
      */
     void rollback(long at, String conductor, int table, Map<String, Double> lines) {
         goingBack.removeIf(back -> back.conductor().equals(conductor) && back.table() == table);
@@ -476,61 +576,87 @@
     }
 
     /**
-     * Done when every proxy that follows the table has held its lines; nodes that left since may be missing.
+     * Done when every proxy that follows the table has held its lines; nodes that left since may be
+     * missing.
      */
     private void rollbacksDone(long at) {
-        goingBack.removeIf(back -> {
-            boolean done = true;
-            for (Map.Entry<String, Proxy> entry : proxies.entrySet()) {
-                Proxy proxy = entry.getValue();
-                Map<String, Double> held = proxy.tables.get(back.table());
-                if (back.conductor().equals(proxy.conductor) && held != null) {
-                    if (held.entrySet().stream().allMatch(l ->
-                            l.getValue().equals(back.lines().get(l.getKey())))) {
-                        back.seen().add(entry.getKey());
+        goingBack.removeIf(
+                back -> {
+                    boolean done = true;
+                    for (Map.Entry<String, Proxy> entry : proxies.entrySet()) {
+                        Proxy proxy = entry.getValue();
+                        Map<String, Double> held = proxy.tables.get(back.table());
+                        if (back.conductor().equals(proxy.conductor) && held != null) {
+                            if (held.entrySet().stream()
+                                    .allMatch(
+                                            l ->
+                                                    l.getValue()
+                                                            .equals(
+                                                                    back.lines()
+                                                                            .get(l.getKey())))) {
+                                back.seen().add(entry.getKey());
+                            }
+                            done &= back.seen().contains(entry.getKey());
+                        }
                     }
-                    done &= back.seen().contains(entry.getKey());
-                }
-            }
-            double span = at - back.at();
-            String where = "table " + back.table() + " of " + back.conductor() + " at " + at(at);
-            boolean late = span > stretched(scenario.rules().drainGrace(), back.at(), at);
-            if (done || late) {
-                rollbacks.recordValue((long) (span / MILLI));
-                rollbacksInTime.value(span / MILLI, where);
-            }
-            if (late) {
-                rollbacksInTime.broke(where + ": not at all proxies after " + (long) (span / MILLI) + " ms");
-            }
-            return done || late;
-        });
+                    double span = at - back.at();
+                    String where =
+                            "table " + back.table() + " of " + back.conductor() + " at " + at(at);
+                    boolean late = span > stretched(scenario.rules().drainGrace(), back.at(), at);
+                    if (done || late) {
+                        rollbacks.recordValue((long) (span / MILLI));
+                        rollbacksInTime.value(span / MILLI, where);
+                    }
+                    if (late) {
+                        rollbacksInTime.broke(
+                                where
+                                        + ": not at all proxies after "
+                                        + (long) (span / MILLI)
+                                        + " ms");
+                    }
+                    return done || late;
+                });
     }
 
     /** What proxies of a conductor have answered for by now. */
     Map<Integer, TreeMap<Long, Long>> answered(String conductor) {
         Map<Integer, TreeMap<Long, Long>> all = new TreeMap<>();
-        answered.getOrDefault(conductor, Map.of()).forEach((table, versions) ->
-                all.put(table, new TreeMap<>(versions)));
+        answered.getOrDefault(conductor, Map.of())
+                .forEach((table, versions) -> all.put(table, new TreeMap<>(versions)));
         return all;
     }
 
     /**
-     * A conductor that ended and started again tells its versions; what was answered for before must be among
-     * them with the same digest, unless it is older than the oldest that is kept.
+     * A conductor that ended and started again tells its versions; what was answered for before
+     * must be among them with the same digest, unless it is older than the oldest that is kept.
      */
-    void restored(long at, String conductor, Map<Integer, TreeMap<Long, Long>> before,
+    void restored(
+            long at,
+            String conductor,
+            Map<Integer, TreeMap<Long, Long>> before,
             Map<Integer, TreeMap<Long, Long>> after) {
-        before.forEach((table, versions) -> {
-            TreeMap<Long, Long> kept = after.getOrDefault(table, new TreeMap<>());
-            versions.forEach((version, digest) -> {
-                answersKept.checked++;
-                boolean old = !kept.isEmpty() && version < kept.firstKey();
-                if (!old && !digest.equals(kept.get(version))) {
-                    answersKept.broke(conductor + " at " + at(at) + ": version " + version + " of table "
-                            + table + (kept.containsKey(version) ? " has other lines" : " is forgotten"));
-                }
-            });
-        });
+        before.forEach(
+                (table, versions) -> {
+                    TreeMap<Long, Long> kept = after.getOrDefault(table, new TreeMap<>());
+                    versions.forEach(
+                            (version, digest) -> {
+                                answersKept.checked++;
+                                boolean old = !kept.isEmpty() && version < kept.firstKey();
+                                if (!old && !digest.equals(kept.get(version))) {
+                                    answersKept.broke(
+                                            conductor
+                                                    + " at "
+                                                    + at(at)
+                                                    + ": version "
+                                                    + version
+                                                    + " of table "
+                                                    + table
+                                                    + (kept.containsKey(version)
+                                                            ? " has other lines"
+                                                            : " is forgotten"));
+                                }
+                            });
+                });
     }
 
     // ---- queue and messages ----
@@ -557,8 +683,11 @@
                 && proxy.messages.size() > scenario.channel().messageLimit()) {
             messages.broke(proxy.messages.size() + " messages to " + name + " by " + at(at));
         }
-        rounds.computeIfAbsent(conductor + "/" + mark.round(),
-                key -> new Round(at - mark.queuedMicros() * 1000)).lines += mark.lines();
+        rounds.computeIfAbsent(
+                                conductor + "/" + mark.round(),
+                                key -> new Round(at - mark.queuedMicros() * 1000))
+                        .lines +=
+                mark.lines();
     }
 
     @Override
@@ -570,20 +699,31 @@
     }
 
     /**
-     * Milliseconds from a change's commit to the last proxy that took it up; drains still open are closed.
+     * Milliseconds from a change's commit to the last proxy that took it up; drains still open are
+     * closed.
      */
     Histogram changes() {
         Histogram took = new Histogram(3);
-        rounds.values().stream().filter(r -> r.lastApplied > 0)
-                .forEach(r -> took.recordValue(Math.max(0, r.lastApplied - r.orderedAt) / 1_000_000));
+        rounds.values().stream()
+                .filter(r -> r.lastApplied > 0)
+                .forEach(
+                        r ->
+                                took.recordValue(
+                                        Math.max(0, r.lastApplied - r.orderedAt) / 1_000_000));
         return took;
     }
 
     /** What the paced channel itself needs for the lines of each change, in milliseconds. */
     Histogram paced() {
         Histogram needs = new Histogram(3);
-        rounds.values().forEach(r ->
-                needs.recordValue((long) (r.lines / scenario.channel().linesPerSecond() * 1000)));
+        rounds.values()
+                .forEach(
+                        r ->
+                                needs.recordValue(
+                                        (long)
+                                                (r.lines
+                                                        / scenario.channel().linesPerSecond()
+                                                        * 1000)));
         return needs;
     }
 
