--- a/src/main/java/rosespread/rehearse/ConductorProcess.java
+++ b/src/main/java/rosespread/rehearse/ConductorProcess.java
@@ -32,7 +32,8 @@
     private Process process;
     private Duration cpuBefore = Duration.ZERO;
 
-    ConductorProcess(String name, Path folder, String mainClass, List<String> extra, HttpClient http)
+    ConductorProcess(
+            String name, Path folder, String mainClass, List<String> extra, HttpClient http)
             throws IOException {
         this.name = name;
         this.folder = folder;
@@ -60,17 +61,34 @@
     }
 
     void start() throws IOException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                        "-Xmx256m",
-                "-XX:TieredStopAtLevel=1", "-Xshare:auto", "-cp", System.getProperty("java.class.path"),
-                        mainClass));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-Xmx256m",
+                                "-XX:TieredStopAtLevel=1",
+                                "-Xshare:auto",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                mainClass));
         command.addAll(extra);
-        command.addAll(List.of("conductor", "--name", name, "--state", folder.resolve(name).toString(),
-                "--listen",
-                text(channel), "--control", text(control)));
-        process = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile())).start();
+        command.addAll(
+                List.of(
+                        "conductor",
+                        "--name",
+                        name,
+                        "--state",
+                        folder.resolve(name).toString(),
+                        "--listen",
+                        text(channel),
+                        "--control",
+                        text(control)));
+        process =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()))
+                        .start();
     }
 
     private static String text(InetSocketAddress address) {
@@ -81,7 +99,8 @@
     void settings(String json) throws IOException {
         HttpMessage.Answer got = onceUp("PUT", "/v1/settings", json);
         if (got.status() != 200) {
-            throw new IOException("conductor " + name + " did not take its settings: " + got.text());
+            throw new IOException(
+                    "conductor " + name + " did not take its settings: " + got.text());
         }
     }
 
@@ -100,15 +119,23 @@
                 pause();
             }
         }
-        throw new IOException("conductor " + name + " did not start: " + failure + "; see " + log());
+        throw new IOException(
+                "conductor " + name + " did not start: " + failure + "; see " + log());
     }
 
     /** One call to the control API. */
-    HttpMessage.Answer ask(String verb, String path, String body, String... headers) throws IOException {
+    HttpMessage.Answer ask(String verb, String path, String body, String... headers)
+            throws IOException {
         CompletableFuture<HttpMessage.Answer> answer = new CompletableFuture<>();
-        http.call(control, new HttpMessage.Call(verb, path, HttpHeaders.of(headers).add("host",
-                text(control)),
-                body.getBytes(StandardCharsets.UTF_8)), CALL, new HttpClient.Taker() {
+        http.call(
+                control,
+                new HttpMessage.Call(
+                        verb,
+                        path,
+                        HttpHeaders.of(headers).add("host", text(control)),
+                        body.getBytes(StandardCharsets.UTF_8)),
+                CALL,
+                new HttpClient.Taker() {
                     @Override
                     public void answered(HttpMessage.Answer got) {
                         answer.complete(got);
@@ -169,8 +196,9 @@
     /** Lets the process stand still, or go on. */
     void freeze(boolean on) throws IOException {
         try {
-            new ProcessBuilder("kill", on ? "-STOP" : "-CONT",
-                    String.valueOf(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", String.valueOf(process.pid()))
+                    .start()
+                    .waitFor();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -178,15 +206,19 @@
 
     /** CPU used since the first start, over all its processes. */
     Duration cpu() {
-        return alive() ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO)) : cpuBefore;
+        return alive()
+                ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
+                : cpuBefore;
     }
 
     /** Resident memory in MB where the system tells it, else 0. */
     double rssMb() {
         File status = new File("/proc/" + process.pid() + "/status");
         try {
-            return Files.readAllLines(status.toPath()).stream().filter(line -> line.startsWith("VmRSS:"))
-                    .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024).findFirst()
+            return Files.readAllLines(status.toPath()).stream()
+                    .filter(line -> line.startsWith("VmRSS:"))
+                    .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024)
+                    .findFirst()
                     .orElse(0);
         } catch (IOException e) {
             return 0;
--- a/src/main/java/rosespread/rehearse/Draw.java
+++ b/src/main/java/rosespread/rehearse/Draw.java
@@ -7,11 +7,14 @@
 import rosespread.standin.Clients;
 import rosespread.standin.Site;
 
-/** Draws a day's arrivals ahead from the seed: the same seed gives the same day, whatever happens in it. */
+/**
+ * Draws a day's arrivals ahead from the seed: the same seed gives the same day, whatever happens in
+ * it.
+ */
 final class Draw {
     private static final double SECOND = 1e9;
 
-    private Draw() { }
+    private Draw() {}
 
     /** Usual RPCs a second of each proxy: all alike within a zone. */
     static double[] rates(Scenario scenario) {
@@ -26,7 +29,7 @@
         List<Clients.Arrival> day = new ArrayList<>();
         double share = site.methods().stream().mapToDouble(Site.Method::share).sum();
         double at = -scenario.warmUp();
-        for (long number = 1;; number++) {
+        for (long number = 1; ; number++) {
             at += -Math.log(1 - random.nextDouble()) / scenario.rate() * SECOND;
             if (at >= scenario.lasts()) {
                 return day;
@@ -54,9 +57,12 @@
                     continue;
                 }
                 switch (trouble.kind()) {
-                    case COSTLY_RPCS -> work *= method.name().equals(trouble.method())
-                            && chance < trouble.share()
-                            ? trouble.factor() : 1;
+                    case COSTLY_RPCS ->
+                            work *=
+                                    method.name().equals(trouble.method())
+                                                    && chance < trouble.share()
+                                            ? trouble.factor()
+                                            : 1;
                     case SHIFT -> zone = chance < trouble.share() ? trouble.zone() : zone;
                     case HOT_PROXY -> hot = chance < trouble.share() ? "proxy-000" : hot;
                     case CLIENTS_GIVE_UP -> patience = Math.min(patience, trouble.share());
@@ -64,12 +70,21 @@
                         retries = Math.max(retries, 3);
                         wait = 0;
                     }
-                    default -> { }
+                    default -> {}
                 }
             }
-            day.add(new Clients.Arrival(number, (long) at, method, zone, place, hot, (long) work, retries,
-                    wait,
-                    patience));
+            day.add(
+                    new Clients.Arrival(
+                            number,
+                            (long) at,
+                            method,
+                            zone,
+                            place,
+                            hot,
+                            (long) work,
+                            retries,
+                            wait,
+                            patience));
         }
     }
 }
--- a/src/main/java/rosespread/rehearse/Rehearsal.java
+++ b/src/main/java/rosespread/rehearse/Rehearsal.java
@@ -27,16 +27,18 @@
 import rosespread.standin.ProxyFarm;
 
 /**
- * Plays a scenario on loopback: conductors as processes, stand-ins in this one, and an auditor at their
- * sockets.
+ * Plays a scenario on loopback: conductors as processes, stand-ins in this one, and an auditor at
+ * their sockets.
  */
 public final class Rehearsal {
     /**
      * @param seed draws arrivals, strikes and the stand-ins' chances
      * @param withConductor without one, proxies keep their starting tables
-     * @param mainClass what the conductor's process runs; {@code arguments} go before its usual ones
+     * @param mainClass what the conductor's process runs; {@code arguments} go before its usual
+     *     ones
      */
-    public record Options(long seed, boolean withConductor, String mainClass, List<String> arguments) { }
+    public record Options(
+            long seed, boolean withConductor, String mainClass, List<String> arguments) {}
 
     private static final long SECOND = 1_000_000_000L;
     private static final long SAMPLE = 50_000_000L;
@@ -69,7 +71,8 @@
      *
      * @throws ScenarioException if it cannot be played, with file, line and field
      */
-    public static Report play(String nameOrPath, Options options) throws IOException, ScenarioException {
+    public static Report play(String nameOrPath, Options options)
+            throws IOException, ScenarioException {
         Scenario scenario = ScenarioReader.named(nameOrPath);
         Path folder = Files.createTempDirectory("rosespread-rehearsal");
         Rehearsal rehearsal = new Rehearsal(scenario, options);
@@ -93,61 +96,89 @@
     private void run(Path folder) throws IOException {
         long made = loop.now();
         auditor = new Auditor(scenario, made);
-        onLoop(() -> {
-            SplittableRandom random = new SplittableRandom(options.seed());
-            list = new ListStandin(loop, 0, auditor);
-            nodes = new NodeFarm(loop, scenario.site(), list, random.split(), auditor);
-            list.late(scenario.listLate());
-        });
+        onLoop(
+                () -> {
+                    SplittableRandom random = new SplittableRandom(options.seed());
+                    list = new ListStandin(loop, 0, auditor);
+                    nodes = new NodeFarm(loop, scenario.site(), list, random.split(), auditor);
+                    list.late(scenario.listLate());
+                });
         for (int i = 0; options.withConductor() && i < scenario.conductors(); i++) {
-            ConductorProcess conductor = new ConductorProcess("c" + i, folder, options.mainClass(),
-                    options.arguments(), http);
+            ConductorProcess conductor =
+                    new ConductorProcess(
+                            "c" + i, folder, options.mainClass(), options.arguments(), http);
             conductors.add(conductor);
             conductor.start();
         }
         for (ConductorProcess conductor : conductors) {
-            conductor.settings(scenario.settings(options.seed(), list.address().getPort(), conductors.stream()
-                    .map(c -> c.control().getHostString() + ":" + c.control().getPort()).toList()));
+            conductor.settings(
+                    scenario.settings(
+                            options.seed(),
+                            list.address().getPort(),
+                            conductors.stream()
+                                    .map(
+                                            c ->
+                                                    c.control().getHostString()
+                                                            + ":"
+                                                            + c.control().getPort())
+                                    .toList()));
         }
         List<Clients.Arrival> day = Draw.day(scenario, options.seed());
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        onLoop(() -> {
-            SplittableRandom random = new SplittableRandom(options.seed() ^ 0x5eed);
-            List<ProxyFarm.Target> targets = new ArrayList<>();
-            for (int i = 0; i < conductors.size(); i++) {
-                targets.add(new ProxyFarm.Target(conductors.get(i).name(), conductors.get(i).channel(),
-                        conductors.size() < 2 ? null
-                                : scenario.site().zones().get(i % scenario.site().zones().size())));
-            }
-            proxies = new ProxyFarm(loop, scenario.site(), list, targets, Draw.rates(scenario),
-                    scenario.channel().levels().equals("share"), random.split(), auditor);
-            clients = new Clients(loop, proxies, random.split(), report::ended);
-            start = loop.now() + scenario.warmUp();
-            report.begins(start);
-            auditor.dayBegins(start);
-            proxies.start();
-            clients.play(day, start);
-            sample();
-            loop.after(scenario.warmUp(), () -> allBound(ready));
-        });
+        onLoop(
+                () -> {
+                    SplittableRandom random = new SplittableRandom(options.seed() ^ 0x5eed);
+                    List<ProxyFarm.Target> targets = new ArrayList<>();
+                    for (int i = 0; i < conductors.size(); i++) {
+                        targets.add(
+                                new ProxyFarm.Target(
+                                        conductors.get(i).name(),
+                                        conductors.get(i).channel(),
+                                        conductors.size() < 2
+                                                ? null
+                                                : scenario.site()
+                                                        .zones()
+                                                        .get(i % scenario.site().zones().size())));
+                    }
+                    proxies =
+                            new ProxyFarm(
+                                    loop,
+                                    scenario.site(),
+                                    list,
+                                    targets,
+                                    Draw.rates(scenario),
+                                    scenario.channel().levels().equals("share"),
+                                    random.split(),
+                                    auditor);
+                    clients = new Clients(loop, proxies, random.split(), report::ended);
+                    start = loop.now() + scenario.warmUp();
+                    report.begins(start);
+                    auditor.dayBegins(start);
+                    proxies.start();
+                    clients.play(day, start);
+                    sample();
+                    loop.after(scenario.warmUp(), () -> allBound(ready));
+                });
         get(ready);
         CompletableFuture<Void> done = new CompletableFuture<>();
-        onLoop(() -> {
-            report.dayBegins(conductors);
-            scenario.troubles().forEach(this::plan);
-            loop.after(scenario.lasts(), () -> awaitAnswers(done));
-        });
+        onLoop(
+                () -> {
+                    report.dayBegins(conductors);
+                    scenario.troubles().forEach(this::plan);
+                    loop.after(scenario.lasts(), () -> awaitAnswers(done));
+                });
         get(done);
         for (ConductorProcess conductor : conductors) {
             if (conductor.alive()) {
                 report.refused(json.readTree(conductor.askOnceUp("/v1/tables").body()));
             }
         }
-        onLoop(() -> {
-            over = true;
-            auditor.end(loop.now());
-            report.ends(auditor, loop.now(), conductors);
-        });
+        onLoop(
+                () -> {
+                    over = true;
+                    auditor.end(loop.now());
+                    report.ends(auditor, loop.now(), conductors);
+                });
     }
 
     private void sample() {
@@ -162,8 +193,10 @@
         if (conductors.isEmpty() || proxies.allBound()) {
             ready.complete(null);
         } else {
-            ready.completeExceptionally(new IOException("not all proxies were bound in the warm-up; see "
-                    + conductors.get(0).log()));
+            ready.completeExceptionally(
+                    new IOException(
+                            "not all proxies were bound in the warm-up; see "
+                                    + conductors.get(0).log()));
         }
     }
 
@@ -185,7 +218,8 @@
         List<String> drawn = new ArrayList<>(all);
         Collections.sort(drawn);
         Collections.shuffle(drawn, strikes);
-        return drawn.subList(0, Math.min(drawn.size(), Math.max(1, (int) Math.round(share * drawn.size()))));
+        return drawn.subList(
+                0, Math.min(drawn.size(), Math.max(1, (int) Math.round(share * drawn.size()))));
     }
 
     private void event(String text) {
@@ -195,42 +229,82 @@
     private void begin(Trouble trouble) {
         String words = trouble.kind().words();
         switch (trouble.kind()) {
-            case NODE_CRASH -> each(trouble, some(nodes.names(), trouble.share()), nodes::crash,
-                    nodes::restart);
-            case HANG -> each(trouble, some(nodes.names(), trouble.share()), n -> nodes.hang(n, true),
-                    n -> nodes.hang(n, false));
-            case FAST_ABORTS -> each(trouble, some(nodes.names(), trouble.share()),
-                    n -> nodes.abort(n, Math.min(1, trouble.factor())), n -> nodes.abort(n, 0));
-            case COLD_START -> each(trouble, some(nodes.names(), trouble.share()), n -> {
-                nodes.crash(n);
-                nodes.restart(n);
-            }, n -> { });
-            case DRAIN -> each(trouble, some(nodes.names(), trouble.share()), n -> nodes.drain(n, true),
-                    n -> nodes.drain(n, false));
+            case NODE_CRASH ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            nodes::crash,
+                            nodes::restart);
+            case HANG ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            n -> nodes.hang(n, true),
+                            n -> nodes.hang(n, false));
+            case FAST_ABORTS ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            n -> nodes.abort(n, Math.min(1, trouble.factor())),
+                            n -> nodes.abort(n, 0));
+            case COLD_START ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            n -> {
+                                nodes.crash(n);
+                                nodes.restart(n);
+                            },
+                            n -> {});
+            case DRAIN ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            n -> nodes.drain(n, true),
+                            n -> nodes.drain(n, false));
             case ROLLING_DEPLOY -> rolling(trouble);
             case FLAPPING -> flap(trouble, some(nodes.names(), trouble.share()), true);
-            case NEIGHBOUR -> each(trouble, some(nodes.names(), trouble.share()),
-                    n -> nodes.slow(n, 1 / Math.max(1, trouble.factor())), n -> nodes.slow(n, 1));
-            case FALSE_REPORTS -> each(trouble, some(nodes.names(), trouble.share()),
-                    n -> nodes.falseReports(n, trouble.factor()), n -> nodes.falseReports(n, 1));
+            case NEIGHBOUR ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            n -> nodes.slow(n, 1 / Math.max(1, trouble.factor())),
+                            n -> nodes.slow(n, 1));
+            case FALSE_REPORTS ->
+                    each(
+                            trouble,
+                            some(nodes.names(), trouble.share()),
+                            n -> nodes.falseReports(n, trouble.factor()),
+                            n -> nodes.falseReports(n, 1));
             case ZONE_LOSS -> {
                 each(trouble, nodes.names(trouble.zone()), nodes::crash, nodes::restart);
                 each(trouble, proxies.names(trouble.zone()), proxies::crash, proxies::restart);
             }
-            case PROXY_CRASH -> each(trouble, some(proxies.names(), trouble.share()), proxies::crash,
-                    proxies::restart);
-            case STREAM_CUT -> each(trouble, some(proxies.names(), trouble.share()),
-                    p -> proxies.cut(p, true, p.hashCode() % 2 == 0), p -> proxies.cut(p, false, false));
+            case PROXY_CRASH ->
+                    each(
+                            trouble,
+                            some(proxies.names(), trouble.share()),
+                            proxies::crash,
+                            proxies::restart);
+            case STREAM_CUT ->
+                    each(
+                            trouble,
+                            some(proxies.names(), trouble.share()),
+                            p -> proxies.cut(p, true, p.hashCode() % 2 == 0),
+                            p -> proxies.cut(p, false, false));
             case ROLLBACK -> rollback(trouble);
             case OPERATOR_DRAIN -> operatorDrain(trouble, some(nodes.names(), 0).get(0));
-            case CONDUCTOR_CRASH, CONDUCTOR_RESTART, CONDUCTOR_STALL, CONDUCTOR_KILLS -> strike(trouble);
+            case CONDUCTOR_CRASH, CONDUCTOR_RESTART, CONDUCTOR_STALL, CONDUCTOR_KILLS ->
+                    strike(trouble);
             case SLOW_CHANNEL -> {
                 proxies.slowLinks(trouble.factor());
                 auditor.linksSlow(loop.now(), trouble.factor());
-                after(trouble, () -> {
-                    proxies.slowLinks(1);
-                    auditor.linksSlow(loop.now(), 1);
-                });
+                after(
+                        trouble,
+                        () -> {
+                            proxies.slowLinks(1);
+                            auditor.linksSlow(loop.now(), 1);
+                        });
             }
             case MISSED_DELTAS -> {
                 proxies.loseDeltas(trouble.share());
@@ -258,10 +332,12 @@
 
     private void after(Trouble trouble, Runnable ends) {
         event(trouble.kind().words() + " begins");
-        loop.after(trouble.lasts(), () -> {
-            event(trouble.kind().words() + " ends");
-            ends.run();
-        });
+        loop.after(
+                trouble.lasts(),
+                () -> {
+                    event(trouble.kind().words() + " ends");
+                    ends.run();
+                });
     }
 
     private void listMode(Trouble trouble, ListStandin.Mode mode) {
@@ -269,13 +345,21 @@
         after(trouble, () -> list.mode(ListStandin.Mode.USUAL));
     }
 
-    private void each(Trouble trouble, List<String> struck, Consumer<String> begins, Consumer<String> ends) {
-        event(trouble.kind().words() + " strikes " + struck.size() + ": " + String.join(" ", struck));
+    private void each(
+            Trouble trouble, List<String> struck, Consumer<String> begins, Consumer<String> ends) {
+        event(
+                trouble.kind().words()
+                        + " strikes "
+                        + struck.size()
+                        + ": "
+                        + String.join(" ", struck));
         struck.forEach(begins);
-        loop.after(trouble.lasts(), () -> {
-            event(trouble.kind().words() + " ends");
-            struck.forEach(ends);
-        });
+        loop.after(
+                trouble.lasts(),
+                () -> {
+                    event(trouble.kind().words() + " ends");
+                    struck.forEach(ends);
+                });
     }
 
     /** One after the other: told as draining, ended after the grace, started anew cold. */
@@ -285,11 +369,13 @@
         long grace = scenario.rules().drainGrace() + scenario.listLate();
         for (int i = 0; i < struck.size(); i++) {
             String node = struck.get(i);
-            loop.after(trouble.lasts() * i / struck.size(), () -> {
-                nodes.drain(node, true);
-                loop.after(grace + SECOND, () -> nodes.crash(node));
-                loop.after(grace + 2 * SECOND, () -> nodes.restart(node));
-            });
+            loop.after(
+                    trouble.lasts() * i / struck.size(),
+                    () -> {
+                        nodes.drain(node, true);
+                        loop.after(grace + SECOND, () -> nodes.crash(node));
+                        loop.after(grace + 2 * SECOND, () -> nodes.restart(node));
+                    });
         }
         loop.after(trouble.lasts(), () -> event("rolling deploy: the last node drains"));
     }
@@ -305,7 +391,8 @@
     }
 
     /**
-     * An operator goes back to a version drawn from those that are kept, and releases the table at the end.
+     * An operator goes back to a version drawn from those that are kept, and releases the table at
+     * the end.
      */
     private void rollback(Trouble trouble) {
         if (conductors.isEmpty()) {
@@ -313,66 +400,115 @@
         }
         ConductorProcess conductor = conductors.get(trouble.which());
         int draw = strikes.nextInt(Integer.MAX_VALUE);
-        Thread thread = new Thread(() -> {
-            try {
-                JsonNode tables = json.readTree(conductor.ask("GET", "/v1/tables", "").body());
-                if (tables.isEmpty()) {
-                    return;
-                }
-                JsonNode table = tables.get(draw % tables.size());
-                int id = table.path("table").asInt();
-                long version = table.path("versions").get(draw / 64 % table.path("versions").size())
-                        .path("number").asLong();
-                long from = loop.now();
-                String path = "/v1/tables/" + id;
-                int status = conductor.ask("POST", path + "/rollback?version=" + version, "").status();
-                loop.run(() -> event("rollback of table " + id + " of " + conductor.name() + " from version "
-                        + table.path("version") + " to " + version + ": " + status));
-                Map<String, Double> lines = new TreeMap<>();
-                JsonNode after = json.readTree(conductor.ask("GET", path, "").body());
-                after.path("lines").properties().forEach(l -> lines.put(l.getKey(), l.getValue().asDouble()));
-                if (status == 200) {
-                    loop.run(() -> auditor.rollback(from, conductor.name(), id, lines));
-                }
-                Thread.sleep(trouble.lasts() / 1_000_000);
-                conductor.ask("POST", path + "/release", "");
-            } catch (IOException e) {
-                loop.run(() -> event("rollback of a table of " + conductor.name() + ": " + e.getMessage()));
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "operator");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                JsonNode tables =
+                                        json.readTree(
+                                                conductor.ask("GET", "/v1/tables", "").body());
+                                if (tables.isEmpty()) {
+                                    return;
+                                }
+                                JsonNode table = tables.get(draw % tables.size());
+                                int id = table.path("table").asInt();
+                                long version =
+                                        table.path("versions")
+                                                .get(draw / 64 % table.path("versions").size())
+                                                .path("number")
+                                                .asLong();
+                                long from = loop.now();
+                                String path = "/v1/tables/" + id;
+                                int status =
+                                        conductor
+                                                .ask(
+                                                        "POST",
+                                                        path + "/rollback?version=" + version,
+                                                        "")
+                                                .status();
+                                loop.run(
+                                        () ->
+                                                event(
+                                                        "rollback of table "
+                                                                + id
+                                                                + " of "
+                                                                + conductor.name()
+                                                                + " from version "
+                                                                + table.path("version")
+                                                                + " to "
+                                                                + version
+                                                                + ": "
+                                                                + status));
+                                Map<String, Double> lines = new TreeMap<>();
+                                JsonNode after =
+                                        json.readTree(conductor.ask("GET", path, "").body());
+                                after.path("lines")
+                                        .properties()
+                                        .forEach(
+                                                l ->
+                                                        lines.put(
+                                                                l.getKey(),
+                                                                l.getValue().asDouble()));
+                                if (status == 200) {
+                                    loop.run(
+                                            () ->
+                                                    auditor.rollback(
+                                                            from, conductor.name(), id, lines));
+                                }
+                                Thread.sleep(trouble.lasts() / 1_000_000);
+                                conductor.ask("POST", path + "/release", "");
+                            } catch (IOException e) {
+                                loop.run(
+                                        () ->
+                                                event(
+                                                        "rollback of a table of "
+                                                                + conductor.name()
+                                                                + ": "
+                                                                + e.getMessage()));
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "operator");
         thread.setDaemon(true);
         thread.start();
     }
 
     /**
-     * An operator drains a node at all conductors at once and ends it after a while; each conductor's proxies
-     * have the grace from its answer on. One that does not answer learns of it from the others.
+     * An operator drains a node at all conductors at once and ends it after a while; each
+     * conductor's proxies have the grace from its answer on. One that does not answer learns of it
+     * from the others.
      */
     private void operatorDrain(Trouble trouble, String node) {
         if (conductors.isEmpty()) {
             return;
         }
         String id = "drain-" + trouble.at() + "-" + node;
-        Thread thread = new Thread(() -> {
-            try {
-                long ends = loop.now() + trouble.lasts();
-                List<ConductorProcess> missing = new ArrayList<>(conductors);
-                while (!missing.isEmpty() && loop.now() < ends) {
-                    // As an operator would, the command is repeated where it was not answered.
-                    missing.removeIf(conductor -> word(conductor, node, "drain?force=true", id));
-                    Thread.sleep(missing.isEmpty() ? 0 : 300);
-                }
-                Thread.sleep(Math.max(0, (ends - loop.now()) / 1_000_000));
-                for (ConductorProcess conductor : conductors) {
-                    loop.run(() -> auditor.operatorUndrains(conductor.name(), node));
-                    word(conductor, node, "undrain", id + "-ends");
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "operator");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                long ends = loop.now() + trouble.lasts();
+                                List<ConductorProcess> missing = new ArrayList<>(conductors);
+                                while (!missing.isEmpty() && loop.now() < ends) {
+                                    // As an operator would, the command is repeated where it was
+                                    // not answered.
+                                    missing.removeIf(
+                                            conductor ->
+                                                    word(conductor, node, "drain?force=true", id));
+                                    Thread.sleep(missing.isEmpty() ? 0 : 300);
+                                }
+                                Thread.sleep(Math.max(0, (ends - loop.now()) / 1_000_000));
+                                for (ConductorProcess conductor : conductors) {
+                                    loop.run(
+                                            () -> auditor.operatorUndrains(conductor.name(), node));
+                                    word(conductor, node, "undrain", id + "-ends");
+                                }
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "operator");
         thread.setDaemon(true);
         thread.start();
     }
@@ -380,14 +516,22 @@
     private boolean word(ConductorProcess conductor, String node, String verb, String id) {
         String what = verb + " of " + node + " at " + conductor.name() + ": ";
         try {
-            HttpMessage.Answer answer = conductor.ask("POST", "/v1/nodes/" + node + "/" + verb, "",
-                    "idempotency-key", id, "x-operator", "rehearsal");
-            loop.run(() -> {
-                event(what + answer.status());
-                if (answer.status() == 200 && verb.startsWith("drain")) {
-                    auditor.operatorDrains(loop.now(), conductor.name(), node);
-                }
-            });
+            HttpMessage.Answer answer =
+                    conductor.ask(
+                            "POST",
+                            "/v1/nodes/" + node + "/" + verb,
+                            "",
+                            "idempotency-key",
+                            id,
+                            "x-operator",
+                            "rehearsal");
+            loop.run(
+                    () -> {
+                        event(what + answer.status());
+                        if (answer.status() == 200 && verb.startsWith("drain")) {
+                            auditor.operatorDrains(loop.now(), conductor.name(), node);
+                        }
+                    });
             return answer.status() == 200;
         } catch (IOException e) {
             loop.run(() -> event(what + e.getMessage()));
@@ -395,7 +539,9 @@
         }
     }
 
-    /** Processes are ended and started on a thread of their own: the loop must not wait for them. */
+    /**
+     * Processes are ended and started on a thread of their own: the loop must not wait for them.
+     */
     private void strike(Trouble trouble) {
         if (conductors.isEmpty()) {
             return;
@@ -403,67 +549,86 @@
         ConductorProcess conductor = conductors.get(trouble.which());
         String words = trouble.kind().words() + " of " + conductor.name();
         event(words);
-        Thread thread = new Thread(() -> {
-            try {
-                switch (trouble.kind()) {
-                    case CONDUCTOR_STALL -> {
-                        long from = loop.now();
-                        conductor.freeze(true);
-                        loop.run(() -> auditor.conductorStopped(conductor.name(), from));
-                        Thread.sleep(trouble.lasts() / 1_000_000);
-                        conductor.freeze(false);
-                        loop.run(() -> auditor.conductorGoesOn(conductor.name(), loop.now()));
-                    }
-                    case CONDUCTOR_CRASH -> {
-                        conductor.kill();
-                        loop.run(() -> auditor.conductorDown(conductor.name()));
-                        Thread.sleep(trouble.lasts() / 1_000_000);
-                        conductor.start();
-                    }
-                    case CONDUCTOR_KILLS -> kills(trouble, conductor);
-                    default -> {
-                        conductor.stop();
-                        loop.run(() -> auditor.conductorDown(conductor.name()));
-                        conductor.start();
-                    }
-                }
-                loop.run(() -> event(words + ": it runs again"));
-            } catch (IOException e) {
-                loop.run(() -> event(words + " failed: " + e.getMessage()));
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "strike");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                switch (trouble.kind()) {
+                                    case CONDUCTOR_STALL -> {
+                                        long from = loop.now();
+                                        conductor.freeze(true);
+                                        loop.run(
+                                                () ->
+                                                        auditor.conductorStopped(
+                                                                conductor.name(), from));
+                                        Thread.sleep(trouble.lasts() / 1_000_000);
+                                        conductor.freeze(false);
+                                        loop.run(
+                                                () ->
+                                                        auditor.conductorGoesOn(
+                                                                conductor.name(), loop.now()));
+                                    }
+                                    case CONDUCTOR_CRASH -> {
+                                        conductor.kill();
+                                        loop.run(() -> auditor.conductorDown(conductor.name()));
+                                        Thread.sleep(trouble.lasts() / 1_000_000);
+                                        conductor.start();
+                                    }
+                                    case CONDUCTOR_KILLS -> kills(trouble, conductor);
+                                    default -> {
+                                        conductor.stop();
+                                        loop.run(() -> auditor.conductorDown(conductor.name()));
+                                        conductor.start();
+                                    }
+                                }
+                                loop.run(() -> event(words + ": it runs again"));
+                            } catch (IOException e) {
+                                loop.run(() -> event(words + " failed: " + e.getMessage()));
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "strike");
         thread.setDaemon(true);
         thread.start();
     }
 
     /**
-     * Kills and starts a conductor over and over, at moments drawn up to the trouble's span after it is up,
-     * and compares what it has restored with what proxies answered for.
+     * Kills and starts a conductor over and over, at moments drawn up to the trouble's span after
+     * it is up, and compares what it has restored with what proxies answered for.
      */
-    private void kills(Trouble trouble, ConductorProcess conductor) throws IOException, InterruptedException {
+    private void kills(Trouble trouble, ConductorProcess conductor)
+            throws IOException, InterruptedException {
         int kills = 0;
-        // Its own chance: how long a process takes to start must not move what other troubles strike.
+        // Its own chance: how long a process takes to start must not move what other troubles
+        // strike.
         Random moments = new Random(options.seed() ^ trouble.at());
         while (loop.now() - start < trouble.ends() && !over) {
             Thread.sleep(moments.nextLong(Math.max(1, trouble.span() / 1_000_000)));
             conductor.kill();
             kills++;
             CompletableFuture<Map<Integer, TreeMap<Long, Long>>> before = new CompletableFuture<>();
-            loop.run(() -> {
-                auditor.conductorDown(conductor.name());
-                before.complete(auditor.answered(conductor.name()));
-            });
+            loop.run(
+                    () -> {
+                        auditor.conductorDown(conductor.name());
+                        before.complete(auditor.answered(conductor.name()));
+                    });
             conductor.start();
             Map<Integer, TreeMap<Long, Long>> after = new TreeMap<>();
             JsonNode tables = json.readTree(conductor.askOnceUp("/v1/tables").body());
-            tables.forEach(table -> {
-                TreeMap<Long, Long> versions = after.computeIfAbsent(table.path("table").asInt(),
-                        t -> new TreeMap<>());
-                table.path("versions").forEach(v -> versions.put(v.path("number").asLong(),
-                        Long.parseUnsignedLong(v.path("digest").asText(), 16)));
-            });
+            tables.forEach(
+                    table -> {
+                        TreeMap<Long, Long> versions =
+                                after.computeIfAbsent(
+                                        table.path("table").asInt(), t -> new TreeMap<>());
+                        table.path("versions")
+                                .forEach(
+                                        v ->
+                                                versions.put(
+                                                        v.path("number").asLong(),
+                                                        Long.parseUnsignedLong(
+                                                                v.path("digest").asText(), 16)));
+                    });
             Map<Integer, TreeMap<Long, Long>> answered = before.join();
             loop.run(() -> auditor.restored(loop.now(), conductor.name(), answered, after));
         }
@@ -479,14 +644,15 @@
 
     private void onLoop(Step step) throws IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
-        loop.run(() -> {
-            try {
-                step.run();
-                done.complete(null);
-            } catch (IOException | RuntimeException e) {
-                done.completeExceptionally(e);
-            }
-        });
+        loop.run(
+                () -> {
+                    try {
+                        step.run();
+                        done.complete(null);
+                    } catch (IOException | RuntimeException e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         get(done);
     }
 
--- a/src/main/java/rosespread/rehearse/Report.java
+++ b/src/main/java/rosespread/rehearse/Report.java
@@ -40,7 +40,7 @@
         }
     }
 
-    private record Event(double at, String what) { }
+    private record Event(double at, String what) {}
 
     private final ObjectMapper json = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
     private final Scenario scenario;
@@ -91,8 +91,12 @@
         boolean inTime = ok && latency <= method.softDeadline();
         double earned = method.criticality() * (inTime ? 1 : ok ? method.lateShare() : 0);
         int slot = (int) (rpc.at() / SECOND / SLOT_SECONDS);
-        for (Tally tally : List.of(all, byMethod.get(method.name()), bySlot.computeIfAbsent(slot,
-                s -> new TreeMap<>()).computeIfAbsent(method.name(), m -> new Tally()))) {
+        for (Tally tally :
+                List.of(
+                        all,
+                        byMethod.get(method.name()),
+                        bySlot.computeIfAbsent(slot, s -> new TreeMap<>())
+                                .computeIfAbsent(method.name(), m -> new Tally()))) {
             tally.asked += method.criticality();
             tally.earned += earned;
             tally.rpcs++;
@@ -113,8 +117,10 @@
                 rssMb = Math.max(rssMb, conductor.rssMb());
             }
         }
-        cpuSeconds = Math.max(cpuSeconds, conductors.stream().mapToDouble(c ->
-                c.cpu().toNanos() / SECOND).sum());
+        cpuSeconds =
+                Math.max(
+                        cpuSeconds,
+                        conductors.stream().mapToDouble(c -> c.cpu().toNanos() / SECOND).sum());
     }
 
     void ends(Auditor auditor, long at, List<ConductorProcess> conductors) {
@@ -139,8 +145,16 @@
 
     /** How often a conductor's gate refused a table, by reason. */
     void refused(JsonNode tables) {
-        tables.forEach(table -> table.path("refused").properties().forEach(count ->
-                refused.merge(count.getKey(), count.getValue().asLong(), Long::sum)));
+        tables.forEach(
+                table ->
+                        table.path("refused")
+                                .properties()
+                                .forEach(
+                                        count ->
+                                                refused.merge(
+                                                        count.getKey(),
+                                                        count.getValue().asLong(),
+                                                        Long::sum)));
     }
 
     /** How often tables were refused, by reason, over all conductors as they were at the end. */
@@ -154,8 +168,8 @@
 
     /** Whether no rule was broken. */
     public boolean kept() {
-        return !rules.isEmpty() && rules.values().stream().noneMatch(rule ->
-                Boolean.FALSE.equals(rule.kept()));
+        return !rules.isEmpty()
+                && rules.values().stream().noneMatch(rule -> Boolean.FALSE.equals(rule.kept()));
     }
 
     /** Service over the whole day, 0 to 1. */
@@ -182,20 +196,32 @@
         ObjectNode out = json.createObjectNode();
         out.put("scenario", scenario.name()).put("seed", seed);
         ObjectNode ruleNodes = out.putObject("rules");
-        rules.forEach((name, rule) -> {
-            ObjectNode node = ruleNodes.putObject(name);
-            node.put("kept", rule.kept()).put("worst", round(rule.worst)).put("limit", rule.limit)
-                    .put("checked", rule.checked).put("worstAt", rule.worstAt);
-            rule.breaks.forEach(node.putArray("breaks")::add);
-        });
-        out.put("service", round(all.service())).put("rpcs", all.rpcs)
+        rules.forEach(
+                (name, rule) -> {
+                    ObjectNode node = ruleNodes.putObject(name);
+                    node.put("kept", rule.kept())
+                            .put("worst", round(rule.worst))
+                            .put("limit", rule.limit)
+                            .put("checked", rule.checked)
+                            .put("worstAt", rule.worstAt);
+                    rule.breaks.forEach(node.putArray("breaks")::add);
+                });
+        out.put("service", round(all.service()))
+                .put("rpcs", all.rpcs)
                 .put("rpcsPerSecond", round(all.rpcs / (scenario.lasts() / SECOND)));
         ObjectNode methods = out.putObject("byMethod");
-        byMethod.forEach((name, tally) -> methods.putObject(name).put("service", round(tally.service()))
-                .put("rpcs", tally.rpcs).put("ok", tally.ok).put("inTime", tally.inTime)
-                .put("pushedBack", tally.pushedBack).put("aborted", tally.others).put("tries", tally.tries)
-                .put("p50Ms", tally.latency.getValueAtPercentile(50) / 1000.0)
-                .put("p99Ms", tally.latency.getValueAtPercentile(99) / 1000.0));
+        byMethod.forEach(
+                (name, tally) ->
+                        methods.putObject(name)
+                                .put("service", round(tally.service()))
+                                .put("rpcs", tally.rpcs)
+                                .put("ok", tally.ok)
+                                .put("inTime", tally.inTime)
+                                .put("pushedBack", tally.pushedBack)
+                                .put("aborted", tally.others)
+                                .put("tries", tally.tries)
+                                .put("p50Ms", tally.latency.getValueAtPercentile(50) / 1000.0)
+                                .put("p99Ms", tally.latency.getValueAtPercentile(99) / 1000.0));
         out.set("tablesRefused", json.valueToTree(refused));
         spans(out.putObject("drainSeconds"), drains);
         spans(out.putObject("operatorDrainTrySeconds"), operatorDrains);
@@ -208,19 +234,21 @@
                 .put("conductorCpuPerSecond", round((cpuSeconds - cpuAtStart) / seconds))
                 .put("conductorRssMb", Math.round(rssMb));
         ArrayNode over = out.putArray("overTime");
-        bySlot.forEach((slot, tallies) -> {
-            ObjectNode node = over.addObject().put("from", slot * SLOT_SECONDS);
-            tallies.forEach((method, tally) -> node.put(method, round(tally.service())));
-        });
+        bySlot.forEach(
+                (slot, tallies) -> {
+                    ObjectNode node = over.addObject().put("from", slot * SLOT_SECONDS);
+                    tallies.forEach((method, tally) -> node.put(method, round(tally.service())));
+                });
         ArrayNode told = out.putArray("events");
         events.forEach(event -> told.addObject().put("at", event.at()).put("what", event.what()));
         return json.writeValueAsString(out) + "\n";
     }
 
     private static void spans(ObjectNode node, Histogram millis) {
-        node.put("p50", millis.getValueAtPercentile(50) / 1000.0).put("p99",
-                millis.getValueAtPercentile(99) / 1000.0)
-                .put("max", millis.getMaxValue() / 1000.0).put("count", millis.getTotalCount());
+        node.put("p50", millis.getValueAtPercentile(50) / 1000.0)
+                .put("p99", millis.getValueAtPercentile(99) / 1000.0)
+                .put("max", millis.getMaxValue() / 1000.0)
+                .put("count", millis.getTotalCount());
     }
 
     private static double round(double value) {
@@ -230,47 +258,89 @@
     /** The same for people. */
     public String text() {
         StringBuilder out = new StringBuilder();
-        line(out, "%s, seed %d: service %.4f, %d RPCs in %.0f s, conductors' CPU %.2f s, %.0f MB",
+        line(
+                out,
+                "%s, seed %d: service %.4f, %d RPCs in %.0f s, conductors' CPU %.2f s, %.0f MB",
                 scenario.name(),
-                seed, service(), all.rpcs, scenario.lasts() / SECOND, cpuSeconds - cpuAtStart, rssMb);
+                seed,
+                service(),
+                all.rpcs,
+                scenario.lasts() / SECOND,
+                cpuSeconds - cpuAtStart,
+                rssMb);
         line(out, "%nrules");
-        rules.forEach((name, rule) -> {
-            Boolean kept = rule.kept();
-            line(out, "  %-22s %-9s worst %10.1f of %10.1f, checked %7d  %s", name,
-                    kept == null ? "not seen" : kept ? "kept" : "BROKEN", rule.worst, rule.limit,
+        rules.forEach(
+                (name, rule) -> {
+                    Boolean kept = rule.kept();
+                    line(
+                            out,
+                            "  %-22s %-9s worst %10.1f of %10.1f, checked %7d  %s",
+                            name,
+                            kept == null ? "not seen" : kept ? "kept" : "BROKEN",
+                            rule.worst,
+                            rule.limit,
                             rule.checked,
-                    rule.worstAt);
-            rule.breaks.forEach(text -> line(out, "      %s", text));
-        });
+                            rule.worstAt);
+                    rule.breaks.forEach(text -> line(out, "      %s", text));
+                });
         line(out, "%nmethods");
-        byMethod.forEach((name, t) -> line(out, "  %-14s service %.4f, %d RPCs, %d in time, %d pushed back, "
-                + "%d aborted, p50 %.0f ms, p99 %.0f ms", name, t.service(), t.rpcs, t.inTime, t.pushedBack,
-                        t.others,
-                t.latency.getValueAtPercentile(50) / 1000.0, t.latency.getValueAtPercentile(99) / 1000.0));
-        line(out, "  drains: last send after p50 %.2f s, p99 %.2f s, most %.2f s (%d)",
-                drains.getValueAtPercentile(50) / 1000.0, drains.getValueAtPercentile(99) / 1000.0,
-                drains.getMaxValue() / 1000.0, drains.getTotalCount());
-        line(out,
+        byMethod.forEach(
+                (name, t) ->
+                        line(
+                                out,
+                                "  %-14s service %.4f, %d RPCs, %d in time, %d pushed back, "
+                                        + "%d aborted, p50 %.0f ms, p99 %.0f ms",
+                                name,
+                                t.service(),
+                                t.rpcs,
+                                t.inTime,
+                                t.pushedBack,
+                                t.others,
+                                t.latency.getValueAtPercentile(50) / 1000.0,
+                                t.latency.getValueAtPercentile(99) / 1000.0));
+        line(
+                out,
+                "  drains: last send after p50 %.2f s, p99 %.2f s, most %.2f s (%d)",
+                drains.getValueAtPercentile(50) / 1000.0,
+                drains.getValueAtPercentile(99) / 1000.0,
+                drains.getMaxValue() / 1000.0,
+                drains.getTotalCount());
+        line(
+                out,
                 "  changes: at the last proxy after p50 %.2f s, p99 %.2f s; pace p50 %.2f s, p99 %.2f s",
-                changes.getValueAtPercentile(50) / 1000.0, changes.getValueAtPercentile(99) / 1000.0,
-                paced.getValueAtPercentile(50) / 1000.0, paced.getValueAtPercentile(99) / 1000.0);
+                changes.getValueAtPercentile(50) / 1000.0,
+                changes.getValueAtPercentile(99) / 1000.0,
+                paced.getValueAtPercentile(50) / 1000.0,
+                paced.getValueAtPercentile(99) / 1000.0);
         if (operatorDrains.getTotalCount() > 0) {
-            line(out, "  tries at nodes that operators drain: %d, p50 %.2f s after, p99 %.2f s, last %.2f s",
-                    operatorDrains.getTotalCount(), operatorDrains.getValueAtPercentile(50) / 1000.0,
-                    operatorDrains.getValueAtPercentile(99) / 1000.0, operatorDrains.getMaxValue() / 1000.0);
+            line(
+                    out,
+                    "  tries at nodes that operators drain: %d, p50 %.2f s after, p99 %.2f s, last %.2f s",
+                    operatorDrains.getTotalCount(),
+                    operatorDrains.getValueAtPercentile(50) / 1000.0,
+                    operatorDrains.getValueAtPercentile(99) / 1000.0,
+                    operatorDrains.getMaxValue() / 1000.0);
         }
         if (!refused.isEmpty()) {
             line(out, "  tables refused before release: %s", refused);
         }
         line(out, "%nservice over time, and what happened");
-        bySlot.forEach((slot, tallies) -> {
-            StringBuilder row = new StringBuilder();
-            tallies.forEach((method, tally) -> row.append(String.format(Locale.ROOT, "  %s %.3f", method,
-                    tally.service())));
-            line(out, "  %3d s%s", slot * SLOT_SECONDS, row);
-            events.stream().filter(e -> (int) (e.at() / SLOT_SECONDS) == slot)
-                    .forEach(e -> line(out, "         %6.2f  %s", e.at(), e.what()));
-        });
+        bySlot.forEach(
+                (slot, tallies) -> {
+                    StringBuilder row = new StringBuilder();
+                    tallies.forEach(
+                            (method, tally) ->
+                                    row.append(
+                                            String.format(
+                                                    Locale.ROOT,
+                                                    "  %s %.3f",
+                                                    method,
+                                                    tally.service())));
+                    line(out, "  %3d s%s", slot * SLOT_SECONDS, row);
+                    events.stream()
+                            .filter(e -> (int) (e.at() / SLOT_SECONDS) == slot)
+                            .forEach(e -> line(out, "         %6.2f  %s", e.at(), e.what()));
+                });
         return out.toString();
     }
 
--- a/src/main/java/rosespread/rehearse/Scenario.java
+++ b/src/main/java/rosespread/rehearse/Scenario.java
@@ -7,19 +7,35 @@
 import rosespread.standin.Site;
 
 /**
- * A scripted day; times in nanoseconds. Load runs for {@code warmUp} before the day, which counts from its
- * end.
+ * A scripted day; times in nanoseconds. Load runs for {@code warmUp} before the day, which counts
+ * from its end.
  */
-record Scenario(String name, long lasts, long warmUp, int conductors, Site site, double rate, Clients clients,
+record Scenario(
+        String name,
+        long lasts,
+        long warmUp,
+        int conductors,
+        Site site,
+        double rate,
+        Clients clients,
         Rules rules,
-        Channel channel, long listLate, boolean probes, List<Trouble> troubles) {
+        Channel channel,
+        long listLate,
+        boolean probes,
+        List<Trouble> troubles) {
 
-    record Clients(int retries, long retryWait, double patience) { }
+    record Clients(int retries, long retryWait, double patience) {}
 
-    record Rules(long lack, long drainGrace) { }
+    record Rules(long lack, long drainGrace) {}
 
-    record Channel(double linesPerSecond, double linesPerMessage, double queueLimit, int messageLimit,
-            long messageSpan, String levels, double orderPrice) { }
+    record Channel(
+            double linesPerSecond,
+            double linesPerMessage,
+            double queueLimit,
+            int messageLimit,
+            long messageSpan,
+            String levels,
+            double orderPrice) {}
 
     private static final double MILLI = 1e6;
 
@@ -32,22 +48,32 @@
         site.kinds().keySet().forEach(all.putArray("kinds")::add);
         ArrayNode methods = all.putArray("methods");
         for (Site.Method method : site.methods()) {
-            ObjectNode one = methods.addObject().put("name", method.name())
-                    .put("criticality", method.criticality());
+            ObjectNode one =
+                    methods.addObject()
+                            .put("name", method.name())
+                            .put("criticality", method.criticality());
             method.onlyKinds().forEach(one.putArray("onlyKinds")::add);
         }
-        all.putObject("list").put("port", listPort).put("service", "nodes").put("waitMs", 5000)
+        all.putObject("list")
+                .put("port", listPort)
+                .put("service", "nodes")
+                .put("waitMs", 5000)
                 .put("silentAfterMs", 1500);
         all.putObject("probes").put("allowed", probes);
         all.put("levels", channel.levels());
-        all.putObject("channel").put("linesPerSecond", channel.linesPerSecond())
-                .put("linesPerMessage", channel.linesPerMessage()).put("queueLimit", channel.queueLimit())
-                .put("orderPrice", channel.orderPrice()).put("messageLimit", channel.messageLimit())
+        all.putObject("channel")
+                .put("linesPerSecond", channel.linesPerSecond())
+                .put("linesPerMessage", channel.linesPerMessage())
+                .put("queueLimit", channel.queueLimit())
+                .put("orderPrice", channel.orderPrice())
+                .put("messageLimit", channel.messageLimit())
                 .put("messageSpanMs", channel.messageSpan() / MILLI)
                 .put("longestWayMs", site.proxies().longestWay() / MILLI);
         all.put("reportPeriodMs", site.reportPeriod() / MILLI);
         all.put("drainGraceMs", rules.drainGrace() / MILLI);
-        all.putObject("cold").put("timeMs", site.cold().time() / MILLI).put("share", site.cold().share())
+        all.putObject("cold")
+                .put("timeMs", site.cold().time() / MILLI)
+                .put("share", site.cold().share())
                 .put("windowMs", site.cold().window() / MILLI);
         return all.toString();
     }
--- a/src/main/java/rosespread/rehearse/ScenarioException.java
+++ b/src/main/java/rosespread/rehearse/ScenarioException.java
@@ -1,6 +1,9 @@
 package rosespread.rehearse;
 
-/** A scenario that cannot be played; the message has a line for each fault with file, line and field. */
+/**
+ * A scenario that cannot be played; the message has a line for each fault with file, line and
+ * field.
+ */
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rosespread/rehearse/ScenarioReader.java
+++ b/src/main/java/rosespread/rehearse/ScenarioReader.java
@@ -29,12 +29,13 @@
     private static final double HOUR = 3600;
     private static final double SECOND = 1e9;
 
-    private ScenarioReader() { }
+    private ScenarioReader() {}
 
     static Scenario named(String nameOrPath) throws IOException, ScenarioException {
         if (nameOrPath.matches("[a-z0-9-]+")) {
-            try (InputStream in = ScenarioReader.class.getResourceAsStream("/scenarios/" + nameOrPath
-                    + ".yaml")) {
+            try (InputStream in =
+                    ScenarioReader.class.getResourceAsStream(
+                            "/scenarios/" + nameOrPath + ".yaml")) {
                 if (in != null) {
                     return read(nameOrPath, new String(in.readAllBytes(), StandardCharsets.UTF_8));
                 }
@@ -42,8 +43,8 @@
         }
         Path path = Path.of(nameOrPath);
         if (!Files.isRegularFile(path)) {
-            throw new ScenarioException(nameOrPath
-                    + ": neither a file nor a scenario that ships with the program");
+            throw new ScenarioException(
+                    nameOrPath + ": neither a file nor a scenario that ships with the program");
         }
         return read(nameOrPath, Files.readString(path));
     }
@@ -59,15 +60,29 @@
             return scenario;
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new ScenarioException(file + ":" + line + ": not YAML: "
-                    + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new ScenarioException(
+                    file
+                            + ":"
+                            + line
+                            + ": not YAML: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new ScenarioException(file + ": " + e.getMessage());
         } catch (SettingsException e) {
-            throw new ScenarioException(e.faults().stream().map(fault -> file + ":" + line(lines,
-                    fault.field())
-                    + ": field " + fault.field() + " is " + fault.value() + "; allowed: " + fault.allowed())
-                    .collect(Collectors.joining("\n")));
+            throw new ScenarioException(
+                    e.faults().stream()
+                            .map(
+                                    fault ->
+                                            file
+                                                    + ":"
+                                                    + line(lines, fault.field())
+                                                    + ": field "
+                                                    + fault.field()
+                                                    + " is "
+                                                    + fault.value()
+                                                    + "; allowed: "
+                                                    + fault.allowed())
+                            .collect(Collectors.joining("\n")));
         }
     }
 
@@ -83,7 +98,8 @@
     private static void lines(String text, Map<String, Integer> lines) throws IOException {
         try (JsonParser parser = new YAMLFactory().createParser(text)) {
             for (JsonToken token = parser.nextToken(); token != null; token = parser.nextToken()) {
-                lines.putIfAbsent(path(parser.getParsingContext()),
+                lines.putIfAbsent(
+                        path(parser.getParsingContext()),
                         parser.currentTokenLocation().getLineNr());
             }
         }
@@ -111,9 +127,12 @@
         JsonFields kindFields = all.object("kinds");
         for (String kind : kindFields.names()) {
             JsonFields one = kindFields.object(kind);
-            kinds.put(kind, new Site.Kind((int) one.whole("cores", -1, 1, 1024), one.number("speed", 1, 0.01,
-                    100),
-                    (int) one.whole("nodes", -1, 1, 10_000)));
+            kinds.put(
+                    kind,
+                    new Site.Kind(
+                            (int) one.whole("cores", -1, 1, 1024),
+                            one.number("speed", 1, 0.01, 100),
+                            (int) one.whole("nodes", -1, 1, 10_000)));
             one.closed();
         }
         if (kinds.isEmpty()) {
@@ -121,58 +140,94 @@
         }
         List<Site.Method> methods = methods(all, List.copyOf(kinds.keySet()));
         JsonFields cold = all.object("cold");
-        Site.Cold warming = new Site.Cold(Math.round(cold.number("seconds", 16, 0, HOUR) * SECOND),
-                cold.number("share", 0.16, 0.01, 1), cold.millis("windowMs", 1500, 1, MINUTE),
-                cold.number("multiple", 4, 1, 100));
+        Site.Cold warming =
+                new Site.Cold(
+                        Math.round(cold.number("seconds", 16, 0, HOUR) * SECOND),
+                        cold.number("share", 0.16, 0.01, 1),
+                        cold.millis("windowMs", 1500, 1, MINUTE),
+                        cold.number("multiple", 4, 1, 100));
         cold.closed();
         JsonFields channelFields = all.object("channel");
         Scenario.Channel channel = channel(channelFields);
         JsonFields reports = all.object("reports");
-        Site site = new Site(zones, kinds, methods, proxies(all.object("proxies"), channel.linesPerSecond()),
-                warming,
-                all.number("queuePerCore", 8, 0, 1000), reports.millis("periodMs", 1000, 20, MINUTE),
-                reports.millis("lateMs", 500, 0, MINUTE));
+        Site site =
+                new Site(
+                        zones,
+                        kinds,
+                        methods,
+                        proxies(all.object("proxies"), channel.linesPerSecond()),
+                        warming,
+                        all.number("queuePerCore", 8, 0, 1000),
+                        reports.millis("periodMs", 1000, 20, MINUTE),
+                        reports.millis("lateMs", 500, 0, MINUTE));
         reports.closed();
         JsonFields clients = all.object("clients");
-        Scenario.Clients callers = new Scenario.Clients((int) clients.whole("retries", 2, 0, 10),
-                clients.millis("retryWaitMs", 100, 0, MINUTE), clients.number("patience", 1, 0.05, 1));
+        Scenario.Clients callers =
+                new Scenario.Clients(
+                        (int) clients.whole("retries", 2, 0, 10),
+                        clients.millis("retryWaitMs", 100, 0, MINUTE),
+                        clients.number("patience", 1, 0.05, 1));
         clients.closed();
         JsonFields rules = all.object("rules");
-        Scenario.Rules bounds = new Scenario.Rules(rules.millis("lackMs", 3000, 10, MINUTE),
-                rules.millis("drainGraceMs", 2500, 100, MINUTE));
+        Scenario.Rules bounds =
+                new Scenario.Rules(
+                        rules.millis("lackMs", 3000, 10, MINUTE),
+                        rules.millis("drainGraceMs", 2500, 100, MINUTE));
         rules.closed();
         JsonFields list = all.object("list");
         long late = list.millis("lateMs", 800, 0, MINUTE);
         list.closed();
-        return new Scenario(name, lasts, warmUp, conductors, site, all.number("rate", Double.NaN, 0.1,
-                100_000), callers,
-                bounds, channel, late, all.flag("probes", true), troubles(all, zones, methods, conductors));
+        return new Scenario(
+                name,
+                lasts,
+                warmUp,
+                conductors,
+                site,
+                all.number("rate", Double.NaN, 0.1, 100_000),
+                callers,
+                bounds,
+                channel,
+                late,
+                all.flag("probes", true),
+                troubles(all, zones, methods, conductors));
     }
 
     private static Scenario.Channel channel(JsonFields channel) {
-        Scenario.Channel read = new Scenario.Channel(channel.number("linesPerSecond", Double.NaN, 1, 1e9),
-                channel.number("linesPerMessage", 8, 0, 1000), channel.number("queueLimit", Double.NaN, 1,
-                        1e9),
-                (int) channel.whole("messageLimit", 30, 0, 100_000),
-                channel.millis("messageSpanMs", 10_000, 1, MINUTE),
-                channel.text("levels", "rate", "share|rate|none", "share, rate or none"),
-                channel.number("orderPrice", 0.05, 0, 10));
+        Scenario.Channel read =
+                new Scenario.Channel(
+                        channel.number("linesPerSecond", Double.NaN, 1, 1e9),
+                        channel.number("linesPerMessage", 8, 0, 1000),
+                        channel.number("queueLimit", Double.NaN, 1, 1e9),
+                        (int) channel.whole("messageLimit", 30, 0, 100_000),
+                        channel.millis("messageSpanMs", 10_000, 1, MINUTE),
+                        channel.text("levels", "rate", "share|rate|none", "share, rate or none"),
+                        channel.number("orderPrice", 0.05, 0, 10));
         channel.closed();
         return read;
     }
 
     private static Site.Proxies proxies(JsonFields proxies, double linesPerSecond) {
-        String pick = proxies.text("pick", "round", "round|random|best of two",
-                "round, random or best of two");
-        Site.Proxies read = new Site.Proxies((int) proxies.whole("count", -1, 1, 10_000),
-                pick.isEmpty() ? Site.Pick.ROUND
-                        : Site.Pick.valueOf(pick.toUpperCase(Locale.ROOT).replace(' ', '_')),
-                (int) proxies.whole("avoidAfterFailures", 8, 0, 1000),
-                Math.round(proxies.number("stallPerLineUs", 30, 0, 1e6) * 1000),
-                proxies.millis("wayMs", 60, 0, MINUTE), proxies.millis("longestWayMs", 300, 0, MINUTE),
-                (int) proxies.whole("standing", 5, 1, 10_000), proxies.millis("redialLeastMs", 300, 1,
-                        MINUTE),
-                proxies.millis("redialMostMs", 1200, 1, MINUTE), linesPerSecond);
+        String pick =
+                proxies.text(
+                        "pick",
+                        "round",
+                        "round|random|best of two",
+                        "round, random or best of two");
+        Site.Proxies read =
+                new Site.Proxies(
+                        (int) proxies.whole("count", -1, 1, 10_000),
+                        pick.isEmpty()
+                                ? Site.Pick.ROUND
+                                : Site.Pick.valueOf(
+                                        pick.toUpperCase(Locale.ROOT).replace(' ', '_')),
+                        (int) proxies.whole("avoidAfterFailures", 8, 0, 1000),
+                        Math.round(proxies.number("stallPerLineUs", 30, 0, 1e6) * 1000),
+                        proxies.millis("wayMs", 60, 0, MINUTE),
+                        proxies.millis("longestWayMs", 300, 0, MINUTE),
+                        (int) proxies.whole("standing", 5, 1, 10_000),
+                        proxies.millis("redialLeastMs", 300, 1, MINUTE),
+                        proxies.millis("redialMostMs", 1200, 1, MINUTE),
+                        linesPerSecond);
         if (read.redialMost() < read.redialLeast()) {
             proxies.fault("redialMostMs", "at least redialLeastMs");
         }
@@ -183,38 +238,70 @@
     private static List<Site.Method> methods(JsonFields all, List<String> kinds) {
         List<Site.Method> methods = new ArrayList<>();
         for (JsonFields one : all.objects("methods", 1, 32)) {
-            String effect = one.text("effect", null, "idempotent|tokened|non-idempotent",
-                    "idempotent, tokened or non-idempotent");
-            methods.add(new Site.Method(one.text("name", null, "[A-Za-z0-9_-]{1,64}",
-                    "letters, digits, _ and -"),
-                    one.number("share", Double.NaN, 0, 1), one.millis("workMs", Double.NaN, 0.01, MINUTE),
-                    one.millis("softDeadlineMs", Double.NaN, 1, MINUTE),
-                    one.millis("deadlineMs", Double.NaN, 1, MINUTE), one.number("criticality", 1, 0, 1e6),
-                    one.number("lateShare", 0.15, 0, 1), effect.isEmpty() ? Site.Effect.IDEMPOTENT
-                            : Site.Effect.valueOf(effect.toUpperCase(Locale.ROOT).replace('-', '_')),
-                    one.millis("windowMs", 2500, 0, MINUTE), one.texts("onlyKinds", 0, 64, kinds)));
+            String effect =
+                    one.text(
+                            "effect",
+                            null,
+                            "idempotent|tokened|non-idempotent",
+                            "idempotent, tokened or non-idempotent");
+            methods.add(
+                    new Site.Method(
+                            one.text(
+                                    "name",
+                                    null,
+                                    "[A-Za-z0-9_-]{1,64}",
+                                    "letters, digits, _ and -"),
+                            one.number("share", Double.NaN, 0, 1),
+                            one.millis("workMs", Double.NaN, 0.01, MINUTE),
+                            one.millis("softDeadlineMs", Double.NaN, 1, MINUTE),
+                            one.millis("deadlineMs", Double.NaN, 1, MINUTE),
+                            one.number("criticality", 1, 0, 1e6),
+                            one.number("lateShare", 0.15, 0, 1),
+                            effect.isEmpty()
+                                    ? Site.Effect.IDEMPOTENT
+                                    : Site.Effect.valueOf(
+                                            effect.toUpperCase(Locale.ROOT).replace('-', '_')),
+                            one.millis("windowMs", 2500, 0, MINUTE),
+                            one.texts("onlyKinds", 0, 64, kinds)));
             one.closed();
         }
         return methods;
     }
 
-    private static List<Trouble> troubles(JsonFields all, List<String> zones, List<Site.Method> methods,
-            int conductors) {
+    private static List<Trouble> troubles(
+            JsonFields all, List<String> zones, List<Site.Method> methods, int conductors) {
         List<Trouble> troubles = new ArrayList<>();
         for (JsonFields one : all.objects("troubles", 0, 1000)) {
-            String kind = one.text("kind", null, Trouble.Kind.all(), Trouble.Kind.all().replace("|", ", "));
+            String kind =
+                    one.text(
+                            "kind",
+                            null,
+                            Trouble.Kind.all(),
+                            Trouble.Kind.all().replace("|", ", "));
             JsonFields what = one.object("what");
-            Trouble trouble = new Trouble(Math.round(one.number("at", Double.NaN, 0, 24 * HOUR) * SECOND),
-                    Math.round(one.number("for", Double.NaN, 0, 24 * HOUR) * SECOND),
-                    kind.isEmpty() ? Trouble.Kind.HANG
-                            : Trouble.Kind.valueOf(kind.toUpperCase(Locale.ROOT).replace(' ', '_')),
-                    what.number("share", 0.1, 0, 1), what.text("zone", zones.isEmpty() ? "" : zones.get(0),
-                            String.join("|", zones), "one of " + String.join(", ", zones)),
-                    what.number("factor", 4, 0, 1000), what.millis("ms", 2000, 0, MINUTE),
-                    what.text("method", methods.isEmpty() ? "" : methods.get(0).name(),
-                            String.join("|", methods.stream().map(Site.Method::name).toList()),
+            Trouble trouble =
+                    new Trouble(
+                            Math.round(one.number("at", Double.NaN, 0, 24 * HOUR) * SECOND),
+                            Math.round(one.number("for", Double.NaN, 0, 24 * HOUR) * SECOND),
+                            kind.isEmpty()
+                                    ? Trouble.Kind.HANG
+                                    : Trouble.Kind.valueOf(
+                                            kind.toUpperCase(Locale.ROOT).replace(' ', '_')),
+                            what.number("share", 0.1, 0, 1),
+                            what.text(
+                                    "zone",
+                                    zones.isEmpty() ? "" : zones.get(0),
+                                    String.join("|", zones),
+                                    "one of " + String.join(", ", zones)),
+                            what.number("factor", 4, 0, 1000),
+                            what.millis("ms", 2000, 0, MINUTE),
+                            what.text(
+                                    "method",
+                                    methods.isEmpty() ? "" : methods.get(0).name(),
+                                    String.join(
+                                            "|", methods.stream().map(Site.Method::name).toList()),
                                     "a method's name"),
-                    (int) what.whole("which", 0, 0, conductors - 1));
+                            (int) what.whole("which", 0, 0, conductors - 1));
             what.closed();
             one.closed();
             troubles.add(trouble);
--- a/src/main/java/rosespread/release/Patience.java
+++ b/src/main/java/rosespread/release/Patience.java
@@ -1,10 +1,11 @@
 package rosespread.release;
 
 /**
- * Decides how long a message waits until what it tells is kept on disk. A proxy should hear of nothing that a
- * restart forgets, but a disk that is full, broken or slow must not delay a drain: after a bound messages
- * leave without it, and go on so until the disk has caught up, rather than each waiting anew. What was
- * forgotten then is made up for as proxies rejoin and tell which versions they hold.
+ * Decides how long a message waits until what it tells is kept on disk. A proxy should hear of
+ * nothing that a restart forgets, but a disk that is full, broken or slow must not delay a drain:
+ * after a bound messages leave without it, and go on so until the disk has caught up, rather than
+ * each waiting anew. What was forgotten then is made up for as proxies rejoin and tell which
+ * versions they hold.
  */
 public final class Patience {
     /** A part of the drain grace; the rest is the message's way. */
@@ -14,14 +15,16 @@
     private boolean late;
     private long unkept;
 
-    /** @param grace in nanoseconds */
+    /**
+     * @param grace in nanoseconds
+     */
     public Patience(long grace) {
         this.most = (long) (PART * grace);
     }
 
     /**
-     * @param after what the message waits for; @param durable what is kept by now; @param broken whether
-     * nothing can be kept; @param waited nanoseconds since the message was ordered
+     * @param after what the message waits for; @param durable what is kept by now; @param broken
+     *     whether nothing can be kept; @param waited nanoseconds since the message was ordered
      */
     public boolean mayLeave(long after, long durable, boolean broken, long waited) {
         if (durable >= after) {
--- a/src/main/java/rosespread/resp/RespCodec.java
+++ b/src/main/java/rosespread/resp/RespCodec.java
@@ -14,15 +14,17 @@
 import org.apache.mina.filter.codec.ProtocolEncoderOutput;
 
 /**
- * The parser as a codec of MINA: messages come in as lists of strings and leave as bytes already written. The
- * session keeps its decoder; after an error it takes nothing more.
+ * The parser as a codec of MINA: messages come in as lists of strings and leave as bytes already
+ * written. The session keeps its decoder; after an error it takes nothing more.
  */
 public final class RespCodec implements ProtocolCodecFactory {
     private static final String DECODER = "resp decoder";
 
     private final RespLimits limits;
 
-    /** @param limits the bounds that a session begins with */
+    /**
+     * @param limits the bounds that a session begins with
+     */
     public RespCodec(RespLimits limits) {
         this.limits = limits;
     }
@@ -62,7 +64,8 @@
         }
 
         @Override
-        public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out) throws RespException {
+        public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out)
+                throws RespException {
             if (broken) {
                 in.skip(in.remaining());
                 return;
--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -8,12 +8,20 @@
 import java.util.function.Consumer;
 
 /**
- * Parses a stream of RESP2 arrays of bulk strings (the Redis serialization protocol, version 2) that may be
- * cut at every byte. It takes nothing else of RESP: no null, no nested array, no inline command. Memory is
- * taken as bytes come, never by what a length promises.
+ * Parses a stream of RESP2 arrays of bulk strings (the Redis serialization protocol, version 2)
+ * that may be cut at every byte. It takes nothing else of RESP: no null, no nested array, no inline
+ * command. Memory is taken as bytes come, never by what a length promises.
  */
 public final class RespParser {
-    private enum Place { ARRAY, COUNT, BULK, LENGTH, BYTES, RETURN, FEED }
+    private enum Place {
+        ARRAY,
+        COUNT,
+        BULK,
+        LENGTH,
+        BYTES,
+        RETURN,
+        FEED
+    }
 
     /** No number within the bounds has more digits. */
     private static final int DIGITS = 9;
--- a/src/main/java/rosespread/resp/RespWriter.java
+++ b/src/main/java/rosespread/resp/RespWriter.java
@@ -6,7 +6,7 @@
 
 /** Writes RESP2 arrays of bulk strings. */
 public final class RespWriter {
-    private RespWriter() { }
+    private RespWriter() {}
 
     public static byte[] bytes(List<String> message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -10,11 +10,12 @@
 import rosespread.api.ZoneId;
 
 /**
- * What an operator sets, by name; times in nanoseconds. A part of it is the module's {@link Settings}, the
- * rest says where the server list is and how probes and the channel go.
+ * What an operator sets, by name; times in nanoseconds. A part of it is the module's {@link
+ * Settings}, the rest says where the server list is and how probes and the channel go.
  *
  * @param peers control addresses of all conductors of the fleet, to learn of drains from
- * @param drainLeastShare the part of its listed size that a method must keep when operators drain nodes
+ * @param drainLeastShare the part of its listed size that a method must keep when operators drain
+ *     nodes
  */
 public record FleetSettings(
         long seed,
@@ -31,41 +32,76 @@
         List<InetSocketAddress> peers,
         Cold cold) {
 
-    public record Method(String name, double criticality, List<String> onlyKinds, List<String> onlyZones,
-            boolean ownZone) { }
+    public record Method(
+            String name,
+            double criticality,
+            List<String> onlyKinds,
+            List<String> onlyZones,
+            boolean ownZone) {}
 
     /**
-     * Where the list is; {@code block} is how long one query may block, {@code silentAfter} how much longer
-     * an answer may take before the list counts as unavailable, {@code backwardsAfter} how long answers must
-     * stay older than what is known until they are taken as a list that has begun anew.
+     * Where the list is; {@code block} is how long one query may block, {@code silentAfter} how
+     * much longer an answer may take before the list counts as unavailable, {@code backwardsAfter}
+     * how long answers must stay older than what is known until they are taken as a list that has
+     * begun anew.
      */
-    public record Catalogue(String host, int port, String service, boolean onDemand, long block,
+    public record Catalogue(
+            String host,
+            int port,
+            String service,
+            boolean onDemand,
+            long block,
             long silentAfter,
-            long backwardsAfter) { }
+            long backwardsAfter) {}
 
-    public record Probes(boolean allowed, String path, long timeout) { }
+    public record Probes(boolean allowed, String path, long timeout) {}
 
     /** The pace and limits of the channel; a message limit of 0 is none. */
-    public record Channel(double linesPerSecond, double linesPerMessage, double queueLimit, double orderPrice,
-            int messageLimit, long messageSpan, long longestWay, long keepAlive) { }
+    public record Channel(
+            double linesPerSecond,
+            double linesPerMessage,
+            double queueLimit,
+            double orderPrice,
+            int messageLimit,
+            long messageSpan,
+            long longestWay,
+            long keepAlive) {}
 
-    /** How nodes warm up: how long at most, from what share of their size, and over what window they fall. */
-    public record Cold(long time, double share, long window) { }
+    /**
+     * How nodes warm up: how long at most, from what share of their size, and over what window they
+     * fall.
+     */
+    public record Cold(long time, double share, long window) {}
 
     /** What the decision module is told. */
     public Settings module() {
         return new Settings(
                 methods.stream().map(this::method).toList(),
-                zones.size(), false, list.onDemand(), probes.allowed(), levels,
-                channel.linesPerSecond(), channel.linesPerMessage(), channel.queueLimit(),
-                        channel.orderPrice(),
-                channel.messageLimit(), channel.messageSpan(), channel.longestWay(),
-                reportPeriod, drainGrace, cold.time(), cold.share(), cold.window());
+                zones.size(),
+                false,
+                list.onDemand(),
+                probes.allowed(),
+                levels,
+                channel.linesPerSecond(),
+                channel.linesPerMessage(),
+                channel.queueLimit(),
+                channel.orderPrice(),
+                channel.messageLimit(),
+                channel.messageSpan(),
+                channel.longestWay(),
+                reportPeriod,
+                drainGrace,
+                cold.time(),
+                cold.share(),
+                cold.window());
     }
 
     private Settings.Method method(Method method) {
-        return new Settings.Method(method.criticality(), places(method.onlyKinds(), kinds, KindId::new),
-                places(method.onlyZones(), zones, ZoneId::new), method.ownZone());
+        return new Settings.Method(
+                method.criticality(),
+                places(method.onlyKinds(), kinds, KindId::new),
+                places(method.onlyZones(), zones, ZoneId::new),
+                method.ownZone());
     }
 
     private static <T> Set<T> places(List<String> names, List<String> among, IntFunction<T> id) {
--- a/src/main/java/rosespread/settings/JsonFields.java
+++ b/src/main/java/rosespread/settings/JsonFields.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * An object of JSON or YAML read field by field; what is at fault is noted and reading goes on, so that all
- * faults are told at once. Values stand in for faulty fields until {@link #end} throws.
+ * An object of JSON or YAML read field by field; what is at fault is noted and reading goes on, so
+ * that all faults are told at once. Values stand in for faulty fields until {@link #end} throws.
  */
 public final class JsonFields {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -29,19 +29,26 @@
         this.node = node;
         this.faults = faults;
         if (!node.isObject() && !node.isMissingNode()) {
-            faults.add(new SettingsException.Fault(path.isEmpty() ? "(whole)" : path, shown(node),
-                    "an object"));
+            faults.add(
+                    new SettingsException.Fault(
+                            path.isEmpty() ? "(whole)" : path, shown(node), "an object"));
         }
     }
 
     /** Notes the fields that nobody asked for. */
     public void closed() {
-        node.fieldNames().forEachRemaining(name -> {
-            if (!known.contains(name)) {
-                faults.add(new SettingsException.Fault(at(name), shown(node.get(name)),
-                        "no such field; known are " + String.join(", ", known)));
-            }
-        });
+        node.fieldNames()
+                .forEachRemaining(
+                        name -> {
+                            if (!known.contains(name)) {
+                                faults.add(
+                                        new SettingsException.Fault(
+                                                at(name),
+                                                shown(node.get(name)),
+                                                "no such field; known are "
+                                                        + String.join(", ", known)));
+                            }
+                        });
     }
 
     public void end() throws SettingsException {
@@ -58,7 +65,8 @@
 
     public JsonFields object(String name) {
         known.add(name);
-        return new JsonFields(at(name), node.has(name) ? node.get(name) : MissingNode.getInstance(), faults);
+        return new JsonFields(
+                at(name), node.has(name) ? node.get(name) : MissingNode.getInstance(), faults);
     }
 
     /** The objects of an array; {@code most} bounds them. */
@@ -97,14 +105,21 @@
         JsonNode array = array(name, least, most);
         for (int i = 0; i < array.size(); i++) {
             JsonNode entry = array.get(i);
-            boolean well = entry.isTextual() && entry.asText().matches("\\S{1,64}")
-                    && !all.contains(entry.asText()) && (among == null || among.contains(entry.asText()));
+            boolean well =
+                    entry.isTextual()
+                            && entry.asText().matches("\\S{1,64}")
+                            && !all.contains(entry.asText())
+                            && (among == null || among.contains(entry.asText()));
             if (well) {
                 all.add(entry.asText());
             } else {
-                faults.add(new SettingsException.Fault(at(name) + "[" + i + "]", shown(entry),
-                        among == null ? "1 to 64 characters without spaces, each once"
-                                : "each once, one of " + String.join(", ", among)));
+                faults.add(
+                        new SettingsException.Fault(
+                                at(name) + "[" + i + "]",
+                                shown(entry),
+                                among == null
+                                        ? "1 to 64 characters without spaces, each once"
+                                        : "each once, one of " + String.join(", ", among)));
             }
         }
         return all;
@@ -151,7 +166,9 @@
         if (value.isMissingNode() && absent >= least) {
             return absent;
         }
-        if (!value.isIntegralNumber() || !value.canConvertToLong() || value.asLong() < least
+        if (!value.isIntegralNumber()
+                || !value.canConvertToLong()
+                || value.asLong() < least
                 || value.asLong() > most) {
             fault(name, "a whole number from " + least + " to " + most);
             return least;
--- a/src/main/java/rosespread/settings/SettingsException.java
+++ b/src/main/java/rosespread/settings/SettingsException.java
@@ -8,13 +8,15 @@
     private static final long serialVersionUID = 1L;
 
     /** A field by its path, the value found there as JSON, and what would be allowed. */
-    public record Fault(String field, String value, String allowed) { }
+    public record Fault(String field, String value, String allowed) {}
 
     private final transient List<Fault> faults;
 
     SettingsException(List<Fault> faults) {
-        super(faults.stream().map(f -> f.field() + " is " + f.value() + "; allowed: " + f.allowed())
-                .collect(Collectors.joining("; ")));
+        super(
+                faults.stream()
+                        .map(f -> f.field() + " is " + f.value() + "; allowed: " + f.allowed())
+                        .collect(Collectors.joining("; ")));
         this.faults = List.copyOf(faults);
     }
 
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -14,22 +14,34 @@
 
 /** Reads and checks the settings' JSON; docs/conductor.md lists the fields. */
 public final class SettingsReader {
-    private static final ObjectMapper JSON = JsonMapper.builder()
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+    private static final ObjectMapper JSON =
+            JsonMapper.builder()
+                    .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .build();
     private static final double DAY = 86_400_000;
 
-    private SettingsReader() { }
+    private SettingsReader() {}
 
-    /** @throws SettingsException with every field at fault, or with line and column if it is not JSON */
+    /**
+     * @throws SettingsException with every field at fault, or with line and column if it is not
+     *     JSON
+     */
     public static FleetSettings read(String text) throws SettingsException {
         try {
             return read(JSON.readTree(text));
         } catch (JsonProcessingException e) {
-            String place = e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr() + ", column "
-                    + e.getLocation().getColumnNr();
-            throw new SettingsException(List.of(new SettingsException.Fault("(whole)", place,
-                    "JSON: " + e.getOriginalMessage())));
+            String place =
+                    e.getLocation() == null
+                            ? ""
+                            : "line "
+                                    + e.getLocation().getLineNr()
+                                    + ", column "
+                                    + e.getLocation().getColumnNr();
+            throw new SettingsException(
+                    List.of(
+                            new SettingsException.Fault(
+                                    "(whole)", place, "JSON: " + e.getOriginalMessage())));
         }
     }
 
@@ -48,27 +60,45 @@
         double leastShare = all.number("drainLeastShare", 0.5, 0, 1);
         List<InetSocketAddress> peers = peers(all);
         JsonFields cold = all.object("cold");
-        FleetSettings.Cold warming = new FleetSettings.Cold(
-                cold.millis("timeMs", Double.NaN, 0, DAY), cold.number("share", Double.NaN, 0.01, 1),
-                cold.millis("windowMs", Double.NaN, 0, DAY));
+        FleetSettings.Cold warming =
+                new FleetSettings.Cold(
+                        cold.millis("timeMs", Double.NaN, 0, DAY),
+                        cold.number("share", Double.NaN, 0.01, 1),
+                        cold.millis("windowMs", Double.NaN, 0, DAY));
         cold.closed();
         all.end();
-        return new FleetSettings(seed, zones, kinds, methods, list, probes,
-                Settings.Throttle.valueOf(levels.toUpperCase(Locale.ROOT)), channel, period, grace,
-                leastShare, peers, warming);
+        return new FleetSettings(
+                seed,
+                zones,
+                kinds,
+                methods,
+                list,
+                probes,
+                Settings.Throttle.valueOf(levels.toUpperCase(Locale.ROOT)),
+                channel,
+                period,
+                grace,
+                leastShare,
+                peers,
+                warming);
     }
 
-    private static List<FleetSettings.Method> methods(JsonFields all, List<String> kinds,
-            List<String> zones) {
+    private static List<FleetSettings.Method> methods(
+            JsonFields all, List<String> kinds, List<String> zones) {
         List<FleetSettings.Method> methods = new ArrayList<>();
         for (JsonFields method : all.objects("methods", 1, 32)) {
-            String name = method.text("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
+            String name =
+                    method.text("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
             if (methods.stream().anyMatch(m -> m.name().equals(name))) {
                 method.fault("name", "a name that no other method has");
             }
-            methods.add(new FleetSettings.Method(name, method.number("criticality", Double.NaN, 0, 1e9),
-                    method.texts("onlyKinds", 0, 64, kinds), method.texts("onlyZones", 0, 64, zones),
-                    method.flag("ownZone", false)));
+            methods.add(
+                    new FleetSettings.Method(
+                            name,
+                            method.number("criticality", Double.NaN, 0, 1e9),
+                            method.texts("onlyKinds", 0, 64, kinds),
+                            method.texts("onlyZones", 0, 64, zones),
+                            method.flag("ownZone", false)));
             method.closed();
         }
         return methods;
@@ -78,47 +108,63 @@
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String text : all.texts("peers", 0, 64, null)) {
             int colon = text.lastIndexOf(':');
-            if (colon < 1 || !text.substring(colon + 1).matches("[0-9]{1,5}")
+            if (colon < 1
+                    || !text.substring(colon + 1).matches("[0-9]{1,5}")
                     || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
                 all.fault("peers", "addresses as HOST:PORT");
             } else {
-                peers.add(new InetSocketAddress(text.substring(0, colon),
-                        Integer.parseInt(text.substring(colon + 1))));
+                peers.add(
+                        new InetSocketAddress(
+                                text.substring(0, colon),
+                                Integer.parseInt(text.substring(colon + 1))));
             }
         }
         return peers;
     }
 
     private static FleetSettings.Catalogue list(JsonFields list) {
-        FleetSettings.Catalogue read = new FleetSettings.Catalogue(
-                list.text("host", "127.0.0.1", "[0-9A-Za-z.:-]{1,255}", "a host name or address"),
-                (int) list.whole("port", -1, 1, 65_535),
-                list.text("service", null, "[0-9A-Za-z._-]{1,64}", "a service's name"),
-                list.flag("onDemand", false),
-                list.millis("waitMs", 10_000, 100, 600_000), list.millis("silentAfterMs", 2_000, 50, 600_000),
-                list.millis("backwardsAfterMs", 30_000, 0, DAY));
+        FleetSettings.Catalogue read =
+                new FleetSettings.Catalogue(
+                        list.text(
+                                "host",
+                                "127.0.0.1",
+                                "[0-9A-Za-z.:-]{1,255}",
+                                "a host name or address"),
+                        (int) list.whole("port", -1, 1, 65_535),
+                        list.text("service", null, "[0-9A-Za-z._-]{1,64}", "a service's name"),
+                        list.flag("onDemand", false),
+                        list.millis("waitMs", 10_000, 100, 600_000),
+                        list.millis("silentAfterMs", 2_000, 50, 600_000),
+                        list.millis("backwardsAfterMs", 30_000, 0, DAY));
         list.closed();
         return read;
     }
 
     private static FleetSettings.Probes probes(JsonFields probes) {
-        FleetSettings.Probes read = new FleetSettings.Probes(probes.flag("allowed", false),
-                probes.text("path", "/health", "/[\\x21-\\x7e]{0,255}", "a path that begins with /"),
-                probes.millis("timeoutMs", 500, 10, 60_000));
+        FleetSettings.Probes read =
+                new FleetSettings.Probes(
+                        probes.flag("allowed", false),
+                        probes.text(
+                                "path",
+                                "/health",
+                                "/[\\x21-\\x7e]{0,255}",
+                                "a path that begins with /"),
+                        probes.millis("timeoutMs", 500, 10, 60_000));
         probes.closed();
         return read;
     }
 
     private static FleetSettings.Channel channel(JsonFields channel) {
-        FleetSettings.Channel read = new FleetSettings.Channel(
-                channel.number("linesPerSecond", Double.NaN, 1, 1e9),
-                channel.number("linesPerMessage", Double.NaN, 0, 1e6),
-                channel.number("queueLimit", Double.NaN, 1, 1e9),
-                channel.number("orderPrice", 0, 0, 100),
-                (int) channel.whole("messageLimit", 0, 0, 1_000_000),
-                channel.millis("messageSpanMs", 10_000, 1, DAY),
-                channel.millis("longestWayMs", 0, 0, DAY),
-                channel.millis("keepAliveMs", 500, 20, 60_000));
+        FleetSettings.Channel read =
+                new FleetSettings.Channel(
+                        channel.number("linesPerSecond", Double.NaN, 1, 1e9),
+                        channel.number("linesPerMessage", Double.NaN, 0, 1e6),
+                        channel.number("queueLimit", Double.NaN, 1, 1e9),
+                        channel.number("orderPrice", 0, 0, 100),
+                        (int) channel.whole("messageLimit", 0, 0, 1_000_000),
+                        channel.millis("messageSpanMs", 10_000, 1, DAY),
+                        channel.millis("longestWayMs", 0, 0, DAY),
+                        channel.millis("keepAliveMs", 500, 20, 60_000));
         channel.closed();
         return read;
     }
--- a/src/main/java/rosespread/settings/Snapshot.java
+++ b/src/main/java/rosespread/settings/Snapshot.java
@@ -16,23 +16,25 @@
 import java.util.Optional;
 
 /**
- * The settings as they were last applied, in one file. It is written beside and moved into place, so that it
- * is always whole; a digest over the settings tells damage. A damaged file is never overwritten: it is set
- * aside.
+ * The settings as they were last applied, in one file. It is written beside and moved into place,
+ * so that it is always whole; a digest over the settings tells damage. A damaged file is never
+ * overwritten: it is set aside.
  */
 public final class Snapshot {
     private static final int FORMAT = 2;
+
     /** Before settings had a revision; its digest is over the settings alone. */
     private static final int WITHOUT_REVISION = 1;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
      * Settings as they were applied.
      *
-     * @param revision rises by one with each that is applied; @param by who applied it; @param call the id of
-     * the call that did
+     * @param revision rises by one with each that is applied; @param by who applied it; @param call
+     *     the id of the call that did
      */
-    public record Saved(String text, long revision, String by, String call, long atMillis) { }
+    public record Saved(String text, long revision, String by, String call, long atMillis) {}
 
     private final Path file;
     private boolean damaged;
@@ -44,7 +46,8 @@
     /**
      * The settings as saved, if there are any.
      *
-     * @throws IOException if the file cannot be read or is damaged; the message names the file and the place
+     * @throws IOException if the file cannot be read or is damaged; the message names the file and
+     *     the place
      */
     public Optional<Saved> load() throws IOException {
         if (!Files.exists(file)) {
@@ -56,25 +59,45 @@
         try {
             saved = JSON.readTree(bytes);
         } catch (JsonProcessingException e) {
-            throw new IOException(file + ": damaged at byte "
-                    + (e.getLocation() == null ? 0 : e.getLocation().getByteOffset()) + " of " + bytes.length
-                    + ": " + e.getOriginalMessage(), e);
+            throw new IOException(
+                    file
+                            + ": damaged at byte "
+                            + (e.getLocation() == null ? 0 : e.getLocation().getByteOffset())
+                            + " of "
+                            + bytes.length
+                            + ": "
+                            + e.getOriginalMessage(),
+                    e);
         }
         int format = saved == null ? 0 : saved.path("format").asInt();
         if (saved == null || !saved.isObject() || format != FORMAT && format != WITHOUT_REVISION) {
-            throw new IOException(file + ": field format is "
-                    + (saved == null ? "missing" : saved.path("format")) + "; allowed: " + FORMAT);
+            throw new IOException(
+                    file
+                            + ": field format is "
+                            + (saved == null ? "missing" : saved.path("format"))
+                            + "; allowed: "
+                            + FORMAT);
         }
         String text = saved.path("settings").toString();
         String told = saved.path("digest").asText();
         String is = digest(format == FORMAT ? withoutDigest((ObjectNode) saved) : text);
         if (!told.equals(is)) {
-            throw new IOException(file + ": field digest is \"" + told + "\"; what is in the file has \"" + is
-                    + "\"");
+            throw new IOException(
+                    file
+                            + ": field digest is \""
+                            + told
+                            + "\"; what is in the file has \""
+                            + is
+                            + "\"");
         }
         damaged = false;
-        return Optional.of(new Saved(text, saved.path("revision").asLong(), saved.path("by").asText(),
-                saved.path("call").asText(), saved.path("savedAtMillis").asLong()));
+        return Optional.of(
+                new Saved(
+                        text,
+                        saved.path("revision").asLong(),
+                        saved.path("by").asText(),
+                        saved.path("call").asText(),
+                        saved.path("savedAtMillis").asLong()));
     }
 
     /** Saves; returns where a damaged file that stood in the way was set aside. */
@@ -84,19 +107,29 @@
         ObjectNode saved = JSON.createObjectNode();
         saved.put("format", FORMAT);
         saved.put("savedAtMillis", wallMillis);
-        saved.put("revision", settings.revision()).put("by", settings.by()).put("call", settings.call());
+        saved.put("revision", settings.revision())
+                .put("by", settings.by())
+                .put("call", settings.call());
         saved.set("settings", parsed);
         saved.put("digest", digest(saved.toString()));
         Files.createDirectories(file.getParent());
         Optional<Path> aside = Optional.empty();
         if (damaged && Files.exists(file)) {
-            aside = Optional.of(Files.move(file, file.resolveSibling("settings.json.damaged-" + wallMillis)));
+            aside =
+                    Optional.of(
+                            Files.move(
+                                    file,
+                                    file.resolveSibling("settings.json.damaged-" + wallMillis)));
         }
         Path next = file.resolveSibling("settings.json.next");
-        try (FileChannel out = FileChannel.open(next, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes = ByteBuffer.wrap(
-                    JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(saved));
+        try (FileChannel out =
+                FileChannel.open(
+                        next,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer bytes =
+                    ByteBuffer.wrap(JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(saved));
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
@@ -117,6 +150,8 @@
     }
 
     private static String digest(String text) {
-        return Hashing.murmur3_128().hashBytesTo128Bits(text.getBytes(StandardCharsets.UTF_8)).toString();
+        return Hashing.murmur3_128()
+                .hashBytesTo128Bits(text.getBytes(StandardCharsets.UTF_8))
+                .toString();
     }
 }
--- a/src/main/java/rosespread/standin/Clients.java
+++ b/src/main/java/rosespread/standin/Clients.java
@@ -4,25 +4,34 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Open-loop clients: RPCs come at the times drawn for them, whatever became of those before, and latency
- * counts from the time an RPC was due. A client repeats by itself what may be repeated.
+ * Open-loop clients: RPCs come at the times drawn for them, whatever became of those before, and
+ * latency counts from the time an RPC was due. A client repeats by itself what may be repeated.
  */
 public final class Clients {
     /**
-     * One RPC, drawn ahead; {@code at} counts from the day's start and may lie before it, {@code place}
-     * spreads over proxies.
+     * One RPC, drawn ahead; {@code at} counts from the day's start and may lie before it, {@code
+     * place} spreads over proxies.
      */
-    public record Arrival(long number, long at, Site.Method method, String zone, double place, String hot,
-            long work, int retries, long retryWait, double patience) { }
+    public record Arrival(
+            long number,
+            long at,
+            Site.Method method,
+            String zone,
+            double place,
+            String hot,
+            long work,
+            int retries,
+            long retryWait,
+            double patience) {}
 
     /**
-     * Takes how each RPC ended, on the loop's thread; {@code latency} in nanoseconds from when it was due.
+     * Takes how each RPC ended, on the loop's thread; {@code latency} in nanoseconds from when it
+     * was due.
      */
     public interface Taker {
         void ended(Arrival rpc, ProxyStandin.Result result, long latency, int tries);
     }
 
-
     private final Loop loop;
     private final ProxyFarm proxies;
     private final RandomGenerator random;
@@ -63,7 +72,10 @@
         }
     }
 
-    /** The front layer spreads over the zone's proxies; it passes over dead ones once it has noticed. */
+    /**
+     * The front layer spreads over the zone's proxies; it passes over dead ones once it has
+     * noticed.
+     */
     private ProxyStandin proxy(Arrival rpc) {
         if (rpc.hot() != null && proxies.proxy(rpc.hot()).up()) {
             return proxies.proxy(rpc.hot());
@@ -73,25 +85,34 @@
         if (first.up() || random.nextInt(4) == 0) {
             return first;
         }
-        List<ProxyStandin> alive = proxies.names().stream().map(proxies::proxy)
-                .filter(ProxyStandin::up).toList();
+        List<ProxyStandin> alive =
+                proxies.names().stream().map(proxies::proxy).filter(ProxyStandin::up).toList();
         return alive.isEmpty() ? first : alive.get(random.nextInt(alive.size()));
     }
 
     private void send(Arrival rpc, long due, int tries) {
         long deadline = due + rpc.method().deadline();
-        long until = Math.min(deadline, loop.now() + (long) (rpc.method().deadline() * rpc.patience()));
-        proxy(rpc).rpc(rpc, until, result -> {
-            long now = loop.now();
-            boolean repeats = rpc.method().effect() == Site.Effect.IDEMPOTENT
-                    || result == ProxyStandin.Result.PUSHED_BACK || result == ProxyStandin.Result.UNREACHABLE;
-            if (result != ProxyStandin.Result.OK && repeats && tries <= rpc.retries()
-                    && now + rpc.retryWait() < deadline) {
-                loop.after(rpc.retryWait(), () -> send(rpc, due, tries + 1));
-            } else {
-                open--;
-                taker.ended(rpc, result, now - due, tries);
-            }
-        });
+        long until =
+                Math.min(deadline, loop.now() + (long) (rpc.method().deadline() * rpc.patience()));
+        proxy(rpc)
+                .rpc(
+                        rpc,
+                        until,
+                        result -> {
+                            long now = loop.now();
+                            boolean repeats =
+                                    rpc.method().effect() == Site.Effect.IDEMPOTENT
+                                            || result == ProxyStandin.Result.PUSHED_BACK
+                                            || result == ProxyStandin.Result.UNREACHABLE;
+                            if (result != ProxyStandin.Result.OK
+                                    && repeats
+                                    && tries <= rpc.retries()
+                                    && now + rpc.retryWait() < deadline) {
+                                loop.after(rpc.retryWait(), () -> send(rpc, due, tries + 1));
+                            } else {
+                                open--;
+                                taker.ended(rpc, result, now - due, tries);
+                            }
+                        });
     }
 }
--- a/src/main/java/rosespread/standin/ListStandin.java
+++ b/src/main/java/rosespread/standin/ListStandin.java
@@ -17,21 +17,26 @@
 import rosespread.http.HttpServer;
 
 /**
- * A server list that speaks Consul's {@code /v1/health/service/NAME} with blocking queries. Changes are
- * published late; on order it is silent, answers errors, or answers with an older list. Lives on the loop's
- * thread.
+ * A server list that speaks Consul's {@code /v1/health/service/NAME} with blocking queries. Changes
+ * are published late; on order it is silent, answers errors, or answers with an older list. Lives
+ * on the loop's thread.
  */
 public final class ListStandin implements AutoCloseable {
     /** How it answers. */
-    public enum Mode { USUAL, SILENT, ERRORS, OLDER }
+    public enum Mode {
+        USUAL,
+        SILENT,
+        ERRORS,
+        OLDER
+    }
 
     private static final long MILLI = 1_000_000L;
     private static final int KEPT = 64;
 
-    private record Entry(String zone, String kind, InetSocketAddress address, long started,
-            boolean draining) { }
+    private record Entry(
+            String zone, String kind, InetSocketAddress address, long started, boolean draining) {}
 
-    private record Published(long index, String body, Map<String, Record.Listed> nodes) { }
+    private record Published(long index, String body, Map<String, Record.Listed> nodes) {}
 
     private final class Waiting {
         final String agent;
@@ -56,12 +61,17 @@
     private long index = 10;
     private Mode mode = Mode.USUAL;
 
-    /** @param port where it listens; 0: any free one */
+    /**
+     * @param port where it listens; 0: any free one
+     */
     public ListStandin(Loop loop, int port, Record record) throws IOException {
         this.loop = loop;
         this.record = record;
-        this.http = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> loop.run(() -> take(call,
-                exchange)));
+        this.http =
+                new HttpServer(
+                        1,
+                        HttpLimits.USUAL,
+                        (call, exchange) -> loop.run(() -> take(call, exchange)));
         this.address = http.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
@@ -92,8 +102,8 @@
     }
 
     void drain(String name, boolean on) {
-        entries.computeIfPresent(name,
-                (n, e) -> new Entry(e.zone(), e.kind(), e.address(), e.started(), on));
+        entries.computeIfPresent(
+                name, (n, e) -> new Entry(e.zone(), e.kind(), e.address(), e.started(), on));
         changed();
     }
 
@@ -121,25 +131,36 @@
     private Published render() {
         ArrayNode all = json.createArrayNode();
         Map<String, Record.Listed> nodes = new TreeMap<>();
-        entries.forEach((name, entry) -> {
-            ObjectNode one = all.addObject();
-            one.putObject("Node").put("Node", "machine-" + name).put("Address",
-                    entry.address().getHostString());
-            ObjectNode service = one.putObject("Service");
-            service.put("ID", name).put("Service", "nodes").put("Address", "127.0.0.1")
-                    .put("Port", entry.address().getPort());
-            service.putArray("Tags").add("zone=" + entry.zone());
-            service.putObject("Meta").put("kind", entry.kind()).put("started",
-                    String.valueOf(entry.started()));
-            service.putObject("Weights").put("Passing", 1).put("Warning", 1);
-            ArrayNode checks = one.putArray("Checks");
-            checks.addObject().put("CheckID", "serfHealth").put("Status", "passing");
-            if (entry.draining()) {
-                checks.addObject().put("CheckID", "_service_maintenance:" + name).put("Status", "critical");
-            }
-            nodes.put(name, new Record.Listed(entry.draining() ? NodeState.DRAINING : NodeState.READY,
-                    entry.started(), entry.kind()));
-        });
+        entries.forEach(
+                (name, entry) -> {
+                    ObjectNode one = all.addObject();
+                    one.putObject("Node")
+                            .put("Node", "machine-" + name)
+                            .put("Address", entry.address().getHostString());
+                    ObjectNode service = one.putObject("Service");
+                    service.put("ID", name)
+                            .put("Service", "nodes")
+                            .put("Address", "127.0.0.1")
+                            .put("Port", entry.address().getPort());
+                    service.putArray("Tags").add("zone=" + entry.zone());
+                    service.putObject("Meta")
+                            .put("kind", entry.kind())
+                            .put("started", String.valueOf(entry.started()));
+                    service.putObject("Weights").put("Passing", 1).put("Warning", 1);
+                    ArrayNode checks = one.putArray("Checks");
+                    checks.addObject().put("CheckID", "serfHealth").put("Status", "passing");
+                    if (entry.draining()) {
+                        checks.addObject()
+                                .put("CheckID", "_service_maintenance:" + name)
+                                .put("Status", "critical");
+                    }
+                    nodes.put(
+                            name,
+                            new Record.Listed(
+                                    entry.draining() ? NodeState.DRAINING : NodeState.READY,
+                                    entry.started(),
+                                    entry.kind()));
+                });
         return new Published(++index, all.toString(), nodes);
     }
 
@@ -181,19 +202,26 @@
         if (mode == Mode.USUAL) {
             record.told(loop.now(), one.agent, shown.nodes());
         }
-        one.exchange.answer(new HttpMessage.Answer(200, HttpHeaders.of("content-type", "application/json",
-                "x-consul-index", String.valueOf(shown.index())),
-                shown.body().getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+        one.exchange.answer(
+                new HttpMessage.Answer(
+                        200,
+                        HttpHeaders.of(
+                                "content-type",
+                                "application/json",
+                                "x-consul-index",
+                                String.valueOf(shown.index())),
+                        shown.body().getBytes(java.nio.charset.StandardCharsets.UTF_8)));
     }
 
     /** The nodes as they are listed, for a proxy that starts: names with address, zone and kind. */
     Map<String, InetSocketAddress> listed(String zone) {
         Map<String, InetSocketAddress> found = new TreeMap<>();
-        entries.forEach((name, entry) -> {
-            if (zone == null || entry.zone().equals(zone)) {
-                found.put(name, entry.address());
-            }
-        });
+        entries.forEach(
+                (name, entry) -> {
+                    if (zone == null || entry.zone().equals(zone)) {
+                        found.put(name, entry.address());
+                    }
+                });
         return found;
     }
 
--- a/src/main/java/rosespread/standin/Loop.java
+++ b/src/main/java/rosespread/standin/Loop.java
@@ -7,11 +7,14 @@
 
 /** The one thread on which all stand-ins of a process live, and its clock. */
 public final class Loop implements AutoCloseable {
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, task -> {
-        Thread made = new Thread(task, "standins");
-        made.setDaemon(true);
-        return made;
-    });
+    private final ScheduledThreadPoolExecutor thread =
+            new ScheduledThreadPoolExecutor(
+                    1,
+                    task -> {
+                        Thread made = new Thread(task, "standins");
+                        made.setDaemon(true);
+                        return made;
+                    });
 
     public Loop() {
         thread.setRemoveOnCancelPolicy(true);
@@ -26,13 +29,16 @@
     }
 
     public ScheduledFuture<?> after(long nanos, Runnable task) {
-        return thread.schedule(() -> {
-            try {
-                task.run();
-            } catch (RuntimeException e) {
-                LoggerFactory.getLogger(Loop.class).error("a stand-in failed", e);
-            }
-        }, Math.max(0, nanos), TimeUnit.NANOSECONDS);
+        return thread.schedule(
+                () -> {
+                    try {
+                        task.run();
+                    } catch (RuntimeException e) {
+                        LoggerFactory.getLogger(Loop.class).error("a stand-in failed", e);
+                    }
+                },
+                Math.max(0, nanos),
+                TimeUnit.NANOSECONDS);
     }
 
     @Override
--- a/src/main/java/rosespread/standin/NodeFarm.java
+++ b/src/main/java/rosespread/standin/NodeFarm.java
@@ -29,23 +29,37 @@
         this.loop = loop;
         this.site = site;
         this.list = list;
-        this.http = new HttpServer(2, HttpLimits.USUAL, (call, exchange) -> {
-            NodeStandin node = byPort.get(exchange.port());
-            loop.run(() -> {
-                if (node == null) {
-                    exchange.hangUp();
-                } else {
-                    node.take(call, exchange);
-                }
-            });
-        });
+        this.http =
+                new HttpServer(
+                        2,
+                        HttpLimits.USUAL,
+                        (call, exchange) -> {
+                            NodeStandin node = byPort.get(exchange.port());
+                            loop.run(
+                                    () -> {
+                                        if (node == null) {
+                                            exchange.hangUp();
+                                        } else {
+                                            node.take(call, exchange);
+                                        }
+                                    });
+                        });
         int number = 0;
         for (Map.Entry<String, Site.Kind> kind : site.kinds().entrySet()) {
             for (int i = 0; i < kind.getValue().nodes(); i++) {
                 String zone = site.zones().get(number % site.zones().size());
                 InetSocketAddress address = http.listen(Ports.free());
-                NodeStandin node = new NodeStandin("node-" + number, zone, kind.getKey(), address, loop, site,
-                        tokens.computeIfAbsent(zone, z -> new TreeMap<>()), random, record);
+                NodeStandin node =
+                        new NodeStandin(
+                                "node-" + number,
+                                zone,
+                                kind.getKey(),
+                                address,
+                                loop,
+                                site,
+                                tokens.computeIfAbsent(zone, z -> new TreeMap<>()),
+                                random,
+                                record);
                 node.start(false);
                 byName.put(node.name, node);
                 byPort.put(address.getPort(), node);
--- a/src/main/java/rosespread/standin/NodeStandin.java
+++ b/src/main/java/rosespread/standin/NodeStandin.java
@@ -14,12 +14,13 @@
 import rosespread.http.HttpServer;
 
 /**
- * A node whose work is timers: cores, a queue, a speed, a cold ramp, and falling over when it is sent far
- * more than it can do while cold. Lives on the loop's thread.
+ * A node whose work is timers: cores, a queue, a speed, a cold ramp, and falling over when it is
+ * sent far more than it can do while cold. Lives on the loop's thread.
  */
 final class NodeStandin {
     private static final long UTILIZATION_EVERY = 500_000_000L;
     private static final double SECOND = 1e9;
+
     /** The budget of a cold node has this much room for chance, in RPCs' work. */
     private static final int SLACK_RPCS = 4;
 
@@ -51,7 +52,7 @@
     double slowing = 1;
     double reportFactor = 1;
 
-    private record Sent(long at, double work, String proxy) { }
+    private record Sent(long at, double work, String proxy) {}
 
     private final class Job {
         final Site.Method method;
@@ -70,8 +71,16 @@
         }
     }
 
-    NodeStandin(String name, String zone, String kind, InetSocketAddress address, Loop loop, Site site,
-            Map<String, Long> zoneTokens, RandomGenerator random, Record record) {
+    NodeStandin(
+            String name,
+            String zone,
+            String kind,
+            InetSocketAddress address,
+            Loop loop,
+            Site site,
+            Map<String, Long> zoneTokens,
+            RandomGenerator random,
+            Record record) {
         this.name = name;
         this.zone = zone;
         this.kind = kind;
@@ -114,8 +123,10 @@
     }
 
     private double warmth() {
-        return cold() ? site.cold().share() + (1 - site.cold().share()) * (loop.now() - startedAt)
-                / site.cold().time() : 1;
+        return cold()
+                ? site.cold().share()
+                        + (1 - site.cold().share()) * (loop.now() - startedAt) / site.cold().time()
+                : 1;
     }
 
     private double capacity() {
@@ -127,8 +138,9 @@
             exchange.hangUp();
         } else if (call.path().equals("/health")) {
             if (!hung) {
-                exchange.answer(HttpMessage.Answer.of(random.nextDouble() < abortShare ? 500 : 200,
-                        "text/plain", ""));
+                exchange.answer(
+                        HttpMessage.Answer.of(
+                                random.nextDouble() < abortShare ? 500 : 200, "text/plain", ""));
             }
         } else {
             rpc(call, exchange);
@@ -137,8 +149,11 @@
 
     private void rpc(HttpMessage.Call call, HttpServer.Exchange exchange) {
         String methodName = call.path().substring(call.path().lastIndexOf('/') + 1);
-        Site.Method method = site.methods().stream().filter(m -> m.name().equals(methodName)).findFirst()
-                .orElse(null);
+        Site.Method method =
+                site.methods().stream()
+                        .filter(m -> m.name().equals(methodName))
+                        .findFirst()
+                        .orElse(null);
         if (method == null || !method.open(kind)) {
             exchange.answer(HttpMessage.Answer.of(404, "text/plain", "no such method here"));
             return;
@@ -155,8 +170,13 @@
             exchange.answer(HttpMessage.Answer.of(500, "text/plain", "aborted"));
             return;
         }
-        Job job = new Job(method, number(call), work, call.headers().first("idempotency-key").orElse(null),
-                exchange);
+        Job job =
+                new Job(
+                        method,
+                        number(call),
+                        work,
+                        call.headers().first("idempotency-key").orElse(null),
+                        exchange);
         if (running.size() < size.cores()) {
             begin(job);
         } else if (queue.size() < site.queuePerCore() * size.cores()) {
@@ -173,8 +193,8 @@
     }
 
     /**
-     * Counts what a cold node is sent against a budget over the window; over it, the node falls and stays
-     * down.
+     * Counts what a cold node is sent against a budget over the window; over it, the node falls and
+     * stays down.
      */
     private void heat(double work, Site.Method method, String proxy) {
         long now = loop.now();
@@ -187,8 +207,9 @@
         while (now - sent.peekFirst().at() > site.cold().window()) {
             windowWork -= sent.removeFirst().work();
         }
-        double budget = site.cold().multiple() * capacity() * site.cold().window() / SECOND
-                + SLACK_RPCS * method.work() / SECOND;
+        double budget =
+                site.cold().multiple() * capacity() * site.cold().window() / SECOND
+                        + SLACK_RPCS * method.work() / SECOND;
         if (!fallen && windowWork > budget) {
             fallen = true;
             Map<String, Double> by = new TreeMap<>();
@@ -212,13 +233,21 @@
             record.effect(loop.now(), name, job.rpc, job.method);
         }
         double seconds = repeat ? 0.001 : job.work / (size.speed() * slowing * warmth());
-        job.end = loop.after((long) (seconds * SECOND), () -> {
-            free(job);
-            if (!hung && up) {
-                job.exchange.answer(new HttpMessage.Answer(200, HttpHeaders.of("endpoint-load-metrics",
-                        "TEXT cpu_utilization=" + utilization()), new byte[0]));
-            }
-        });
+        job.end =
+                loop.after(
+                        (long) (seconds * SECOND),
+                        () -> {
+                            free(job);
+                            if (!hung && up) {
+                                job.exchange.answer(
+                                        new HttpMessage.Answer(
+                                                200,
+                                                HttpHeaders.of(
+                                                        "endpoint-load-metrics",
+                                                        "TEXT cpu_utilization=" + utilization()),
+                                                new byte[0]));
+                            }
+                        });
     }
 
     private void free(Job job) {
@@ -245,7 +274,8 @@
         long now = loop.now();
         if (now - utilizationAt > UTILIZATION_EVERY) {
             busy();
-            utilization = Math.min(1, busySeconds / ((now - utilizationAt) / SECOND) / size.cores());
+            utilization =
+                    Math.min(1, busySeconds / ((now - utilizationAt) / SECOND) / size.cores());
             busySeconds = 0;
             utilizationAt = now;
         }
@@ -254,10 +284,12 @@
 
     /** Drops tokens whose window is over. */
     static void forget(Map<String, Long> tokens, long now) {
-        new LinkedHashMap<>(tokens).forEach((token, until) -> {
-            if (until < now) {
-                tokens.remove(token);
-            }
-        });
+        new LinkedHashMap<>(tokens)
+                .forEach(
+                        (token, until) -> {
+                            if (until < now) {
+                                tokens.remove(token);
+                            }
+                        });
     }
 }
--- a/src/main/java/rosespread/standin/ProxyFarm.java
+++ b/src/main/java/rosespread/standin/ProxyFarm.java
@@ -26,17 +26,17 @@
 /** All stand-in proxies of a process, and the links over which conductors' messages reach them. */
 public final class ProxyFarm implements AutoCloseable {
     /** A conductor that proxies can dial; no zone: any proxy's. */
-    public record Target(String name, InetSocketAddress address, String zone) { }
+    public record Target(String name, InetSocketAddress address, String zone) {}
 
     private static final int CONNECT_MILLIS = 250;
     private static final double SECOND = 1e9;
     private static final String OWNER = "owner";
 
-    private record Owner(ProxyStandin proxy, long stream) { }
+    private record Owner(ProxyStandin proxy, long stream) {}
 
     /**
-     * A conductor's link: messages go through one after the other when it is slow, and reach a proxy in
-     * order.
+     * A conductor's link: messages go through one after the other when it is slow, and reach a
+     * proxy in order.
      */
     private static final class Link {
         double factor = 1;
@@ -62,11 +62,18 @@
     private double deltasLost;
 
     /**
-     * @param rates the usual RPCs a second of each proxy; @param shares whether levels are shares, else rates
+     * @param rates the usual RPCs a second of each proxy; @param shares whether levels are shares,
+     *     else rates
      */
-    public ProxyFarm(Loop loop, Site site, ListStandin list, List<Target> conductors, double[] rates,
+    public ProxyFarm(
+            Loop loop,
+            Site site,
+            ListStandin list,
+            List<Target> conductors,
+            double[] rates,
             boolean shares,
-            RandomGenerator random, Record record) {
+            RandomGenerator random,
+            Record record) {
         this.loop = loop;
         this.site = site;
         this.list = list;
@@ -76,16 +83,28 @@
         this.shares = shares;
         connector.setConnectTimeoutMillis(CONNECT_MILLIS);
         connector.getSessionConfig().setTcpNoDelay(true);
-        connector.getFilterChain().addLast("frames",
-                new ProtocolCodecFilter(new ChannelCodec(FrameReader.FROM_CONDUCTOR,
-                        FrameReader.FROM_CONDUCTOR)));
+        connector
+                .getFilterChain()
+                .addLast(
+                        "frames",
+                        new ProtocolCodecFilter(
+                                new ChannelCodec(
+                                        FrameReader.FROM_CONDUCTOR, FrameReader.FROM_CONDUCTOR)));
         connector.setHandler(new Sessions());
         list.listed(null).forEach((name, address) -> names.put(address.getPort(), name));
         for (int i = 0; i < site.proxies().count(); i++) {
             String name = String.format("proxy-%03d", i);
-            proxies.put(name, new ProxyStandin(name, site.zones().get(i % site.zones().size()), rates[i],
-                    this,
-                    loop, site, random, record));
+            proxies.put(
+                    name,
+                    new ProxyStandin(
+                            name,
+                            site.zones().get(i % site.zones().size()),
+                            rates[i],
+                            this,
+                            loop,
+                            site,
+                            random,
+                            record));
         }
     }
 
@@ -164,14 +183,21 @@
 
     Map<NodeId, ProxyTables.Place> standing(String zone, Site.Method method, RandomGenerator from) {
         Map<String, InetSocketAddress> near = list.listed(zone);
-        List<Map.Entry<String, InetSocketAddress>> all = new ArrayList<>(
-                (near.size() >= 3 ? near : list.listed(null)).entrySet());
+        List<Map.Entry<String, InetSocketAddress>> all =
+                new ArrayList<>((near.size() >= 3 ? near : list.listed(null)).entrySet());
         all.removeIf(entry -> !method.open(list.kind(entry.getKey())));
         Collections.shuffle(all, new java.util.Random(from.nextLong()));
         Map<NodeId, ProxyTables.Place> drawn = new LinkedHashMap<>();
-        all.stream().limit(site.proxies().standing()).forEach(entry -> drawn.put(
-                ListedNode.id(entry.getKey(), "127.0.0.1", entry.getValue().getPort()),
-                new ProxyTables.Place(entry.getKey(), entry.getValue())));
+        all.stream()
+                .limit(site.proxies().standing())
+                .forEach(
+                        entry ->
+                                drawn.put(
+                                        ListedNode.id(
+                                                entry.getKey(),
+                                                "127.0.0.1",
+                                                entry.getValue().getPort()),
+                                        new ProxyTables.Place(entry.getKey(), entry.getValue())));
         return drawn;
     }
 
@@ -180,34 +206,51 @@
         List<Target> near = conductors.stream().filter(c -> proxy.zone.equals(c.zone())).toList();
         List<Target> among = !near.isEmpty() && random.nextInt(3) > 0 ? near : conductors;
         Target target = among.get(random.nextInt(among.size()));
-        connector.connect(target.address(), (session, future) ->
-                session.setAttribute(OWNER, new Owner(proxy, stream))).addListener(future -> {
-                    if (!((ConnectFuture) future).isConnected()) {
-                        loop.run(proxy::redial);
-                    }
-                });
+        connector
+                .connect(
+                        target.address(),
+                        (session, future) -> session.setAttribute(OWNER, new Owner(proxy, stream)))
+                .addListener(
+                        future -> {
+                            if (!((ConnectFuture) future).isConnected()) {
+                                loop.run(proxy::redial);
+                            }
+                        });
         return target.name();
     }
 
     /** Brings a message over the conductor's link to the proxy. */
-    void carry(ProxyStandin proxy, long stream, String conductor, Frame.Mark mark, List<Frame> message) {
+    void carry(
+            ProxyStandin proxy,
+            long stream,
+            String conductor,
+            Frame.Mark mark,
+            List<Frame> message) {
         Link link = links.computeIfAbsent(conductor, c -> new Link());
         long now = loop.now();
         long leaves = now;
         if (link.factor > 1 || link.freeAt > now) {
-            double nanos = mark.lines() / site.proxies().linesPerSecond() * SECOND * Math.max(1, link.factor);
+            double nanos =
+                    mark.lines()
+                            / site.proxies().linesPerSecond()
+                            * SECOND
+                            * Math.max(1, link.factor);
             link.freeAt = Math.max(link.freeAt, now) + (long) nanos;
             leaves = link.freeAt;
             link.lines += mark.lines();
             loop.after(leaves - now, () -> link.lines -= mark.lines());
         }
         record.message(now, proxy.name, conductor, mark, link.lines);
-        long way = Math.min(site.proxies().longestWay(),
-                (long) (-Math.log(1 - random.nextDouble()) * site.proxies().way()));
+        long way =
+                Math.min(
+                        site.proxies().longestWay(),
+                        (long) (-Math.log(1 - random.nextDouble()) * site.proxies().way()));
         long due = Math.max(lastDue.getOrDefault(proxy.name, 0L), leaves + way);
         lastDue.put(proxy.name, due);
-        // Two timers for one moment may fire in either order; the stream's order must hold all the same.
-        ArrayDeque<Runnable> inOrder = onTheWay.computeIfAbsent(proxy.name, n -> new ArrayDeque<>());
+        // Two timers for one moment may fire in either order; the stream's order must hold all the
+        // same.
+        ArrayDeque<Runnable> inOrder =
+                onTheWay.computeIfAbsent(proxy.name, n -> new ArrayDeque<>());
         inOrder.addLast(() -> proxy.take(stream, mark, message));
         loop.after(due - now, () -> inOrder.removeFirst().run());
     }
--- a/src/main/java/rosespread/standin/ProxyStandin.java
+++ b/src/main/java/rosespread/standin/ProxyStandin.java
@@ -22,7 +22,13 @@
 /** A plain proxy: follows tables, judges no node, reports late. Lives on the loop's thread. */
 public final class ProxyStandin {
     /** How an RPC ended for the client. */
-    public enum Result { OK, PUSHED_BACK, ABORTED, TIMED_OUT, UNREACHABLE }
+    public enum Result {
+        OK,
+        PUSHED_BACK,
+        ABORTED,
+        TIMED_OUT,
+        UNREACHABLE
+    }
 
     private static final double SECOND = 1e9;
     private static final long AVOID_LEAST = 2_000_000_000L;
@@ -67,8 +73,15 @@
         double utilization = Double.NaN;
     }
 
-    ProxyStandin(String name, String zone, double rate, ProxyFarm farm, Loop loop, Site site,
-            RandomGenerator random, Record record) {
+    ProxyStandin(
+            String name,
+            String zone,
+            double rate,
+            ProxyFarm farm,
+            Loop loop,
+            Site site,
+            RandomGenerator random,
+            Record record) {
         this.name = name;
         this.zone = zone;
         this.rate = rate;
@@ -166,11 +179,13 @@
     void redial() {
         long span = site.proxies().redialMost() - site.proxies().redialLeast();
         long life = stream;
-        loop.after(site.proxies().redialLeast() + random.nextLong(span + 1), () -> {
-            if (life == stream && session == null) {
-                dial();
-            }
-        });
+        loop.after(
+                site.proxies().redialLeast() + random.nextLong(span + 1),
+                () -> {
+                    if (life == stream && session == null) {
+                        dial();
+                    }
+                });
     }
 
     void opened(long of, IoSession made) {
@@ -220,8 +235,11 @@
         }
         for (Frame frame : whole) {
             if (frame instanceof Frame.Node node) {
-                tables.named(node.node(), new ProxyTables.Place(farm.nodeName(node.port()),
-                        new InetSocketAddress(node.host(), node.port())));
+                tables.named(
+                        node.node(),
+                        new ProxyTables.Place(
+                                farm.nodeName(node.port()),
+                                new InetSocketAddress(node.host(), node.port())));
             }
             boundOnce |= frame instanceof Frame.Bind;
         }
@@ -263,8 +281,17 @@
         long covers = (now - reportedAt) / 1000;
         reportedAt = now;
         List<Frame.Sum> sums = new ArrayList<>();
-        met.forEach((id, m) -> sums.add(new Frame.Sum(id, m.tries, m.unanswered,
-                m.tries > m.unanswered ? m.seconds / (m.tries - m.unanswered) : Double.NaN, m.utilization)));
+        met.forEach(
+                (id, m) ->
+                        sums.add(
+                                new Frame.Sum(
+                                        id,
+                                        m.tries,
+                                        m.unanswered,
+                                        m.tries > m.unanswered
+                                                ? m.seconds / (m.tries - m.unanswered)
+                                                : Double.NaN,
+                                        m.utilization)));
         met.clear();
         List<Frame.Count> counts = new ArrayList<>();
         came.forEach((method, count) -> counts.add(new Frame.Count(method, count)));
@@ -273,12 +300,14 @@
             return;
         }
         long of = stream;
-        loop.after(farm.reportLate(), () -> {
-            if (of == stream && session != null && !silent) {
-                session.write(new Frame.Sums(covers, sums));
-                session.write(new Frame.Offered(covers, counts));
-            }
-        });
+        loop.after(
+                farm.reportLate(),
+                () -> {
+                    if (of == stream && session != null && !silent) {
+                        session.write(new Frame.Sums(covers, sums));
+                        session.write(new Frame.Offered(covers, counts));
+                    }
+                });
     }
 
     // ---- RPCs ----
@@ -317,7 +346,9 @@
         for (Site.Method each : site.methods()) {
             Frame.Level of = tables.level(method(each));
             double perSecond = of == null || Double.isInfinite(of.admitted()) ? 0 : of.admitted();
-            allowance.merge(method(each), gained * perSecond,
+            allowance.merge(
+                    method(each),
+                    gained * perSecond,
                     (old, more) -> Math.min(Math.max(1, perSecond), old + more));
         }
         if (allowance.getOrDefault(method, 0.0) < 1) {
@@ -327,15 +358,20 @@
         return true;
     }
 
-    private void attempt(Clients.Arrival rpc, MethodId method, long until, NodeId before,
+    private void attempt(
+            Clients.Arrival rpc,
+            MethodId method,
+            long until,
+            NodeId before,
             Consumer<Result> then) {
         long now = loop.now();
         Set<NodeId> avoided = new LinkedHashSet<>();
-        avoidUntil.forEach((id, end) -> {
-            if (end > now) {
-                avoided.add(id);
-            }
-        });
+        avoidUntil.forEach(
+                (id, end) -> {
+                    if (end > now) {
+                        avoided.add(id);
+                    }
+                });
         if (before != null) {
             avoided.add(before);
         }
@@ -347,48 +383,80 @@
         ProxyTables.Place place = tables.place(id);
         record.tried(now, name, place.name(), rpc.number(), rpc.method());
         out.merge(id, 1, Integer::sum);
-        HttpHeaders headers = HttpHeaders.of("host", place.address().getHostString(), "x-proxy", name,
-                "x-rpc",
-                String.valueOf(rpc.number()), "x-work-nanos", String.valueOf(rpc.work()));
+        HttpHeaders headers =
+                HttpHeaders.of(
+                        "host",
+                        place.address().getHostString(),
+                        "x-proxy",
+                        name,
+                        "x-rpc",
+                        String.valueOf(rpc.number()),
+                        "x-work-nanos",
+                        String.valueOf(rpc.work()));
         if (rpc.method().effect() == Site.Effect.TOKENED) {
             headers.add("idempotency-key", "t" + rpc.number());
         }
-        HttpMessage.Call call = new HttpMessage.Call("POST", "/rpc/" + rpc.method().name(), headers,
-                new byte[0]);
+        HttpMessage.Call call =
+                new HttpMessage.Call("POST", "/rpc/" + rpc.method().name(), headers, new byte[0]);
         Runnable[] cancel = new Runnable[1];
-        cancel[0] = farm.http().call(place.address(), call, Math.max(1_000_000, until - now),
-                new HttpClient.Taker() {
-                    @Override
-                    public void answered(HttpMessage.Answer answer) {
-                        loop.run(() -> ended(answer.status() < 400 ? Result.OK
-                                : answer.status() == 503 ? Result.PUSHED_BACK : Result.ABORTED, answer));
-                    }
+        cancel[0] =
+                farm.http()
+                        .call(
+                                place.address(),
+                                call,
+                                Math.max(1_000_000, until - now),
+                                new HttpClient.Taker() {
+                                    @Override
+                                    public void answered(HttpMessage.Answer answer) {
+                                        loop.run(
+                                                () ->
+                                                        ended(
+                                                                answer.status() < 400
+                                                                        ? Result.OK
+                                                                        : answer.status() == 503
+                                                                                ? Result.PUSHED_BACK
+                                                                                : Result.ABORTED,
+                                                                answer));
+                                    }
 
-                    @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
-                        loop.run(() -> ended(switch (failure) {
-                            case NOT_CONNECTED -> Result.UNREACHABLE;
-                            case TIMED_OUT -> Result.TIMED_OUT;
-                            default -> Result.ABORTED;
-                        }, null));
-                    }
+                                    @Override
+                                    public void failed(HttpClient.Failure failure, String detail) {
+                                        loop.run(
+                                                () ->
+                                                        ended(
+                                                                switch (failure) {
+                                                                    case NOT_CONNECTED ->
+                                                                            Result.UNREACHABLE;
+                                                                    case TIMED_OUT ->
+                                                                            Result.TIMED_OUT;
+                                                                    default -> Result.ABORTED;
+                                                                },
+                                                                null));
+                                    }
 
-                    private void ended(Result result, HttpMessage.Answer answer) {
-                        inHand.remove(cancel[0]);
-                        out.merge(id, -1, Integer::sum);
-                        if (up) {
-                            count(id, result, answer, now);
-                            if (result != Result.OK) {
-                                record.tryFailed(loop.now(), name, place.name(), rpc.number(), rpc.method());
-                            }
-                            if (before == null && again(method, result) && until - loop.now() > LEAST_LEFT) {
-                                attempt(rpc, method, until, id, then);
-                                return;
-                            }
-                        }
-                        then.accept(result);
-                    }
-                });
+                                    private void ended(Result result, HttpMessage.Answer answer) {
+                                        inHand.remove(cancel[0]);
+                                        out.merge(id, -1, Integer::sum);
+                                        if (up) {
+                                            count(id, result, answer, now);
+                                            if (result != Result.OK) {
+                                                record.tryFailed(
+                                                        loop.now(),
+                                                        name,
+                                                        place.name(),
+                                                        rpc.number(),
+                                                        rpc.method());
+                                            }
+                                            if (before == null
+                                                    && again(method, result)
+                                                    && until - loop.now() > LEAST_LEFT) {
+                                                attempt(rpc, method, until, id, then);
+                                                return;
+                                            }
+                                        }
+                                        then.accept(result);
+                                    }
+                                });
         inHand.add(cancel[0]);
     }
 
@@ -397,8 +465,9 @@
         Frame.Level level = tables.level(method);
         Frame.Tries tries = level == null ? Frame.Tries.AFTER_PROOF : level.tries();
         boolean proof = result == Result.UNREACHABLE || result == Result.PUSHED_BACK;
-        return result != Result.OK && (tries == Frame.Tries.AFTER_ANY_FAILURE
-                || tries == Frame.Tries.AFTER_PROOF && proof);
+        return result != Result.OK
+                && (tries == Frame.Tries.AFTER_ANY_FAILURE
+                        || tries == Frame.Tries.AFTER_PROOF && proof);
     }
 
     private void count(NodeId id, Result result, HttpMessage.Answer answer, long begun) {
--- a/src/main/java/rosespread/standin/ProxyTables.java
+++ b/src/main/java/rosespread/standin/ProxyTables.java
@@ -18,9 +18,12 @@
 /** What a plain proxy holds: tables, levels and withdrawals, and how it picks a line. */
 final class ProxyTables {
     /** Where a node is and what the stand-ins call it. */
-    record Place(String name, InetSocketAddress address) { }
+    record Place(String name, InetSocketAddress address) {}
 
-    /** A line and when, by its table's own clock, its next turn is due: a turn comes every 1 / weight. */
+    /**
+     * A line and when, by its table's own clock, its next turn is due: a turn comes every 1 /
+     * weight.
+     */
     private static final class Row {
         final double weight;
         double due;
@@ -41,8 +44,10 @@
     private final Map<NodeId, Place> places = new HashMap<>();
     private final Map<MethodId, Table> byMethod = new HashMap<>();
     private final Map<TableId, Table> ofStream = new HashMap<>();
+
     /** The highest versions that any stream brought. */
     private final TreeMap<TableId, Long> highest = new TreeMap<>();
+
     private final Set<NodeId> withdrawn = new TreeSet<>();
     private final RandomGenerator random;
 
@@ -51,23 +56,26 @@
     }
 
     /**
-     * Each proxy begins a line anywhere in its turn, and a new weight leaves it at the same part of its turn,
-     * so that proxies that get the same change do not move in step.
+     * Each proxy begins a line anywhere in its turn, and a new weight leaves it at the same part of
+     * its turn, so that proxies that get the same change do not move in step.
      */
     private void put(Table table, NodeId id, double weight) {
         Row before = table.rows.get(id);
-        double left = before == null ? random.nextDouble() / weight
-                : Math.max(0, before.due - table.clock) * before.weight / weight;
+        double left =
+                before == null
+                        ? random.nextDouble() / weight
+                        : Math.max(0, before.due - table.clock) * before.weight / weight;
         table.rows.put(id, new Row(weight, table.clock + left));
     }
 
     /** A standing table that a method starts with. */
     void standing(MethodId method, Map<NodeId, Place> nodes) {
         Table table = new Table();
-        nodes.forEach((id, place) -> {
-            places.put(id, place);
-            put(table, id, 1);
-        });
+        nodes.forEach(
+                (id, place) -> {
+                    places.put(id, place);
+                    put(table, id, 1);
+                });
         byMethod.put(method, table);
     }
 
@@ -99,10 +107,12 @@
                     answers.add(new Frame.Missed(bind.table(), table.version));
                 }
                 lines += bind.lines().size();
-            } else if (frame instanceof Frame.Lines change && ofStream.containsKey(change.table())) {
+            } else if (frame instanceof Frame.Lines change
+                    && ofStream.containsKey(change.table())) {
                 Table table = ofStream.get(change.table());
                 boolean follows = table.version == change.from();
-                // A delta that does not follow may still take nodes out: that can only keep a drain.
+                // A delta that does not follow may still take nodes out: that can only keep a
+                // drain.
                 for (Frame.Line line : change.lines()) {
                     if (line.weight() == 0) {
                         table.rows.remove(line.node());
@@ -116,9 +126,14 @@
                 if (!follows || digest(table) != change.digest()) {
                     answers.add(new Frame.Missed(change.table(), table.version));
                 }
-            } else if (frame instanceof Frame.Levels change && ofStream.containsKey(change.table())) {
-                change.levels().forEach(level ->
-                        ofStream.get(change.table()).levels.put(level.method(), level));
+            } else if (frame instanceof Frame.Levels change
+                    && ofStream.containsKey(change.table())) {
+                change.levels()
+                        .forEach(
+                                level ->
+                                        ofStream.get(change.table())
+                                                .levels
+                                                .put(level.method(), level));
             } else if (frame instanceof Frame.Withdraw withdraw) {
                 if (withdraw.out()) {
                     withdrawn.add(withdraw.node());
@@ -135,16 +150,25 @@
     }
 
     List<Frame.Holding> held() {
-        return highest.entrySet().stream().map(e -> new Frame.Holding(e.getKey(), e.getValue())).toList();
+        return highest.entrySet().stream()
+                .map(e -> new Frame.Holding(e.getKey(), e.getValue()))
+                .toList();
     }
 
     /** A table of this stream, by the nodes' names. */
     Record.Holds held(TableId id) {
         Map<String, Double> lines = new TreeMap<>();
-        ofStream.get(id).rows.forEach((node, row) -> lines.put(
-                places.containsKey(node) ? places.get(node).name() : Long.toHexString(node.value()),
-                        row.weight));
-        return new Record.Holds(id.value(), ofStream.get(id).version, digest(ofStream.get(id)), lines);
+        ofStream.get(id)
+                .rows
+                .forEach(
+                        (node, row) ->
+                                lines.put(
+                                        places.containsKey(node)
+                                                ? places.get(node).name()
+                                                : Long.toHexString(node.value()),
+                                        row.weight));
+        return new Record.Holds(
+                id.value(), ofStream.get(id).version, digest(ofStream.get(id)), lines);
     }
 
     private static long digest(Table table) {
@@ -157,8 +181,9 @@
 
     boolean pickable(MethodId method) {
         Table table = byMethod.get(method);
-        return table != null && table.rows.keySet().stream()
-                .anyMatch(id -> !withdrawn.contains(id) && places.containsKey(id));
+        return table != null
+                && table.rows.keySet().stream()
+                        .anyMatch(id -> !withdrawn.contains(id) && places.containsKey(id));
     }
 
     Frame.Level level(MethodId method) {
--- a/src/main/java/rosespread/state/GroupTable.java
+++ b/src/main/java/rosespread/state/GroupTable.java
@@ -15,8 +15,8 @@
 import rosespread.api.ZoneId;
 
 /**
- * A group's table for methods open to the same nodes: what is committed, what was laid at the proxies, and
- * the one pending delivery between the two.
+ * A group's table for methods open to the same nodes: what is committed, what was laid at the
+ * proxies, and the one pending delivery between the two.
  */
 public final class GroupTable {
     public final TableId id;
@@ -36,12 +36,16 @@
     public long parts = 1;
     public int drained;
     public int pressing;
+
     /** Whether the two counts above still hold. */
     public boolean counted;
+
     public boolean panic;
     public boolean abrupt;
 
-    /** @param home the only zone of nodes and proxies, or null */
+    /**
+     * @param home the only zone of nodes and proxies, or null
+     */
     public GroupTable(TableId id, ProxyGroup group, Settings.Method like, ZoneId home) {
         this.id = id;
         this.group = group;
@@ -51,7 +55,8 @@
 
     /** Whether a method is open to the same nodes. */
     public boolean serves(Settings.Method method, ZoneId zone) {
-        return like.onlyKinds().equals(method.onlyKinds()) && like.onlyZones().equals(method.onlyZones())
+        return like.onlyKinds().equals(method.onlyKinds())
+                && like.onlyZones().equals(method.onlyZones())
                 && Objects.equals(home, zone);
     }
 
@@ -69,14 +74,23 @@
 
     /** The bound proxies that get what is written to it. */
     public List<Proxy> users() {
-        return group.members.values().stream().filter(proxy -> proxy.bound && usedBy(proxy)).toList();
+        return group.members.values().stream()
+                .filter(proxy -> proxy.bound && usedBy(proxy))
+                .toList();
     }
 
-    /** How many pending lines, those that gain most first, add up to so much weight; all if they don't. */
+    /**
+     * How many pending lines, those that gain most first, add up to so much weight; all if they
+     * don't.
+     */
     public int linesToGain(double weight) {
-        double[] losses = pending.entrySet().stream()
-                .mapToDouble(line -> laid.getOrDefault(line.getKey(), 0.0) - line.getValue())
-                .filter(loss -> loss < 0).sorted().toArray();
+        double[] losses =
+                pending.entrySet().stream()
+                        .mapToDouble(
+                                line -> laid.getOrDefault(line.getKey(), 0.0) - line.getValue())
+                        .filter(loss -> loss < 0)
+                        .sorted()
+                        .toArray();
         double missing = weight;
         int lines = 0;
         while (lines < losses.length && missing > 0) {
--- a/src/main/java/rosespread/state/Node.java
+++ b/src/main/java/rosespread/state/Node.java
@@ -36,7 +36,9 @@
     public long leftAt = NEVER;
     private Observer.NodeState state = Observer.NodeState.GONE;
 
-    /** @param healthWindow nanoseconds over which evidence of health decays */
+    /**
+     * @param healthWindow nanoseconds over which evidence of health decays
+     */
     public Node(NodeId id, long healthWindow) {
         this.id = id;
         restart(Long.MIN_VALUE, healthWindow);
@@ -52,7 +54,9 @@
         state = next;
     }
 
-    /** A process that has just started tells nothing of the machine; its skill is kept from before. */
+    /**
+     * A process that has just started tells nothing of the machine; its skill is kept from before.
+     */
     public void restart(long at, long healthWindow) {
         up = at;
         answered.clear();
--- a/src/main/java/rosespread/state/Proxy.java
+++ b/src/main/java/rosespread/state/Proxy.java
@@ -15,8 +15,10 @@
     public final TreeMap<MethodId, WindowRate> offered = new TreeMap<>();
     public final ArrayDeque<Long> written = new ArrayDeque<>();
     public ProxyGroup group;
+
     /** Since when it may hold lines of nodes that left. */
     public long waitsSince;
+
     public boolean bound;
     public boolean owed = true;
     public long wholeSequence;
--- a/src/main/java/rosespread/state/ProxyGroup.java
+++ b/src/main/java/rosespread/state/ProxyGroup.java
@@ -10,8 +10,8 @@
 import rosespread.api.ZoneId;
 
 /**
- * Proxies that share tables, and when a delivery left for them last. Proxies that were moved elsewhere follow
- * the group's tables until they are bound there.
+ * Proxies that share tables, and when a delivery left for them last. Proxies that were moved
+ * elsewhere follow the group's tables until they are bound there.
  */
 public final class ProxyGroup {
     public final List<GroupTable> tables = new ArrayList<>();
@@ -20,7 +20,8 @@
     int followers;
 
     /**
-     * Lays a table for each set of methods open to the same nodes, one a zone where the proxy's zone binds.
+     * Lays a table for each set of methods open to the same nodes, one a zone where the proxy's
+     * zone binds.
      *
      * @param firstId of the tables, numbered from there on
      */
@@ -35,11 +36,20 @@
     }
 
     private GroupTable tableFor(Settings.Method method, ZoneId home, int firstId) {
-        return tables.stream().filter(table -> table.serves(method, home)).findFirst().orElseGet(() -> {
-            GroupTable table = new GroupTable(new TableId(firstId + tables.size()), this, method, home);
-            tables.add(table);
-            return table;
-        });
+        return tables.stream()
+                .filter(table -> table.serves(method, home))
+                .findFirst()
+                .orElseGet(
+                        () -> {
+                            GroupTable table =
+                                    new GroupTable(
+                                            new TableId(firstId + tables.size()),
+                                            this,
+                                            method,
+                                            home);
+                            tables.add(table);
+                            return table;
+                        });
     }
 
     /** The levels of another group's like tables hold here too, and are pending. */
@@ -55,7 +65,10 @@
         return followers == 0;
     }
 
-    /** All were moved elsewhere; until they are bound there, what is written here still goes to them. */
+    /**
+     * All were moved elsewhere; until they are bound there, what is written here still goes to
+     * them.
+     */
     public boolean abandoned() {
         return members.isEmpty() && !free();
     }
--- a/src/main/java/rosespread/store/Entry.java
+++ b/src/main/java/rosespread/store/Entry.java
@@ -10,20 +10,21 @@
 /** What is kept as it happens, in the order in which it happened. */
 public sealed interface Entry {
     /** A version was committed. */
-    record Committed(TableVersion version) implements Entry { }
+    record Committed(TableVersion version) implements Entry {}
 
     /**
-     * A table is held, goes back to a version ({@code to}, 0 if to none) by changing these lines, or follows
-     * the module.
+     * A table is held, goes back to a version ({@code to}, 0 if to none) by changing these lines,
+     * or follows the module.
      */
-    record Holding(TableId table, Hold hold, long to, Map<NodeId, Double> pending) implements Entry { }
+    record Holding(TableId table, Hold hold, long to, Map<NodeId, Double> pending)
+            implements Entry {}
 
     /** An operator's word on a node, given here or heard of. */
-    record Drained(Drain word) implements Entry { }
+    record Drained(Drain word) implements Entry {}
 
     /**
-     * From here on tables are laid out another way: numbers go on, but holds and earlier versions mean
-     * nothing any more. {@code layout} is a digest of what tables are laid out by.
+     * From here on tables are laid out another way: numbers go on, but holds and earlier versions
+     * mean nothing any more. {@code layout} is a digest of what tables are laid out by.
      */
-    record LaidOut(long layout) implements Entry { }
+    record LaidOut(long layout) implements Entry {}
 }
--- a/src/main/java/rosespread/store/LineWriter.java
+++ b/src/main/java/rosespread/store/LineWriter.java
@@ -15,8 +15,8 @@
 import rosespread.table.TableVersion;
 
 /**
- * Writes the lines of a table file; docs/versions.md gives their form. Each is a CRC32C in eight hexadecimal
- * digits, a space, an object of JSON and a newline; no newline occurs within.
+ * Writes the lines of a table file; docs/versions.md gives their form. Each is a CRC32C in eight
+ * hexadecimal digits, a space, an object of JSON and a newline; no newline occurs within.
  */
 final class LineWriter {
     static final int FORMAT = 1;
@@ -28,13 +28,15 @@
         void to(JsonGenerator out) throws IOException;
     }
 
-    private LineWriter() { }
+    private LineWriter() {}
 
     static byte[] head(long sequence, long layout) {
-        return line(sequence, out -> {
-            out.writeNumberField("format", FORMAT);
-            out.writeStringField("layout", Long.toHexString(layout));
-        });
+        return line(
+                sequence,
+                out -> {
+                    out.writeNumberField("format", FORMAT);
+                    out.writeStringField("layout", Long.toHexString(layout));
+                });
     }
 
     /** The line after an image's last table: from here on entries follow. */
@@ -43,23 +45,25 @@
     }
 
     static byte[] entry(long sequence, Entry entry) {
-        return line(sequence, out -> {
-            if (entry instanceof Entry.Committed committed) {
-                out.writeFieldName("version");
-                version(out, committed.version(), false);
-            } else if (entry instanceof Entry.Holding held) {
-                out.writeObjectFieldStart("hold");
-                out.writeNumberField("table", held.table().value());
-                out.writeStringField("state", held.hold().name());
-                out.writeNumberField("to", held.to());
-                lines(out, "pending", held.pending());
-                out.writeEndObject();
-            } else if (entry instanceof Entry.Drained drained) {
-                drain(out, drained.word());
-            } else if (entry instanceof Entry.LaidOut laid) {
-                out.writeStringField("laidOut", Long.toHexString(laid.layout()));
-            }
-        });
+        return line(
+                sequence,
+                out -> {
+                    if (entry instanceof Entry.Committed committed) {
+                        out.writeFieldName("version");
+                        version(out, committed.version(), false);
+                    } else if (entry instanceof Entry.Holding held) {
+                        out.writeObjectFieldStart("hold");
+                        out.writeNumberField("table", held.table().value());
+                        out.writeStringField("state", held.hold().name());
+                        out.writeNumberField("to", held.to());
+                        lines(out, "pending", held.pending());
+                        out.writeEndObject();
+                    } else if (entry instanceof Entry.Drained drained) {
+                        drain(out, drained.word());
+                    } else if (entry instanceof Entry.LaidOut laid) {
+                        out.writeStringField("laidOut", Long.toHexString(laid.layout()));
+                    }
+                });
     }
 
     static byte[] drain(long sequence, Drain word) {
@@ -80,28 +84,34 @@
 
     /** Versions whose parent stands before them are written as what they changed. */
     static byte[] table(long sequence, TableImage image) {
-        return line(sequence, out -> {
-            out.writeObjectFieldStart("table");
-            out.writeStringField("hold", image.hold().name());
-            out.writeNumberField("to", image.to());
-            lines(out, "pending", image.pending());
-            out.writeArrayFieldStart("kept");
-            for (long number : image.kept()) {
-                out.writeNumber(number);
-            }
-            out.writeEndArray();
-            out.writeArrayFieldStart("versions");
-            TableVersion before = null;
-            for (TableVersion version : image.versions()) {
-                version(out, version, before == null || before.number() != version.parent());
-                before = version;
-            }
-            out.writeEndArray();
-            out.writeEndObject();
-        });
+        return line(
+                sequence,
+                out -> {
+                    out.writeObjectFieldStart("table");
+                    out.writeStringField("hold", image.hold().name());
+                    out.writeNumberField("to", image.to());
+                    lines(out, "pending", image.pending());
+                    out.writeArrayFieldStart("kept");
+                    for (long number : image.kept()) {
+                        out.writeNumber(number);
+                    }
+                    out.writeEndArray();
+                    out.writeArrayFieldStart("versions");
+                    TableVersion before = null;
+                    for (TableVersion version : image.versions()) {
+                        version(
+                                out,
+                                version,
+                                before == null || before.number() != version.parent());
+                        before = version;
+                    }
+                    out.writeEndArray();
+                    out.writeEndObject();
+                });
     }
 
-    private static void version(JsonGenerator out, TableVersion version, boolean whole) throws IOException {
+    private static void version(JsonGenerator out, TableVersion version, boolean whole)
+            throws IOException {
         out.writeStartObject();
         out.writeNumberField("table", version.table().value());
         out.writeNumberField("number", version.number());
@@ -113,7 +123,8 @@
         out.writeEndObject();
     }
 
-    private static void lines(JsonGenerator out, String field, Map<NodeId, Double> lines) throws IOException {
+    private static void lines(JsonGenerator out, String field, Map<NodeId, Double> lines)
+            throws IOException {
         out.writeObjectFieldStart(field);
         for (Map.Entry<NodeId, Double> line : new TreeMap<>(lines).entrySet()) {
             out.writeNumberField(Long.toHexString(line.getKey().value()), line.getValue());
--- a/src/main/java/rosespread/store/Replay.java
+++ b/src/main/java/rosespread/store/Replay.java
@@ -12,7 +12,9 @@
 import rosespread.table.TableImage;
 import rosespread.table.TableVersion;
 
-/** Brings an image up to date with the entries after it, and checks that each fits the ones before. */
+/**
+ * Brings an image up to date with the entries after it, and checks that each fits the ones before.
+ */
 public final class Replay {
     private static final class Table {
         History history;
@@ -49,38 +51,68 @@
     public void take(Entry entry) throws StoreException {
         if (entry instanceof Entry.Committed c) {
             TableVersion v = c.version();
-            committed(v.table(), v.number(), v.parent(), v.cause(), v.atMillis(), v.changes(), v.digest());
+            committed(
+                    v.table(),
+                    v.number(),
+                    v.parent(),
+                    v.cause(),
+                    v.atMillis(),
+                    v.changes(),
+                    v.digest());
         } else if (entry instanceof Entry.Holding h) {
             hold(h);
         } else if (entry instanceof Entry.Drained d) {
             drains.take(d.word());
         } else if (entry instanceof Entry.LaidOut l) {
             layout = l.layout();
-            tables.values().forEach(table -> {
-                table.history.forget();
-                table.hold = Hold.NONE;
-                table.to = 0;
-                table.pending.clear();
-            });
+            tables.values()
+                    .forEach(
+                            table -> {
+                                table.history.forget();
+                                table.hold = Hold.NONE;
+                                table.to = 0;
+                                table.pending.clear();
+                            });
         }
     }
 
     /** A version by what it changed of its parent. */
-    void committed(TableId id, long number, long parent, TableVersion.Cause cause, long atMillis,
-            Map<NodeId, Double> changes, long digest) throws StoreException {
+    void committed(
+            TableId id,
+            long number,
+            long parent,
+            TableVersion.Cause cause,
+            long atMillis,
+            Map<NodeId, Double> changes,
+            long digest)
+            throws StoreException {
         Table table = tables.computeIfAbsent(id, t -> new Table());
         if (table.history == null) {
             table.history = new History(id, parent);
         }
         TableVersion before = table.history.current();
         if (before.number() != parent || number <= parent) {
-            throw new StoreException("table " + id.value() + ": version " + number + " after " + parent
-                    + " does not follow version " + before.number());
+            throw new StoreException(
+                    "table "
+                            + id.value()
+                            + ": version "
+                            + number
+                            + " after "
+                            + parent
+                            + " does not follow version "
+                            + before.number());
         }
         TableVersion next = before.after(number, changes, cause, atMillis);
         if (next.digest() != digest) {
-            throw new StoreException("table " + id.value() + ": version " + number + " has digest "
-                    + Long.toHexString(next.digest()) + ", written was " + Long.toHexString(digest));
+            throw new StoreException(
+                    "table "
+                            + id.value()
+                            + ": version "
+                            + number
+                            + " has digest "
+                            + Long.toHexString(next.digest())
+                            + ", written was "
+                            + Long.toHexString(digest));
         }
         table.history.add(next);
         if (cause == TableVersion.Cause.ROLLBACK) {
@@ -91,7 +123,8 @@
     private void hold(Entry.Holding held) throws StoreException {
         Table table = tables.get(held.table());
         if (table == null) {
-            throw new StoreException("table " + held.table().value() + " is held but has no version");
+            throw new StoreException(
+                    "table " + held.table().value() + " is held but has no version");
         }
         table.hold = held.hold();
         table.to = held.to();
--- a/src/main/java/rosespread/store/Sink.java
+++ b/src/main/java/rosespread/store/Sink.java
@@ -22,26 +22,31 @@
         Sink create(Path path) throws IOException;
     }
 
-    Disk DISK = path -> {
-        FileChannel file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING);
-        return new Sink() {
-            @Override
-            public void write(ByteBuffer bytes) throws IOException {
-                while (bytes.hasRemaining()) {
-                    file.write(bytes);
-                }
-            }
+    Disk DISK =
+            path -> {
+                FileChannel file =
+                        FileChannel.open(
+                                path,
+                                StandardOpenOption.CREATE,
+                                StandardOpenOption.WRITE,
+                                StandardOpenOption.TRUNCATE_EXISTING);
+                return new Sink() {
+                    @Override
+                    public void write(ByteBuffer bytes) throws IOException {
+                        while (bytes.hasRemaining()) {
+                            file.write(bytes);
+                        }
+                    }
 
-            @Override
-            public void force() throws IOException {
-                file.force(false);
-            }
+                    @Override
+                    public void force() throws IOException {
+                        file.force(false);
+                    }
 
-            @Override
-            public void close() throws IOException {
-                file.close();
-            }
-        };
-    };
+                    @Override
+                    public void close() throws IOException {
+                        file.close();
+                    }
+                };
+            };
 }
--- a/src/main/java/rosespread/store/TableFile.java
+++ b/src/main/java/rosespread/store/TableFile.java
@@ -1,10 +1,10 @@
 package rosespread.store;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import com.fasterxml.jackson.core.StreamReadFeature;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -23,17 +23,20 @@
 import rosespread.table.TableVersion;
 
 /**
- * Reads a table file. What a crash can leave, a last part that is not whole, is cut; what it cannot leave,
- * damage with whole lines after it, is refused with file and offset.
+ * Reads a table file. What a crash can leave, a last part that is not whole, is cut; what it cannot
+ * leave, damage with whole lines after it, is refused with file and offset.
  */
 final class TableFile {
     /** A file is rewritten long before it is so large. */
     private static final long LONGEST = 1L << 30;
-    private static final ObjectMapper JSON = JsonMapper.builder()
-            .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
 
-    /** @param cut bytes at the end that were not whole; @param from where they began */
-    record Content(Image image, long sequence, long entries, long cut, long from) { }
+    private static final ObjectMapper JSON =
+            JsonMapper.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+
+    /**
+     * @param cut bytes at the end that were not whole; @param from where they began
+     */
+    record Content(Image image, long sequence, long entries, long cut, long from) {}
 
     private final Path path;
     private final byte[] bytes;
@@ -47,7 +50,9 @@
         this.bytes = bytes;
     }
 
-    /** @throws StoreException with file and offset, if it is damaged */
+    /**
+     * @throws StoreException with file and offset, if it is damaged
+     */
     static Content read(Path path) throws IOException {
         if (Files.size(path) > LONGEST) {
             throw new StoreException(path + ": " + Files.size(path) + " bytes; at most " + LONGEST);
@@ -79,8 +84,11 @@
                     entry(line);
                 } else if (line.has("format")) {
                     if (line.path("format").asInt() != LineWriter.FORMAT) {
-                        throw damaged("field format is " + line.path("format") + "; allowed: "
-                                + LineWriter.FORMAT);
+                        throw damaged(
+                                "field format is "
+                                        + line.path("format")
+                                        + "; allowed: "
+                                        + LineWriter.FORMAT);
                     }
                     layout = hex(line.path("layout"));
                 } else if (line.has("table")) {
@@ -94,7 +102,8 @@
                     throw damaged("the image ends after " + tables.size() + " tables with " + line);
                 }
             } catch (StoreException | IllegalArgumentException e) {
-                throw e.getMessage().startsWith(path.toString()) && e instanceof StoreException told ? told
+                throw e.getMessage().startsWith(path.toString()) && e instanceof StoreException told
+                        ? told
                         : damaged(e.getMessage());
             }
             at = end + 1;
@@ -156,8 +165,9 @@
     private void sequence(JsonNode line) throws StoreException {
         long next = line.path("n").asLong(-1);
         // The lines of an image share a sequence: that of the last entry it holds.
-        if (next < 0 || replay == null && at > 0 && next != sequence || replay != null
-                && next != sequence + 1) {
+        if (next < 0
+                || replay == null && at > 0 && next != sequence
+                || replay != null && next != sequence + 1) {
             throw damaged("sequence " + line.path("n") + " after " + sequence);
         }
         sequence = next;
@@ -167,12 +177,22 @@
         entries++;
         if (line.has("version")) {
             JsonNode v = line.path("version");
-            replay.committed(id(v), number(v, "number"), number(v, "parent"), cause(v), number(v, "at"),
-                    lines(v.path("changes")), hex(v.path("digest")));
+            replay.committed(
+                    id(v),
+                    number(v, "number"),
+                    number(v, "parent"),
+                    cause(v),
+                    number(v, "at"),
+                    lines(v.path("changes")),
+                    hex(v.path("digest")));
         } else if (line.has("hold")) {
             JsonNode h = line.path("hold");
-            replay.take(new Entry.Holding(id(h), Hold.valueOf(h.path("state").asText()), number(h, "to"),
-                    lines(h.path("pending"))));
+            replay.take(
+                    new Entry.Holding(
+                            id(h),
+                            Hold.valueOf(h.path("state").asText()),
+                            number(h, "to"),
+                            lines(h.path("pending"))));
         } else if (line.has("drain")) {
             replay.take(new Entry.Drained(drain(line.path("drain"))));
         } else if (line.has("laidOut")) {
@@ -187,32 +207,58 @@
         for (JsonNode v : table.path("versions")) {
             TableVersion version;
             if (v.has("lines")) {
-                version = TableVersion.whole(id(v), number(v, "number"), cause(v), number(v, "at"),
-                        number(v, "parent"), lines(v.path("lines")));
+                version =
+                        TableVersion.whole(
+                                id(v),
+                                number(v, "number"),
+                                cause(v),
+                                number(v, "at"),
+                                number(v, "parent"),
+                                lines(v.path("lines")));
             } else {
                 if (versions.isEmpty()) {
                     throw new StoreException("the first version has no lines");
                 }
-                version = versions.get(versions.size() - 1).after(number(v, "number"),
-                        lines(v.path("changes")), cause(v), number(v, "at"));
+                version =
+                        versions.get(versions.size() - 1)
+                                .after(
+                                        number(v, "number"),
+                                        lines(v.path("changes")),
+                                        cause(v),
+                                        number(v, "at"));
             }
             if (version.digest() != hex(v.path("digest"))) {
-                throw new StoreException("table " + version.table().value() + ": version " + version.number()
-                        + " has digest " + Long.toHexString(version.digest()) + ", written was "
-                        + v.path("digest"));
+                throw new StoreException(
+                        "table "
+                                + version.table().value()
+                                + ": version "
+                                + version.number()
+                                + " has digest "
+                                + Long.toHexString(version.digest())
+                                + ", written was "
+                                + v.path("digest"));
             }
             versions.add(version);
         }
         Set<Long> kept = new TreeSet<>();
         table.path("kept").forEach(number -> kept.add(number.asLong()));
-        return new TableImage(versions, kept, Hold.valueOf(table.path("hold").asText()),
-                number(table, "to"), lines(table.path("pending")));
+        return new TableImage(
+                versions,
+                kept,
+                Hold.valueOf(table.path("hold").asText()),
+                number(table, "to"),
+                lines(table.path("pending")));
     }
 
     private static Drain drain(JsonNode of) throws StoreException {
-        return new Drain(new NodeId(hex(of.path("node"))), of.path("name").asText(), of.path("on")
-                .asBoolean(),
-                number(of, "stamp"), of.path("by").asText(), of.path("call").asText(), number(of, "at"));
+        return new Drain(
+                new NodeId(hex(of.path("node"))),
+                of.path("name").asText(),
+                of.path("on").asBoolean(),
+                number(of, "stamp"),
+                of.path("by").asText(),
+                of.path("call").asText(),
+                number(of, "at"));
     }
 
     private static TableId id(JsonNode of) throws StoreException {
@@ -225,7 +271,8 @@
 
     private static long number(JsonNode of, String field) throws StoreException {
         if (!of.path(field).isIntegralNumber()) {
-            throw new StoreException("field " + field + " is " + of.path(field) + ", not a whole number");
+            throw new StoreException(
+                    "field " + field + " is " + of.path(field) + ", not a whole number");
         }
         return of.path(field).asLong();
     }
@@ -238,14 +285,18 @@
         Map<NodeId, Double> lines = new TreeMap<>();
         for (Map.Entry<String, JsonNode> line : of.properties()) {
             if (!line.getValue().isNumber()) {
-                throw new StoreException("line " + line.getKey() + " has weight " + line.getValue());
+                throw new StoreException(
+                        "line " + line.getKey() + " has weight " + line.getValue());
             }
-            lines.put(new NodeId(Long.parseUnsignedLong(line.getKey(), 16)), line.getValue().asDouble());
+            lines.put(
+                    new NodeId(Long.parseUnsignedLong(line.getKey(), 16)),
+                    line.getValue().asDouble());
         }
         return lines;
     }
 
     private StoreException damaged(String what) {
-        return new StoreException(path + ": damaged at byte " + at + " of " + bytes.length + ": " + what);
+        return new StoreException(
+                path + ": damaged at byte " + at + " of " + bytes.length + ": " + what);
     }
 }
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -1,6 +1,9 @@
 package rosespread.store;
 
-/** Where versions and acts are kept before a proxy can hear of them. Called on one thread; never blocks. */
+/**
+ * Where versions and acts are kept before a proxy can hear of them. Called on one thread; never
+ * blocks.
+ */
 public interface TableLog {
     /** Takes an entry up; returns its sequence, which rises by one. */
     long append(Entry entry);
@@ -21,33 +24,34 @@
     long bytes();
 
     /** Keeps nothing, and so keeps nothing waiting. */
-    TableLog NONE = new TableLog() {
-        @Override
-        public long append(Entry entry) {
-            return 0;
-        }
-
-        @Override
-        public long durable() {
-            return Long.MAX_VALUE;
-        }
-
-        @Override
-        public boolean wantsImage() {
-            return false;
-        }
-
-        @Override
-        public void image(Image image) { }
-
-        @Override
-        public String trouble() {
-            return "";
-        }
-
-        @Override
-        public long bytes() {
-            return 0;
-        }
-    };
+    TableLog NONE =
+            new TableLog() {
+                @Override
+                public long append(Entry entry) {
+                    return 0;
+                }
+
+                @Override
+                public long durable() {
+                    return Long.MAX_VALUE;
+                }
+
+                @Override
+                public boolean wantsImage() {
+                    return false;
+                }
+
+                @Override
+                public void image(Image image) {}
+
+                @Override
+                public String trouble() {
+                    return "";
+                }
+
+                @Override
+                public long bytes() {
+                    return 0;
+                }
+            };
 }
