--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -24,12 +24,13 @@
 import rosespread.table.TableImage;
 
 /**
- * Keeps versions and acts in one append-only file: an image of all tables, then entries. A thread of its own
- * writes what has gathered and forces it to the disk at once, so that one force pays for all that waits. A
- * file that has grown is followed by a shorter one with a higher number, moved into place whole.
+ * Keeps versions and acts in one append-only file: an image of all tables, then entries. A thread
+ * of its own writes what has gathered and forces it to the disk at once, so that one force pays for
+ * all that waits. A file that has grown is followed by a shorter one with a higher number, moved
+ * into place whole.
  *
- * <p>After a fault nothing is appended to that file any more: a new one is begun with an image, once a second
- * until it succeeds. Meanwhile {@link #trouble} says what is wrong.
+ * <p>After a fault nothing is appended to that file any more: a new one is begun with an image,
+ * once a second until it succeeds. Meanwhile {@link #trouble} says what is wrong.
  */
 public final class TableStore implements TableLog, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TableStore.class);
@@ -40,7 +41,7 @@
     private static final long RETRY_MILLIS = 1000;
     private static final long CLOSE_MILLIS = 2000;
 
-    private record Item(long sequence, Entry entry, Image image) { }
+    private record Item(long sequence, Entry entry, Image image) {}
 
     private final Path folder;
     private final Sink.Disk disk;
@@ -56,11 +57,15 @@
     private long generation;
     private long imageBytes;
     private long retryAt;
+
     /** Of the thread that appends. */
     private long appended;
+
     private boolean dropped;
+
     /** Of the store's thread. */
     private long put;
+
     private boolean broken;
     private volatile long durable;
     private volatile long bytes;
@@ -68,12 +73,16 @@
     private volatile String trouble = "";
     private volatile boolean closing;
 
-    /** @param written called on the store's thread after {@link #durable} has risen or trouble began */
+    /**
+     * @param written called on the store's thread after {@link #durable} has risen or trouble began
+     */
     public TableStore(Path folder, Sink.Disk disk, LongSupplier wallMillis, Runnable written) {
         this(folder, disk, wallMillis, written, GROWN);
     }
 
-    /** @param grown bytes from which on a file is followed by a shorter one */
+    /**
+     * @param grown bytes from which on a file is followed by a shorter one
+     */
     TableStore(Path folder, Sink.Disk disk, LongSupplier wallMillis, Runnable written, long grown) {
         this.grown = grown;
         this.folder = folder;
@@ -84,8 +93,8 @@
     }
 
     /**
-     * Reads what was kept and begins to write. A damaged file is set aside and nothing is taken from it; the
-     * log names file and offset.
+     * Reads what was kept and begins to write. A damaged file is set aside and nothing is taken
+     * from it; the log names file and offset.
      *
      * @throws IOException if the folder cannot be read or is another process's
      */
@@ -124,7 +133,8 @@
         }
         if (lock == null) {
             lockFile.close();
-            throw new IOException(folder + " is in use by another conductor; give each its own --state");
+            throw new IOException(
+                    folder + " is in use by another conductor; give each its own --state");
         }
     }
 
@@ -151,18 +161,26 @@
         try {
             TableFile.Content content = TableFile.read(file);
             if (content.cut() > 0) {
-                LOG.warn("{}: the last {} bytes, from byte {} on, were not whole and are cut", file,
-                        content.cut(), content.from());
+                LOG.warn(
+                        "{}: the last {} bytes, from byte {} on, were not whole and are cut",
+                        file,
+                        content.cut(),
+                        content.from());
             }
             appended = content.sequence();
-            LOG.atInfo().addKeyValue("tables", content.image().tables().size())
-                    .addKeyValue("entries", content.entries()).log("tables restored from " + file);
+            LOG.atInfo()
+                    .addKeyValue("tables", content.image().tables().size())
+                    .addKeyValue("entries", content.entries())
+                    .log("tables restored from " + file);
             return content.image();
         } catch (StoreException e) {
-            Path aside = file.resolveSibling(file.getFileName() + ".damaged-" + wallMillis.getAsLong());
+            Path aside =
+                    file.resolveSibling(file.getFileName() + ".damaged-" + wallMillis.getAsLong());
             Files.move(file, aside);
-            LOG.error("{}; set aside as {}; tables begin from the list and from what proxies hold",
-                    e.getMessage(), aside);
+            LOG.error(
+                    "{}; set aside as {}; tables begin from the list and from what proxies hold",
+                    e.getMessage(),
+                    aside);
             return Image.EMPTY;
         }
     }
@@ -184,7 +202,10 @@
         return durable;
     }
 
-    /** Waits so many nanoseconds for a sequence to be kept, as long as all is well; tells whether it is. */
+    /**
+     * Waits so many nanoseconds for a sequence to be kept, as long as all is well; tells whether it
+     * is.
+     */
     public boolean await(long sequence, long nanos) {
         long until = System.nanoTime() + nanos;
         synchronized (told) {
--- a/src/main/java/rosespread/table/Digest.java
+++ b/src/main/java/rosespread/table/Digest.java
@@ -5,15 +5,19 @@
 import rosespread.api.NodeId;
 
 /**
- * A digest over a table's lines: the sum, modulo 2 to the 64, of each line's XXH3 (64 bits, seed 0) over its
- * node and the bits of its weight, 16 bytes little-endian. A sum does not depend on order, so a changed line
- * costs two hashes whatever the table's size. It guards against loss and mistakes, not against forgery.
+ * A digest over a table's lines: the sum, modulo 2 to the 64, of each line's XXH3 (64 bits, seed 0)
+ * over its node and the bits of its weight, 16 bytes little-endian. A sum does not depend on order,
+ * so a changed line costs two hashes whatever the table's size. It guards against loss and
+ * mistakes, not against forgery.
  */
 public final class Digest {
-    private Digest() { }
+    private Digest() {}
 
     public static long of(NodeId node, double weight) {
-        return Hashing.xxh3_64().hashStream().putLong(node.value()).putLong(Double.doubleToLongBits(weight))
+        return Hashing.xxh3_64()
+                .hashStream()
+                .putLong(node.value())
+                .putLong(Double.doubleToLongBits(weight))
                 .getAsLong();
     }
 
--- a/src/main/java/rosespread/table/History.java
+++ b/src/main/java/rosespread/table/History.java
@@ -12,7 +12,10 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 
-/** A table's versions, newest last, bounded by count and age; kept ones stay. Levels go beside the lines. */
+/**
+ * A table's versions, newest last, bounded by count and age; kept ones stay. Levels go beside the
+ * lines.
+ */
 public final class History {
     private static final int MOST = 256;
     private static final long OLDEST_MILLIS = 24 * 3600 * 1000L;
@@ -22,7 +25,9 @@
     private final TreeMap<MethodId, Double> levels = new TreeMap<>();
     private TableVersion current;
 
-    /** @param floor the number after which numbers begin */
+    /**
+     * @param floor the number after which numbers begin
+     */
     public History(TableId table, long floor) {
         current = TableVersion.empty(table, floor);
     }
@@ -48,7 +53,8 @@
     }
 
     /** Commits changes; the version stays as it is if nothing truly changes. */
-    public TableVersion commit(Map<NodeId, Double> changes, TableVersion.Cause cause, long nowMillis) {
+    public TableVersion commit(
+            Map<NodeId, Double> changes, TableVersion.Cause cause, long nowMillis) {
         TableVersion next = current.with(changes, cause, nowMillis);
         if (next != current) {
             add(next);
@@ -77,14 +83,21 @@
 
     /** What is kept on disk of it; nothing before the first commit. */
     public Optional<TableImage> image(Hold hold, long to, Map<NodeId, Double> pending) {
-        return versions.isEmpty() ? Optional.empty()
-                : Optional.of(new TableImage(versions(), new TreeSet<>(kept), hold.lasting(), to,
-                        new TreeMap<>(pending)));
+        return versions.isEmpty()
+                ? Optional.empty()
+                : Optional.of(
+                        new TableImage(
+                                versions(),
+                                new TreeSet<>(kept),
+                                hold.lasting(),
+                                to,
+                                new TreeMap<>(pending)));
     }
 
     /**
-     * What changes from one kept version to another, weight 0 for a line that goes. Follows the changes from
-     * version to version where all between are kept, so that its cost does not grow with the table.
+     * What changes from one kept version to another, weight 0 for a line that goes. Follows the
+     * changes from version to version where all between are kept, so that its cost does not grow
+     * with the table.
      */
     public Optional<Map<NodeId, Double>> difference(long from, long to) {
         TableVersion first = versions.get(from);
--- a/src/main/java/rosespread/turn/DecisionLoop.java
+++ b/src/main/java/rosespread/turn/DecisionLoop.java
@@ -6,17 +6,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The body of a decision thread: takes what the inbox holds, then one turn, then waits. One event or turn that
- * goes wrong does not end it, an Error among them; turns that do nothing but fail do, as a conductor that can't
- * decide must not look alive while its other threads go on answering.
+ * The body of a decision thread: takes what the inbox holds, then one turn, then waits. One event
+ * or turn that goes wrong does not end it, an Error among them; turns that do nothing but fail do,
+ * as a conductor that can't decide must not look alive while its other threads go on answering.
  */
 public final class DecisionLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
     private static final long LEAST_SLEEP = 200_000L;
     private static final long LONGEST_SLEEP = 20_000_000L;
     private static final int EVENTS_A_TURN = 4096;
+
     /** Turns that only failed for so long, and so often, will not come right again. */
     private static final long FAILING_MOST = 10_000_000_000L;
+
     private static final int FAILURES_MOST = 10;
 
     private final Inbox inbox;
@@ -65,7 +67,8 @@
             boolean well = guarded(time -> next[0] = turn.applyAsLong(time), now);
             failingSince = failures == 0 ? now : failingSince;
             failures = well ? 0 : failures + 1;
-            inbox.await(Math.min(LONGEST_SLEEP, Math.max(LEAST_SLEEP, next[0] - clock.getAsLong())));
+            inbox.await(
+                    Math.min(LONGEST_SLEEP, Math.max(LEAST_SLEEP, next[0] - clock.getAsLong())));
         }
     }
 
@@ -78,8 +81,9 @@
     }
 
     /**
-     * One event that goes wrong must not end the only thread that decides: the rest go on. That holds for an
-     * Error too, such as a heap that was full for a moment; the thread would end without a word.
+     * One event that goes wrong must not end the only thread that decides: the rest go on. That
+     * holds for an Error too, such as a heap that was full for a moment; the thread would end
+     * without a word.
      */
     private static boolean guarded(Inbox.Event event, long now) {
         try {
--- a/src/main/java/rosespread/turn/Inbox.java
+++ b/src/main/java/rosespread/turn/Inbox.java
@@ -5,9 +5,9 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * What I/O threads bring to the decision thread, without a lock. It is bounded: over half full, reports are
- * dropped and counted, as newer ones follow; all else waits for room on the thread that brings it, which
- * holds back its sockets.
+ * What I/O threads bring to the decision thread, without a lock. It is bounded: over half full,
+ * reports are dropped and counted, as newer ones follow; all else waits for room on the thread that
+ * brings it, which holds back its sockets.
  */
 public final class Inbox {
     /** Runs on the decision thread. */
--- a/src/main/java/rosespread/turn/Rounds.java
+++ b/src/main/java/rosespread/turn/Rounds.java
@@ -7,8 +7,8 @@
 import rosespread.api.Observer;
 
 /**
- * Keeps a module's rounds for one decision thread: what came in since the last, when it wants to be woken,
- * the least gap between two, and a pause after it threw. Times in nanoseconds.
+ * Keeps a module's rounds for one decision thread: what came in since the last, when it wants to be
+ * woken, the least gap between two, and a pause after it threw. Times in nanoseconds.
  */
 public final class Rounds {
     /** What a round is played with. */
@@ -21,6 +21,7 @@
 
     /** Rounds come at most this often, so that answers that arrive together are one round. */
     private static final long GAP = 10_000_000L;
+
     /** Keeps a fault that comes back from spinning. */
     private static final long FAULT_PAUSE = 1_000_000_000L;
 
@@ -48,10 +49,13 @@
     public void begin() {
         calls = new ArrayList<>();
         wakeAt = Long.MAX_VALUE;
-        calls.add(observer -> { });
+        calls.add(observer -> {});
     }
 
-    /** Plays a round if one is due; returns when to come back, {@link Long#MAX_VALUE} if nothing is known. */
+    /**
+     * Plays a round if one is due; returns when to come back, {@link Long#MAX_VALUE} if nothing is
+     * known.
+     */
     public long turn(long now, Player player) {
         if (fault != null && now >= heldUntil) {
             heldUntil = now + FAULT_PAUSE;
@@ -72,7 +76,10 @@
         return calls.isEmpty() ? wakeAt : Math.min(wakeAt, heldUntil);
     }
 
-    /** Until it has begun without a throw of its own: guards against no module at all, and no round ever. */
+    /**
+     * Until it has begun without a throw of its own: guards against no module at all, and no round
+     * ever.
+     */
     private void beginAnew(Player player) {
         player.faulted(fault);
         fault = null;
--- a/src/test/java/rosespread/AdapterTest.java
+++ b/src/test/java/rosespread/AdapterTest.java
@@ -15,21 +15,27 @@
 import rosespread.adapter.WireException;
 
 class AdapterTest {
-    private static final String INFO = "{'azs':['a'],'kinds':['k','l'],'profiles':[{'name':'m',"
-            + "'effect':'safe','importance':1,'giveUp':2,'onlyKinds':['l'],'new':{}}],"
-            + "'domain':{'channelRate':1000,'overhead':4,'queueCap':1500,'reportEvery':1,'throttleBy':'rps'},"
-            + "'contract':{'stopSendingWithin':2,'cold':16,'coldShare':0.2,'overloadFor':1.5},"
-            + "'policyLimits':{},'report':{'columns':['utilization']}}";
-    private static final String LIST = "{'msg':'Topology','conductorId':CID,'rev':0,'kind':'Persisted',"
-            + "'elements':[{'w':1,'zone':'a','node':7,'lifecycle':'ready','cameUp':null,'kind':'k'},"
-            + "{'w':1,'zone':'a','node':4000000000,'lifecycle':'ready','cameUp':0,'kind':'l','stripe':0}]}";
+    private static final String INFO =
+            "{'azs':['a'],'kinds':['k','l'],'profiles':[{'name':'m',"
+                    + "'effect':'safe','importance':1,'giveUp':2,'onlyKinds':['l'],'new':{}}],"
+                    + "'domain':{'channelRate':1000,'overhead':4,'queueCap':1500,'reportEvery':1,'throttleBy':'rps'},"
+                    + "'contract':{'stopSendingWithin':2,'cold':16,'coldShare':0.2,'overloadFor':1.5},"
+                    + "'policyLimits':{},'report':{'columns':['utilization']}}";
+    private static final String LIST =
+            "{'msg':'Topology','conductorId':CID,'rev':0,'kind':'Persisted',"
+                    + "'elements':[{'w':1,'zone':'a','node':7,'lifecycle':'ready','cameUp':null,'kind':'k'},"
+                    + "{'w':1,'zone':'a','node':4000000000,'lifecycle':'ready','cameUp':0,'kind':'l','stripe':0}]}";
 
     private static String batch(String... events) {
         return ("{'simTime':1.5,'msgs':[" + String.join(",", events) + "]}\n").replace('\'', '"');
     }
 
     private static String launch(int conductor, String info) {
-        return "{'msg':'Launch','conductorId':" + conductor + ",'nonce64':5,'info':" + info + "},"
+        return "{'msg':'Launch','conductorId':"
+                + conductor
+                + ",'nonce64':5,'info':"
+                + info
+                + "},"
                 + LIST.replace("CID", String.valueOf(conductor));
     }
 
@@ -41,12 +47,17 @@
 
     @Test
     void eachBatchGetsOneReplyAndAMethodsOwnKindsItsTable() throws Exception {
-        String join = "{'msg':'Attached','conductorId':0,'clientLb':3,'zone':'a','w':6.5,'active':true}";
+        String join =
+                "{'msg':'Attached','conductorId':0,'clientLb':3,'zone':'a','w':6.5,'active':true}";
         String[] replies = run(batch() + batch(launch(0, INFO)) + batch(join)).split("\n");
         assertEquals("{\"steps\":[]}", replies[0]);
         assertEquals(3, replies.length);
-        assertTrue(replies[2].contains("\"msg\":\"Point\",\"conductorId\":0,\"clientLb\":3,\"classBits\":1"));
-        assertTrue(replies[1].contains("\"node\":4000000000") || replies[2].contains("\"node\":4000000000"));
+        assertTrue(
+                replies[2].contains(
+                        "\"msg\":\"Point\",\"conductorId\":0,\"clientLb\":3,\"classBits\":1"));
+        assertTrue(
+                replies[1].contains("\"node\":4000000000")
+                        || replies[2].contains("\"node\":4000000000"));
         assertTrue(!(replies[1] + replies[2]).contains("\"node\":7}"));
     }
 
@@ -66,13 +77,17 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "nonsense                                    | line 2 is not a batch",
-        "[]                                          | line 2 is not a batch: the line is not an object",
-        "{\"msgs\":[]}                               | lacks \"simTime\"",
-        "{\"simTime\":1}                             | lacks \"msgs\"",
-        "{\"simTime\":1,\"msgs\":[]} trailing        | line 2 is not a batch",
-        "{\"simTime\":1,\"msgs\":[{\"msg\":\"x\"}]}  | lacks \"conductorId\""})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "nonsense                                    | line 2 is not a batch",
+                "[]                                          | line 2 is not a batch: the line is not an object",
+                "{\"msgs\":[]}                               | lacks \"simTime\"",
+                "{\"simTime\":1}                             | lacks \"msgs\"",
+                "{\"simTime\":1,\"msgs\":[]} trailing        | line 2 is not a batch",
+                "{\"simTime\":1,\"msgs\":[{\"msg\":\"x\"}]}  | lacks \"conductorId\""
+            })
     void aLineThatIsNotABatchIsToldPlainly(String line, String complaint) {
         WireException told = assertThrows(WireException.class, () -> run(batch() + line + "\n"));
         assertTrue(told.getMessage().contains(complaint), told.getMessage());
--- a/src/test/java/rosespread/BrainTest.java
+++ b/src/test/java/rosespread/BrainTest.java
@@ -28,8 +28,10 @@
         Rig rig = new Rig(settings());
         rig.start(nodes, proxies);
         List<String> binds = rig.since(0, "bind ");
-        List<String> wanted = IntStream.range(0, proxies)
-                .mapToObj(p -> "bind " + (proxies - 1 - p) + " 1").toList();
+        List<String> wanted =
+                IntStream.range(0, proxies)
+                        .mapToObj(p -> "bind " + (proxies - 1 - p) + " 1")
+                        .toList();
         assertEquals(wanted, binds);
     }
 
@@ -78,7 +80,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Observer.NodeState.class, names = {"DRAINING", "GONE"})
+    @EnumSource(
+            value = Observer.NodeState.class,
+            names = {"DRAINING", "GONE"})
     void aDrainDoesNotWaitForADeliveryInFlight(Observer.NodeState state) {
         Rig rig = new Rig(settings()).start(4, 2);
         rig.list(CHANGES, READY, LONG_AGO, 4).round(1);
@@ -117,17 +121,29 @@
             }
             rig.run(1);
         }
-        double sickest = IntStream.range(0, sick).mapToDouble(n -> rig.weight(1, n)).max().orElseThrow();
+        double sickest =
+                IntStream.range(0, sick).mapToDouble(n -> rig.weight(1, n)).max().orElseThrow();
         assertEquals(trusted, sickest < 0.2, "weight " + sickest);
     }
 
     @ParameterizedTest
-    @CsvSource({"0.95, 5, false", "0.95, 10, true", "0.4, 5, true", "0.4, 1, false", "NaN, 10, true"})
-    void anOverloadedNodeThatStillAnswersIsNotSick(double utilization, int unanswered, boolean sick) {
+    @CsvSource({
+        "0.95, 5, false",
+        "0.95, 10, true",
+        "0.4, 5, true",
+        "0.4, 1, false",
+        "NaN, 10, true"
+    })
+    void anOverloadedNodeThatStillAnswersIsNotSick(
+            double utilization, int unanswered, boolean sick) {
         Rig rig = new Rig(settings()).start(8, 2);
         for (int i = 0; i < 8; i++) {
             for (int node = 0; node < 8; node++) {
-                rig.sums(node, 10, node == 0 && i > 1 ? unanswered : 0, node == 0 ? utilization : 0.5);
+                rig.sums(
+                        node,
+                        10,
+                        node == 0 && i > 1 ? unanswered : 0,
+                        node == 0 ? utilization : 0.5);
             }
             rig.run(1);
         }
@@ -166,8 +182,7 @@
 
     @Test
     void theLowestCriticalityIsShedFirst() {
-        Rig rig = new Rig(settings(2000, 30, method(1),
-                method(3))).start(4, 2);
+        Rig rig = new Rig(settings(2000, 30, method(1), method(3))).start(4, 2);
         for (int i = 0; i < 5; i++) {
             for (int node = 0; node < 4; node++) {
                 rig.sums(node, 10, 0, 1);
@@ -214,8 +229,7 @@
 
     @Test
     void methodsOpenToOtherNodesHaveTheirOwnTable() {
-        Rig rig = new Rig(settings(2000, 30, method(1),
-                method(3, 0))).start(4, 1);
+        Rig rig = new Rig(settings(2000, 30, method(1), method(3, 0))).start(4, 1);
         assertEquals(List.of("bind 0 1", "bind 0 2"), rig.since(0, "bind "));
         assertEquals(0, rig.weight(2, 1));
         assertTrue(rig.weight(2, 0) > 0);
@@ -237,21 +251,26 @@
 
     @Test
     void aDrainingNodeOfAnOldListIsNeverLaid() {
-        Rig rig = new Rig(settings()).list(Observer.ListKind.REMEMBERED, DRAINING, LONG_AGO, 9).start(4, 1);
+        Rig rig =
+                new Rig(settings())
+                        .list(Observer.ListKind.REMEMBERED, DRAINING, LONG_AGO, 9)
+                        .start(4, 1);
         assertEquals(List.of(), rig.since(0, "line 1 9 "));
     }
 
     /**
-     * All proxies of a lost conductor come to one that was down while a node left, so that it never laid it;
-     * whole tables for all would take 5 to 10 of the 2 seconds of grace. The second time it has proxies already.
+     * All proxies of a lost conductor come to one that was down while a node left, so that it never
+     * laid it; whole tables for all would take 5 to 10 of the 2 seconds of grace. The second time
+     * it has proxies already.
      */
     @ParameterizedTest
     @CsvSource({"GONE, 45, 100", "DRAINING, 45, 100", "GONE, 20, 200", "DRAINING, 60, 100"})
-    void aCrowdThatMayHoldWhatLeftIsBoundLightWithinTheGraceAndGetsTheRestLater(Observer.NodeState state,
-            int crowd, int nodes) {
+    void aCrowdThatMayHoldWhatLeftIsBoundLightWithinTheGraceAndGetsTheRestLater(
+            Observer.NodeState state, int crowd, int nodes) {
         Rig rig = new Rig(settings(8200, 30, method(1)));
         rig.slow = true;
-        rig.list(Observer.ListKind.REMEMBERED, READY, LONG_AGO, IntStream.range(0, nodes).toArray()).round(0);
+        rig.list(Observer.ListKind.REMEMBERED, READY, LONG_AGO, IntStream.range(0, nodes).toArray())
+                .round(0);
         rig.list(CHANGES, state, LONG_AGO, 7).run(0.1);
         IntStream.range(0, crowd).forEach(p -> rig.join(p, 5));
         rig.run(1.5);
@@ -265,18 +284,21 @@
         rig.run(1.5);
         assertEquals(crowd, rig.since(place, "bind ").size());
         rig.run(60);
-        assertEquals((nodes - 2L) * 2 * crowd, IntStream.range(0, nodes).mapToLong(rig::holders).sum());
+        assertEquals(
+                (nodes - 2L) * 2 * crowd, IntStream.range(0, nodes).mapToLong(rig::holders).sum());
     }
 
     /**
-     * Tables of a fifth of the lines for all would take 13 seconds; light ones take the channel 5, in which no
-     * more waits than leaves within the grace, so that a node that leaves meanwhile is still taken out in time.
+     * Tables of a fifth of the lines for all would take 13 seconds; light ones take the channel 5,
+     * in which no more waits than leaves within the grace, so that a node that leaves meanwhile is
+     * still taken out in time.
      */
     @Test
     void theLargerTheCrowdTheLighterItsTables() {
         Rig rig = new Rig(settings(8200, 30, method(1)));
         rig.slow = true;
-        rig.list(Observer.ListKind.REMEMBERED, READY, LONG_AGO, IntStream.range(0, 200).toArray()).round(0);
+        rig.list(Observer.ListKind.REMEMBERED, READY, LONG_AGO, IntStream.range(0, 200).toArray())
+                .round(0);
         rig.list(CHANGES, GONE, LONG_AGO, 7).run(0.1);
         IntStream.range(0, 250).forEach(p -> rig.join(p, 5));
         rig.run(4.8);
@@ -286,7 +308,9 @@
         assertTrue(used >= 100, used + " nodes are used by all groups together");
     }
 
-    /** So many wait that a word to each of them on what left would be more than the queue may hold. */
+    /**
+     * So many wait that a word to each of them on what left would be more than the queue may hold.
+     */
     @ParameterizedTest
     @CsvSource({"100, 3000", "140, 2000", "60, 900"})
     void whatLeavesWhileACrowdWaitsDoesNotFillTheQueue(int crowd, double queue) {
@@ -303,14 +327,15 @@
     }
 
     /**
-     * What left before a conductor began is in no list that it is told of, but in the tables that proxies bring;
-     * that nodes are young says that a release goes on.
+     * What left before a conductor began is in no list that it is told of, but in the tables that
+     * proxies bring; that nodes are young says that a release goes on.
      */
     @Test
     void aCrowdThatComesAfterAReleaseIsBoundLightThoughTheListNamesNothingThatLeft() {
         Rig rig = new Rig(settings(8200, 30, method(1)));
         rig.slow = true;
-        rig.list(Observer.ListKind.REMEMBERED, READY, LONG_AGO, IntStream.range(0, 100).toArray()).run(1);
+        rig.list(Observer.ListKind.REMEMBERED, READY, LONG_AGO, IntStream.range(0, 100).toArray())
+                .run(1);
         rig.list(CHANGES, READY, 99 * Rig.SECOND, 7).run(0.1);
         IntStream.range(0, 45).forEach(p -> rig.join(p, 5));
         rig.run(1.5);
@@ -333,15 +358,22 @@
         rig.run(4);
         assertTrue(rig.mostWaiting <= queue, rig.mostWaiting + " lines waited");
         assertTrue(rig.mostMessages <= limit, rig.mostMessages + " messages to one proxy");
-        assertEquals(0, IntStream.range(0, 36).mapToLong(rig::holders).sum(), "nodes that left are held");
+        assertEquals(
+                0,
+                IntStream.range(0, 36).mapToLong(rig::holders).sum(),
+                "nodes that left are held");
         rig.list(CHANGES, READY, 126 * Rig.SECOND, IntStream.range(0, 36).toArray()).run(30);
-        assertEquals(36L * proxies, IntStream.range(0, 36).mapToLong(rig::holders).sum(), "returned nodes");
+        assertEquals(
+                36L * proxies,
+                IntStream.range(0, 36).mapToLong(rig::holders).sum(),
+                "returned nodes");
     }
 
     /** One conductor takes over from another while nodes leave. */
     @ParameterizedTest
     @CsvSource({"75, 75, 4900, 20", "50, 50, 3400, 30", "15, 16, 1100, 30"})
-    void aCrowdThatJoinsIsBoundWithinTheQueueAndTheMessages(int proxies, int more, double queue, int limit) {
+    void aCrowdThatJoinsIsBoundWithinTheQueueAndTheMessages(
+            int proxies, int more, double queue, int limit) {
         Rig rig = new Rig(settings(queue, limit, method(1)));
         rig.slow = true;
         rig.start(110, proxies).run(20);
@@ -352,14 +384,15 @@
         rig.run(20);
         assertTrue(rig.mostWaiting <= queue, rig.mostWaiting + " lines waited");
         assertTrue(rig.mostMessages <= limit, rig.mostMessages + " messages to one proxy");
-        assertEquals(100L * (proxies + more), IntStream.range(10, 110).mapToLong(rig::holders).sum());
+        assertEquals(
+                100L * (proxies + more), IntStream.range(10, 110).mapToLong(rig::holders).sum());
         assertEquals(0, IntStream.range(0, 10).mapToLong(rig::holders).sum());
     }
 
     @ParameterizedTest
     @CsvSource({"0.1, 0.2, 1.0", "0.3, 0.2, 0.7", "0.6, 0.2, 0.7"})
-    void aReportOfLittleLoadMakesNoNodeLargerThanItsLatencyAllows(double latency, double reported,
-            double most) {
+    void aReportOfLittleLoadMakesNoNodeLargerThanItsLatencyAllows(
+            double latency, double reported, double most) {
         Rig rig = new Rig(settings()).start(10, 4);
         for (int i = 0; i < 40; i++) {
             for (int node = 0; node < 10; node++) {
@@ -376,10 +409,17 @@
     void inputThatMakesNoSenseIsPassedOver() {
         Rig rig = new Rig(settings()).start(4, 2);
         int place = rig.all.size();
-        rig.sums(99, 10, 10, 0.9).offered(99, 0, 10).offered(0, 0, 0).with(o -> o.proxyLeft(new ProxyId(98)));
-        rig.with(o -> o.installed(new ProxyId(99), 5, 1)).with(o -> o.installed(new ProxyId(0), 4711, 1));
+        rig.sums(99, 10, 10, 0.9)
+                .offered(99, 0, 10)
+                .offered(0, 0, 0)
+                .with(o -> o.proxyLeft(new ProxyId(98)));
+        rig.with(o -> o.installed(new ProxyId(99), 5, 1))
+                .with(o -> o.installed(new ProxyId(0), 4711, 1));
         rig.list(CHANGES, READY, LONG_AGO).run(1);
-        assertEquals(List.of(), rig.all.subList(place, rig.all.size()).stream()
-                .filter(line -> !line.equals("wake")).toList());
+        assertEquals(
+                List.of(),
+                rig.all.subList(place, rig.all.size()).stream()
+                        .filter(line -> !line.equals("wake"))
+                        .toList());
     }
 }
--- a/src/test/java/rosespread/Rig.java
+++ b/src/test/java/rosespread/Rig.java
@@ -19,7 +19,9 @@
 import rosespread.api.TableId;
 import rosespread.api.ZoneId;
 
-/** A conductor's module with its clock, what comes in next, and its orders as short lines of text. */
+/**
+ * A conductor's module with its clock, what comes in next, and its orders as short lines of text.
+ */
 final class Rig {
     static final long SECOND = 1_000_000_000L;
 
@@ -28,8 +30,10 @@
     private final List<Consumer<Observer>> next = new ArrayList<>();
     private long now = 100 * SECOND;
     double latency = 0.1;
+
     /** Whether answers come once the message has left the channel; else at once. */
     boolean slow;
+
     double mostWaiting;
     private final ArrayDeque<Sent> channel = new ArrayDeque<>();
     private double credit;
@@ -52,10 +56,28 @@
         return new Settings.Method(criticality, only, Set.of(), false);
     }
 
-    /** A deployment of one zone whose channel holds so many lines and which pushes so many messages. */
+    /**
+     * A deployment of one zone whose channel holds so many lines and which pushes so many messages.
+     */
     static Settings settings(double queue, int messages, Settings.Method... methods) {
-        return new Settings(List.of(methods), 1, false, false, false, Settings.Throttle.RATE, 1000, 10, queue,
-                0.04, messages, 10 * SECOND, SECOND / 2, SECOND, 2 * SECOND, 16 * SECOND, 0.16,
+        return new Settings(
+                List.of(methods),
+                1,
+                false,
+                false,
+                false,
+                Settings.Throttle.RATE,
+                1000,
+                10,
+                queue,
+                0.04,
+                messages,
+                10 * SECOND,
+                SECOND / 2,
+                SECOND,
+                2 * SECOND,
+                16 * SECOND,
+                0.16,
                 3 * SECOND / 2);
     }
 
@@ -78,7 +100,10 @@
 
     /** Starts with ready nodes 0 to n-1 and proxies 0 to m-1, bound and settled. */
     Rig start(int nodes, int proxies) {
-        list(Observer.ListKind.REMEMBERED, Observer.NodeState.READY, Long.MIN_VALUE,
+        list(
+                Observer.ListKind.REMEMBERED,
+                Observer.NodeState.READY,
+                Long.MIN_VALUE,
                 java.util.stream.IntStream.range(0, nodes).toArray());
         for (int proxy = 0; proxy < proxies; proxy++) {
             join(proxy, 10 + proxy);
@@ -98,7 +123,16 @@
     Rig sums(int node, int tries, int unanswered, double utilization) {
         ZoneId zone = new ZoneId(0);
         double seconds = latency;
-        return with(o -> o.sums(new NodeId(node), zone, tries, unanswered, seconds, SECOND, utilization));
+        return with(
+                o ->
+                        o.sums(
+                                new NodeId(node),
+                                zone,
+                                tries,
+                                unanswered,
+                                seconds,
+                                SECOND,
+                                utilization));
     }
 
     Rig offered(int proxy, int method, int count) {
@@ -117,7 +151,10 @@
         return orders.lines;
     }
 
-    /** Wakes the module every tenth of a second; the proxies not named as silent answer each mark at once. */
+    /**
+     * Wakes the module every tenth of a second; the proxies not named as silent answer each mark at
+     * once.
+     */
     Rig run(double seconds, int... silent) {
         for (int i = 0; i < Math.round(seconds * 10); i++) {
             with(Observer::woke);
@@ -164,12 +201,18 @@
                 }
                 tableOf.forEach((proxy, t) -> sent.merge(proxy, t == table ? 1.0 : 0, Double::sum));
             } else if (word[0].equals("withdraw")) {
-                joined.stream().filter(p -> !tableOf.containsKey(p)).forEach(p -> sent.merge(p, 1.0, Double::sum));
+                joined.stream()
+                        .filter(p -> !tableOf.containsKey(p))
+                        .forEach(p -> sent.merge(p, 1.0, Double::sum));
             }
         }
         sent.values().removeIf(lines -> lines == 0);
-        int mark = orders.stream().filter(order -> order.startsWith("mark "))
-                .mapToInt(order -> Integer.parseInt(order.substring(5))).findFirst().orElse(0);
+        int mark =
+                orders.stream()
+                        .filter(order -> order.startsWith("mark "))
+                        .mapToInt(order -> Integer.parseInt(order.substring(5)))
+                        .findFirst()
+                        .orElse(0);
         for (Map.Entry<Integer, Double> message : sent.entrySet()) {
             waiting += message.getValue() + 11;
             channel.addLast(new Sent(message.getKey(), mark, message.getValue() + 11));
@@ -181,7 +224,7 @@
         mostWaiting = Math.max(mostWaiting, waiting);
     }
 
-    private record Sent(int proxy, int mark, double lines) { }
+    private record Sent(int proxy, int mark, double lines) {}
 
     private void answerWhatLeft() {
         credit = channel.isEmpty() ? 0 : credit + 100;
@@ -200,7 +243,9 @@
 
     /** The orders since a place in all of them that start so. */
     List<String> since(int place, String start) {
-        return all.subList(place, all.size()).stream().filter(line -> line.startsWith(start)).toList();
+        return all.subList(place, all.size()).stream()
+                .filter(line -> line.startsWith(start))
+                .toList();
     }
 
     /** The weight last ordered for a node in a table, 0 if none. */
@@ -208,7 +253,10 @@
         double weight = 0;
         String start = "line " + table + " " + node + " ";
         for (String line : all) {
-            weight = line.startsWith(start) ? Double.parseDouble(line.substring(start.length())) : weight;
+            weight =
+                    line.startsWith(start)
+                            ? Double.parseDouble(line.substring(start.length()))
+                            : weight;
         }
         return weight;
     }
--- a/src/test/java/rosespread/audit/AuditLogTest.java
+++ b/src/test/java/rosespread/audit/AuditLogTest.java
@@ -15,15 +15,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class AuditLogTest {
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private Path log(int acts) throws IOException {
         Path path = folder.resolve("audit.log");
         try (AuditLog log = new AuditLog(path, () -> 7)) {
             for (int i = 0; i < acts; i++) {
-                assertTrue(log.write(new AuditLog.Act("o" + i % 2, "127.0.0.1", "drain n" + i, "c" + i,
-                        "done")));
+                assertTrue(
+                        log.write(
+                                new AuditLog.Act(
+                                        "o" + i % 2, "127.0.0.1", "drain n" + i, "c" + i, "done")));
             }
         }
         return path;
@@ -40,10 +41,16 @@
 
     /** Every way to change a file later but for cutting its end off. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"CHANGED|line 3, byte |its chain",
-            "TAKEN_OUT|line 3, byte |its number",
-        "SWAPPED|line 3, byte |its number", "PUT_IN|line 3, byte |its number",
-        "RENUMBERED|line 3, byte |its chain", "RUBBISH|line 3, byte |not JSON"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "CHANGED|line 3, byte |its chain",
+                "TAKEN_OUT|line 3, byte |its number",
+                "SWAPPED|line 3, byte |its number",
+                "PUT_IN|line 3, byte |its number",
+                "RENUMBERED|line 3, byte |its chain",
+                "RUBBISH|line 3, byte |not JSON"
+            })
     void findsALineThatWasChangedLater(String way, String place, String why) throws IOException {
         Path path = log(6);
         List<String> lines = new ArrayList<>(Files.readAllLines(path));
@@ -60,7 +67,9 @@
         }
         Files.write(path, lines);
         AuditLog.Verdict verdict = AuditLog.check(path);
-        assertTrue(verdict.fault().startsWith(place) && verdict.fault().contains(why), verdict.fault());
+        assertTrue(
+                verdict.fault().startsWith(place) && verdict.fault().contains(why),
+                verdict.fault());
         IOException told = assertThrows(IOException.class, () -> new AuditLog(path, () -> 7));
         assertTrue(told.getMessage().contains(place), told.getMessage());
     }
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -29,8 +29,8 @@
 import rosespread.table.TableVersion;
 
 /**
- * What a change of three lines costs by the size of its table, and what a whole table costs beside it. Run as
- * docs/results.md says; no part of the build.
+ * What a change of three lines costs by the size of its table, and what a whole table costs beside
+ * it. Run as docs/results.md says; no part of the build.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -75,8 +75,14 @@
         change();
         history.commit(delta, TableVersion.Cause.MODULE, 1);
         deltaFrame = new Frame.Lines(new TableId(1), 1, 2, history.current().digest(), all(delta));
-        wholeFrame = new Frame.Bind(new TableId(1), 2, history.current().digest(), List.of(new MethodId(0)),
-                all(lines), List.of());
+        wholeFrame =
+                new Frame.Bind(
+                        new TableId(1),
+                        2,
+                        history.current().digest(),
+                        List.of(new MethodId(0)),
+                        all(lines),
+                        List.of());
         whole = FrameWriter.bytes(wholeFrame);
     }
 
@@ -139,8 +145,13 @@
     public Object judge() {
         change();
         wanted.putAll(delta);
-        Object verdict = gate.judge(standing, out, wanted, delta, new Gate.Scene(facts, 1, false,
-                Double.POSITIVE_INFINITY));
+        Object verdict =
+                gate.judge(
+                        standing,
+                        out,
+                        wanted,
+                        delta,
+                        new Gate.Scene(facts, 1, false, Double.POSITIVE_INFINITY));
         out.putAll(delta);
         return verdict;
     }
--- a/src/test/java/rosespread/bench/TableSizes.java
+++ b/src/test/java/rosespread/bench/TableSizes.java
@@ -20,10 +20,11 @@
     private static final int VERSIONS = 256;
     private static final int CHANGED = 3;
 
-    private TableSizes() { }
+    private TableSizes() {}
 
     public static void main(String[] args) {
-        System.out.println("nodes | delta | whole | packed | with names | packed | bytes a version");
+        System.out.println(
+                "nodes | delta | whole | packed | with names | packed | bytes a version");
         for (int nodes : new int[] {100, 1000, 10_000}) {
             Random random = new Random(1);
             Map<NodeId, Double> lines = new TreeMap<>();
@@ -32,18 +33,33 @@
                 String host = "10.0." + i / 250 + "." + i % 250;
                 NodeId id = ListedNode.id("node-" + i, host, 8080);
                 lines.put(id, 0.5 + random.nextDouble());
-                named.writeBytes(FrameWriter.bytes(new Frame.Node(id, host, 8080, "zone-" + i % 3)));
+                named.writeBytes(
+                        FrameWriter.bytes(new Frame.Node(id, host, 8080, "zone-" + i % 3)));
             }
             List<Frame.Line> all = new ArrayList<>();
             lines.forEach((node, weight) -> all.add(new Frame.Line(node, weight)));
-            byte[] whole = FrameWriter.bytes(new Frame.Bind(new TableId(1), 1, 1, List.of(new MethodId(0)),
-                    all, List.of()));
+            byte[] whole =
+                    FrameWriter.bytes(
+                            new Frame.Bind(
+                                    new TableId(1),
+                                    1,
+                                    1,
+                                    List.of(new MethodId(0)),
+                                    all,
+                                    List.of()));
             named.writeBytes(whole);
-            byte[] delta = FrameWriter.bytes(new Frame.Lines(new TableId(1), 1, 2, 1, all.subList(0,
-                    CHANGED)));
-            System.out.printf("%d | %d | %d | %d | %d | %d | %d%n", nodes, delta.length, whole.length,
-                    FrameWriter.packed(whole).length, named.size(),
-                    FrameWriter.packed(named.toByteArray()).length, perVersion(lines, random));
+            byte[] delta =
+                    FrameWriter.bytes(
+                            new Frame.Lines(new TableId(1), 1, 2, 1, all.subList(0, CHANGED)));
+            System.out.printf(
+                    "%d | %d | %d | %d | %d | %d | %d%n",
+                    nodes,
+                    delta.length,
+                    whole.length,
+                    FrameWriter.packed(whole).length,
+                    named.size(),
+                    FrameWriter.packed(named.toByteArray()).length,
+                    perVersion(lines, random));
         }
     }
 
--- a/src/test/java/rosespread/channel/FrameReaderTest.java
+++ b/src/test/java/rosespread/channel/FrameReaderTest.java
@@ -36,26 +36,47 @@
         Arbitrary<Integer> count = Arbitraries.integers().between(0, Integer.MAX_VALUE);
         Arbitrary<Double> measure = Arbitraries.doubles().greaterOrEqual(0);
         Arbitrary<MethodId> method = Arbitraries.integers().between(0, 31).map(MethodId::new);
-        Arbitrary<List<Frame.Line>> lines = Combinators.combine(node, measure).as(Frame.Line::new).list()
-                .ofMaxSize(30);
-        Arbitrary<List<Frame.Level>> levels = Combinators.combine(method, measure,
-                Arbitraries.of(Frame.Tries.class)).as(Frame.Level::new).list().ofMaxSize(8);
+        Arbitrary<List<Frame.Line>> lines =
+                Combinators.combine(node, measure).as(Frame.Line::new).list().ofMaxSize(30);
+        Arbitrary<List<Frame.Level>> levels =
+                Combinators.combine(method, measure, Arbitraries.of(Frame.Tries.class))
+                        .as(Frame.Level::new)
+                        .list()
+                        .ofMaxSize(8);
         Arbitrary<Long> span = Arbitraries.longs().between(0, Long.MAX_VALUE / 1000);
         Arbitrary<Boolean> flag = Arbitraries.of(true, false);
         return Arbitraries.oneOf(
-                Combinators.combine(Arbitraries.integers().between(0, 65_535), text,
-                        name.list().ofMaxSize(32))
+                Combinators.combine(
+                                Arbitraries.integers().between(0, 65_535),
+                                text,
+                                name.list().ofMaxSize(32))
                         .as(Frame.Hello::new),
-                Combinators.combine(name, name, measure, flag, Combinators.combine(table,
-                        Arbitraries.longs().greaterOrEqual(0)).as(Frame.Holding::new).list().ofMaxSize(40))
+                Combinators.combine(
+                                name,
+                                name,
+                                measure,
+                                flag,
+                                Combinators.combine(table, Arbitraries.longs().greaterOrEqual(0))
+                                        .as(Frame.Holding::new)
+                                        .list()
+                                        .ofMaxSize(40))
                         .as(Frame.Join::new),
                 Combinators.combine(node, name, Arbitraries.integers().between(0, 65_535), text)
                         .as(Frame.Node::new),
-                Combinators.combine(table, Arbitraries.longs(), Arbitraries.longs(),
-                        method.set().map(s -> s.stream().sorted().toList()), lines,
-                                levels).as(Frame.Bind::new),
-                Combinators.combine(table, Arbitraries.longs(), Arbitraries.longs(), Arbitraries.longs(),
-                        lines)
+                Combinators.combine(
+                                table,
+                                Arbitraries.longs(),
+                                Arbitraries.longs(),
+                                method.set().map(s -> s.stream().sorted().toList()),
+                                lines,
+                                levels)
+                        .as(Frame.Bind::new),
+                Combinators.combine(
+                                table,
+                                Arbitraries.longs(),
+                                Arbitraries.longs(),
+                                Arbitraries.longs(),
+                                lines)
                         .as(Frame.Lines::new),
                 Combinators.combine(table, Arbitraries.longs()).as(Frame.Missed::new),
                 Combinators.combine(node, flag).as(Frame.Withdraw::new),
@@ -63,10 +84,20 @@
                 Combinators.combine(Arbitraries.longs(), Arbitraries.longs(), count, count, span)
                         .as(Frame.Mark::new),
                 Arbitraries.longs().map(Frame.Installed::new),
-                Combinators.combine(span, Combinators.combine(node, count, measure).as((n, c, m) ->
-                        new Frame.Sum(n, c, c / 2, m, Double.NaN)).list().ofMaxSize(20)).as(Frame.Sums::new),
-                Combinators.combine(span, Combinators.combine(method, count).as(Frame.Count::new).list()
-                        .ofMaxSize(32)).as(Frame.Offered::new),
+                Combinators.combine(
+                                span,
+                                Combinators.combine(node, count, measure)
+                                        .as((n, c, m) -> new Frame.Sum(n, c, c / 2, m, Double.NaN))
+                                        .list()
+                                        .ofMaxSize(20))
+                        .as(Frame.Sums::new),
+                Combinators.combine(
+                                span,
+                                Combinators.combine(method, count)
+                                        .as(Frame.Count::new)
+                                        .list()
+                                        .ofMaxSize(32))
+                        .as(Frame.Offered::new),
                 Combinators.combine(Arbitraries.longs(), flag).as(Frame.KeepAlive::new),
                 Combinators.combine(Arbitraries.of(Frame.Reason.class), text).as(Frame.Close::new));
     }
@@ -78,16 +109,21 @@
     }
 
     @Property(seed = "1")
-    void readsTheSameFramesHoweverTheStreamIsCut(@ForAll("frames") Frame first,
+    void readsTheSameFramesHoweverTheStreamIsCut(
+            @ForAll("frames") Frame first,
             @ForAll("frames") Frame second,
-            @ForAll("frames") Frame third, @ForAll long cuts) throws FrameException {
+            @ForAll("frames") Frame third,
+            @ForAll long cuts)
+            throws FrameException {
         List<Frame> frames = List.of(first, second, third);
         byte[] stream = bytes(frames);
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(LONGEST, read::add);
         Random random = new Random(cuts);
-        for (int at = 0; at < stream.length;) {
-            int part = Math.min(stream.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 200));
+        for (int at = 0; at < stream.length; ) {
+            int part =
+                    Math.min(
+                            stream.length - at, 1 + random.nextInt(random.nextBoolean() ? 3 : 200));
             reader.feed(ByteBuffer.wrap(stream, at, part));
             at += part;
         }
@@ -95,16 +131,17 @@
     }
 
     /**
-     * Noise, or good frames with a flipped byte: its own error or frames, and never more held than allowed.
+     * Noise, or good frames with a flipped byte: its own error or frames, and never more held than
+     * allowed.
      */
     @Property(seed = "2", tries = 2000)
-    void throwsNothingButItsOwnError(@ForAll("frames") Frame frame, @ForAll byte[] noise,
-            @ForAll long where) {
+    void throwsNothingButItsOwnError(
+            @ForAll("frames") Frame frame, @ForAll byte[] noise, @ForAll long where) {
         byte[] stream = bytes(List.of(frame, frame));
         Random random = new Random(where);
         stream[random.nextInt(stream.length)] ^= (byte) (1 << random.nextInt(8));
         for (byte[] input : List.of(noise, stream)) {
-            FrameReader reader = new FrameReader(LONGEST, f -> { });
+            FrameReader reader = new FrameReader(LONGEST, f -> {});
             try {
                 for (byte one : input) {
                     reader.feed(ByteBuffer.wrap(new byte[] {one}));
@@ -118,9 +155,18 @@
 
     @Test
     void readsACutAtEveryByte() throws FrameException {
-        Frame frame = new Frame.Bind(new TableId(7), 3, 4, List.of(new MethodId(0), new MethodId(31)),
-                List.of(new Frame.Line(new NodeId(-1), 0.5)),
-                List.of(new Frame.Level(new MethodId(0), Double.POSITIVE_INFINITY, Frame.Tries.AFTER_PROOF)));
+        Frame frame =
+                new Frame.Bind(
+                        new TableId(7),
+                        3,
+                        4,
+                        List.of(new MethodId(0), new MethodId(31)),
+                        List.of(new Frame.Line(new NodeId(-1), 0.5)),
+                        List.of(
+                                new Frame.Level(
+                                        new MethodId(0),
+                                        Double.POSITIVE_INFINITY,
+                                        Frame.Tries.AFTER_PROOF)));
         byte[] stream = bytes(List.of(frame));
         for (int cut = 0; cut <= stream.length; cut++) {
             List<Frame> read = new ArrayList<>();
@@ -133,30 +179,41 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "an unknown kind|00000002 6300|frame kind 99 is unknown and not optional (byte 6)",
-        "an empty frame|00000000|a frame of 0 bytes; 2 to 65536 are allowed (byte 0)",
-        "a frame too long|00010001|a frame of 65537 bytes; 2 to 65536 are allowed (byte 0)",
-        "a length below zero|ffffffff|a frame of 4294967295 bytes; 2 to 65536 are allowed (byte 0)",
-        "a cut number|00000004 0900 0000|a number is cut short by the frame's end (byte 6)",
-        "bytes too many|0000000b 0900 0000000000000001 ff|INSTALLED frame has 1 bytes too many (byte 14)",
-        "a level below zero|0000000e 0700 0001 01 00 bff0000000000000 00|level is -1.0 (byte 18)",
-        "lines not there|00000020 0500 0001 $V 00007fff|lines is cut short by the frame's end (byte 36)",
-        "too many lines|00000020 0500 0001 $V 00010000|65536 lines; at most 32768 (byte 36)",
-        "a name not in UTF-8|00000005 0d00 00 01 ff|text is not UTF-8 (byte 9)",
-        "an unknown reason|00000004 0d00 ff 00|reason 255 is unknown (byte 7)",
-        "a flag of two|0000000b 0600 0000000000000001 02|out is 2, not 0 or 1 (byte 15)"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "an unknown kind|00000002 6300|frame kind 99 is unknown and not optional (byte 6)",
+                "an empty frame|00000000|a frame of 0 bytes; 2 to 65536 are allowed (byte 0)",
+                "a frame too long|00010001|a frame of 65537 bytes; 2 to 65536 are allowed (byte 0)",
+                "a length below zero|ffffffff|a frame of 4294967295 bytes; 2 to 65536 are allowed (byte 0)",
+                "a cut number|00000004 0900 0000|a number is cut short by the frame's end (byte 6)",
+                "bytes too many|0000000b 0900 0000000000000001 ff|INSTALLED frame has 1 bytes too many (byte 14)",
+                "a level below zero|0000000e 0700 0001 01 00 bff0000000000000 00|level is -1.0 (byte 18)",
+                "lines not there|00000020 0500 0001 $V 00007fff|lines is cut short by the frame's end (byte 36)",
+                "too many lines|00000020 0500 0001 $V 00010000|65536 lines; at most 32768 (byte 36)",
+                "a name not in UTF-8|00000005 0d00 00 01 ff|text is not UTF-8 (byte 9)",
+                "an unknown reason|00000004 0d00 ff 00|reason 255 is unknown (byte 7)",
+                "a flag of two|0000000b 0600 0000000000000001 02|out is 2, not 0 or 1 (byte 15)"
+            })
     void namesWhatIsWrongAndWhere(String what, String hex, String message) {
-        FrameReader reader = new FrameReader(LONGEST, f -> { });
-        FrameException e = assertThrows(FrameException.class, () ->
-                reader.feed(ByteBuffer.wrap(HexFormat.of().parseHex(
-                        hex.replace("$V", VERSIONS).replace(" ", "")))), what);
+        FrameReader reader = new FrameReader(LONGEST, f -> {});
+        FrameException e =
+                assertThrows(
+                        FrameException.class,
+                        () ->
+                                reader.feed(
+                                        ByteBuffer.wrap(
+                                                HexFormat.of()
+                                                        .parseHex(
+                                                                hex.replace("$V", VERSIONS)
+                                                                        .replace(" ", "")))),
+                        what);
         assertEquals(message, e.getMessage());
     }
 
     @Property(seed = "3", tries = 300)
-    void readsPackedFramesAsIfTheyWereNot(@ForAll("frames") Frame first, @ForAll("frames") Frame second)
-            throws FrameException {
+    void readsPackedFramesAsIfTheyWereNot(
+            @ForAll("frames") Frame first, @ForAll("frames") Frame second) throws FrameException {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(LONGEST, LONGEST, read::add);
         reader.feed(ByteBuffer.wrap(FrameWriter.packed(bytes(List.of(first, second)))));
@@ -166,31 +223,39 @@
 
     /** A packed frame whose announced length, bytes or inner frames are not what they should be. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "a reader that takes none|NOT_TAKEN|a packed frame is not taken here (byte 10)",
-        "a megabyte of zeros in few bytes|BOMB|a packed frame of 1048576 bytes; at most 65536 (byte 10)",
-        "more than is announced|LIES_SMALL|a packed frame does not unpack to 10 bytes",
-        "less than is announced|LIES_LARGE|a packed frame does not unpack to 5000 bytes",
-        "noise|NOISE|a packed frame does not unpack to 100 bytes",
-        "a packed frame within|NESTED|in a packed frame: a packed frame is not taken here (byte 10)",
-        "half a frame within|HALF|a packed frame ends within a frame",
-        "a bad frame within|BAD|in a packed frame: frame kind 99 is unknown"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "a reader that takes none|NOT_TAKEN|a packed frame is not taken here (byte 10)",
+                "a megabyte of zeros in few bytes|BOMB|a packed frame of 1048576 bytes; at most 65536 (byte 10)",
+                "more than is announced|LIES_SMALL|a packed frame does not unpack to 10 bytes",
+                "less than is announced|LIES_LARGE|a packed frame does not unpack to 5000 bytes",
+                "noise|NOISE|a packed frame does not unpack to 100 bytes",
+                "a packed frame within|NESTED|in a packed frame: a packed frame is not taken here (byte 10)",
+                "half a frame within|HALF|a packed frame ends within a frame",
+                "a bad frame within|BAD|in a packed frame: frame kind 99 is unknown"
+            })
     void refusesPackedFramesThatAreNotWhatTheySay(String what, String fault, String message) {
         byte[] good = FrameWriter.bytes(new Frame.Close(Frame.Reason.SLOW, "x".repeat(200)));
         byte[] packed = FrameWriter.packed(good);
-        byte[] frame = switch (fault) {
-            case "BOMB" -> FrameWriter.packed(new byte[1 << 20]);
-            case "LIES_SMALL" -> announcing(packed, 10);
-            case "LIES_LARGE" -> announcing(packed, 5000);
-            case "NOISE" -> announcing(HexFormat.of().parseHex("0000000a0f0000000000" + "01020304"), 100);
-            case "NESTED" -> FrameWriter.packed(packed);
-            case "HALF" -> FrameWriter.packed(java.util.Arrays.copyOf(good, 50));
-            case "BAD" -> FrameWriter.packed(HexFormat.of().parseHex("000000026300"));
-            default -> packed;
-        };
-        FrameReader reader = new FrameReader(LONGEST, fault.equals("NOT_TAKEN") ? 0 : LONGEST, f -> { });
-        FrameException e = assertThrows(FrameException.class, () -> reader.feed(ByteBuffer.wrap(frame)),
-                what);
+        byte[] frame =
+                switch (fault) {
+                    case "BOMB" -> FrameWriter.packed(new byte[1 << 20]);
+                    case "LIES_SMALL" -> announcing(packed, 10);
+                    case "LIES_LARGE" -> announcing(packed, 5000);
+                    case "NOISE" ->
+                            announcing(
+                                    HexFormat.of().parseHex("0000000a0f0000000000" + "01020304"),
+                                    100);
+                    case "NESTED" -> FrameWriter.packed(packed);
+                    case "HALF" -> FrameWriter.packed(java.util.Arrays.copyOf(good, 50));
+                    case "BAD" -> FrameWriter.packed(HexFormat.of().parseHex("000000026300"));
+                    default -> packed;
+                };
+        FrameReader reader =
+                new FrameReader(LONGEST, fault.equals("NOT_TAKEN") ? 0 : LONGEST, f -> {});
+        FrameException e =
+                assertThrows(FrameException.class, () -> reader.feed(ByteBuffer.wrap(frame)), what);
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 
--- a/src/test/java/rosespread/cli/FleetCommandTest.java
+++ b/src/test/java/rosespread/cli/FleetCommandTest.java
@@ -35,8 +35,7 @@
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private static final int CONDUCTORS = 3;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final List<Conductor> conductors = new ArrayList<>();
     private final List<ControlServer> controls = new ArrayList<>();
     private final List<AuditLog> audits = new ArrayList<>();
@@ -50,19 +49,29 @@
     void begin() throws IOException {
         StringBuilder nodes = new StringBuilder();
         for (int i = 0; i < 4; i++) {
-            nodes.append(i == 0 ? "" : ",").append("{\"Service\":{\"ID\":\"n").append(i)
-                    .append("\",\"Address\":\"127.0.0.1\",\"Port\":").append(20 + i)
+            nodes.append(i == 0 ? "" : ",")
+                    .append("{\"Service\":{\"ID\":\"n")
+                    .append(i)
+                    .append("\",\"Address\":\"127.0.0.1\",\"Port\":")
+                    .append(20 + i)
                     .append(",\"Tags\":[\"zone=a\",\"kind=k\"]},\"Checks\":[]}");
         }
         byte[] body = ("[" + nodes + "]").getBytes(StandardCharsets.UTF_8);
         boolean[] told = {false};
-        list = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {
-            // A blocking query that names the index it has seen waits; nothing changes here.
-            if (!call.target().contains("index=7")) {
-                exchange.answer(new HttpMessage.Answer(200, HttpHeaders.of("x-consul-index", "7"), body));
-            }
-            told[0] = true;
-        });
+        list =
+                new HttpServer(
+                        1,
+                        HttpLimits.USUAL,
+                        (call, exchange) -> {
+                            // A blocking query that names the index it has seen waits; nothing
+                            // changes here.
+                            if (!call.target().contains("index=7")) {
+                                exchange.answer(
+                                        new HttpMessage.Answer(
+                                                200, HttpHeaders.of("x-consul-index", "7"), body));
+                            }
+                            told[0] = true;
+                        });
         settings = SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()));
         for (int i = 0; i < CONDUCTORS; i++) {
             Path state = folder.resolve("c" + i);
@@ -70,7 +79,9 @@
             conductor.start(ANY);
             AuditLog audit = new AuditLog(state.resolve("audit.log"), System::currentTimeMillis);
             ControlServer control = new ControlServer(conductor, audit);
-            fleet.append(i == 0 ? "" : ",").append("127.0.0.1:").append(control.listen(ANY).getPort());
+            fleet.append(i == 0 ? "" : ",")
+                    .append("127.0.0.1:")
+                    .append(control.listen(ANY).getPort());
             conductors.add(conductor);
             controls.add(control);
             audits.add(audit);
@@ -95,7 +106,9 @@
         try {
             List<String> all = new ArrayList<>(List.of(args));
             all.addAll(List.of("--fleet", fleet.toString(), "--as", "ana"));
-            return Main.run(new PrintWriter(out, true), new PrintWriter(err, true),
+            return Main.run(
+                    new PrintWriter(out, true),
+                    new PrintWriter(err, true),
                     all.toArray(new String[0]));
         } finally {
             System.setIn(before);
@@ -115,12 +128,18 @@
     @Test
     void appliesShowsAndComparesSettings() {
         settle();
-        assertEquals(3, out.toString().lines().filter(l -> l.contains("applied as revision 1")).count());
+        assertEquals(
+                3, out.toString().lines().filter(l -> l.contains("applied as revision 1")).count());
         assertEquals(0, run("", "fleet", "status"));
         assertEquals(4, out.toString().lines().count(), out.toString());
         assertTrue(out.toString().contains("4 ready"), out.toString());
-        assertEquals(0, run(settings.replace("\"drainGraceMs\":2000", "\"drainGraceMs\":2500"), "fleet",
-                "settings", "diff"));
+        assertEquals(
+                0,
+                run(
+                        settings.replace("\"drainGraceMs\":2000", "\"drainGraceMs\":2500"),
+                        "fleet",
+                        "settings",
+                        "diff"));
         assertTrue(out.toString().contains("drainGraceMs: 2000 -> 2500"), out.toString());
         assertEquals(0, run("", "fleet", "settings", "show"));
         assertTrue(out.toString().contains("\"drainGraceMs\" : 2000"), out.toString());
@@ -130,9 +149,12 @@
     void badSettingsAreAppliedNowhere() {
         settle();
         assertEquals(1, run(settings.replace("16000", "-1"), "fleet", "settings", "apply"));
-        assertTrue(out.toString().contains("field cold.timeMs is -1")
-                && out.toString().contains("nothing was applied anywhere"), out.toString());
-        assertEquals(1, run(settings.replace("16000", "-1"), "fleet", "settings", "apply", "--dry-run"));
+        assertTrue(
+                out.toString().contains("field cold.timeMs is -1")
+                        && out.toString().contains("nothing was applied anywhere"),
+                out.toString());
+        assertEquals(
+                1, run(settings.replace("16000", "-1"), "fleet", "settings", "apply", "--dry-run"));
         assertEquals(1, conductors.get(0).settings().orElseThrow().revision());
     }
 
@@ -140,7 +162,8 @@
     void stopsWhereOneConductorDoesNotAnswer() {
         settle();
         stop(1);
-        assertEquals(1, run(settings, "fleet", "settings", "apply", "--timeout", "1"), out.toString());
+        assertEquals(
+                1, run(settings, "fleet", "settings", "apply", "--timeout", "1"), out.toString());
         assertTrue(out.toString().contains("nothing was applied anywhere"), out.toString());
         assertEquals(1, conductors.get(0).settings().orElseThrow().revision());
     }
@@ -151,16 +174,33 @@
         assertEquals(0, run("", "fleet", "drain", "n1", "--wait", "8"), out + "" + err);
         assertTrue(out.toString().contains("n1 is empty"), out.toString());
         assertEquals(0, run("", "fleet", "nodes"));
-        assertTrue(out.toString().lines().anyMatch(l -> l.startsWith("n1")
-                && l.contains("DRAINING, drained by ana")),
+        assertTrue(
+                out.toString()
+                        .lines()
+                        .anyMatch(
+                                l -> l.startsWith("n1") && l.contains("DRAINING, drained by ana")),
                 out.toString());
         assertEquals(0, run("", "fleet", "undrain", "n1"));
         assertEquals(0, run("", "fleet", "log"));
-        assertEquals(6, out.toString().lines().filter(l -> l.contains("ana") && l.contains("n1/")
-                && l.contains("200 done")).count(), out.toString());
+        assertEquals(
+                6,
+                out.toString()
+                        .lines()
+                        .filter(
+                                l ->
+                                        l.contains("ana")
+                                                && l.contains("n1/")
+                                                && l.contains("200 done"))
+                        .count(),
+                out.toString());
         for (int i = 0; i < CONDUCTORS; i++) {
-            assertEquals(0, Main.run(new PrintWriter(out), new PrintWriter(err), "audit",
-                    folder.resolve("c" + i).resolve("audit.log").toString()));
+            assertEquals(
+                    0,
+                    Main.run(
+                            new PrintWriter(out),
+                            new PrintWriter(err),
+                            "audit",
+                            folder.resolve("c" + i).resolve("audit.log").toString()));
         }
     }
 
@@ -171,11 +211,17 @@
         assertEquals(4, run("", "fleet", "drain", "n1", "--timeout", "1"));
         assertEquals(2, out.toString().lines().filter(l -> l.contains("done")).count());
         assertEquals(1, err.toString().lines().count(), err.toString());
-        assertEquals(4, run("", "fleet", "drain", "n1", "--timeout", "1"),
+        assertEquals(
+                4,
+                run("", "fleet", "drain", "n1", "--timeout", "1"),
                 "again, and nothing else comes of it");
         for (Conductor conductor : conductors.subList(0, 2)) {
-            assertEquals(List.of("n1"), conductor.state().nodes().stream()
-                    .filter(n -> n.drainedBy().equals("ana")).map(n -> n.name()).toList());
+            assertEquals(
+                    List.of("n1"),
+                    conductor.state().nodes().stream()
+                            .filter(n -> n.drainedBy().equals("ana"))
+                            .map(n -> n.name())
+                            .toList());
         }
     }
 
@@ -185,7 +231,9 @@
         assertEquals(0, run("", "fleet", "drain", "n0"));
         assertEquals(0, run("", "fleet", "drain", "n1"));
         assertEquals(1, run("", "fleet", "drain", "n2"));
-        assertTrue(err.toString().contains("method quote would keep 1.00 of 4.00, that is 25% where 50%"),
+        assertTrue(
+                err.toString()
+                        .contains("method quote would keep 1.00 of 4.00, that is 25% where 50%"),
                 err.toString());
         assertEquals(0, run("", "fleet", "drain", "n2", "--force"));
         assertEquals(0, run("", "fleet", "status"));
@@ -193,10 +241,15 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"drain zz|1|no node zz among 4 listed",
-        "drain n1 --timeout 0|2|--timeout is 0.0; allowed: over 0 to 600",
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "drain zz|1|no node zz among 4 listed",
+                "drain n1 --timeout 0|2|--timeout is 0.0; allowed: over 0 to 600",
                 "drain|2|Missing required parameter",
-        "drains n1|2|Unmatched arguments", "drain n1 --wait soon|2|'soon' is not a double"})
+                "drains n1|2|Unmatched arguments",
+                "drain n1 --wait soon|2|'soon' is not a double"
+            })
     void tellsWhatIsWrongWithACommand(String command, int code, String told) {
         settle();
         List<String> args = new ArrayList<>(List.of("fleet"));
--- a/src/test/java/rosespread/conductor/ConductorTest.java
+++ b/src/test/java/rosespread/conductor/ConductorTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import rosespread.api.MethodId;
 import rosespread.channel.Frame;
 import rosespread.channel.FrameException;
@@ -37,11 +37,12 @@
 
 /** A whole conductor on loopback, against plain sockets. */
 class ConductorTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final byte[] HELLO = FrameWriter.bytes(new Frame.Hello(Frame.VERSION, "p", List.of()));
+    private static final InetSocketAddress ANY =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final byte[] HELLO =
+            FrameWriter.bytes(new Frame.Hello(Frame.VERSION, "p", List.of()));
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private HttpServer list;
     private final List<HttpServer.Exchange> blocked = new CopyOnWriteArrayList<>();
     private Conductor conductor;
@@ -53,24 +54,34 @@
 
     @BeforeEach
     void start() throws Exception {
-        list = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {
-            if (call.target().contains("index")) {
-                blocked.add(exchange);
-            } else {
-                exchange.answer(listed("5", ""));
-            }
-        });
-        settings = SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()))
-                .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":20000")
-                .replace("\"queueLimit\":1500", "\"queueLimit\":30000");
+        list =
+                new HttpServer(
+                        1,
+                        HttpLimits.USUAL,
+                        (call, exchange) -> {
+                            if (call.target().contains("index")) {
+                                blocked.add(exchange);
+                            } else {
+                                exchange.answer(listed("5", ""));
+                            }
+                        });
+        settings =
+                SettingsTest.GOOD
+                        .replace("8500", String.valueOf(list.listen(ANY).getPort()))
+                        .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":20000")
+                        .replace("\"queueLimit\":1500", "\"queueLimit\":30000");
         begin();
     }
 
     private static HttpMessage.Answer listed(String index, String checks) {
-        return new HttpMessage.Answer(200, HttpHeaders.of("x-consul-index", index),
+        return new HttpMessage.Answer(
+                200,
+                HttpHeaders.of("x-consul-index", index),
                 ("[{\"Service\":{\"ID\":\"n\",\"Address\":\"127.0.0.1\",\"Port\":9,\"Tags\":[\"zone=a\","
-                        + "\"kind=k\"]},\"Checks\":[" + checks + "]},{\"Service\":{\"ID\":\"m\","
-                        + "\"Address\":\"127.0.0.1\",\"Port\":10,\"Tags\":[\"zone=a\",\"kind=k\"]}}]")
+                                + "\"kind=k\"]},\"Checks\":["
+                                + checks
+                                + "]},{\"Service\":{\"ID\":\"m\","
+                                + "\"Address\":\"127.0.0.1\",\"Port\":10,\"Tags\":[\"zone=a\",\"kind=k\"]}}]")
                         .getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
 
@@ -116,8 +127,10 @@
                 for (Frame frame : List.copyOf(read)) {
                     read.remove(0);
                     if (frame instanceof Frame.KeepAlive alive) {
-                        socket.getOutputStream().write(FrameWriter.bytes(
-                                new Frame.KeepAlive(alive.number(), true)));
+                        socket.getOutputStream()
+                                .write(
+                                        FrameWriter.bytes(
+                                                new Frame.KeepAlive(alive.number(), true)));
                     }
                     if (kind.isInstance(frame)) {
                         return kind.cast(frame);
@@ -132,15 +145,26 @@
         }
     }
 
-    private String call(String verb, String path, String body, String... headers) throws IOException {
+    private String call(String verb, String path, String body, String... headers)
+            throws IOException {
         try (Socket socket = new Socket(api.getAddress(), api.getPort())) {
             socket.setSoTimeout(10_000);
-            socket.getOutputStream().write((verb + " " + path
-                    + " HTTP/1.1\r\nhost: x\r\nconnection: close\r\n"
-                    + (headers.length == 0 ? "" : String.join("\r\n", headers) + "\r\n") + "content-length: "
-                    + body.length() + "\r\n\r\n" + body)
-                    .getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            return new String(socket.getInputStream().readAllBytes(),
+            socket.getOutputStream()
+                    .write(
+                            (verb
+                                            + " "
+                                            + path
+                                            + " HTTP/1.1\r\nhost: x\r\nconnection: close\r\n"
+                                            + (headers.length == 0
+                                                    ? ""
+                                                    : String.join("\r\n", headers) + "\r\n")
+                                            + "content-length: "
+                                            + body.length()
+                                            + "\r\n\r\n"
+                                            + body)
+                                    .getBytes(java.nio.charset.StandardCharsets.UTF_8));
+            return new String(
+                    socket.getInputStream().readAllBytes(),
                     java.nio.charset.StandardCharsets.UTF_8);
         }
     }
@@ -153,7 +177,8 @@
     @Test
     void waitsForSettingsSavesThemAndStartsFromThem() throws Exception {
         assertTrue(call("GET", "/v1/health", "").startsWith("HTTP/1.1 503"));
-        assertEquals(Frame.Reason.NO_SETTINGS, new Peer().joins("p").until(Frame.Close.class).reason());
+        assertEquals(
+                Frame.Reason.NO_SETTINGS, new Peer().joins("p").until(Frame.Close.class).reason());
         String faults = call("PUT", "/v1/settings", settings.replace("16000", "-1"));
         assertTrue(faults.startsWith("HTTP/1.1 422") && faults.contains("cold.timeMs"), faults);
         settle();
@@ -176,50 +201,90 @@
         conductor.close();
         begin();
         String table = call("GET", path, "");
-        assertTrue(table.contains("\"held\" : \"PINNED\"")
-                && table.contains("\"version\" : " + bound.version()), table);
+        assertTrue(
+                table.contains("\"held\" : \"PINNED\"")
+                        && table.contains("\"version\" : " + bound.version()),
+                table);
         assertTrue(new Peer().joins("p").until(Frame.Bind.class).version() >= bound.version());
         assertTrue(call("POST", path + "/release", "").startsWith("HTTP/1.1 200"));
     }
 
     @Test
     void anOperatorsDrainIsToldAsTheListWouldAndOutlivesTheProcess() throws Exception {
-        settings = settings.replace("\"drainGraceMs\"", "\"drainLeastShare\":0.4,\"drainGraceMs\"")
-                .replace("\"onlyKinds\":[\"k\"]", "\"onlyKinds\":[]");
+        settings =
+                settings.replace("\"drainGraceMs\"", "\"drainLeastShare\":0.4,\"drainGraceMs\"")
+                        .replace("\"onlyKinds\":[\"k\"]", "\"onlyKinds\":[]");
         settle();
         new Peer().joins("p").until(Frame.Bind.class);
-        String once = call("POST", "/v1/nodes/n/drain", "", "x-operator: ana", "idempotency-key: one",
-                "if-match: \"0\"");
+        String once =
+                call(
+                        "POST",
+                        "/v1/nodes/n/drain",
+                        "",
+                        "x-operator: ana",
+                        "idempotency-key: one",
+                        "if-match: \"0\"");
         assertTrue(once.startsWith("HTTP/1.1 200") && once.contains("\"revision\" : 1"), once);
-        String again = call("POST", "/v1/nodes/n/drain", "", "x-operator: ana", "idempotency-key: one",
-                "if-match: \"0\"");
+        String again =
+                call(
+                        "POST",
+                        "/v1/nodes/n/drain",
+                        "",
+                        "x-operator: ana",
+                        "idempotency-key: one",
+                        "if-match: \"0\"");
         assertTrue(again.contains("\"repeated\" : true"), again);
         String late = call("POST", "/v1/nodes/m/drain", "", "x-operator: bo", "if-match: \"0\"");
-        assertTrue(late.startsWith("HTTP/1.1 412") && late.contains("n was drained by ana (revision 1)"),
+        assertTrue(
+                late.startsWith("HTTP/1.1 412")
+                        && late.contains("n was drained by ana (revision 1)"),
                 late);
         String last = call("POST", "/v1/nodes/m/drain", "", "x-operator: bo");
-        assertTrue(last.startsWith("HTTP/1.1 409") && last.contains("would lose its last node of zone a"),
+        assertTrue(
+                last.startsWith("HTTP/1.1 409")
+                        && last.contains("would lose its last node of zone a"),
                 last);
-        await().until(() -> conductor.table(1).orElseThrow().lines().keySet().equals(java.util.Set.of("m")));
+        await().until(
+                        () ->
+                                conductor
+                                        .table(1)
+                                        .orElseThrow()
+                                        .lines()
+                                        .keySet()
+                                        .equals(java.util.Set.of("m")));
         control.close();
         conductor.close();
         begin();
         await().until(() -> conductor.state().nodes().size() == 2);
-        assertEquals("ana", conductor.state().nodes().stream().filter(n -> n.name().equals("n")).findFirst()
-                .orElseThrow().drainedBy());
+        assertEquals(
+                "ana",
+                conductor.state().nodes().stream()
+                        .filter(n -> n.name().equals("n"))
+                        .findFirst()
+                        .orElseThrow()
+                        .drainedBy());
         assertEquals(1, new Peer().joins("p").until(Frame.Bind.class).lines().size());
         assertTrue(call("POST", "/v1/nodes/n/undrain", "").startsWith("HTTP/1.1 200"));
         await().until(() -> conductor.table(1).orElseThrow().lines().size() == 2);
     }
 
-    /** A conductor that was down during a drain learns of it from another one before proxies can dial. */
+    /**
+     * A conductor that was down during a drain learns of it from another one before proxies can
+     * dial.
+     */
     @Test
     void aConductorThatMissedADrainLearnsOfItFromItsPeers(@TempDir Path other) throws Exception {
         settings = settings.replace("\"drainGraceMs\"", "\"drainLeastShare\":0,\"drainGraceMs\"");
         settle();
-        assertTrue(call("POST", "/v1/nodes/n/drain", "", "x-operator: ana").startsWith("HTTP/1.1 200"));
-        String withPeers = settings.replace("\"drainGraceMs\"", "\"peers\":[\"127.0.0.1:" + api.getPort()
-                + "\",\"127.0.0.1:1\"],\"drainGraceMs\"");
+        assertTrue(
+                call("POST", "/v1/nodes/n/drain", "", "x-operator: ana")
+                        .startsWith("HTTP/1.1 200"));
+        String withPeers =
+                settings.replace(
+                        "\"drainGraceMs\"",
+                        "\"peers\":[\"127.0.0.1:"
+                                + api.getPort()
+                                + "\",\"127.0.0.1:1\"],\"drainGraceMs\"");
         Conductor first = new Conductor("late", other, Conductor.MODULE, new Gate());
         first.start(ANY);
         first.apply(withPeers, "o", "c", -1);
@@ -228,7 +293,9 @@
         Conductor late = new Conductor("late", other, Conductor.MODULE, new Gate());
         try {
             InetSocketAddress dial = late.start(ANY);
-            assertEquals(List.of("ana"), late.drains().stream().map(d -> d.by()).toList(),
+            assertEquals(
+                    List.of("ana"),
+                    late.drains().stream().map(d -> d.by()).toList(),
                     "before any dials");
             await().until(() -> late.state().nodes().size() == 2);
             at = dial;
@@ -241,16 +308,22 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"POST|/v1/nodes/zz/drain||404|no node zz among 2 listed",
-        "GET|/v1/nodes/n/drain||405|only POST", "POST|/v1/nodes/n/stop||404|not /v1/nodes",
-        "POST|/v1/nodes/n/drain|if-match: soon|400|header if-match is soon",
-        "POST|/v1/nodes/n/drain|x-operator: a b|400|header x-operator",
-        "POST|/v1/nodes/n/drain?force=yes||404|not /v1/nodes",
-        "POST|/v1/nodes/n%40127.0.0.1%3A9/drain?force=true||200|revision",
-        "PUT|/v1/settings|if-match: 7|412|revision 1 was applied by unnamed",
-        "PUT|/v1/settings?dry-run=yes||400|nothing was applied",
-        "PUT|/v1/settings?dry-run=true||200|good",
-        "DELETE|/v1/settings||405|only GET and PUT", "GET|/v1/nodes||200|triedAgoMs"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "POST|/v1/nodes/zz/drain||404|no node zz among 2 listed",
+                "GET|/v1/nodes/n/drain||405|only POST",
+                "POST|/v1/nodes/n/stop||404|not /v1/nodes",
+                "POST|/v1/nodes/n/drain|if-match: soon|400|header if-match is soon",
+                "POST|/v1/nodes/n/drain|x-operator: a b|400|header x-operator",
+                "POST|/v1/nodes/n/drain?force=yes||404|not /v1/nodes",
+                "POST|/v1/nodes/n%40127.0.0.1%3A9/drain?force=true||200|revision",
+                "PUT|/v1/settings|if-match: 7|412|revision 1 was applied by unnamed",
+                "PUT|/v1/settings?dry-run=yes||400|nothing was applied",
+                "PUT|/v1/settings?dry-run=true||200|good",
+                "DELETE|/v1/settings||405|only GET and PUT",
+                "GET|/v1/nodes||200|triedAgoMs"
+            })
     void tellsWhatIsWrongWithACall(String verb, String path, String header, int status, String told)
             throws Exception {
         settle();
@@ -275,8 +348,16 @@
         begin();
         Peer again = new Peer();
         again.socket.getOutputStream().write(HELLO);
-        again.socket.getOutputStream().write(FrameWriter.bytes(new Frame.Join("p", "a", 1, false,
-                List.of(new Frame.Holding(bound.table(), 7000)))));
+        again.socket
+                .getOutputStream()
+                .write(
+                        FrameWriter.bytes(
+                                new Frame.Join(
+                                        "p",
+                                        "a",
+                                        1,
+                                        false,
+                                        List.of(new Frame.Holding(bound.table(), 7000)))));
         assertTrue(again.until(Frame.Bind.class).version() > 7000);
         try (var files = Files.list(folder)) {
             assertTrue(files.anyMatch(f -> f.getFileName().toString().contains(".log.damaged-")));
@@ -284,18 +365,21 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "GET|/v1/tables/1/diff?from=1&to=999|404|table 1 does not keep version 999",
-        "GET|/v1/tables/1/diff?from=0&to=1|404|table 1 does not keep version 0",
-        "GET|/v1/tables/77/diff?from=1&to=1|404|no table 77",
-        "GET|/v1/tables/1/diff?from=1|404|not /v1/tables/N",
-        "GET|/v1/tables/x|404|not /v1/tables/N",
-        "GET|/v1/tables/1/diff?from=1&to=1|200|lines",
-        "POST|/v1/tables/1/rollback?version=999|409|has no version 999 any more",
-        "POST|/v1/tables/1/rollback|400|version is null",
-        "POST|/v1/tables/1/release|409|table 1 is not held",
-        "GET|/v1/tables/1/pin|405|only POST",
-        "POST|/v1/tables/77/pin|409|no table 77"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "GET|/v1/tables/1/diff?from=1&to=999|404|table 1 does not keep version 999",
+                "GET|/v1/tables/1/diff?from=0&to=1|404|table 1 does not keep version 0",
+                "GET|/v1/tables/77/diff?from=1&to=1|404|no table 77",
+                "GET|/v1/tables/1/diff?from=1|404|not /v1/tables/N",
+                "GET|/v1/tables/x|404|not /v1/tables/N",
+                "GET|/v1/tables/1/diff?from=1&to=1|200|lines",
+                "POST|/v1/tables/1/rollback?version=999|409|has no version 999 any more",
+                "POST|/v1/tables/1/rollback|400|version is null",
+                "POST|/v1/tables/1/release|409|table 1 is not held",
+                "GET|/v1/tables/1/pin|405|only POST",
+                "POST|/v1/tables/77/pin|409|no table 77"
+            })
     void tellsWhatIsWrongWithACallAboutTables(String verb, String path, int status, String told)
             throws Exception {
         settle();
@@ -314,7 +398,9 @@
         assertTrue(health.contains("settings.json: damaged at byte"), health);
         settle();
         try (var files = Files.list(folder)) {
-            assertTrue(files.anyMatch(f -> f.getFileName().toString().startsWith("settings.json.damaged-")));
+            assertTrue(
+                    files.anyMatch(
+                            f -> f.getFileName().toString().startsWith("settings.json.damaged-")));
         }
     }
 
@@ -354,7 +440,10 @@
         Peer silent = new Peer().joins("silent");
         await().until(() -> conductor.state().joins() == 2);
         await().atMost(Duration.ofSeconds(1)).until(() -> conductor.state().proxies() <= 1);
-        await().until(() -> conductor.state().proxies() == 0 && conductor.state().silentStreams() == 1);
+        await().until(
+                        () ->
+                                conductor.state().proxies() == 0
+                                        && conductor.state().silentStreams() == 1);
         assertTrue(silent.socket.isConnected());
     }
 
@@ -367,30 +456,43 @@
         }
         for (Peer peer : peers) {
             peer.until(Frame.Bind.class);
-            peer.socket.getOutputStream().write(FrameWriter.bytes(
-                    new Frame.Installed(peer.until(Frame.Mark.class).number())));
+            peer.socket
+                    .getOutputStream()
+                    .write(
+                            FrameWriter.bytes(
+                                    new Frame.Installed(peer.until(Frame.Mark.class).number())));
         }
         await().until(() -> conductor.state().proxiesBound() == 156);
         assertTrue(conductor.state().mostLinesWaiting() <= 30_000);
     }
 
-    /** Its small windows are full, its delivery in flight: the others get the drain, and it is let go. */
+    /**
+     * Its small windows are full, its delivery in flight: the others get the drain, and it is let
+     * go.
+     */
     @Test
     void aProxyThatStopsReadingHoldsUpNoDrain() throws Exception {
         settle();
         Peer stuck = new Peer().joins("stuck");
         Peer good = new Peer().joins("good");
         Frame.Bind bind = good.until(Frame.Bind.class);
-        good.socket.getOutputStream().write(FrameWriter.bytes(
-                new Frame.Installed(good.until(Frame.Mark.class).number())));
+        good.socket
+                .getOutputStream()
+                .write(
+                        FrameWriter.bytes(
+                                new Frame.Installed(good.until(Frame.Mark.class).number())));
         await().until(() -> conductor.state().proxiesBound() == 2 && !blocked.isEmpty());
         long told = System.nanoTime();
-        blocked.get(0).answer(listed("6",
-                "{\"CheckID\":\"_service_maintenance:n\",\"Status\":\"critical\"}"));
+        blocked.get(0)
+                .answer(
+                        listed(
+                                "6",
+                                "{\"CheckID\":\"_service_maintenance:n\",\"Status\":\"critical\"}"));
         Frame.Lines drain = good.until(Frame.Lines.class);
         assertTrue(System.nanoTime() - told < 2_000_000_000L, "the drain came within its grace");
         assertEquals(0, drain.lines().get(0).weight());
-        assertTrue(bind.lines().stream().anyMatch(l -> l.node().equals(drain.lines().get(0).node())));
+        assertTrue(
+                bind.lines().stream().anyMatch(l -> l.node().equals(drain.lines().get(0).node())));
         while (conductor.state().silentStreams() == 0) {
             good.until(Frame.KeepAlive.class);
         }
--- a/src/test/java/rosespread/conductor/CoreTest.java
+++ b/src/test/java/rosespread/conductor/CoreTest.java
@@ -39,29 +39,34 @@
     private static final NodeId NODE = ListedNode.id("n", "127.0.0.1", 80);
 
     private final List<String> told = new ArrayList<>();
-    private Consumer<Orders> script = orders -> { };
-    private final Core core = new Core(new Core.World() {
-        @Override
-        public Planner planner(FleetSettings settings, long seed) {
-            told.add("fresh planner");
-            return (now, feed, orders) -> {
-                feed.to(new Ears());
-                Consumer<Orders> once = script;
-                script = o -> { };
-                once.accept(orders);
-            };
-        }
-
-        @Override
-        public void probe(ListedNode node) {
-            told.add("probe " + node.name());
-        }
-
-        @Override
-        public void followList() {
-            told.add("follow");
-        }
-    }, new Gate(), new Book(TableLog.NONE), () -> 1_700_000_000_000L);
+    private Consumer<Orders> script = orders -> {};
+    private final Core core =
+            new Core(
+                    new Core.World() {
+                        @Override
+                        public Planner planner(FleetSettings settings, long seed) {
+                            told.add("fresh planner");
+                            return (now, feed, orders) -> {
+                                feed.to(new Ears());
+                                Consumer<Orders> once = script;
+                                script = o -> {};
+                                once.accept(orders);
+                            };
+                        }
+
+                        @Override
+                        public void probe(ListedNode node) {
+                            told.add("probe " + node.name());
+                        }
+
+                        @Override
+                        public void followList() {
+                            told.add("follow");
+                        }
+                    },
+                    new Gate(),
+                    new Book(TableLog.NONE),
+                    () -> 1_700_000_000_000L);
     private long now = 1_000_000 * MILLI;
 
     private final class Ears implements Observer {
@@ -71,13 +76,21 @@
         }
 
         @Override
-        public void node(NodeId node, KindId kind, ZoneId zone, double weight, NodeState state,
+        public void node(
+                NodeId node,
+                KindId kind,
+                ZoneId zone,
+                double weight,
+                NodeState state,
                 long started) {
-            told.add("node " + state + (started == Long.MIN_VALUE ? "" : " up " + (now - started) / MILLI));
+            told.add(
+                    "node "
+                            + state
+                            + (started == Long.MIN_VALUE ? "" : " up " + (now - started) / MILLI));
         }
 
         @Override
-        public void listEnds() { }
+        public void listEnds() {}
 
         @Override
         public void proxyJoined(ProxyId proxy, ZoneId zone, double rate) {
@@ -95,9 +108,23 @@
         }
 
         @Override
-        public void sums(NodeId node, ZoneId zone, int tries, int unanswered, double latency, long covers,
+        public void sums(
+                NodeId node,
+                ZoneId zone,
+                int tries,
+                int unanswered,
+                double latency,
+                long covers,
                 double utilization) {
-            told.add("sums " + tries + "/" + unanswered + " over " + covers / MILLI + " at " + latency);
+            told.add(
+                    "sums "
+                            + tries
+                            + "/"
+                            + unanswered
+                            + " over "
+                            + covers / MILLI
+                            + " at "
+                            + latency);
         }
 
         @Override
@@ -152,8 +179,11 @@
         }
 
         Frame.Mark mark() {
-            return (Frame.Mark) frames.stream().filter(f -> f instanceof Frame.Mark).reduce((a, b) -> b)
-                    .orElseThrow();
+            return (Frame.Mark)
+                    frames.stream()
+                            .filter(f -> f instanceof Frame.Mark)
+                            .reduce((a, b) -> b)
+                            .orElseThrow();
         }
     }
 
@@ -165,7 +195,7 @@
     }
 
     private void pass(long millis) {
-        for (long end = now + millis * MILLI; now < end;) {
+        for (long end = now + millis * MILLI; now < end; ) {
             now += 5 * MILLI;
             core.turn(now);
         }
@@ -183,8 +213,11 @@
     }
 
     private void list(Observer.NodeState state, long startedMillis) {
-        core.list(now, List.of(new ListedNode(NODE, "n", "127.0.0.1", 80, "a", "k", 1, state,
-                startedMillis)));
+        core.list(
+                now,
+                List.of(
+                        new ListedNode(
+                                NODE, "n", "127.0.0.1", 80, "a", "k", 1, state, startedMillis)));
     }
 
     private void ordered(Consumer<Orders> orders) {
@@ -198,21 +231,32 @@
     void packsLargeWholeTablesForThoseWhoUnpack() {
         List<ListedNode> all = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            all.add(new ListedNode(ListedNode.id("n" + i, "127.0.0.1", 80 + i), "n" + i, "127.0.0.1", 80 + i,
-                    "a", "k", 1, Observer.NodeState.READY, 0));
+            all.add(
+                    new ListedNode(
+                            ListedNode.id("n" + i, "127.0.0.1", 80 + i),
+                            "n" + i,
+                            "127.0.0.1",
+                            80 + i,
+                            "a",
+                            "k",
+                            1,
+                            Observer.NodeState.READY,
+                            0));
         }
         core.list(now, all);
         Stream packs = new Stream();
         Stream plain = new Stream();
         join(packs, new Frame.Join("p", "a", 5, true, List.of()));
         join(plain, "q");
-        ordered(orders -> {
-            all.forEach(node -> orders.line(TABLE, node.id(), 1));
-            orders.bind(new ProxyId(0), List.of(new MethodId(0), new MethodId(1)), TABLE);
-            orders.bind(new ProxyId(1), List.of(new MethodId(0), new MethodId(1)), TABLE);
-        });
+        ordered(
+                orders -> {
+                    all.forEach(node -> orders.line(TABLE, node.id(), 1));
+                    orders.bind(new ProxyId(0), List.of(new MethodId(0), new MethodId(1)), TABLE);
+                    orders.bind(new ProxyId(1), List.of(new MethodId(0), new MethodId(1)), TABLE);
+                });
         pass(900);
-        assertEquals(plain.frames.stream().filter(f -> f instanceof Frame.Bind).toList(),
+        assertEquals(
+                plain.frames.stream().filter(f -> f instanceof Frame.Bind).toList(),
                 packs.frames.stream().filter(f -> f instanceof Frame.Bind).toList());
         assertEquals(300, packs.count(f -> f instanceof Frame.Node));
         assertTrue(packs.bytes * 1.5 < plain.bytes, packs.bytes + " of " + plain.bytes);
@@ -225,14 +269,24 @@
     }
 
     /**
-     * A planner that changes every line of all tables again and again: each is small, together they are not.
+     * A planner that changes every line of all tables again and again: each is small, together they
+     * are not.
      */
     @Test
     void changesOfManyTablesTogetherKeepTheQueueShort() {
         List<ListedNode> all = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            all.add(new ListedNode(ListedNode.id("n" + i, "127.0.0.1", 80 + i), "n" + i, "127.0.0.1", 80 + i,
-                    "a", "k", 1, Observer.NodeState.READY, 0));
+            all.add(
+                    new ListedNode(
+                            ListedNode.id("n" + i, "127.0.0.1", 80 + i),
+                            "n" + i,
+                            "127.0.0.1",
+                            80 + i,
+                            "a",
+                            "k",
+                            1,
+                            Observer.NodeState.READY,
+                            0));
         }
         core.list(now, all);
         List<Stream> streams = new ArrayList<>();
@@ -243,38 +297,51 @@
             joined.add(join(stream, "p" + i));
             int proxy = i;
             int group = i / 10 * 2;
-            ordered(orders -> {
-                all.forEach(node -> orders.line(new TableId(1 + group), node.id(), 1));
-                all.forEach(node -> orders.line(new TableId(2 + group), node.id(), 1));
-                orders.bind(new ProxyId(proxy), List.of(new MethodId(0)), new TableId(1 + group));
-                orders.bind(new ProxyId(proxy), List.of(new MethodId(1)), new TableId(2 + group));
-            });
+            ordered(
+                    orders -> {
+                        all.forEach(node -> orders.line(new TableId(1 + group), node.id(), 1));
+                        all.forEach(node -> orders.line(new TableId(2 + group), node.id(), 1));
+                        orders.bind(
+                                new ProxyId(proxy),
+                                List.of(new MethodId(0)),
+                                new TableId(1 + group));
+                        orders.bind(
+                                new ProxyId(proxy),
+                                List.of(new MethodId(1)),
+                                new TableId(2 + group));
+                    });
             pass(150);
         }
         for (int round = 1; round <= 100; round++) {
             double weight = 1 + round / 1e5;
             boolean marked = round % 30 == 0;
-            ordered(orders -> {
-                for (int table = 1; table <= 4; table++) {
-                    for (ListedNode node : all) {
-                        orders.line(new TableId(table), node.id(), weight);
-                    }
-                }
-                if (marked) {
-                    orders.mark(1);
-                }
-            });
+            ordered(
+                    orders -> {
+                        for (int table = 1; table <= 4; table++) {
+                            for (ListedNode node : all) {
+                                orders.line(new TableId(table), node.id(), weight);
+                            }
+                        }
+                        if (marked) {
+                            orders.mark(1);
+                        }
+                    });
             for (int i = 0; i < streams.size(); i++) {
                 core.frame(now, joined.get(i), new Frame.KeepAlive(1, true));
             }
         }
-        assertTrue(core.state().mostLinesWaiting() <= 1500, core.state().mostLinesWaiting() + " lines");
-        assertTrue(core.state().tables().stream().anyMatch(t -> t.refused().containsKey("TOO_MANY_LINES")));
+        assertTrue(
+                core.state().mostLinesWaiting() <= 1500,
+                core.state().mostLinesWaiting() + " lines");
+        assertTrue(
+                core.state().tables().stream()
+                        .anyMatch(t -> t.refused().containsKey("TOO_MANY_LINES")));
         // A drain goes first, also now.
         list(Observer.NodeState.DRAINING, 0);
         pass(1500);
-        assertTrue(core.state().tables().stream().allMatch(t -> t.lines().keySet().stream()
-                .noneMatch("n"::equals)));
+        assertTrue(
+                core.state().tables().stream()
+                        .allMatch(t -> t.lines().keySet().stream().noneMatch("n"::equals)));
     }
 
     @Test
@@ -282,15 +349,17 @@
         Stream stream = new Stream();
         list(Observer.NodeState.READY, 0);
         Link link = join(stream, "p");
-        ordered(orders -> {
-            orders.line(TABLE, NODE, 0.5);
-            orders.level(TABLE, new MethodId(0), 7);
-            orders.bind(new ProxyId(0), List.of(new MethodId(0), new MethodId(1)), TABLE);
-            orders.mark(3);
-        });
+        ordered(
+                orders -> {
+                    orders.line(TABLE, NODE, 0.5);
+                    orders.level(TABLE, new MethodId(0), 7);
+                    orders.bind(new ProxyId(0), List.of(new MethodId(0), new MethodId(1)), TABLE);
+                    orders.mark(3);
+                });
         pass(50);
-        assertEquals(List.of("Hello", "Node", "Bind", "Mark"), stream.frames.stream()
-                .map(f -> f.getClass().getSimpleName()).toList());
+        assertEquals(
+                List.of("Hello", "Node", "Bind", "Mark"),
+                stream.frames.stream().map(f -> f.getClass().getSimpleName()).toList());
         Frame.Bind bind = (Frame.Bind) stream.frames.get(2);
         assertEquals(List.of(new Frame.Line(NODE, 0.5)), bind.lines());
         assertEquals(Frame.Tries.AFTER_PROOF, bind.levels().get(0).tries());
@@ -298,15 +367,26 @@
         long sentAt = now;
         core.frame(now, link, new Frame.Installed(stream.mark().number()));
         list(Observer.NodeState.DRAINING, 0);
-        ordered(orders -> {
-            orders.line(TABLE, NODE, 0);
-            orders.mark(4);
-        });
-        assertTrue(told.stream().anyMatch(t -> t.matches("installed 3 by 0 in [0-9]+")), told + " " + sentAt);
+        ordered(
+                orders -> {
+                    orders.line(TABLE, NODE, 0);
+                    orders.mark(4);
+                });
+        assertTrue(
+                told.stream().anyMatch(t -> t.matches("installed 3 by 0 in [0-9]+")),
+                told + " " + sentAt);
         pass(50);
-        assertEquals(1, stream.count(f -> f instanceof Frame.Lines l && l.from() == 1 && l.to() == 2
-                && l.digest() == 0 && l.lines().equals(List.of(new Frame.Line(NODE, 0)))));
-        assertEquals(1, stream.count(f -> f instanceof Frame.Node), "a node is named once a stream");
+        assertEquals(
+                1,
+                stream.count(
+                        f ->
+                                f instanceof Frame.Lines l
+                                        && l.from() == 1
+                                        && l.to() == 2
+                                        && l.digest() == 0
+                                        && l.lines().equals(List.of(new Frame.Line(NODE, 0)))));
+        assertEquals(
+                1, stream.count(f -> f instanceof Frame.Node), "a node is named once a stream");
     }
 
     @Test
@@ -318,13 +398,14 @@
         }
         list(Observer.NodeState.READY, 0);
         pass(15);
-        ordered(orders -> {
-            orders.line(TABLE, NODE, 1);
-            for (int i = 0; i < 20; i++) {
-                orders.bind(new ProxyId(i), List.of(new MethodId(0)), TABLE);
-            }
-            orders.mark(1);
-        });
+        ordered(
+                orders -> {
+                    orders.line(TABLE, NODE, 1);
+                    for (int i = 0; i < 20; i++) {
+                        orders.bind(new ProxyId(i), List.of(new MethodId(0)), TABLE);
+                    }
+                    orders.mark(1);
+                });
         // 13 lines each at 1000 lines a second: 13 ms a message, in order.
         pass(130);
         long left = streams.stream().filter(s -> s.count(f -> f instanceof Frame.Mark) > 0).count();
@@ -341,11 +422,12 @@
         list(Observer.NodeState.READY, 0);
         Stream first = new Stream();
         Link link = join(first, "p");
-        Consumer<Orders> bind = orders -> {
-            orders.line(TABLE, NODE, 1);
-            orders.bind(new ProxyId(0), List.of(new MethodId(0)), TABLE);
-            orders.mark(9);
-        };
+        Consumer<Orders> bind =
+                orders -> {
+                    orders.line(TABLE, NODE, 1);
+                    orders.bind(new ProxyId(0), List.of(new MethodId(0)), TABLE);
+                    orders.mark(9);
+                };
         ordered(bind);
         pass(50);
         long number = first.mark().number();
@@ -371,8 +453,9 @@
         join(new Stream(), "p");
         pass(15);
         assertTrue(old.closed.startsWith("REPLACED"), old.closed);
-        assertEquals(List.of("joined 0", "left 0", "joined 0"), told.stream()
-                .filter(t -> t.startsWith("joined") || t.startsWith("left")).toList());
+        assertEquals(
+                List.of("joined 0", "left 0", "joined 0"),
+                told.stream().filter(t -> t.startsWith("joined") || t.startsWith("left")).toList());
     }
 
     @Test
@@ -396,9 +479,16 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"version|BAD_VERSION", "zone|BAD_JOIN", "order|BAD_FRAME",
-            "kind|BAD_FRAME",
-        "method|BAD_FRAME", "late|SILENT"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "version|BAD_VERSION",
+                "zone|BAD_JOIN",
+                "order|BAD_FRAME",
+                "kind|BAD_FRAME",
+                "method|BAD_FRAME",
+                "late|SILENT"
+            })
     void closesAStreamThatBreaksTheProtocolAndNoOther(String fault, String reason) {
         Stream other = new Stream();
         Link otherLink = join(other, "other");
@@ -416,8 +506,13 @@
             default -> {
                 core.frame(now, link, new Frame.Hello(Frame.VERSION, "p", List.of()));
                 core.frame(now, link, new Frame.Join("p", fault.equals("zone") ? "z" : "a", 1));
-                core.frame(now, link, fault.equals("kind") ? new Frame.Withdraw(NODE, true)
-                        : new Frame.Offered(1, List.of(new Frame.Count(new MethodId(2), 1))));
+                core.frame(
+                        now,
+                        link,
+                        fault.equals("kind")
+                                ? new Frame.Withdraw(NODE, true)
+                                : new Frame.Offered(
+                                        1, List.of(new Frame.Count(new MethodId(2), 1))));
             }
         }
         assertTrue(stream.closed.startsWith(reason), stream.closed);
@@ -430,12 +525,19 @@
         Link one = join(new Stream(), "p1");
         Link two = join(new Stream(), "p2");
         for (Link link : List.of(one, one, two, two)) {
-            core.frame(now, link, new Frame.Sums(1_000_000, List.of(new Frame.Sum(NODE, 4, 1, 0.5, 0.3),
-                    new Frame.Sum(new NodeId(99), 1, 0, 1, 1))));
+            core.frame(
+                    now,
+                    link,
+                    new Frame.Sums(
+                            1_000_000,
+                            List.of(
+                                    new Frame.Sum(NODE, 4, 1, 0.5, 0.3),
+                                    new Frame.Sum(new NodeId(99), 1, 0, 1, 1))));
         }
         pass(1100);
-        assertEquals(List.of("sums 16/4 over 2000 at 0.5"), told.stream().filter(t ->
-                t.startsWith("sums")).toList());
+        assertEquals(
+                List.of("sums 16/4 over 2000 at 0.5"),
+                told.stream().filter(t -> t.startsWith("sums")).toList());
         assertEquals(4, core.state().sumsOfUnknownNodes());
     }
 
@@ -445,8 +547,9 @@
         pass(500);
         list(Observer.NodeState.DRAINING, 1_700_000_000_000L - 3000);
         pass(15);
-        assertEquals(List.of("node READY up 3005", "node DRAINING up 3505"), told.stream()
-                .filter(t -> t.startsWith("node")).toList());
+        assertEquals(
+                List.of("node READY up 3005", "node DRAINING up 3505"),
+                told.stream().filter(t -> t.startsWith("node")).toList());
     }
 
     @Test
@@ -456,13 +559,15 @@
         join(stream, "p");
         pass(15);
         told.clear();
-        ordered(orders -> {
-            throw new IllegalStateException("broken on purpose");
-        });
+        ordered(
+                orders -> {
+                    throw new IllegalStateException("broken on purpose");
+                });
         assertTrue(stream.closed.contains("begins anew"), stream.closed);
         join(new Stream(), "p");
         pass(1200);
-        assertEquals(List.of("probed OK", "fresh planner", "list REMEMBERED", "node READY", "joined 0"),
+        assertEquals(
+                List.of("probed OK", "fresh planner", "list REMEMBERED", "node READY", "joined 0"),
                 told.subList(0, 5));
         assertEquals(1, core.state().moduleFaults());
     }
@@ -473,8 +578,9 @@
         pass(15);
         core.listUnavailable(now, "silent");
         pass(15);
-        assertEquals(List.of("list WHOLE", "node READY", "list UNAVAILABLE"), told.stream()
-                .filter(t -> t.startsWith("list") || t.startsWith("node")).toList());
+        assertEquals(
+                List.of("list WHOLE", "node READY", "list UNAVAILABLE"),
+                told.stream().filter(t -> t.startsWith("list") || t.startsWith("node")).toList());
         assertEquals(1, core.state().nodes().size());
     }
 }
--- a/src/test/java/rosespread/conductor/KeptTest.java
+++ b/src/test/java/rosespread/conductor/KeptTest.java
@@ -32,6 +32,7 @@
 class KeptTest {
     private static final long MILLI = 1_000_000L;
     private static final TableId TABLE = new TableId(1);
+
     /** The settings' drain grace is 2 s; a tenth of it is waited. */
     private static final long PATIENCE = 200;
 
@@ -50,16 +51,21 @@
         @Override
         public void write(byte[] bytes) {
             try {
-                new FrameReader(1 << 20, frame -> {
-                    frames.add(frame);
-                    if (frame instanceof Frame.Bind bind) {
-                        versions.put(bind.table(), bind.version());
-                    } else if (frame instanceof Frame.Lines delta) {
-                        assertEquals(versions.put(delta.table(), delta.to()), delta.from());
-                    } else if (frame instanceof Frame.Mark mark && answers) {
-                        core.frame(now, link, new Frame.Installed(mark.number()));
-                    }
-                }).feed(ByteBuffer.wrap(bytes));
+                new FrameReader(
+                                1 << 20,
+                                frame -> {
+                                    frames.add(frame);
+                                    if (frame instanceof Frame.Bind bind) {
+                                        versions.put(bind.table(), bind.version());
+                                    } else if (frame instanceof Frame.Lines delta) {
+                                        assertEquals(
+                                                versions.put(delta.table(), delta.to()),
+                                                delta.from());
+                                    } else if (frame instanceof Frame.Mark mark && answers) {
+                                        core.frame(now, link, new Frame.Installed(mark.number()));
+                                    }
+                                })
+                        .feed(ByteBuffer.wrap(bytes));
             } catch (FrameException e) {
                 throw new AssertionError(e);
             }
@@ -75,7 +81,7 @@
         }
 
         @Override
-        public void close(Frame.Reason reason, String text) { }
+        public void close(Frame.Reason reason, String text) {}
 
         @Override
         public String remote() {
@@ -83,7 +89,7 @@
         }
     }
 
-    private Consumer<Orders> script = orders -> { };
+    private Consumer<Orders> script = orders -> {};
     private MemoryLog disk;
     private Core core;
     private long now = 1_000_000 * MILLI;
@@ -93,23 +99,28 @@
         disk = new MemoryLog(image);
         Book book = new Book(disk);
         book.restore(image);
-        core = new Core(new Core.World() {
-            @Override
-            public Planner planner(FleetSettings of, long seed) {
-                return (time, feed, orders) -> {
-                    feed.to(new SilentObserver());
-                    Consumer<Orders> once = script;
-                    script = o -> { };
-                    once.accept(orders);
-                };
-            }
-
-            @Override
-            public void probe(ListedNode node) { }
-
-            @Override
-            public void followList() { }
-        }, new Gate(), book, () -> 1_700_000_000_000L + now / MILLI);
+        core =
+                new Core(
+                        new Core.World() {
+                            @Override
+                            public Planner planner(FleetSettings of, long seed) {
+                                return (time, feed, orders) -> {
+                                    feed.to(new SilentObserver());
+                                    Consumer<Orders> once = script;
+                                    script = o -> {};
+                                    once.accept(orders);
+                                };
+                            }
+
+                            @Override
+                            public void probe(ListedNode node) {}
+
+                            @Override
+                            public void followList() {}
+                        },
+                        new Gate(),
+                        book,
+                        () -> 1_700_000_000_000L + now / MILLI);
         core.apply(now, SettingsReader.read(settings));
         pass(20);
     }
@@ -125,7 +136,7 @@
     }
 
     private void pass(long millis) {
-        for (long end = now + millis * MILLI; now < end;) {
+        for (long end = now + millis * MILLI; now < end; ) {
             now += 5 * MILLI;
             core.turn(now);
         }
@@ -138,8 +149,17 @@
     private void list(int... ready) {
         List<ListedNode> all = new ArrayList<>();
         for (int i : ready) {
-            all.add(new ListedNode(id(i), "n" + i, "127.0.0.1", 80, "a", "k", 1, Observer.NodeState.READY,
-                    0));
+            all.add(
+                    new ListedNode(
+                            id(i),
+                            "n" + i,
+                            "127.0.0.1",
+                            80,
+                            "a",
+                            "k",
+                            1,
+                            Observer.NodeState.READY,
+                            0));
         }
         core.list(now, all);
         pass(20);
@@ -152,20 +172,22 @@
     }
 
     private void weights(double... weights) {
-        order(orders -> {
-            for (int i = 0; i < weights.length; i++) {
-                orders.line(TABLE, id(i), weights[i]);
-            }
-        });
+        order(
+                orders -> {
+                    for (int i = 0; i < weights.length; i++) {
+                        orders.line(TABLE, id(i), weights[i]);
+                    }
+                });
     }
 
     private Proxy bound(String name, Frame.Holding... held) {
         Proxy proxy = new Proxy(name, List.of(held));
-        order(orders -> {
-            for (int i = 0; i < core.state().proxies(); i++) {
-                orders.bind(new ProxyId(i), List.of(new MethodId(0)), TABLE);
-            }
-        });
+        order(
+                orders -> {
+                    for (int i = 0; i < core.state().proxies(); i++) {
+                        orders.bind(new ProxyId(i), List.of(new MethodId(0)), TABLE);
+                    }
+                });
         pass(200);
         return proxy;
     }
@@ -250,7 +272,8 @@
     }
 
     /**
-     * What a slow link holds counts: the way back does not fill it up further, and goes on once it is empty.
+     * What a slow link holds counts: the way back does not fill it up further, and goes on once it
+     * is empty.
      */
     @Test
     void aRollbackWaitsWhileMostProxiesOweAnswers() {
@@ -272,7 +295,7 @@
         pass(200);
         assertEquals(0.5, core.state().tables().get(0).lines().get("n0"), "nothing of it left yet");
         proxy.link.marks.clear();
-        order(orders -> { });
+        order(orders -> {});
         pass(100);
         assertEquals(1.0, core.state().tables().get(0).lines().get("n0"));
     }
@@ -281,8 +304,9 @@
     @Test
     void aDrainEndsWhenItsNodeIsGone() {
         list(0, 1);
-        assertEquals(DrainOutcome.Kind.DONE, core.drain(now, new DrainCall("n1", true, "o", "c", -1, true))
-                .kind());
+        assertEquals(
+                DrainOutcome.Kind.DONE,
+                core.drain(now, new DrainCall("n1", true, "o", "c", -1, true)).kind());
         core.hear(now, List.of(new Drain(id(2), "n2", true, 9, "p", "d", 0)));
         list(0, 1);
         assertEquals(List.of("n1", "n2"), drained());
@@ -290,8 +314,13 @@
         assertEquals(List.of("n2"), drained());
         list(0, 1, 2);
         assertEquals(List.of("n2"), drained());
-        assertEquals("DRAINING", core.state().nodes().stream().filter(n -> n.name().equals("n2")).findFirst()
-                .orElseThrow().state());
+        assertEquals(
+                "DRAINING",
+                core.state().nodes().stream()
+                        .filter(n -> n.name().equals("n2"))
+                        .findFirst()
+                        .orElseThrow()
+                        .state());
     }
 
     private List<String> drained() {
@@ -340,7 +369,8 @@
         assertEquals("PINNED", table().held());
         list(0, 1, 2);
         pass(50);
-        assertEquals(new TreeMap<>(java.util.Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0)), table().lines());
+        assertEquals(
+                new TreeMap<>(java.util.Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0)), table().lines());
     }
 
     @Test
@@ -349,7 +379,8 @@
         weights(1, 1);
         Proxy first = bound("p");
         long low = first.versions.get(TABLE);
-        Proxy stranger = bound("q", new Frame.Holding(TABLE, 5000), new Frame.Holding(new TableId(77), 9));
+        Proxy stranger =
+                bound("q", new Frame.Holding(TABLE, 5000), new Frame.Holding(new TableId(77), 9));
         assertTrue(stranger.versions.get(TABLE) > 5000, stranger.versions.toString());
         assertEquals(stranger.versions.get(TABLE), first.versions.get(TABLE));
         assertTrue(first.versions.get(TABLE) > low);
@@ -369,15 +400,18 @@
         begin(Image.EMPTY, SettingsTest.GOOD);
         list(0, 1);
         Proxy proxy = new Proxy("p", List.of(new Frame.Holding(TABLE, 700)));
-        order(orders -> {
-            orders.line(TABLE, id(0), 1);
-            orders.bind(new ProxyId(0), List.of(new MethodId(0)), TABLE);
-        });
+        order(
+                orders -> {
+                    orders.line(TABLE, id(0), 1);
+                    orders.bind(new ProxyId(0), List.of(new MethodId(0)), TABLE);
+                });
         pass(100);
         assertTrue(proxy.versions.get(TABLE) > 700);
     }
 
-    /** Other methods or zones make other tables: holds and old versions would mean something else. */
+    /**
+     * Other methods or zones make other tables: holds and old versions would mean something else.
+     */
     @Test
     void otherSettingsLetGoOfHoldsButNotOfNumbers() throws SettingsException {
         list(0, 1);
@@ -386,10 +420,13 @@
         weights(1, 0.5);
         core.pin(now, TABLE);
         long version = table().version();
-        core.apply(now, SettingsReader.read(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod")));
+        core.apply(
+                now,
+                SettingsReader.read(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod")));
         assertEquals("PINNED", table().held(), "the same settings change nothing");
-        begin(disk.kept.image(), SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"",
-                "\"zones\":[\"z\",\"a\""));
+        begin(
+                disk.kept.image(),
+                SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
         assertEquals(1, table().versions().size());
--- a/src/test/java/rosespread/conductor/MemoryLog.java
+++ b/src/test/java/rosespread/conductor/MemoryLog.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void image(Image image) { }
+    public void image(Image image) {}
 
     @Override
     public String trouble() {
--- a/src/test/java/rosespread/conductor/VersionsTest.java
+++ b/src/test/java/rosespread/conductor/VersionsTest.java
@@ -69,8 +69,15 @@
             open = true;
             link = core.opened(now, this);
             core.frame(now, link, new Frame.Hello(Frame.VERSION, name, List.of()));
-            core.frame(now, link, new Frame.Join(name, "a", 1, false, version == 0 ? List.of()
-                    : List.of(new Frame.Holding(TABLE, version))));
+            core.frame(
+                    now,
+                    link,
+                    new Frame.Join(
+                            name,
+                            "a",
+                            1,
+                            false,
+                            version == 0 ? List.of() : List.of(new Frame.Holding(TABLE, version))));
         }
 
         @Override
@@ -109,19 +116,22 @@
             } else if (frame instanceof Frame.Lines delta && !loses) {
                 assertTrue(delta.to() > delta.from());
                 boolean follows = delta.from() == version;
-                delta.lines().forEach(l -> {
-                    if (l.weight() == 0) {
-                        lines.remove(l.node());
-                    } else if (follows) {
-                        lines.put(l.node(), l.weight());
-                    }
-                });
+                delta.lines()
+                        .forEach(
+                                l -> {
+                                    if (l.weight() == 0) {
+                                        lines.remove(l.node());
+                                    } else if (follows) {
+                                        lines.put(l.node(), l.weight());
+                                    }
+                                });
                 version = follows ? delta.to() : version;
                 if (!follows || Digest.of(lines) != delta.digest()) {
                     answers.add(new Frame.Missed(TABLE, version));
                 }
             }
-            lines.forEach((node, weight) -> assertTrue(weight < 50, "a refused line came: " + weight));
+            lines.forEach(
+                    (node, weight) -> assertTrue(weight < 50, "a refused line came: " + weight));
         }
 
         void answer() {
@@ -157,31 +167,43 @@
         list();
     }
 
-    /** A process that begins with this; what the one before had not kept is lost, and so are its streams. */
+    /**
+     * A process that begins with this; what the one before had not kept is lost, and so are its
+     * streams.
+     */
     private void conductor(Image image) throws SettingsException {
         scripts.clear();
         log = new MemoryLog(image);
         Book book = new Book(log);
         book.restore(image);
-        core = new Core(new Core.World() {
-            @Override
-            public Planner planner(FleetSettings settings, long seed) {
-                return (time, feed, orders) -> {
-                    feed.to(new SilentObserver());
-                    while (!scripts.isEmpty()) {
-                        scripts.poll().accept(orders);
-                    }
-                };
-            }
-
-            @Override
-            public void probe(ListedNode node) { }
-
-            @Override
-            public void followList() { }
-        }, new Gate(), book, () -> 1_700_000_000_000L + now / MILLI);
-        core.apply(now, SettingsReader.read(SettingsTest.GOOD.replace("\"linesPerSecond\":1000",
-                "\"linesPerSecond\":100000").replace("\"messageLimit\":30", "\"messageLimit\":0")));
+        core =
+                new Core(
+                        new Core.World() {
+                            @Override
+                            public Planner planner(FleetSettings settings, long seed) {
+                                return (time, feed, orders) -> {
+                                    feed.to(new SilentObserver());
+                                    while (!scripts.isEmpty()) {
+                                        scripts.poll().accept(orders);
+                                    }
+                                };
+                            }
+
+                            @Override
+                            public void probe(ListedNode node) {}
+
+                            @Override
+                            public void followList() {}
+                        },
+                        new Gate(),
+                        book,
+                        () -> 1_700_000_000_000L + now / MILLI);
+        core.apply(
+                now,
+                SettingsReader.read(
+                        SettingsTest.GOOD
+                                .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":100000")
+                                .replace("\"messageLimit\":30", "\"messageLimit\":0")));
     }
 
     private static NodeId id(int node) {
@@ -199,7 +221,7 @@
     }
 
     private void pass(long millis) {
-        for (long end = now + millis * MILLI; now < end;) {
+        for (long end = now + millis * MILLI; now < end; ) {
             now += 5 * MILLI;
             core.turn(now);
             followers.stream().filter(f -> f.open).forEach(Follower::answer);
@@ -215,22 +237,25 @@
     private Follower join(String name) {
         Follower follower = new Follower(name);
         followers.add(follower);
-        order(orders -> {
-            for (int i = 0; i < followers.size(); i++) {
-                orders.bind(new ProxyId(i), List.of(new MethodId(0), new MethodId(1)), TABLE);
-            }
-            orders.mark(1);
-        });
+        order(
+                orders -> {
+                    for (int i = 0; i < followers.size(); i++) {
+                        orders.bind(
+                                new ProxyId(i), List.of(new MethodId(0), new MethodId(1)), TABLE);
+                    }
+                    orders.mark(1);
+                });
         return follower;
     }
 
     private void weights(double... weights) {
-        order(orders -> {
-            for (int i = 0; i < weights.length; i++) {
-                orders.line(TABLE, id(i), weights[i]);
-            }
-            orders.mark(2);
-        });
+        order(
+                orders -> {
+                    for (int i = 0; i < weights.length; i++) {
+                        orders.line(TABLE, id(i), weights[i]);
+                    }
+                    orders.mark(2);
+                });
     }
 
     private ConductorState.Table table() {
@@ -274,14 +299,18 @@
         states[1] = NodeState.DRAINING;
         list();
         pass(100);
-        assertEquals(Map.of("n0", 1.0, "n2", 1.0, "n3", 1.0), named(follower.lines),
+        assertEquals(
+                Map.of("n0", 1.0, "n2", 1.0, "n3", 1.0),
+                named(follower.lines),
                 "a held table keeps drains");
         weights(0.4, 0, 1, 1, 1.5, 1.5);
         assertEquals("", core.release(now, TABLE));
         pass(300);
         assertTrue(follower.lines.get(id(0)) > 0.4, "not at once: " + follower.lines);
         pass(9000);
-        assertEquals(Map.of("n0", 0.4, "n2", 1.0, "n3", 1.0, "n4", 1.5, "n5", 1.5), named(follower.lines));
+        assertEquals(
+                Map.of("n0", 0.4, "n2", 1.0, "n3", 1.0, "n4", 1.5, "n5", 1.5),
+                named(follower.lines));
         assertEquals("NONE", table().held());
         assertEquals("table 1 is not held", core.release(now, TABLE));
         assertEquals("table 1 has no version 999 any more", core.rollback(now, TABLE, 999));
@@ -327,8 +356,8 @@
     }
 
     /**
-     * Restarts, full disks, commits, refused lines, losses, rejoins, drains, rollbacks and releases in any
-     * order.
+     * Restarts, full disks, commits, refused lines, losses, rejoins, drains, rollbacks and releases
+     * in any order.
      */
     @Property(seed = "1", tries = 1000)
     void everyProxyEndsWithTheCommittedLines(@ForAll long history) throws SettingsException {
@@ -354,8 +383,14 @@
                     log.trouble = log.stands && random.nextBoolean() ? "full" : "";
                     log.keep();
                 }
-                case 5 -> weights(1, 1, 1, 1, 1, random.nextBoolean() ? Double.NaN
-                        : Double.POSITIVE_INFINITY);
+                case 5 ->
+                        weights(
+                                1,
+                                1,
+                                1,
+                                1,
+                                1,
+                                random.nextBoolean() ? Double.NaN : Double.POSITIVE_INFINITY);
                 case 6 -> {
                     if (!followers.isEmpty()) {
                         Follower gone = followers.get(random.nextInt(followers.size()));
@@ -379,18 +414,25 @@
             last[i] = states[i] == NodeState.READY ? 1 : 0;
         }
         weights(last);
-        order(orders -> {
-            for (int i = 0; i < followers.size(); i++) {
-                orders.bind(new ProxyId(i), List.of(new MethodId(0), new MethodId(1)), TABLE);
-            }
-            orders.mark(1);
-        });
+        order(
+                orders -> {
+                    for (int i = 0; i < followers.size(); i++) {
+                        orders.bind(
+                                new ProxyId(i), List.of(new MethodId(0), new MethodId(1)), TABLE);
+                    }
+                    orders.mark(1);
+                });
         pass(9000);
         for (Follower follower : followers) {
             assertEquals(table().lines(), named(follower.lines), follower.name);
             assertEquals(table().version(), follower.version);
         }
-        table().lines().forEach((name, weight) ->
-                assertEquals(NodeState.READY, states[Integer.parseInt(name.substring(1))], name));
+        table().lines()
+                .forEach(
+                        (name, weight) ->
+                                assertEquals(
+                                        NodeState.READY,
+                                        states[Integer.parseInt(name.substring(1))],
+                                        name));
     }
 }
--- a/src/test/java/rosespread/control/ControlFuzzTest.java
+++ b/src/test/java/rosespread/control/ControlFuzzTest.java
@@ -19,20 +19,57 @@
 import rosespread.release.Gate;
 
 /**
- * Calls of parts that could be right, put together anyhow, and bytes that are no call: none is a 500 or
- * hangs.
+ * Calls of parts that could be right, put together anyhow, and bytes that are no call: none is a
+ * 500 or hangs.
  */
 class ControlFuzzTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-    private static final List<String> VERBS = List.of("GET", "PUT", "POST", "DELETE", "PATCH", "get", "");
-    private static final List<String> PARTS = List.of("/", "v1", "settings", "tables", "nodes", "1", "99999",
-            "x", "%00", "%zz", "%", "diff", "rollback", "drain", "undrain", "?", "from=1", "&", "to=2",
-            "version=", "999999999999999999", "force=true", "dry-run=true", "..", "//", "drains", "acts",
+    private static final List<String> VERBS =
+            List.of("GET", "PUT", "POST", "DELETE", "PATCH", "get", "");
+    private static final List<String> PARTS =
+            List.of(
+                    "/",
+                    "v1",
+                    "settings",
+                    "tables",
+                    "nodes",
+                    "1",
+                    "99999",
+                    "x",
+                    "%00",
+                    "%zz",
+                    "%",
+                    "diff",
+                    "rollback",
+                    "drain",
+                    "undrain",
+                    "?",
+                    "from=1",
+                    "&",
+                    "to=2",
+                    "version=",
+                    "999999999999999999",
+                    "force=true",
+                    "dry-run=true",
+                    "..",
+                    "//",
+                    "drains",
+                    "acts",
                     "é");
-    private static final List<String> HEADERS = List.of("if-match: 1", "if-match: \"x\"", "if-match: *",
-            "idempotency-key: ", "idempotency-key: " + "k".repeat(100), "x-operator: a\tb", "x-operator: ana",
-            "expect: 100-continue", "transfer-encoding: chunked", "content-length: 5");
-    private static final List<String> BODIES = List.of("", "{", "{}", "[]", "null", "\u0000", "5\r\nabc");
+    private static final List<String> HEADERS =
+            List.of(
+                    "if-match: 1",
+                    "if-match: \"x\"",
+                    "if-match: *",
+                    "idempotency-key: ",
+                    "idempotency-key: " + "k".repeat(100),
+                    "x-operator: a\tb",
+                    "x-operator: ana",
+                    "expect: 100-continue",
+                    "transfer-encoding: chunked",
+                    "content-length: 5");
+    private static final List<String> BODIES =
+            List.of("", "{", "{}", "[]", "null", "\u0000", "5\r\nabc");
 
     private static Path folder;
     private static Conductor conductor;
@@ -74,7 +111,8 @@
         for (int i = random.nextInt(6); i >= 0; i--) {
             target.append(one(random, PARTS)).append(random.nextBoolean() ? "/" : "");
         }
-        StringBuilder all = new StringBuilder(one(random, VERBS) + " " + target + " HTTP/1.1\r\nhost: x\r\n");
+        StringBuilder all =
+                new StringBuilder(one(random, VERBS) + " " + target + " HTTP/1.1\r\nhost: x\r\n");
         for (int i = random.nextInt(4); i > 0; i--) {
             all.append(one(random, HEADERS)).append("\r\n");
         }
@@ -82,11 +120,15 @@
         if (random.nextBoolean()) {
             all.append("content-length: ").append(body.length()).append("\r\n");
         }
-        return all.append("connection: close\r\n\r\n").append(body).toString()
+        return all.append("connection: close\r\n\r\n")
+                .append(body)
+                .toString()
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The status of the first answer; 0 if the connection was closed without, -1 if nothing came. */
+    /**
+     * The status of the first answer; 0 if the connection was closed without, -1 if nothing came.
+     */
     private static int status(byte[] call, boolean whole) throws IOException {
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             socket.setSoTimeout(5_000);
@@ -95,7 +137,8 @@
                 // What the server still waits for does not come.
                 socket.shutdownOutput();
             }
-            String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            String answer =
+                    new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             return answer.startsWith("HTTP/1.1 ") ? Integer.parseInt(answer.substring(9, 12)) : 0;
         } catch (java.net.SocketTimeoutException e) {
             return -1;
@@ -109,12 +152,19 @@
         byte[] call = call(new Random(seed));
         String what = new String(call, StandardCharsets.ISO_8859_1);
         String head = what.contains("\r\n\r\n") ? what.substring(0, what.indexOf("\r\n\r\n")) : "";
-        int status = status(call, !head.isEmpty() && !head.contains("transfer-")
-                && !head.contains("length: 5"));
+        int status =
+                status(
+                        call,
+                        !head.isEmpty()
+                                && !head.contains("transfer-")
+                                && !head.contains("length: 5"));
         assertNotEquals(500, status, what);
         assertNotEquals(-1, status, "no answer and no close: " + what);
-        int health = status("GET /v1/health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
-                .getBytes(StandardCharsets.US_ASCII), true);
+        int health =
+                status(
+                        "GET /v1/health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
+                                .getBytes(StandardCharsets.US_ASCII),
+                        true);
         assertEquals(503, health, "still there after " + what);
     }
 }
--- a/src/test/java/rosespread/control/RaceTest.java
+++ b/src/test/java/rosespread/control/RaceTest.java
@@ -29,29 +29,36 @@
 class RaceTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private static final long TIMEOUT = 5_000_000_000L;
+
     /** A few in every build; 1,000 for docs/results.md. */
     private static final int PAIRS = Integer.getInteger("race.pairs", 60);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static HttpServer list() {
-        byte[] body = ("[{\"Service\":{\"ID\":\"n\",\"Address\":\"127.0.0.1\",\"Port\":9,"
-                + "\"Tags\":[\"zone=a\","
-                + "\"kind=k\"]},\"Checks\":[]},{\"Service\":{\"ID\":\"m\",\"Address\":\"127.0.0.1\","
-                + "\"Port\":10,\"Tags\":[\"zone=a\",\"kind=k\"]},\"Checks\":[]}]")
-                .getBytes(StandardCharsets.UTF_8);
-        return new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {
-            if (!call.target().contains("index=7")) {
-                exchange.answer(new HttpMessage.Answer(200, HttpHeaders.of("x-consul-index", "7"), body));
-            }
-        });
+        byte[] body =
+                ("[{\"Service\":{\"ID\":\"n\",\"Address\":\"127.0.0.1\",\"Port\":9,"
+                                + "\"Tags\":[\"zone=a\","
+                                + "\"kind=k\"]},\"Checks\":[]},{\"Service\":{\"ID\":\"m\",\"Address\":\"127.0.0.1\","
+                                + "\"Port\":10,\"Tags\":[\"zone=a\",\"kind=k\"]},\"Checks\":[]}]")
+                        .getBytes(StandardCharsets.UTF_8);
+        return new HttpServer(
+                1,
+                HttpLimits.USUAL,
+                (call, exchange) -> {
+                    if (!call.target().contains("index=7")) {
+                        exchange.answer(
+                                new HttpMessage.Answer(
+                                        200, HttpHeaders.of("x-consul-index", "7"), body));
+                    }
+                });
     }
 
     @Test
     void oneOfTwoWinsAndTheOtherIsToldByWhom() throws IOException {
         HttpServer list = list();
-        String settings = SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()));
+        String settings =
+                SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()));
         Conductor conductor = new Conductor("race", folder, Conductor.MODULE, new Gate());
         conductor.start(ANY);
         Path log = folder.resolve("audit.log");
@@ -67,32 +74,53 @@
                 await().until(() -> conductor.state().nodes().size() == 2);
                 for (int pair = 0; pair < PAIRS; pair++) {
                     boolean drains = random.nextBoolean();
-                    long revision = drains ? words(conductor) : conductor.settings().orElseThrow().revision();
+                    long revision =
+                            drains
+                                    ? words(conductor)
+                                    : conductor.settings().orElseThrow().revision();
                     String verb = drains ? "POST" : "PUT";
                     String ofAna = drains ? "/v1/nodes/n/drain?force=true" : "/v1/settings";
                     String ofBo = drains ? "/v1/nodes/m/undrain" : "/v1/settings";
                     String body = drains ? "" : settings;
-                    String[] anas = {"if-match", String.valueOf(revision), "idempotency-key", "a" + pair};
-                    String[] bos = {"if-match", String.valueOf(revision), "idempotency-key", "b" + pair};
-                    CompletableFuture<Reply> other = CompletableFuture.supplyAsync(() ->
-                            bo.ask(at, verb, ofBo, body, bos));
+                    String[] anas = {
+                        "if-match", String.valueOf(revision), "idempotency-key", "a" + pair
+                    };
+                    String[] bos = {
+                        "if-match", String.valueOf(revision), "idempotency-key", "b" + pair
+                    };
+                    CompletableFuture<Reply> other =
+                            CompletableFuture.supplyAsync(() -> bo.ask(at, verb, ofBo, body, bos));
                     Reply one = ana.ask(at, verb, ofAna, body, anas);
                     Reply two = other.join();
                     boolean first = one.isOk();
-                    assertEquals(List.of(200, 412), first ? List.of(one.status(), two.status())
-                            : List.of(two.status(), one.status()), "pair " + pair);
+                    assertEquals(
+                            List.of(200, 412),
+                            first
+                                    ? List.of(one.status(), two.status())
+                                    : List.of(two.status(), one.status()),
+                            "pair " + pair);
                     Reply lost = first ? two : one;
-                    assertTrue(lost.detail().contains("by " + (first ? "ana" : "bo")), lost.detail());
-                    assertEquals(revision + 1, drains ? words(conductor)
-                            : conductor.settings().orElseThrow().revision());
+                    assertTrue(
+                            lost.detail().contains("by " + (first ? "ana" : "bo")), lost.detail());
+                    assertEquals(
+                            revision + 1,
+                            drains
+                                    ? words(conductor)
+                                    : conductor.settings().orElseThrow().revision());
                     wins++;
                     if (random.nextInt(4) == 0) {
-                        // The winner's answer was lost, so it calls again: nothing more comes of it.
-                        Reply again = first ? ana.ask(at, verb, ofAna, body, anas)
-                                : bo.ask(at, verb, ofBo, body, bos);
+                        // The winner's answer was lost, so it calls again: nothing more comes of
+                        // it.
+                        Reply again =
+                                first
+                                        ? ana.ask(at, verb, ofAna, body, anas)
+                                        : bo.ask(at, verb, ofBo, body, bos);
                         assertEquals(200, again.status(), again.detail());
-                        assertEquals(revision + 1, drains ? words(conductor)
-                                : conductor.settings().orElseThrow().revision());
+                        assertEquals(
+                                revision + 1,
+                                drains
+                                        ? words(conductor)
+                                        : conductor.settings().orElseThrow().revision());
                         repeats++;
                     }
                 }
@@ -102,7 +130,8 @@
             list.close();
         }
         assertEquals("", AuditLog.check(log).fault());
-        long done = Files.readAllLines(log).stream().filter(line -> line.contains("200 done")).count();
+        long done =
+                Files.readAllLines(log).stream().filter(line -> line.contains("200 done")).count();
         assertEquals(1 + wins + repeats, done, "no act is lost");
         assertTrue(repeats > 0);
     }
--- a/src/test/java/rosespread/drain/DrainsTest.java
+++ b/src/test/java/rosespread/drain/DrainsTest.java
@@ -16,15 +16,25 @@
 import rosespread.api.NodeId;
 
 class DrainsTest {
-    /** Words that reach conductors in any order and any number of times leave the same state everywhere. */
+    /**
+     * Words that reach conductors in any order and any number of times leave the same state
+     * everywhere.
+     */
     @Property(seed = "1")
     void wordsInAnyOrderComeToTheSame(@ForAll long seed) {
         Random random = new Random(seed);
         List<Drain> words = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             int node = random.nextInt(4);
-            words.add(new Drain(new NodeId(node), "n" + node, random.nextBoolean(), random.nextInt(8),
-                    "o" + random.nextInt(2), "c" + i, i));
+            words.add(
+                    new Drain(
+                            new NodeId(node),
+                            "n" + node,
+                            random.nextBoolean(),
+                            random.nextInt(8),
+                            "o" + random.nextInt(2),
+                            "c" + i,
+                            i));
         }
         Drains one = new Drains();
         words.forEach(one::take);
@@ -44,8 +54,13 @@
         List<DrainGuard.Node> nodes = new ArrayList<>();
         for (String node : text.split(", ")) {
             String[] part = node.split(" ");
-            nodes.add(new DrainGuard.Node(part[0], part[1], part[2], Double.parseDouble(part[3]),
-                    part[4].equals("+")));
+            nodes.add(
+                    new DrainGuard.Node(
+                            part[0],
+                            part[1],
+                            part[2],
+                            Double.parseDouble(part[3]),
+                            part[4].equals("+")));
         }
         return nodes;
     }
@@ -55,21 +70,30 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "-", value = {
-        "a n k 1 +, b n k 1 +, c n k 1 +|a|*|*|-",
-        "a n k 1 +, b n k 1 +|a|*|*|-",
-        "a n k 1 +, b n k 1 -, c n k 1 +|a|*|*|KEEPS 1.00 of 3.00, that is 33% where 50% must stay",
-        "a n k 3 +, b n k 1 +, c n k 1 +|a|*|*|KEEPS 2.00 of 5.00, that is 40% where 50% must stay",
-        "a n k 1 +, b s k 1 +, c s k 1 +|a|*|*|method m would lose its last node of zone n",
-        "a n k 1 +, b s k 1 +, c s k 1 +|a|other|*|-",
-        "a n k 1 +, b n x 1 +, c n x 1 +|a|k|*|KEEPS 0.00 of 1.00, that is 0% where 50% must stay; "
-                + "method m would lose its last node of zone n",
-        "a n k 1 -, b n k 1 -, c n k 1 +|a|*|*|-",
-        "a n k 1 +, b s k 1 +|a|*|s|-"})
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "-",
+            value = {
+                "a n k 1 +, b n k 1 +, c n k 1 +|a|*|*|-",
+                "a n k 1 +, b n k 1 +|a|*|*|-",
+                "a n k 1 +, b n k 1 -, c n k 1 +|a|*|*|KEEPS 1.00 of 3.00, that is 33% where 50% must stay",
+                "a n k 3 +, b n k 1 +, c n k 1 +|a|*|*|KEEPS 2.00 of 5.00, that is 40% where 50% must stay",
+                "a n k 1 +, b s k 1 +, c s k 1 +|a|*|*|method m would lose its last node of zone n",
+                "a n k 1 +, b s k 1 +, c s k 1 +|a|other|*|-",
+                "a n k 1 +, b n x 1 +, c n x 1 +|a|k|*|KEEPS 0.00 of 1.00, that is 0% where 50% must stay; "
+                        + "method m would lose its last node of zone n",
+                "a n k 1 -, b n k 1 -, c n k 1 +|a|*|*|-",
+                "a n k 1 +, b s k 1 +|a|*|s|-"
+            })
     void guards(String nodes, String draining, String kinds, String zones, String reasons) {
-        List<String> told = new DrainGuard(0.5).against(draining, nodes(nodes),
-                List.of(new DrainGuard.Method("m", set(kinds), set(zones))));
-        assertEquals(reasons == null ? "" : reasons.replace("KEEPS", "method m would keep"),
+        List<String> told =
+                new DrainGuard(0.5)
+                        .against(
+                                draining,
+                                nodes(nodes),
+                                List.of(new DrainGuard.Method("m", set(kinds), set(zones))));
+        assertEquals(
+                reasons == null ? "" : reasons.replace("KEEPS", "method m would keep"),
                 String.join("; ", told));
     }
 }
--- a/src/test/java/rosespread/http/CrossingServer.java
+++ b/src/test/java/rosespread/http/CrossingServer.java
@@ -9,15 +9,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Answers one call on each connection, keeps it open, and resets it once the next call has come on it, so that
- * the end and the call always cross.
+ * Answers one call on each connection, keeps it open, and resets it once the next call has come on
+ * it, so that the end and the call always cross.
  */
 public final class CrossingServer implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final AtomicInteger answered = new AtomicInteger();
     private final AtomicInteger crossed = new AtomicInteger();
 
-    /** @param bodies of the answers in turn; the last again and again */
+    /**
+     * @param bodies of the answers in turn; the last again and again
+     */
     public CrossingServer(String... bodies) throws IOException {
         Thread thread = new Thread(() -> serve(bodies), "crossing");
         thread.setDaemon(true);
@@ -29,8 +31,13 @@
             try (Socket peer = socket.accept()) {
                 readCall(peer);
                 String body = bodies[Math.min(answered.get(), bodies.length - 1)];
-                peer.getOutputStream().write(("HTTP/1.1 200 OK\r\ncontent-length: " + body.length()
-                        + "\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
+                peer.getOutputStream()
+                        .write(
+                                ("HTTP/1.1 200 OK\r\ncontent-length: "
+                                                + body.length()
+                                                + "\r\n\r\n"
+                                                + body)
+                                        .getBytes(StandardCharsets.US_ASCII));
                 answered.incrementAndGet();
                 readCall(peer);
                 peer.setSoLinger(true, 0);
--- a/src/test/java/rosespread/http/HttpClientTest.java
+++ b/src/test/java/rosespread/http/HttpClientTest.java
@@ -27,26 +27,31 @@
 
     private void call(InetSocketAddress to, String verb) {
         int before = outcomes.size();
-        HttpMessage.Call call = new HttpMessage.Call(verb, "/", HttpHeaders.of("host", "x"), new byte[0]);
-        http.call(to, call, PATIENCE, new HttpClient.Taker() {
-            @Override
-            public void answered(HttpMessage.Answer answer) {
-                outcomes.add(new String(answer.body(), StandardCharsets.US_ASCII));
-            }
+        HttpMessage.Call call =
+                new HttpMessage.Call(verb, "/", HttpHeaders.of("host", "x"), new byte[0]);
+        http.call(
+                to,
+                call,
+                PATIENCE,
+                new HttpClient.Taker() {
+                    @Override
+                    public void answered(HttpMessage.Answer answer) {
+                        outcomes.add(new String(answer.body(), StandardCharsets.US_ASCII));
+                    }
 
-            @Override
-            public void failed(HttpClient.Failure failure, String detail) {
-                outcomes.add(failure.name());
-            }
-        });
+                    @Override
+                    public void failed(HttpClient.Failure failure, String detail) {
+                        outcomes.add(failure.name());
+                    }
+                });
         await().until(() -> outcomes.size() > before);
     }
 
     /** The end of the kept connection always crosses the second call. */
     @ParameterizedTest
     @CsvSource({"GET, two, 1", "POST, BROKEN, 1"})
-    void onlyWhatChangesNothingIsMadeOnceMoreOnAFreshConnection(String verb, String second, int crossed)
-            throws IOException {
+    void onlyWhatChangesNothingIsMadeOnceMoreOnAFreshConnection(
+            String verb, String second, int crossed) throws IOException {
         try (CrossingServer server = new CrossingServer("one", "two")) {
             call(server.at(), "GET");
             call(server.at(), verb);
@@ -60,8 +65,12 @@
         InetAddress local = InetAddress.getByName("127.0.0.1");
         List<HttpServer> servers = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            HttpServer server = new HttpServer(1, HttpLimits.USUAL,
-                    (call, exchange) -> exchange.answer(HttpMessage.Answer.json(200, "{}")));
+            HttpServer server =
+                    new HttpServer(
+                            1,
+                            HttpLimits.USUAL,
+                            (call, exchange) ->
+                                    exchange.answer(HttpMessage.Answer.json(200, "{}")));
             servers.add(server);
             call(server.listen(new InetSocketAddress(local, 0)), "GET");
         }
--- a/src/test/java/rosespread/list/ListClientTest.java
+++ b/src/test/java/rosespread/list/ListClientTest.java
@@ -45,103 +45,166 @@
     }
 
     private void follow(BiConsumer<Integer, HttpServer.Exchange> answers) throws IOException {
-        server = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {
-            targets.add(call.target());
-            answers.accept(targets.size(), exchange);
-        });
-        InetSocketAddress at = server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        client = new ListClient(http, at, "nodes", "test", 5000 * MILLI, 150 * MILLI, 1000 * MILLI, false,
-                timer,
-                clock::get, new SplittableRandom(1), new ListClient.Follower() {
-                    @Override
-                    public void whole(List<ListedNode> nodes) {
-                        heard.add(nodes.stream().map(n -> n.name() + " " + n.state()).toList().toString());
-                    }
+        server =
+                new HttpServer(
+                        1,
+                        HttpLimits.USUAL,
+                        (call, exchange) -> {
+                            targets.add(call.target());
+                            answers.accept(targets.size(), exchange);
+                        });
+        InetSocketAddress at =
+                server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        client =
+                new ListClient(
+                        http,
+                        at,
+                        "nodes",
+                        "test",
+                        5000 * MILLI,
+                        150 * MILLI,
+                        1000 * MILLI,
+                        false,
+                        timer,
+                        clock::get,
+                        new SplittableRandom(1),
+                        new ListClient.Follower() {
+                            @Override
+                            public void whole(List<ListedNode> nodes) {
+                                heard.add(
+                                        nodes.stream()
+                                                .map(n -> n.name() + " " + n.state())
+                                                .toList()
+                                                .toString());
+                            }
 
-                    @Override
-                    public void unavailable(String why) {
-                        heard.add("unavailable: " + why);
-                    }
-                });
+                            @Override
+                            public void unavailable(String why) {
+                                heard.add("unavailable: " + why);
+                            }
+                        });
         client.follow();
     }
 
     private static String entry(String name, String checks) {
-        return "{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\"" + name + "\",\"Port\":80,"
-                + "\"Tags\":[\"zone=a\"],\"Meta\":{\"kind\":\"k\",\"started\":\"77\"}},\"Checks\":[" + checks
-                        + "]}";
+        return "{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\""
+                + name
+                + "\",\"Port\":80,"
+                + "\"Tags\":[\"zone=a\"],\"Meta\":{\"kind\":\"k\",\"started\":\"77\"}},\"Checks\":["
+                + checks
+                + "]}";
     }
 
-    private static void answer(HttpServer.Exchange exchange, int status, String index, String body) {
-        exchange.answer(new HttpMessage.Answer(status, HttpHeaders.of("x-consul-index", index),
-                body.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+    private static void answer(
+            HttpServer.Exchange exchange, int status, String index, String body) {
+        exchange.answer(
+                new HttpMessage.Answer(
+                        status,
+                        HttpHeaders.of("x-consul-index", index),
+                        body.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
     }
 
     @Test
     void asksBlockingFromTheIndexItHas() throws IOException {
-        follow((n, exchange) -> {
-            if (n < 3) {
-                answer(exchange, 200, String.valueOf(10 + n), "[" + entry("x" + n, "") + "]");
-            }
-        });
+        follow(
+                (n, exchange) -> {
+                    if (n < 3) {
+                        answer(
+                                exchange,
+                                200,
+                                String.valueOf(10 + n),
+                                "[" + entry("x" + n, "") + "]");
+                    }
+                });
         await().until(() -> targets.size() == 3);
-        assertEquals(List.of("/v1/health/service/nodes", "/v1/health/service/nodes?index=11&wait=5000ms",
-                "/v1/health/service/nodes?index=12&wait=5000ms"), targets);
+        assertEquals(
+                List.of(
+                        "/v1/health/service/nodes",
+                        "/v1/health/service/nodes?index=11&wait=5000ms",
+                        "/v1/health/service/nodes?index=12&wait=5000ms"),
+                targets);
         assertEquals(List.of("[x1 READY]", "[x2 READY]"), heard);
     }
 
     @Test
     void believesAnOlderListOnlyOnceItHasGoneOnForLong() throws IOException {
-        follow((n, exchange) -> answer(exchange, 200, n == 1 ? "50" : "20",
-                "[" + entry(n == 1 ? "new" : "old", "") + "]"));
+        follow(
+                (n, exchange) ->
+                        answer(
+                                exchange,
+                                200,
+                                n == 1 ? "50" : "20",
+                                "[" + entry(n == 1 ? "new" : "old", "") + "]"));
         await().until(() -> heard.size() >= 3);
         assertEquals("[new READY]", heard.get(0));
-        assertTrue(heard.stream().skip(1).allMatch(h -> h.contains("index 20 is older than 50")),
+        assertTrue(
+                heard.stream().skip(1).allMatch(h -> h.contains("index 20 is older than 50")),
                 heard.toString());
         clock.addAndGet(1001 * MILLI);
         await().until(() -> heard.contains("[old READY]"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"500|5|[]|status 500", "200|0|[]|X-Consul-Index",
-            "200||[]|X-Consul-Index",
-        "200|5|{}|not an array", "200|5|[{]|not JSON at line 1", "200|5|[{}]|[0].Service lacks"})
-    void keepsTheLastListWhenAnAnswerErrs(int status, String index, String body,
-            String words) throws IOException {
-        follow((n, exchange) -> answer(exchange, n == 2 ? status : 200, n == 2 ? index == null ? "" : index
-                : String.valueOf(n), n == 2 ? body : "[" + entry("x", "") + "]"));
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "500|5|[]|status 500",
+                "200|0|[]|X-Consul-Index",
+                "200||[]|X-Consul-Index",
+                "200|5|{}|not an array",
+                "200|5|[{]|not JSON at line 1",
+                "200|5|[{}]|[0].Service lacks"
+            })
+    void keepsTheLastListWhenAnAnswerErrs(int status, String index, String body, String words)
+            throws IOException {
+        follow(
+                (n, exchange) ->
+                        answer(
+                                exchange,
+                                n == 2 ? status : 200,
+                                n == 2 ? index == null ? "" : index : String.valueOf(n),
+                                n == 2 ? body : "[" + entry("x", "") + "]"));
         await().until(() -> heard.size() >= 3);
         assertEquals("[x READY]", heard.get(0));
-        assertTrue(heard.get(1).startsWith("unavailable: ") && heard.get(1).contains(words), heard.get(1));
+        assertTrue(
+                heard.get(1).startsWith("unavailable: ") && heard.get(1).contains(words),
+                heard.get(1));
         assertEquals("[x READY]", heard.get(2));
     }
 
     @Test
     void tellsThatASilentListIsUnavailableAndAsksAgain() throws IOException {
-        follow((n, exchange) -> {
-            if (n == 2) {
-                answer(exchange, 200, "7", "[]");
-            }
-        });
+        follow(
+                (n, exchange) -> {
+                    if (n == 2) {
+                        answer(exchange, 200, "7", "[]");
+                    }
+                });
         await().until(() -> heard.size() >= 2);
         assertTrue(heard.get(0).contains("no answer within 150 ms"), heard.get(0));
         assertEquals("[]", heard.get(1));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "|READY", "{\"CheckID\":\"c\",\"Status\":\"passing\"}|READY",
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "|READY",
+                "{\"CheckID\":\"c\",\"Status\":\"passing\"}|READY",
                 "{\"CheckID\":\"c\",\"Status\":\"warning\"}|READY",
-        "{\"CheckID\":\"c\",\"Status\":\"critical\"}|GONE",
-        "{\"CheckID\":\"_service_maintenance:x\",\"Status\":\"critical\"}|DRAINING",
-        "{\"CheckID\":\"_node_maintenance\",\"Status\":\"critical\"}|DRAINING"})
+                "{\"CheckID\":\"c\",\"Status\":\"critical\"}|GONE",
+                "{\"CheckID\":\"_service_maintenance:x\",\"Status\":\"critical\"}|DRAINING",
+                "{\"CheckID\":\"_node_maintenance\",\"Status\":\"critical\"}|DRAINING"
+            })
     void readsTheStateFromChecks(String checks, NodeState state) throws Exception {
-        server = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> { });
+        server = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {});
         client = new ListClient(http, null, "", "", 0, 0, 0, true, timer, clock::get, null, null);
-        ListedNode node = CatalogueReader.read("[" + entry("x", checks == null ? "" : checks) + "]").get(0);
+        ListedNode node =
+                CatalogueReader.read("[" + entry("x", checks == null ? "" : checks) + "]").get(0);
         assertEquals(state, node.state());
         assertEquals("a k 77", node.zone() + " " + node.kind() + " " + node.startedMillis());
-        assertThrows(ListException.class, () -> CatalogueReader.read(
-                "[" + entry("x", "") + "," + entry("x", "") + "]"));
+        assertThrows(
+                ListException.class,
+                () -> CatalogueReader.read("[" + entry("x", "") + "," + entry("x", "") + "]"));
     }
 }
--- a/src/test/java/rosespread/measure/MessageLedgerTest.java
+++ b/src/test/java/rosespread/measure/MessageLedgerTest.java
@@ -68,7 +68,8 @@
     void anEmptyLedgerHoldsNothing() {
         SplittableRandom random = new SplittableRandom(4);
         for (int sequence = 1; sequence <= 10_000; sequence++) {
-            ledger.written(new ProxyId(random.nextInt(50)), sequence, random.nextDouble() * 100, sequence);
+            ledger.written(
+                    new ProxyId(random.nextInt(50)), sequence, random.nextDouble() * 100, sequence);
         }
         for (int proxy = 0; proxy < 50; proxy++) {
             if (proxy % 2 == 0) {
--- a/src/test/java/rosespread/platform/ChannelFitTest.java
+++ b/src/test/java/rosespread/platform/ChannelFitTest.java
@@ -21,22 +21,30 @@
 
     @Test
     void tooManyProxiesForTheChannel() {
-        assertEquals(List.of("to take one node out at 600 proxies takes the channel 2.3 s, the drain grace is"
-                + " 2.0 s: drains can't be kept if all proxies come here"),
+        assertEquals(
+                List.of(
+                        "to take one node out at 600 proxies takes the channel 2.3 s, the drain grace is"
+                                + " 2.0 s: drains can't be kept if all proxies come here"),
                 ChannelFit.warnings(settings(1600, 13400, 0), 600));
     }
 
     @Test
     void aQueueWithoutRoomForOneMessage() {
-        assertEquals(List.of("the channel's queue takes 4 lines, the shortest message has 5: nothing can be"
-                + " told"), ChannelFit.warnings(settings(1600, 4, 0), 400));
+        assertEquals(
+                List.of(
+                        "the channel's queue takes 4 lines, the shortest message has 5: nothing can be"
+                                + " told"),
+                ChannelFit.warnings(settings(1600, 4, 0), 400));
         assertEquals(List.of(), ChannelFit.warnings(settings(1600, 5, 0), 400));
     }
 
     @Test
     void messagesFurtherApartThanTheGrace() {
-        assertEquals(List.of("a proxy may be written to once in 2.5 s, the drain grace is 2.0 s: drains can't"
-                + " be kept"), ChannelFit.warnings(settings(1600, 13400, 4), 400));
+        assertEquals(
+                List.of(
+                        "a proxy may be written to once in 2.5 s, the drain grace is 2.0 s: drains can't"
+                                + " be kept"),
+                ChannelFit.warnings(settings(1600, 13400, 4), 400));
         assertEquals(List.of(), ChannelFit.warnings(settings(1600, 13400, 5), 400));
     }
 }
--- a/src/test/java/rosespread/platform/CrowdTest.java
+++ b/src/test/java/rosespread/platform/CrowdTest.java
@@ -13,8 +13,8 @@
 import rosespread.api.Settings;
 
 /**
- * A whole fleet of proxies comes to one conductor while nodes leave: none may hold a node that left after its
- * grace, and the channel's queue keeps its limit.
+ * A whole fleet of proxies comes to one conductor while nodes leave: none may hold a node that left
+ * after its grace, and the channel's queue keeps its limit.
  */
 class CrowdTest {
     private static final double QUEUE = 13400;
@@ -48,7 +48,10 @@
         assertTrue(model.findings.mostWaiting <= QUEUE, model.findings.toString());
     }
 
-    /** Slow channel, long grace, few messages; what leaves as a crowd comes must not wait behind it all. */
+    /**
+     * Slow channel, long grace, few messages; what leaves as a crowd comes must not wait behind it
+     * all.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void removalsBesideACrowdThatFillsTheQueue(long seed) {
@@ -77,7 +80,9 @@
         assertEquals(792, model.bound());
     }
 
-    /** Seen with 168 proxies and 576 more: four batches of 30 of 200 nodes leave within ten seconds. */
+    /**
+     * Seen with 168 proxies and 576 more: four batches of 30 of 200 nodes leave within ten seconds.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aCrowdAmidARelease(long seed) {
@@ -99,10 +104,11 @@
     }
 
     /**
-     * Light groups take more proxies until they are full. They used to be closed to the rest of their members
-     * as soon as one was bound: 113 groups after two seconds, and rounds grow with groups. There must be one
-     * for each of the 25 parts of all nodes, so that nodes are used, besides the six of the start; the rest
-     * are heavier ones of those that came first, which take no more.
+     * Light groups take more proxies until they are full. They used to be closed to the rest of
+     * their members as soon as one was bound: 113 groups after two seconds, and rounds grow with
+     * groups. There must be one for each of the 25 parts of all nodes, so that nodes are used,
+     * besides the six of the start; the rest are heavier ones of those that came first, which take
+     * no more.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -120,9 +126,10 @@
     }
 
     /**
-     * Seven in ten proxies break off and come back amid a release. The queue is half full then, so that their
-     * tables are as light as can be: 25 parts of all nodes. They used to be dealt to the five groups that 110
-     * proxies fill: most nodes were held by nobody, a few cold ones bore 3.6 times what they could do.
+     * Seven in ten proxies break off and come back amid a release. The queue is half full then, so
+     * that their tables are as light as can be: 25 parts of all nodes. They used to be dealt to the
+     * five groups that 110 proxies fill: most nodes were held by nobody, a few cold ones bore 3.6
+     * times what they could do.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
@@ -187,7 +194,10 @@
         assertTrue(model.findings.mostColdLoad < 2, model.findings.toString());
     }
 
-    /** Six in ten nodes are replaced in two steps four seconds apart; removals line by line would not fit. */
+    /**
+     * Six in ten nodes are replaced in two steps four seconds apart; removals line by line would
+     * not fit.
+     */
     @ParameterizedTest
     @CsvSource({"1, 154", "2, 154", "3, 120", "4, 168"})
     void mostNodesReplacedWithinAGrace(long seed, int proxies) {
--- a/src/test/java/rosespread/platform/CustomersTest.java
+++ b/src/test/java/rosespread/platform/CustomersTest.java
@@ -14,10 +14,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two customers whose settings share nothing, served side by side in one process: nothing may cross. */
+/**
+ * Two customers whose settings share nothing, served side by side in one process: nothing may
+ * cross.
+ */
 class CustomersTest {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
-    private static final String PASSES = """
+    private static final String PASSES =
+            """
             {"azs":["quay","ridge"],"kinds":["wide-8","thin-2"],"membershipMode":"subscribe",
              "profiles":[{"name":"show","importance":1.0},{"name":"stamp","importance":4.0}],
              "domain":{"agents":12,"channelRate":1500.0,"overhead":6.0,"queueCap":1500.0,"costPerLine":0.06,
@@ -25,7 +29,8 @@
               "throttleBy":"off","zoneBound":[false,true]},
              "contract":{"stopSendingWithin":2.5,"cold":14.0,"coldShare":0.2,"overloadFor":1.5},
              "policyLimits":{"probes":false},"report":{"how":"off","columns":[]}}""";
-    private static final String ARCHIVE = """
+    private static final String ARCHIVE =
+            """
             {"azs":["north","south","east","west"],"kinds":["tall-6"],"membershipMode":"automatic",
              "profiles":[{"name":"find","importance":1.0},{"name":"store","importance":3.0},
               {"name":"list","importance":0.5}],
@@ -33,11 +38,11 @@
               "pushDelayMax":0.4,"reportEvery":0.8,"throttleBy":"ratio","zoneBound":[false,false,false]},
              "contract":{"stopSendingWithin":1.8,"cold":9.0,"coldShare":0.3,"overloadFor":2.0},
              "policyLimits":{"probes":true},"report":{"how":"inline","columns":["throughput","utilization"]}}""";
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String node(String id, String zone, String kind) {
-        return Sample.node(id, "SERVING").replace("\"zone\":\"a\"", "\"zone\":\"" + zone + "\"")
+        return Sample.node(id, "SERVING")
+                .replace("\"zone\":\"a\"", "\"zone\":\"" + zone + "\"")
                 .replace("\"kind\":\"m2\"", "\"kind\":\"" + kind + "\"");
     }
 
@@ -46,11 +51,20 @@
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        Path file = Files.writeString(folder.resolve(name + ".json"), """
+        Path file =
+                Files.writeString(
+                        folder.resolve(name + ".json"),
+                        """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":256},
-                 "settings":%s}""".formatted(name, port, discovery.address(), settings));
-        Thread thread = new Thread(() -> PlatformConductor.serve(Map.of("ROUTER_CONFIG", file.toString()),
-                (signal, then) -> true), name);
+                 "settings":%s}"""
+                                .formatted(name, port, discovery.address(), settings));
+        Thread thread =
+                new Thread(
+                        () ->
+                                PlatformConductor.serve(
+                                        Map.of("ROUTER_CONFIG", file.toString()),
+                                        (signal, then) -> true),
+                        name);
         thread.setDaemon(true);
         thread.start();
         await().atMost(PATIENCE).until(discovery::watched);
@@ -58,29 +72,42 @@
     }
 
     private static PeerStandin join(int port, int proxy, String zone) {
-        return await().atMost(PATIENCE).ignoreExceptions().until(() -> {
-            PeerStandin peer = new PeerStandin(port);
-            peer.say("attach node " + proxy + " locality " + zone + " w 5 cold 1");
-            return peer;
-        }, peer -> true);
+        return await().atMost(PATIENCE)
+                .ignoreExceptions()
+                .until(
+                        () -> {
+                            PeerStandin peer = new PeerStandin(port);
+                            peer.say("attach node " + proxy + " locality " + zone + " w 5 cold 1");
+                            return peer;
+                        },
+                        peer -> true);
     }
 
     @Test
     void methodsZonesLimitsAndNodesAreEachCustomersOwn() throws IOException {
-        try (DiscoveryStandin passes = new DiscoveryStandin(node("p-1", "quay", "wide-8"),
-                    node("p-2", "ridge", "thin-2"));
+        try (DiscoveryStandin passes =
+                        new DiscoveryStandin(
+                                node("p-1", "quay", "wide-8"), node("p-2", "ridge", "thin-2"));
                 DiscoveryStandin archive = new DiscoveryStandin(node("a-1", "west", "tall-6"))) {
             int passPort = serve("passes", PASSES, passes);
             int archivePort = serve("archive", ARCHIVE, archive);
             String pass = String.join(" ", join(passPort, 11, "ridge").hears("whole 1"));
             String all = String.join(" ", join(archivePort, 299, "north").hears("whole 1"));
-            assertTrue(pass.contains("classes show") && pass.contains("p-1:") && pass.contains("p-2:"), pass);
-            assertTrue(!all.contains("classes") && all.contains("a-1:") && !all.contains("p-"), all);
+            assertTrue(
+                    pass.contains("classes show") && pass.contains("p-1:") && pass.contains("p-2:"),
+                    pass);
+            assertTrue(
+                    !all.contains("classes") && all.contains("a-1:") && !all.contains("p-"), all);
             PeerStandin bound = join(passPort, 10, "ridge");
             String stamp = String.join(" ", bound.hears("classes stamp"));
-            assertTrue(stamp.contains("p-2:") && !stamp.contains("p-1:"), "its own zone alone: " + stamp);
-            for (PeerStandin wrong : List.of(join(passPort, 3, "north"), join(passPort, 12, "quay"),
-                    join(archivePort, 3, "quay"))) {
+            assertTrue(
+                    stamp.contains("p-2:") && !stamp.contains("p-1:"),
+                    "its own zone alone: " + stamp);
+            for (PeerStandin wrong :
+                    List.of(
+                            join(passPort, 3, "north"),
+                            join(passPort, 12, "quay"),
+                            join(archivePort, 3, "quay"))) {
                 wrong.hears("reject");
                 await().atMost(PATIENCE).until(() -> wrong.ended);
             }
--- a/src/test/java/rosespread/platform/DiscoveryStandin.java
+++ b/src/test/java/rosespread/platform/DiscoveryStandin.java
@@ -58,8 +58,15 @@
     }
 
     private HttpMessage.Answer list(boolean full, List<String> entries) {
-        return HttpMessage.Answer.json(200, "{\"version\":" + version + ",\"full\":" + full
-                + ",\"servers\":[" + String.join(",", entries) + "]}");
+        return HttpMessage.Answer.json(
+                200,
+                "{\"version\":"
+                        + version
+                        + ",\"full\":"
+                        + full
+                        + ",\"servers\":["
+                        + String.join(",", entries)
+                        + "]}");
     }
 
     private synchronized void nothingNew(HttpServer.Exchange exchange) {
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -22,18 +22,22 @@
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 1);
-    private final DiscoveryWatch watch = new DiscoveryWatch(http, timer, new SplittableRandom(1),
-            new DiscoveryWatch.Ears() {
-                @Override
-                public void list(TargetList list) {
-                    heard.add((list.full() ? "whole " : "changes ") + list.version());
-                }
+    private final DiscoveryWatch watch =
+            new DiscoveryWatch(
+                    http,
+                    timer,
+                    new SplittableRandom(1),
+                    new DiscoveryWatch.Ears() {
+                        @Override
+                        public void list(TargetList list) {
+                            heard.add((list.full() ? "whole " : "changes ") + list.version());
+                        }
 
-                @Override
-                public void unavailable(String why) {
-                    heard.add("unavailable: " + why);
-                }
-            });
+                        @Override
+                        public void unavailable(String why) {
+                            heard.add("unavailable: " + why);
+                        }
+                    });
 
     @AfterEach
     void close() {
@@ -48,8 +52,10 @@
             watch.follow(discovery.at());
             await().until(discovery::watched);
             discovery.change(Sample.node("s-1", "DRAINING"));
-            await().until(() -> discovery.asked.stream().anyMatch(t -> t.contains("?since=2&"))
-                    && heard.contains("changes 2"));
+            await().until(
+                            () ->
+                                    discovery.asked.stream().anyMatch(t -> t.contains("?since=2&"))
+                                            && heard.contains("changes 2"));
             assertEquals("/api/targets", discovery.asked.get(0));
             assertEquals(List.of("whole 1", "changes 2"), heard);
         }
@@ -71,7 +77,9 @@
         return heard.stream().filter(one -> !one.startsWith("unavailable")).toList();
     }
 
-    /** Discovery that began anew goes on telling the older version, and is believed after a while. */
+    /**
+     * Discovery that began anew goes on telling the older version, and is believed after a while.
+     */
     @Test
     void aVersionThatWentBackIsNotBelievedToBeAChange() throws IOException {
         try (DiscoveryStandin discovery = new DiscoveryStandin(Sample.node("s-1", "SERVING"))) {
@@ -93,21 +101,29 @@
             old.change(Sample.node("s-1", "DRAINING"));
             next.change(Sample.node("s-1", "DRAINING"));
             await().until(() -> heard.contains("changes 2"));
-            next.nextIs("{\"version\":1,\"full\":true,\"servers\":[" + Sample.node("s-1", "SERVING") + "]}");
+            next.nextIs(
+                    "{\"version\":1,\"full\":true,\"servers\":["
+                            + Sample.node("s-1", "SERVING")
+                            + "]}");
             watch.follow(next.at());
             await().until(() -> next.watched() && heard.contains("whole 2"));
             assertEquals(List.of("whole 1", "changes 2", "whole 2"), lists());
         }
     }
 
-    /** The end of a kept connection and the next call cross: nothing was missed, so nothing is said. */
+    /**
+     * The end of a kept connection and the next call cross: nothing was missed, so nothing is said.
+     */
     @Test
     void aConnectionThatEndsAsTheNextCallIsWrittenOnItIsNoTrouble() throws IOException {
-        try (CrossingServer discovery = new CrossingServer(
-                "{\"version\":1,\"full\":true,\"servers\":[]}", "{\"version\":1,\"full\":false,\"servers\":[]}")) {
+        try (CrossingServer discovery =
+                new CrossingServer(
+                        "{\"version\":1,\"full\":true,\"servers\":[]}",
+                        "{\"version\":1,\"full\":false,\"servers\":[]}")) {
             watch.follow(discovery.at());
             await().until(() -> heard.size() >= 2);
-            // The watch goes on and is heard meanwhile: only a copy stays as it is while it is compared.
+            // The watch goes on and is heard meanwhile: only a copy stays as it is while it is
+            // compared.
             assertEquals(List.of("whole 1", "changes 1"), List.copyOf(heard).subList(0, 2));
         }
     }
