--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -24,19 +24,26 @@
 import rosespread.api.ZoneId;
 
 /**
- * A conductor's decisions against modelled proxies, nodes and a paced channel, on a clock of its own. The
- * messages are those that the platform's proxies would get, and the rules are judged from what the proxies
- * hold. Nothing here takes real time, so a day of hundreds of proxies is a unit test.
+ * A conductor's decisions against modelled proxies, nodes and a paced channel, on a clock of its
+ * own. The messages are those that the platform's proxies would get, and the rules are judged from
+ * what the proxies hold. Nothing here takes real time, so a day of hundreds of proxies is a unit
+ * test.
  */
 final class FleetModel {
     static final long MILLI = 1_000_000L;
     static final long SECOND = 1_000 * MILLI;
     private static final long STEP = 10 * MILLI;
     private static final long JUDGE_EVERY = 100 * MILLI;
-    /** What a cold node bears: so many times what it can do by then, for so long; it falls beyond that. */
+
+    /**
+     * What a cold node bears: so many times what it can do by then, for so long; it falls beyond
+     * that.
+     */
     private static final double FALL_MULTIPLE = 3;
+
     private static final long WEIGH_EVERY = 300 * MILLI;
     private static final int FALL_SAMPLES = 5;
+
     /** The part of what the warm nodes of the start can do that all proxies together offer. */
     private static final double UTILIZATION = 0.65;
 
@@ -51,18 +58,42 @@
         long roundNanos;
         long worstRoundNanos;
         String firstLate = "";
-        /** Cold nodes that were pushed over, and the most that one bore, in times of what it could do. */
+
+        /**
+         * Cold nodes that were pushed over, and the most that one bore, in times of what it could
+         * do.
+         */
         final Set<NodeId> fallen = new TreeSet<>();
+
         double mostColdLoad;
         String firstFall = "";
 
         @Override
         public String toString() {
-            return "late " + lateHolders + " worst " + worstLateNanos / MILLI + " ms, waiting " + mostWaiting
-                    + ", messages " + mostMessages + ", rounds " + rounds + " of "
-                    + roundNanos / Math.max(1, rounds) / 1000 + " us, worst " + worstRoundNanos / 1000
-                    + " us, digest " + Long.toHexString(ordersDigest) + " " + firstLate
-                    + ", fallen " + fallen.size() + " most " + mostColdLoad + " " + firstFall;
+            return "late "
+                    + lateHolders
+                    + " worst "
+                    + worstLateNanos / MILLI
+                    + " ms, waiting "
+                    + mostWaiting
+                    + ", messages "
+                    + mostMessages
+                    + ", rounds "
+                    + rounds
+                    + " of "
+                    + roundNanos / Math.max(1, rounds) / 1000
+                    + " us, worst "
+                    + worstRoundNanos / 1000
+                    + " us, digest "
+                    + Long.toHexString(ordersDigest)
+                    + " "
+                    + firstLate
+                    + ", fallen "
+                    + fallen.size()
+                    + " most "
+                    + mostColdLoad
+                    + " "
+                    + firstFall;
         }
     }
 
@@ -88,28 +119,39 @@
             for (int m = 0; m < methods; m++) {
                 MethodId method = new MethodId(m);
                 if (part.methods().isEmpty() || part.methods().contains(method)) {
-                    Map<NodeId, Double> table = tables.computeIfAbsent(method, any -> new HashMap<>());
+                    Map<NodeId, Double> table =
+                            tables.computeIfAbsent(method, any -> new HashMap<>());
                     if (part.whole()) {
                         table.clear();
                     }
-                    part.lines().forEach((node, weight) -> table.compute(node,
-                            (same, old) -> weight > 0 ? weight : null));
+                    part.lines()
+                            .forEach(
+                                    (node, weight) ->
+                                            table.compute(
+                                                    node,
+                                                    (same, old) -> weight > 0 ? weight : null));
                 }
             }
             shutOut.addAll(part.out());
             shutOut.removeAll(part.back());
         }
 
-        /** Adds what it sends to each node, a method's part of its rate by the weights of its table. */
+        /**
+         * Adds what it sends to each node, a method's part of its rate by the weights of its table.
+         */
         void addLoads(Map<NodeId, Double> loads) {
             for (Map<NodeId, Double> table : tables.values()) {
-                double sum = table.entrySet().stream().filter(e -> !shutOut.contains(e.getKey()))
-                        .mapToDouble(Map.Entry::getValue).sum();
-                table.forEach((node, weight) -> {
-                    if (!shutOut.contains(node)) {
-                        loads.merge(node, rate / tables.size() * weight / sum, Double::sum);
-                    }
-                });
+                double sum =
+                        table.entrySet().stream()
+                                .filter(e -> !shutOut.contains(e.getKey()))
+                                .mapToDouble(Map.Entry::getValue)
+                                .sum();
+                table.forEach(
+                        (node, weight) -> {
+                            if (!shutOut.contains(node)) {
+                                loads.merge(node, rate / tables.size() * weight / sum, Double::sum);
+                            }
+                        });
             }
         }
 
@@ -123,11 +165,11 @@
         }
     }
 
-    private record InChannel(FarProxy proxy, long joinedAt, List<Part> parts, int mark, double lines,
-            long at) { }
+    private record InChannel(
+            FarProxy proxy, long joinedAt, List<Part> parts, int mark, double lines, long at) {}
 
-    private record Answer(FarProxy proxy, long joinedAt, List<Part> parts, int mark, long at,
-            long took) { }
+    private record Answer(
+            FarProxy proxy, long joinedAt, List<Part> parts, int mark, long at, long took) {}
 
     final Findings findings = new Findings();
     private final Settings settings;
@@ -159,25 +201,51 @@
         this.random = new SplittableRandom(seed);
         this.brain = new Brain(settings, new SplittableRandom(seed + 1));
         this.orders = new RoundOrders(settings.methods().size(), restless::contains, new Besides());
-        this.counting = (Orders) Proxy.newProxyInstance(Orders.class.getClassLoader(),
-                new Class<?>[] {Orders.class}, (self, method, arguments) -> {
-                    if (method.getName().equals("line")) {
-                        tablesLaid.add((TableId) arguments[0]);
-                    }
-                    return method.invoke(orders, arguments);
-                });
+        this.counting =
+                (Orders)
+                        Proxy.newProxyInstance(
+                                Orders.class.getClassLoader(),
+                                new Class<?>[] {Orders.class},
+                                (self, method, arguments) -> {
+                                    if (method.getName().equals("line")) {
+                                        tablesLaid.add((TableId) arguments[0]);
+                                    }
+                                    return method.invoke(orders, arguments);
+                                });
     }
 
     /** A deployment with one class for all nodes of some zones and two kinds. */
-    static Settings settings(int methods, int zones, double linesPerSecond, double head, double queue,
-            int messages, long graceNanos) {
+    static Settings settings(
+            int methods,
+            int zones,
+            double linesPerSecond,
+            double head,
+            double queue,
+            int messages,
+            long graceNanos) {
         List<Settings.Method> all = new ArrayList<>();
         for (int m = 0; m < methods; m++) {
             all.add(new Settings.Method(1 + m, Set.of(), Set.of(), false));
         }
-        return new Settings(List.copyOf(all), zones, false, false, false, Settings.Throttle.SHARE,
-                linesPerSecond, head, queue, 0.04, messages, 10 * SECOND, 442 * MILLI, SECOND / 2, graceNanos,
-                18 * SECOND, 0.17, 1500 * MILLI);
+        return new Settings(
+                List.copyOf(all),
+                zones,
+                false,
+                false,
+                false,
+                Settings.Throttle.SHARE,
+                linesPerSecond,
+                head,
+                queue,
+                0.04,
+                messages,
+                10 * SECOND,
+                442 * MILLI,
+                SECOND / 2,
+                graceNanos,
+                18 * SECOND,
+                0.17,
+                1500 * MILLI);
     }
 
     long now() {
@@ -217,8 +285,17 @@
             }
             nodes.put(id, state);
             ZoneId zone = new ZoneId(number % settings.zones());
-            events.add(o -> o.node(id, new KindId(number % 2), zone, 1, state,
-                    fresh || state == Observer.NodeState.READY ? started : Long.MIN_VALUE));
+            events.add(
+                    o ->
+                            o.node(
+                                    id,
+                                    new KindId(number % 2),
+                                    zone,
+                                    1,
+                                    state,
+                                    fresh || state == Observer.NodeState.READY
+                                            ? started
+                                            : Long.MIN_VALUE));
         }
         events.add(Observer::listEnds);
     }
@@ -240,7 +317,10 @@
         orders.joined(new ProxyId(number));
         double rate = loadPerProxy * (0.5 + random.nextDouble());
         proxy.rate = rate;
-        events.add(o -> o.proxyJoined(new ProxyId(number), new ZoneId(number % settings.zones()), rate));
+        events.add(
+                o ->
+                        o.proxyJoined(
+                                new ProxyId(number), new ZoneId(number % settings.zones()), rate));
     }
 
     /** Its stream breaks; what waited for it in the channel goes with it. */
@@ -267,11 +347,14 @@
     /** How many ready nodes the proxies from this one on send to, each of them at least two. */
     long nodesUsed(int fromProxy) {
         Map<NodeId, Integer> holders = new HashMap<>();
-        proxies.values().stream().filter(proxy -> proxy.number >= fromProxy)
+        proxies.values().stream()
+                .filter(proxy -> proxy.number >= fromProxy)
                 .flatMap(proxy -> proxy.tables.get(new MethodId(0)).keySet().stream())
                 .forEach(node -> holders.merge(node, 1, Integer::sum));
-        return nodes.entrySet().stream().filter(e -> e.getValue() == Observer.NodeState.READY)
-                .filter(e -> holders.getOrDefault(e.getKey(), 0) >= 2).count();
+        return nodes.entrySet().stream()
+                .filter(e -> e.getValue() == Observer.NodeState.READY)
+                .filter(e -> holders.getOrDefault(e.getKey(), 0) >= 2)
+                .count();
     }
 
     int bound() {
@@ -317,8 +400,12 @@
         FarProxy proxy = proxies.get(id.value());
         double lines = settings.linesPerMessage() + (mark >= 0 ? 1 : 0);
         for (Part part : parts) {
-            lines += (part.whole() ? 1 : 0) + part.lines().size() + part.out().size() + part.back().size()
-                    + (Double.isNaN(part.level()) ? 0 : 1);
+            lines +=
+                    (part.whole() ? 1 : 0)
+                            + part.lines().size()
+                            + part.out().size()
+                            + part.back().size()
+                            + (Double.isNaN(part.level()) ? 0 : 1);
         }
         waiting += lines;
         channel.addLast(new InChannel(proxy, proxy.joinedAt, parts, mark, lines, now));
@@ -330,14 +417,19 @@
     }
 
     private void deliver() {
-        credit = channel.isEmpty() ? 0
-                : credit + settings.linesPerSecond() * STEP / SECOND;
+        credit = channel.isEmpty() ? 0 : credit + settings.linesPerSecond() * STEP / SECOND;
         while (!channel.isEmpty() && channel.peekFirst().lines() <= credit) {
             InChannel left = channel.removeFirst();
             credit -= left.lines();
             waiting -= left.lines();
-            onTheWay.addLast(new Answer(left.proxy(), left.joinedAt(), left.parts(), left.mark(),
-                    now + settings.longestWay() / 2, now - left.at()));
+            onTheWay.addLast(
+                    new Answer(
+                            left.proxy(),
+                            left.joinedAt(),
+                            left.parts(),
+                            left.mark(),
+                            now + settings.longestWay() / 2,
+                            now - left.at()));
         }
         while (!onTheWay.isEmpty() && onTheWay.peekFirst().at() <= now) {
             Answer answer = onTheWay.removeFirst();
@@ -345,7 +437,12 @@
             if (proxy.joinedAt == answer.joinedAt()) {
                 answer.parts().forEach(part -> proxy.apply(part, settings.methods().size()));
                 if (proxy.answers && answer.mark() >= 0) {
-                    events.add(o -> o.installed(new ProxyId(proxy.number), answer.mark(), answer.took()));
+                    events.add(
+                            o ->
+                                    o.installed(
+                                            new ProxyId(proxy.number),
+                                            answer.mark(),
+                                            answer.took()));
                 }
             }
         }
@@ -357,16 +454,27 @@
             return;
         }
         reportedAt = now;
-        List<NodeId> ready = nodes.entrySet().stream()
-                .filter(e -> e.getValue() == Observer.NodeState.READY).map(Map.Entry::getKey).toList();
+        List<NodeId> ready =
+                nodes.entrySet().stream()
+                        .filter(e -> e.getValue() == Observer.NodeState.READY)
+                        .map(Map.Entry::getKey)
+                        .toList();
         double tries = loadPerProxy * joined() / 2 / Math.max(1, ready.size() * settings.zones());
         for (NodeId node : ready) {
             for (int z = 0; z < settings.zones(); z++) {
                 int count = (int) (tries + random.nextDouble());
                 ZoneId zone = new ZoneId(z);
                 double latency = 0.2 + 0.1 * random.nextDouble();
-                events.add(o -> o.sums(node, zone, count, 0, count > 0 ? latency : Double.NaN, SECOND / 2,
-                        Double.NaN));
+                events.add(
+                        o ->
+                                o.sums(
+                                        node,
+                                        zone,
+                                        count,
+                                        0,
+                                        count > 0 ? latency : Double.NaN,
+                                        SECOND / 2,
+                                        Double.NaN));
             }
         }
         for (FarProxy proxy : proxies.values()) {
@@ -378,7 +486,10 @@
         }
     }
 
-    /** The load of joined proxies on each cold node, over a window, against what it could do meanwhile. */
+    /**
+     * The load of joined proxies on each cold node, over a window, against what it could do
+     * meanwhile.
+     */
     private void judgeColdNodes() {
         if (startedAt.isEmpty()) {
             return;
@@ -387,33 +498,42 @@
         double capacity = all / (UTILIZATION * warmAtStart);
         Map<NodeId, Double> loads = new HashMap<>();
         proxies.values().stream().filter(FarProxy::joined).forEach(proxy -> proxy.addLoads(loads));
-        startedAt.forEach((node, started) -> {
-            double warmth = settings.coldShare()
-                    + (1 - settings.coldShare()) * (now - started) / settings.coldTime();
-            ArrayDeque<Double> window = coldLoads.computeIfAbsent(node, any -> new ArrayDeque<>());
-            window.addLast(loads.getOrDefault(node, 0.0) / (capacity * warmth));
-            if (window.size() > FALL_SAMPLES) {
-                window.removeFirst();
-            }
-            double mean = window.stream().mapToDouble(load -> load).sum() / FALL_SAMPLES;
-            if (warmth < 1) {
-                findings.mostColdLoad = Math.max(findings.mostColdLoad, mean);
-            }
-            if (warmth < 1 && mean > FALL_MULTIPLE && findings.fallen.add(node)) {
-                String which = node + " at " + now / MILLI + " ms, started " + started / MILLI;
-                findings.firstFall = findings.firstFall.isEmpty() ? which : findings.firstFall;
-            }
-        });
+        startedAt.forEach(
+                (node, started) -> {
+                    double warmth =
+                            settings.coldShare()
+                                    + (1 - settings.coldShare())
+                                            * (now - started)
+                                            / settings.coldTime();
+                    ArrayDeque<Double> window =
+                            coldLoads.computeIfAbsent(node, any -> new ArrayDeque<>());
+                    window.addLast(loads.getOrDefault(node, 0.0) / (capacity * warmth));
+                    if (window.size() > FALL_SAMPLES) {
+                        window.removeFirst();
+                    }
+                    double mean = window.stream().mapToDouble(load -> load).sum() / FALL_SAMPLES;
+                    if (warmth < 1) {
+                        findings.mostColdLoad = Math.max(findings.mostColdLoad, mean);
+                    }
+                    if (warmth < 1 && mean > FALL_MULTIPLE && findings.fallen.add(node)) {
+                        String which =
+                                node + " at " + now / MILLI + " ms, started " + started / MILLI;
+                        findings.firstFall =
+                                findings.firstFall.isEmpty() ? which : findings.firstFall;
+                    }
+                });
     }
 
     /** Holding a line is held to be sending: a proxy sends often enough for it to come true. */
     private void judgeDrains() {
-        toldAt.forEach((node, told) -> {
-            if (now - told > settings.drainGrace()) {
-                proxies.values().stream().filter(FarProxy::joined)
-                        .forEach(proxy -> judgeDrain(proxy, node, told));
-            }
-        });
+        toldAt.forEach(
+                (node, told) -> {
+                    if (now - told > settings.drainGrace()) {
+                        proxies.values().stream()
+                                .filter(FarProxy::joined)
+                                .forEach(proxy -> judgeDrain(proxy, node, told));
+                    }
+                });
     }
 
     private void judgeDrain(FarProxy proxy, NodeId node, long told) {
@@ -423,8 +543,17 @@
         }
         if (late.add(proxy.number + "/" + proxy.joinedAt + "/" + node.value())) {
             findings.lateHolders++;
-            String which = "proxy " + proxy.number + " holds " + node + " at " + now / MILLI + " ms, joined "
-                    + proxy.joinedAt / MILLI + ", told " + told / MILLI;
+            String which =
+                    "proxy "
+                            + proxy.number
+                            + " holds "
+                            + node
+                            + " at "
+                            + now / MILLI
+                            + " ms, joined "
+                            + proxy.joinedAt / MILLI
+                            + ", told "
+                            + told / MILLI;
             findings.firstLate = findings.firstLate.isEmpty() ? which : findings.firstLate;
         }
         findings.worstLateNanos = Math.max(findings.worstLateNanos, over);
@@ -432,10 +561,10 @@
 
     private final class Besides implements RoundOrders.Besides {
         @Override
-        public void probe(NodeId node) { }
+        public void probe(NodeId node) {}
 
         @Override
-        public void followList() { }
+        public void followList() {}
 
         @Override
         public void wakeAfter(long nanos) {
--- a/src/test/java/rosespread/platform/MessageReaderTest.java
+++ b/src/test/java/rosespread/platform/MessageReaderTest.java
@@ -16,39 +16,51 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "hb | Heartbeat[]",
-        "telemetry locality b | Collector[zone=ZoneId[value=1]]",
-        "attach node 17 locality a w 21.5 cold 1"
-            + " | Join[proxy=ProxyId[value=17], zone=ZoneId[value=0], rate=21.5, fresh=true]",
-        "done node 17 nonce 905 latency 310.4"
-            + " | Done[proxy=ProxyId[value=17], ticket=905, took=310400000]",
-        "client_stats node 17 route order total 19 errors 0 interval 1000.0 later 1"
-            + " | Offered[proxy=ProxyId[value=17], method=MethodId[value=1], count=19, covers=1000000000]",
-        "upstream_stats locality a endpoint s-1 total 212 errors 3 rtt 41.7 interval 500 metrics"
-            + " inflight:7,util:0.61 | Sums[node=s-1, zone=ZoneId[value=0], tries=212, unanswered=3,"
-            + " latency=0.0417, covers=500000000, utilization=0.61]",
-        "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 9 interval 500 metrics"
-            + " outstanding:7.0,recent_ms:31.5,utilization:0.25 | Sums[node=s-1, zone=ZoneId[value=0],"
-            + " tries=2, unanswered=0, latency=0.009, covers=500000000, utilization=0.25]",
-        "upstream_stats locality a endpoint s-1 total 3 errors 3 interval 500 | Sums[node=s-1,"
-            + " zone=ZoneId[value=0], tries=3, unanswered=3, latency=NaN, covers=500000000,"
-            + " utilization=NaN]"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "hb | Heartbeat[]",
+                "telemetry locality b | Collector[zone=ZoneId[value=1]]",
+                "attach node 17 locality a w 21.5 cold 1"
+                        + " | Join[proxy=ProxyId[value=17], zone=ZoneId[value=0], rate=21.5, fresh=true]",
+                "done node 17 nonce 905 latency 310.4"
+                        + " | Done[proxy=ProxyId[value=17], ticket=905, took=310400000]",
+                "client_stats node 17 route order total 19 errors 0 interval 1000.0 later 1"
+                        + " | Offered[proxy=ProxyId[value=17], method=MethodId[value=1], count=19, covers=1000000000]",
+                "upstream_stats locality a endpoint s-1 total 212 errors 3 rtt 41.7 interval 500 metrics"
+                        + " inflight:7,util:0.61 | Sums[node=s-1, zone=ZoneId[value=0], tries=212, unanswered=3,"
+                        + " latency=0.0417, covers=500000000, utilization=0.61]",
+                "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 9 interval 500 metrics"
+                        + " outstanding:7.0,recent_ms:31.5,utilization:0.25 | Sums[node=s-1, zone=ZoneId[value=0],"
+                        + " tries=2, unanswered=0, latency=0.009, covers=500000000, utilization=0.25]",
+                "upstream_stats locality a endpoint s-1 total 3 errors 3 interval 500 | Sums[node=s-1,"
+                        + " zone=ZoneId[value=0], tries=3, unanswered=3, latency=NaN, covers=500000000,"
+                        + " utilization=NaN]"
+            })
     void goodMessages(String words, String told) throws SpoiltException {
         assertEquals(told, read(words).toString());
     }
 
     @ParameterizedTest
     @CsvSource({
-        "assign out s-1, KIND", "GET / HTTP, KIND", "attach node 1 locality, PAIRS",
-        "telemetry locality a locality b, PAIRS", "telemetry zone a, MISSING",
+        "assign out s-1, KIND",
+        "GET / HTTP, KIND",
+        "attach node 1 locality, PAIRS",
+        "telemetry locality a locality b, PAIRS",
+        "telemetry zone a, MISSING",
         "telemetry locality x, UNKNOWN",
-        "attach node 20 locality a w 1 cold 0, UNKNOWN", "attach node -1 locality a w 1 cold 0, RANGE",
-        "attach node 1.5 locality a w 1 cold 0, TYPE", "attach node 1 locality a w NaN cold 0, TYPE",
-        "attach node 1 locality a w 0x1p3 cold 0, TYPE", "attach node 1 locality a w 1 cold 2, RANGE",
-        "attach node 1 locality a w 1 cold yes, TYPE", "attach node 1 locality a w 1, MISSING",
-        "done node 1 nonce 65536 latency 1, RANGE", "done node 1 nonce 3 latency -1, RANGE",
-        "done node 1 nonce 3, MISSING", "done node 1 nonce x latency 1, TYPE",
+        "attach node 20 locality a w 1 cold 0, UNKNOWN",
+        "attach node -1 locality a w 1 cold 0, RANGE",
+        "attach node 1.5 locality a w 1 cold 0, TYPE",
+        "attach node 1 locality a w NaN cold 0, TYPE",
+        "attach node 1 locality a w 0x1p3 cold 0, TYPE",
+        "attach node 1 locality a w 1 cold 2, RANGE",
+        "attach node 1 locality a w 1 cold yes, TYPE",
+        "attach node 1 locality a w 1, MISSING",
+        "done node 1 nonce 65536 latency 1, RANGE",
+        "done node 1 nonce 3 latency -1, RANGE",
+        "done node 1 nonce 3, MISSING",
+        "done node 1 nonce x latency 1, TYPE",
         "client_stats node 1 route none total 1 errors 0 interval 500, UNKNOWN",
         "client_stats node 1 route order total 1 errors 0 interval 0, RANGE",
         "client_stats node 1 route order total 1e99 errors 0 interval 5, RANGE",
@@ -57,7 +69,8 @@
         "upstream_stats locality a endpoint s-1 total 2 errors 0 interval 500, MISSING",
         "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt -4 interval 500, RANGE",
         "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util, TYPE",
-        "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util:-1, RANGE"})
+        "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util:-1, RANGE"
+    })
     void spoiltMessagesByReason(String words, Reason reason) {
         assertEquals(reason, assertThrows(SpoiltException.class, () -> read(words)).reason());
     }
--- a/src/test/java/rosespread/platform/PeerStandin.java
+++ b/src/test/java/rosespread/platform/PeerStandin.java
@@ -56,7 +56,8 @@
 
     /** The first message with all these words in a row, once it is there. */
     List<String> hears(String words) {
-        await().atMost(PATIENCE).until(() -> heard.stream().anyMatch(m -> joined(m).contains(words)));
+        await().atMost(PATIENCE)
+                .until(() -> heard.stream().anyMatch(m -> joined(m).contains(words)));
         return heard.stream().filter(m -> joined(m).contains(words)).findFirst().orElseThrow();
     }
 
--- a/src/test/java/rosespread/platform/PlatformConductorTest.java
+++ b/src/test/java/rosespread/platform/PlatformConductorTest.java
@@ -17,8 +17,7 @@
 /** Signals and configurations that cross the start, or never come. */
 class PlatformConductorTest {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /** The environment of a process whose file is replaced, once it was read for the first time. */
     private final class Crossing extends AbstractMap<String, String> {
@@ -40,23 +39,32 @@
 
     private void write(String file, DiscoveryStandin discovery) throws IOException {
         try (ServerSocket free = new ServerSocket(0)) {
-            Files.writeString(folder.resolve(file),
+            Files.writeString(
+                    folder.resolve(file),
                     Sample.config("127.0.0.1:" + free.getLocalPort(), discovery.address()));
         }
     }
 
     private static void serve(Map<String, String> environment, CompletableFuture<Runnable> hup) {
-        Thread thread = new Thread(() -> PlatformConductor.serve(environment, (name, then) -> {
-            if (name.equals("HUP") && hup != null) {
-                hup.complete(then);
-            }
-            return hup != null || !name.equals("HUP");
-        }), "serve");
+        Thread thread =
+                new Thread(
+                        () ->
+                                PlatformConductor.serve(
+                                        environment,
+                                        (name, then) -> {
+                                            if (name.equals("HUP") && hup != null) {
+                                                hup.complete(then);
+                                            }
+                                            return hup != null || !name.equals("HUP");
+                                        }),
+                        "serve");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The signal comes before the first configuration was read, so surely before the start is over. */
+    /**
+     * The signal comes before the first configuration was read, so surely before the start is over.
+     */
     @Test
     void aSignalDuringTheStartIsNotLost() throws Exception {
         try (DiscoveryStandin first = new DiscoveryStandin(Sample.node("s-1", "SERVING"));
@@ -64,19 +72,25 @@
             write("first.json", first);
             write("next.json", next);
             CompletableFuture<Runnable> hup = new CompletableFuture<>();
-            hup.thenAccept(then -> {
-                Thread signal = new Thread(then, "SIGHUP handler");
-                signal.setDaemon(true);
-                signal.start();
-                await().until(() -> signal.getState() == Thread.State.WAITING
-                        || signal.getState() == Thread.State.TERMINATED);
-            });
+            hup.thenAccept(
+                    then -> {
+                        Thread signal = new Thread(then, "SIGHUP handler");
+                        signal.setDaemon(true);
+                        signal.start();
+                        await().until(
+                                        () ->
+                                                signal.getState() == Thread.State.WAITING
+                                                        || signal.getState()
+                                                                == Thread.State.TERMINATED);
+                    });
             serve(new Crossing(), hup);
             await().atMost(PATIENCE).until(next::watched);
         }
     }
 
-    /** The parent ignores the signal, as nohup does: the file alone says that discovery has moved. */
+    /**
+     * The parent ignores the signal, as nohup does: the file alone says that discovery has moved.
+     */
     @Test
     void aMoveThatNoSignalToldOfIsFollowedOnceTheOldAddressIsGone() throws Exception {
         DiscoveryStandin first = new DiscoveryStandin(Sample.node("s-1", "SERVING"));
--- a/src/test/java/rosespread/platform/PlatformConfigTest.java
+++ b/src/test/java/rosespread/platform/PlatformConfigTest.java
@@ -24,31 +24,38 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "\"agents\":20 | \"agents\":0 | settings.domain.agents is not 1 to 65536",
-        "\"profiles\" | \"others\" | settings lacks \"profiles\"",
-        "\"channelRate\":1200.0 | \"channelRate\":\"x\" | domain.channelRate is not a number",
-        "\"listen\":\"127.0.0.1:1\" | \"listen\":\"here:1\" | listen \"here:1\" is not like 10.0.0.4:3000",
-        "\"discovery\":\"127.0.0.1:2\" | \"at\":1 | lacks \"discovery\"",
-        "\"seed\":\"8c | \"seed\":\"zc | seed \"zc1f30d27a5be964\" is not up to 16 hexadecimal digits",
-        "\"sockets\":256 | \"sockets\":\"many\" | limits.sockets is not a number",
-        "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an order",
-        "\"state\":\"SERVING\" | \"state\":\"UP\" | entry 0 of servers: state \"UP\" is not known",
-        "\"127.0.0.1:9\" | \"999.0.0.1:9\" | addr \"999.0.0.1:9\" is not like 10.0.0.4:3000",
-        "\"started_ms\":0 | \"started_ms\":1e300 | entry 0 of servers: weight or started_ms is out of range",
-        "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight or started_ms is out of range",
-        "\"limits\":{ | \"limits\":[ | is not JSON at line 2"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "\"agents\":20 | \"agents\":0 | settings.domain.agents is not 1 to 65536",
+                "\"profiles\" | \"others\" | settings lacks \"profiles\"",
+                "\"channelRate\":1200.0 | \"channelRate\":\"x\" | domain.channelRate is not a number",
+                "\"listen\":\"127.0.0.1:1\" | \"listen\":\"here:1\" | listen \"here:1\" is not like 10.0.0.4:3000",
+                "\"discovery\":\"127.0.0.1:2\" | \"at\":1 | lacks \"discovery\"",
+                "\"seed\":\"8c | \"seed\":\"zc | seed \"zc1f30d27a5be964\" is not up to 16 hexadecimal digits",
+                "\"sockets\":256 | \"sockets\":\"many\" | limits.sockets is not a number",
+                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an order",
+                "\"state\":\"SERVING\" | \"state\":\"UP\" | entry 0 of servers: state \"UP\" is not known",
+                "\"127.0.0.1:9\" | \"999.0.0.1:9\" | addr \"999.0.0.1:9\" is not like 10.0.0.4:3000",
+                "\"started_ms\":0 | \"started_ms\":1e300 | entry 0 of servers: weight or started_ms is out of range",
+                "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight or started_ms is out of range",
+                "\"limits\":{ | \"limits\":[ | is not JSON at line 2"
+            })
     void aFaultNamesItsField(String good, String bad, String told) {
         String text = Sample.config("127.0.0.1:1", "127.0.0.1:2");
         assertTrue(text.contains(good));
-        String message = assertThrows(LaunchException.class,
-                () -> Sample.parse(text.replace(good, bad))).getMessage();
+        String message =
+                assertThrows(LaunchException.class, () -> Sample.parse(text.replace(good, bad)))
+                        .getMessage();
         assertTrue(message.contains(told), message);
     }
 
     @Test
     void everyCutOfAListIsAnError() throws LaunchException {
-        String text = "{\"version\":3,\"full\":false,\"servers\":[" + Sample.node("s-2", "DELETED") + "]}";
+        String text =
+                "{\"version\":3,\"full\":false,\"servers\":["
+                        + Sample.node("s-2", "DELETED")
+                        + "]}";
         assertEquals(1, TargetList.parse(text.getBytes(StandardCharsets.UTF_8)).targets().size());
         for (int cut = 0; cut < text.length(); cut++) {
             byte[] part = text.substring(0, cut).getBytes(StandardCharsets.UTF_8);
@@ -58,7 +65,9 @@
 
     @Test
     void aMissingFileIsNamed() {
-        assertTrue(assertThrows(LaunchException.class, () -> PlatformConfig.read(Map.of()))
-                .getMessage().contains("ROUTER_CONFIG"));
+        assertTrue(
+                assertThrows(LaunchException.class, () -> PlatformConfig.read(Map.of()))
+                        .getMessage()
+                        .contains("ROUTER_CONFIG"));
     }
 }
--- a/src/test/java/rosespread/platform/PlatformCoreTest.java
+++ b/src/test/java/rosespread/platform/PlatformCoreTest.java
@@ -14,7 +14,10 @@
 import rosespread.api.ZoneId;
 import rosespread.launch.LaunchException;
 
-/** What the decision thread keeps of streams, tickets and lists, driven by a clock of the test's own. */
+/**
+ * What the decision thread keeps of streams, tickets and lists, driven by a clock of the test's
+ * own.
+ */
 class PlatformCoreTest {
     private static final long SECOND = 1_000_000_000L;
     private static final ProxyId PROXY = new ProxyId(3);
@@ -23,21 +26,28 @@
     private final PlatformCore core;
 
     PlatformCoreTest() throws LaunchException {
-        PlatformConfig config = Sample.parse(Sample.config("127.0.0.1:1", "127.0.0.1:2")
-                .replace("\"probes\":false", "\"probes\":true"));
-        core = new PlatformCore(config, new PlatformCore.World() {
-            @Override
-            public void probe(NodeId node, Target target) {
-                if (faulty) {
-                    throw new NoClassDefFoundError("on purpose, within a round");
-                }
-            }
-
-            @Override
-            public String seen() {
-                return "";
-            }
-        }, new Counts(), 0);
+        PlatformConfig config =
+                Sample.parse(
+                        Sample.config("127.0.0.1:1", "127.0.0.1:2")
+                                .replace("\"probes\":false", "\"probes\":true"));
+        core =
+                new PlatformCore(
+                        config,
+                        new PlatformCore.World() {
+                            @Override
+                            public void probe(NodeId node, Target target) {
+                                if (faulty) {
+                                    throw new NoClassDefFoundError("on purpose, within a round");
+                                }
+                            }
+
+                            @Override
+                            public String seen() {
+                                return "";
+                            }
+                        },
+                        new Counts(),
+                        0);
     }
 
     private static final class Stream implements Wire {
@@ -46,7 +56,9 @@
 
         @Override
         public void write(byte[] message) {
-            written.add(new String(message, StandardCharsets.UTF_8).replaceAll("\r\n(\\$[0-9]+\r\n)?", " "));
+            written.add(
+                    new String(message, StandardCharsets.UTF_8)
+                            .replaceAll("\r\n(\\$[0-9]+\r\n)?", " "));
         }
 
         @Override
@@ -60,7 +72,8 @@
         }
 
         int ticket() {
-            Matcher ticket = Pattern.compile("ticket ([0-9]+)").matcher(written.get(written.size() - 1));
+            Matcher ticket =
+                    Pattern.compile("ticket ([0-9]+)").matcher(written.get(written.size() - 1));
             assertTrue(ticket.find(), written.toString());
             return Integer.parseInt(ticket.group(1));
         }
@@ -132,14 +145,22 @@
         assertEquals(before, stream.written.size(), stream.written.toString());
     }
 
-    /** A node under a new name was never shut out; one that started anew may have been, by another conductor. */
+    /**
+     * A node under a new name was never shut out; one that started anew may have been, by another
+     * conductor.
+     */
     @Test
     void aYoungNodeIsLetBackOnlyIfItWasThereBefore() throws LaunchException {
-        String young = Sample.node("s-2", "SERVING").replace("\"started_ms\":0", "\"started_ms\":5000");
-        String again = Sample.node("s-1", "SERVING").replace("\"started_ms\":0", "\"started_ms\":5000");
+        String young =
+                Sample.node("s-2", "SERVING").replace("\"started_ms\":0", "\"started_ms\":5000");
+        String again =
+                Sample.node("s-1", "SERVING").replace("\"started_ms\":0", "\"started_ms\":5000");
         for (String node : List.of(young, again)) {
-            core.list(now, TargetList.parse(("{\"version\":8,\"full\":false,\"servers\":[" + node + "]}")
-                    .getBytes(StandardCharsets.UTF_8)));
+            core.list(
+                    now,
+                    TargetList.parse(
+                            ("{\"version\":8,\"full\":false,\"servers\":[" + node + "]}")
+                                    .getBytes(StandardCharsets.UTF_8)));
         }
         run(20);
         Stream stream = join();
--- a/src/test/java/rosespread/platform/Sample.java
+++ b/src/test/java/rosespread/platform/Sample.java
@@ -6,7 +6,8 @@
 
 /** A small configuration for tests. */
 final class Sample {
-    static final String SETTINGS = """
+    static final String SETTINGS =
+            """
             {"azs":["a","b"],"kinds":["m2"],"membershipMode":"automatic",
              "profiles":[{"name":"lookup","importance":1.0},{"name":"order","importance":2.0}],
              "domain":{"agents":20,"channelRate":1200.0,"overhead":10.0,"queueCap":1200.0,"costPerLine":0.08,
@@ -16,25 +17,27 @@
              "policyLimits":{"probes":false},
              "report":{"columns":["utilization","outstanding"]}}""";
 
-    private Sample() { }
+    private Sample() {}
 
     static String config(String listen, String discovery) {
         return """
                 {"name":"n1","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
                  "limits":{"cores":1.0,"memory_mb":128,"sockets":256},
                  "known":{"version":7,"full":true,"servers":[%s]},
-                 "settings":%s}""".formatted(listen, discovery, node("s-1", "SERVING"), SETTINGS);
+                 "settings":%s}"""
+                .formatted(listen, discovery, node("s-1", "SERVING"), SETTINGS);
     }
 
     static String node(String id, String state) {
         return """
                 {"id":"%s","addr":"127.0.0.1:9","zone":"a","kind":"m2","cell":0,"state":"%s","weight":1.0,
-                 "started_ms":0}""".formatted(id, state);
+                 "started_ms":0}"""
+                .formatted(id, state);
     }
 
     static PlatformConfig parse(String text) throws LaunchException {
-        return PlatformConfig.read(Json.object("the configuration", text.getBytes(StandardCharsets.UTF_8)),
-                Map.of());
+        return PlatformConfig.read(
+                Json.object("the configuration", text.getBytes(StandardCharsets.UTF_8)), Map.of());
     }
 
     static PlatformConfig config() {
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -21,12 +21,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** {@code serve} as a process, against small stand-ins of discovery, collectors and proxies on loopback. */
+/**
+ * {@code serve} as a process, against small stand-ins of discovery, collectors and proxies on
+ * loopback.
+ */
 class ServeTest {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private DiscoveryStandin discovery;
     private Process process;
     private int port;
@@ -40,28 +42,40 @@
 
     @BeforeEach
     void start() throws IOException {
-        discovery = new DiscoveryStandin(Sample.node("s-1", "SERVING"), Sample.node("s-2", "SERVING"));
+        discovery =
+                new DiscoveryStandin(Sample.node("s-1", "SERVING"), Sample.node("s-2", "SERVING"));
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
         configure(discovery.address());
-        ProcessBuilder builder = new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-                "rosespread.cli.Main", "serve");
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "rosespread.cli.Main",
+                        "serve");
         builder.environment().put("ROUTER_CONFIG", folder.resolve("config.json").toString());
-        process = builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
-        await().atMost(PATIENCE).until(() -> {
-            try (Socket socket = new Socket("127.0.0.1", port)) {
-                return socket.isConnected();
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile())
+                        .start();
+        await().atMost(PATIENCE)
+                .until(
+                        () -> {
+                            try (Socket socket = new Socket("127.0.0.1", port)) {
+                                return socket.isConnected();
+                            } catch (IOException e) {
+                                return false;
+                            }
+                        });
     }
 
     private void configure(String address) throws IOException {
-        Files.writeString(folder.resolve("config.json"), Sample.config("127.0.0.1:" + port, address));
+        Files.writeString(
+                folder.resolve("config.json"), Sample.config("127.0.0.1:" + port, address));
     }
 
     @AfterEach
@@ -90,13 +104,16 @@
     void aProxyJoinsAnswersAndIsToldOfADrain() throws IOException {
         PeerStandin proxy = joined(3);
         List<String> whole = proxy.hears("whole 1");
-        assertTrue(whole.contains("ticket") && String.join(" ", whole).contains("s-1:"), whole.toString());
+        assertTrue(
+                whole.contains("ticket") && String.join(" ", whole).contains("s-1:"),
+                whole.toString());
         proxy.say("done node 3 nonce " + proxy.ticket(whole) + " latency 12.5");
         PeerStandin collector = peer();
         collector.say("telemetry locality a");
         collector.say("upstream_stats locality a endpoint s-1 total 5 errors 9 rtt 3 interval 500");
-        collector.say("upstream_stats locality a endpoint s-1 total 5 errors 0 rtt 3 interval 500 metrics"
-                + " util:0.4");
+        collector.say(
+                "upstream_stats locality a endpoint s-1 total 5 errors 0 rtt 3 interval 500 metrics"
+                        + " util:0.4");
         proxy.say("hb");
         proxy.hears("hb_ok");
         drain("s-1");
@@ -116,10 +133,18 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"GET / HTTP/1.1, false", "*1~$999999999~, false", "*9999999~, false",
-        "*3~$6~attach~$4~node~$2~99~, true", "*3~$6~assign~$3~out~$3~s-1~, true",
-        "*3~$4~done~$4~node~$1~3~, true", "*2~$2~hb~, false", "'', false"})
-    void aBadClientIsToldOrClosedAndAProxyHeedsNothing(String text, boolean told) throws IOException {
+    @CsvSource({
+        "GET / HTTP/1.1, false",
+        "*1~$999999999~, false",
+        "*9999999~, false",
+        "*3~$6~attach~$4~node~$2~99~, true",
+        "*3~$6~assign~$3~out~$3~s-1~, true",
+        "*3~$4~done~$4~node~$1~3~, true",
+        "*2~$2~hb~, false",
+        "'', false"
+    })
+    void aBadClientIsToldOrClosedAndAProxyHeedsNothing(String text, boolean told)
+            throws IOException {
         PeerStandin proxy = joined(4);
         PeerStandin bad = peer();
         bad.raw(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -132,8 +157,10 @@
     @Test
     void whatComesAlongWithWhatWasRejectedIsNotTaken() throws IOException {
         PeerStandin bad = peer();
-        bad.raw(("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
-                .replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
+        bad.raw(
+                ("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
+                        .replace("~", "\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         bad.hears("reject");
         joined(9);
         await().atMost(PATIENCE).until(() -> log().contains("proxy 9 joined"));
@@ -156,8 +183,9 @@
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
         hup();
         await().atMost(PATIENCE).until(() -> log().contains("is at fault and changes nothing"));
-        try (DiscoveryStandin next = new DiscoveryStandin(Sample.node("s-2", "SERVING"),
-                Sample.node("s-3", "SERVING"))) {
+        try (DiscoveryStandin next =
+                new DiscoveryStandin(
+                        Sample.node("s-2", "SERVING"), Sample.node("s-3", "SERVING"))) {
             configure(next.address());
             hup();
             proxy.hears("s-3:");
@@ -178,8 +206,11 @@
         await().atMost(PATIENCE).until(() -> log().contains("listens on"));
         int before = log().length();
         new ProcessBuilder("/bin/kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        await().atMost(PATIENCE).until(() -> log().substring(before).contains("configuration")
-                || log().substring(before).contains("discovery moves"));
+        await().atMost(PATIENCE)
+                .until(
+                        () ->
+                                log().substring(before).contains("configuration")
+                                        || log().substring(before).contains("discovery moves"));
     }
 
     private String log() throws IOException {
--- a/src/test/java/rosespread/platform/StreamServerTest.java
+++ b/src/test/java/rosespread/platform/StreamServerTest.java
@@ -16,9 +16,10 @@
 import rosespread.turn.Inbox;
 
 class StreamServerTest {
-    private static final byte[] SIGNS = "*1\r\n$2\r\nhb\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] SPOILT = "*2\r\n$6\r\nattach\r\n$4\r\nnode\r\n"
-            .getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] SIGNS =
+            "*1\r\n$2\r\nhb\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] SPOILT =
+            "*2\r\n$6\r\nattach\r\n$4\r\nnode\r\n".getBytes(StandardCharsets.US_ASCII);
     private final PlatformConfig config = Sample.config();
     private final Counts counts = new Counts();
     private StreamServer server;
@@ -26,17 +27,27 @@
 
     @BeforeEach
     void listen() throws IOException {
-        PlatformCore core = new PlatformCore(config, new PlatformCore.World() {
-            @Override
-            public void probe(NodeId node, Target target) { }
+        PlatformCore core =
+                new PlatformCore(
+                        config,
+                        new PlatformCore.World() {
+                            @Override
+                            public void probe(NodeId node, Target target) {}
 
-            @Override
-            public String seen() {
-                return "";
-            }
-        }, counts, 0);
-        server = new StreamServer(new Inbox(), core, new MessageReader(config.names(), config.proxies()), counts,
-                100);
+                            @Override
+                            public String seen() {
+                                return "";
+                            }
+                        },
+                        counts,
+                        0);
+        server =
+                new StreamServer(
+                        new Inbox(),
+                        core,
+                        new MessageReader(config.names(), config.proxies()),
+                        counts,
+                        100);
         address = server.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     }
 
@@ -45,16 +56,22 @@
         server.close();
     }
 
-    /** It leaves unread what it asked for until its socket takes no more, so its word of rejection waits too. */
+    /**
+     * It leaves unread what it asked for until its socket takes no more, so its word of rejection
+     * waits too.
+     */
     @Test
     void oneThatIsRejectedAndReadsNothingIsGoneAllTheSame() throws IOException {
         try (Socket peer = new Socket()) {
             peer.setReceiveBufferSize(2048);
             peer.connect(address);
-            await().pollDelay(Duration.ZERO).pollInterval(Duration.ofMillis(5)).until(() -> {
-                peer.getOutputStream().write(SIGNS);
-                return server.unwritten() > 20_000;
-            });
+            await().pollDelay(Duration.ZERO)
+                    .pollInterval(Duration.ofMillis(5))
+                    .until(
+                            () -> {
+                                peer.getOutputStream().write(SIGNS);
+                                return server.unwritten() > 20_000;
+                            });
             peer.getOutputStream().write(SPOILT);
             await().until(() -> counts.rejected.sum() == 1);
             assertEquals(1, server.open());
--- a/src/test/java/rosespread/rehearse/BadConductor.java
+++ b/src/test/java/rosespread/rehearse/BadConductor.java
@@ -28,13 +28,22 @@
 import rosespread.settings.FleetSettings;
 
 /**
- * A real conductor process round a planner that is wrong in one way, so that the auditor can be seen to fail.
+ * A real conductor process round a planner that is wrong in one way, so that the auditor can be
+ * seen to fail.
  */
 public final class BadConductor {
-    enum Fault { IGNORES_DRAINS, FLOODS_COLD, REPEATS, EMPTIES, FLOODS_CHANNEL, BAD_TABLES, BAD_MOVES,
-            NONE }
+    enum Fault {
+        IGNORES_DRAINS,
+        FLOODS_COLD,
+        REPEATS,
+        EMPTIES,
+        FLOODS_CHANNEL,
+        BAD_TABLES,
+        BAD_MOVES,
+        NONE
+    }
 
-    private BadConductor() { }
+    private BadConductor() {}
 
     /** Lets everything pass, so that the auditor and not the gate is what is tried. */
     private static final class OpenGate extends Gate {
@@ -44,9 +53,9 @@
         }
     }
 
-
     /**
-     * Arguments: the fault, "gated" if its tables are to be checked, then those of the conductor's command.
+     * Arguments: the fault, "gated" if its tables are to be checked, then those of the conductor's
+     * command.
      */
     public static void main(String[] args) throws Exception {
         Fault fault = Fault.valueOf(args[0]);
@@ -55,14 +64,19 @@
         for (int i = gated ? 3 : 2; i + 1 < args.length; i += 2) {
             options.put(args[i], args[i + 1]);
         }
-        Daemon.run(options.get("--name"), Path.of(options.get("--state")), address(options.get("--listen")),
-                address(options.get("--control")), (settings, seed) -> planner(fault, settings, seed),
+        Daemon.run(
+                options.get("--name"),
+                Path.of(options.get("--state")),
+                address(options.get("--listen")),
+                address(options.get("--control")),
+                (settings, seed) -> planner(fault, settings, seed),
                 gated ? new Gate() : new OpenGate());
     }
 
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     private static Planner planner(Fault fault, FleetSettings fleet, long seed) {
@@ -78,18 +92,25 @@
             boolean emptied = fault == Fault.EMPTIES && now - first[0] > 4_000_000_000L;
             Set<TableId> before = Set.copyOf(lines.keySet());
             Feed heard = ear -> feed.to(new Ears(ear, fault, started, wrongs, first[0]));
-            brain.round(now, heard, new Hands(out) {
-                @Override
-                public void line(TableId table, NodeId node, double weight) {
-                    lines.computeIfAbsent(table, t -> new HashSet<>()).add(node);
-                    wrongs.right.computeIfAbsent(table, t -> new TreeMap<>()).put(node, weight);
-                    double changed = fault == Fault.FLOODS_COLD && started.contains(node) ? weight * 1000
-                            : weight;
-                    if (!emptied) {
-                        out.line(table, node, changed);
-                    }
-                }
-            });
+            brain.round(
+                    now,
+                    heard,
+                    new Hands(out) {
+                        @Override
+                        public void line(TableId table, NodeId node, double weight) {
+                            lines.computeIfAbsent(table, t -> new HashSet<>()).add(node);
+                            wrongs.right
+                                    .computeIfAbsent(table, t -> new TreeMap<>())
+                                    .put(node, weight);
+                            double changed =
+                                    fault == Fault.FLOODS_COLD && started.contains(node)
+                                            ? weight * 1000
+                                            : weight;
+                            if (!emptied) {
+                                out.line(table, node, changed);
+                            }
+                        }
+                    });
             for (Map.Entry<TableId, Set<NodeId>> table : lines.entrySet()) {
                 if (fault == Fault.REPEATS && !before.contains(table.getKey())) {
                     for (int m = 0; m < settings.methods().size(); m++) {
@@ -97,10 +118,15 @@
                         out.level(table.getKey(), new MethodId(m), Double.POSITIVE_INFINITY);
                     }
                 }
-                if (emptied && !empty[0] || fault == Fault.FLOODS_CHANNEL
-                        && now - first[0] > 4_000_000_000L) {
-                    table.getValue().forEach(node ->
-                            out.line(table.getKey(), node, emptied ? 0 : 1 + now % 1000 / 1e4));
+                if (emptied && !empty[0]
+                        || fault == Fault.FLOODS_CHANNEL && now - first[0] > 4_000_000_000L) {
+                    table.getValue()
+                            .forEach(
+                                    node ->
+                                            out.line(
+                                                    table.getKey(),
+                                                    node,
+                                                    emptied ? 0 : 1 + now % 1000 / 1e4));
                 }
             }
             empty[0] |= emptied;
@@ -110,16 +136,24 @@
         };
     }
 
-    /** Again and again for 0.3 s another kind of wrong lines in all tables, then the right ones again. */
+    /**
+     * Again and again for 0.3 s another kind of wrong lines in all tables, then the right ones
+     * again.
+     */
     private static final class Wrongs {
         private static final long LASTS = 300_000_000L;
+
         /** A start is cause for large moves for 10 s. */
         private static final long AFTER_START = 12_000_000_000L;
+
         /** A start so long ago leaves a node cold. */
         private static final long COLD = 8_000_000_000L;
+
         final Map<TableId, Map<NodeId, Double>> right = new TreeMap<>();
+
         /** What the list tells; starts in nanoseconds since the planner's. */
         final Set<NodeId> draining = new TreeSet<>();
+
         final Map<NodeId, Long> started = new TreeMap<>();
         private final boolean moves;
         private final long every;
@@ -141,10 +175,11 @@
                 System.err.println("wrong lines of kind " + kind);
             } else if (wrong && since % every > LASTS) {
                 wrong = false;
-                right.forEach((table, weights) -> {
-                    out.line(table, new NodeId(99), 0);
-                    weights.forEach((node, weight) -> out.line(table, node, weight));
-                });
+                right.forEach(
+                        (table, weights) -> {
+                            out.line(table, new NodeId(99), 0);
+                            weights.forEach((node, weight) -> out.line(table, node, weight));
+                        });
             }
         }
 
@@ -162,12 +197,25 @@
                     out.line(table, new NodeId(99), 1e6);
                 }
                 case 6 -> draining.stream().findFirst().ifPresent(node -> out.line(table, node, 1));
-                case 7 -> started.entrySet().stream().filter(s -> since - s.getValue() < COLD
-                        && !draining.contains(s.getKey())).findFirst()
-                        .ifPresent(s -> out.line(table, s.getKey(), 50));
+                case 7 ->
+                        started.entrySet().stream()
+                                .filter(
+                                        s ->
+                                                since - s.getValue() < COLD
+                                                        && !draining.contains(s.getKey()))
+                                .findFirst()
+                                .ifPresent(s -> out.line(table, s.getKey(), 50));
                 // Nearly all weight to one node, by a change of one line.
-                case 8 -> now.entrySet().stream().filter(line -> line.getValue() > 0).findFirst()
-                        .ifPresent(line -> out.line(table, line.getKey(), 500 * line.getValue()));
+                case 8 ->
+                        now.entrySet().stream()
+                                .filter(line -> line.getValue() > 0)
+                                .findFirst()
+                                .ifPresent(
+                                        line ->
+                                                out.line(
+                                                        table,
+                                                        line.getKey(),
+                                                        500 * line.getValue()));
                 // All lines at once, each by next to nothing.
                 default -> now.forEach((node, weight) -> out.line(table, node, weight * 1.0001));
             }
@@ -236,7 +284,8 @@
         }
 
         @Override
-        public void node(NodeId node, KindId kind, ZoneId zone, double weight, NodeState state, long up) {
+        public void node(
+                NodeId node, KindId kind, ZoneId zone, double weight, NodeState state, long up) {
             if (up != Long.MIN_VALUE) {
                 started.add(node);
                 wrongs.started.put(node, up - first);
@@ -246,7 +295,12 @@
             } else {
                 wrongs.draining.add(node);
             }
-            to.node(node, kind, zone, weight, fault == Fault.IGNORES_DRAINS ? NodeState.READY : state,
+            to.node(
+                    node,
+                    kind,
+                    zone,
+                    weight,
+                    fault == Fault.IGNORES_DRAINS ? NodeState.READY : state,
                     fault == Fault.FLOODS_COLD ? Long.MIN_VALUE : up);
         }
 
@@ -271,7 +325,13 @@
         }
 
         @Override
-        public void sums(NodeId node, ZoneId zone, int tries, int unanswered, double latency, long covers,
+        public void sums(
+                NodeId node,
+                ZoneId zone,
+                int tries,
+                int unanswered,
+                double latency,
+                long covers,
                 double utilization) {
             to.sums(node, zone, tries, unanswered, latency, covers, utilization);
         }
--- a/src/test/java/rosespread/rehearse/RehearsalTest.java
+++ b/src/test/java/rosespread/rehearse/RehearsalTest.java
@@ -13,8 +13,14 @@
 import rosespread.cli.Main;
 
 class RehearsalTest {
-    private static final List<String> RULES = List.of("noProxyWithoutNode", "noEffectTwice", "drainsKept",
-            "noColdNodePushedOver", "shortQueue", "messagesPerProxy");
+    private static final List<String> RULES =
+            List.of(
+                    "noProxyWithoutNode",
+                    "noEffectTwice",
+                    "drainsKept",
+                    "noColdNodePushedOver",
+                    "shortQueue",
+                    "messagesPerProxy");
 
     private static Report play(String scenario, String main, String... arguments) throws Exception {
         return Rehearsal.play(scenario, new Rehearsal.Options(3, true, main, List.of(arguments)));
@@ -24,28 +30,39 @@
     void keepsAllRulesOnAShortDay() throws Exception {
         Report report = play("short-day", Main.class.getName());
         assertTrue(report.kept(), report.text());
-        for (String rule : List.of("noProxyWithoutNode", "noEffectTwice", "drainsKept", "shortQueue")) {
+        for (String rule :
+                List.of("noProxyWithoutNode", "noEffectTwice", "drainsKept", "shortQueue")) {
             assertTrue(report.checked(rule) > 0, rule + " was not seen\n" + report.text());
         }
         assertTrue(report.service() > 0.8, report.text());
         assertTrue(report.events().size() >= 9, report.text());
         // Two that come close together may change places on a busy machine.
-        assertEquals(report.events().stream().sorted().toList(), play("short-day", Main.class.getName())
-                .events().stream().sorted().toList(), "the same day twice");
+        assertEquals(
+                report.events().stream().sorted().toList(),
+                play("short-day", Main.class.getName()).events().stream().sorted().toList(),
+                "the same day twice");
     }
 
     @ParameterizedTest
-    @CsvSource({"IGNORES_DRAINS,drainsKept,DRAINING", "FLOODS_COLD,noColdNodePushedOver,fell over",
-        "REPEATS,noEffectTwice,took effect again", "EMPTIES,noProxyWithoutNode,no line to pick",
-        "FLOODS_CHANNEL,shortQueue,lines waiting"})
-    void namesTheRuleThatABadPlannerBreaks(String fault, String rule, String words) throws Exception {
+    @CsvSource({
+        "IGNORES_DRAINS,drainsKept,DRAINING",
+        "FLOODS_COLD,noColdNodePushedOver,fell over",
+        "REPEATS,noEffectTwice,took effect again",
+        "EMPTIES,noProxyWithoutNode,no line to pick",
+        "FLOODS_CHANNEL,shortQueue,lines waiting"
+    })
+    void namesTheRuleThatABadPlannerBreaks(String fault, String rule, String words)
+            throws Exception {
         Report report = play("bad-planner", BadConductor.class.getName(), fault);
         assertFalse(report.kept(), report.text());
-        assertTrue(report.breaks(rule).stream().anyMatch(text -> text.contains(words)
-                && text.matches("(?s).*[0-9] s.*")), report.text());
+        assertTrue(
+                report.breaks(rule).stream()
+                        .anyMatch(text -> text.contains(words) && text.matches("(?s).*[0-9] s.*")),
+                report.text());
         if (!fault.equals("FLOODS_CHANNEL")) {
-            RULES.stream().filter(other -> !other.equals(rule)).forEach(other ->
-                    assertEquals(List.of(), report.breaks(other), report.text()));
+            RULES.stream()
+                    .filter(other -> !other.equals(rule))
+                    .forEach(other -> assertEquals(List.of(), report.breaks(other), report.text()));
         }
     }
 
@@ -65,19 +82,25 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "seconds: 12|seconds: twelve|bad:2: field seconds is \"twelve\"",
-        "kind: drain|kind: flood|bad:19: field troubles[1].kind is \"flood\"",
-        "effect: tokened|effect: once|bad:10: field methods[1].effect is \"once\"",
-        "rate: 90|speed: 90|field rate is missing",
-        "zones: [north|zones: [[north|bad:",
-        "cores: 2, speed: 1.0|cores: -2, speed: 1.0|bad:6: field kinds.large.cores is -2"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "seconds: 12|seconds: twelve|bad:2: field seconds is \"twelve\"",
+                "kind: drain|kind: flood|bad:19: field troubles[1].kind is \"flood\"",
+                "effect: tokened|effect: once|bad:10: field methods[1].effect is \"once\"",
+                "rate: 90|speed: 90|field rate is missing",
+                "zones: [north|zones: [[north|bad:",
+                "cores: 2, speed: 1.0|cores: -2, speed: 1.0|bad:6: field kinds.large.cores is -2"
+            })
     void namesLineAndFieldOfAFault(String from, String to, String told) throws Exception {
-        String good = new String(getClass().getResourceAsStream("/scenarios/short-day.yaml").readAllBytes(),
-                java.nio.charset.StandardCharsets.UTF_8);
+        String good =
+                new String(
+                        getClass().getResourceAsStream("/scenarios/short-day.yaml").readAllBytes(),
+                        java.nio.charset.StandardCharsets.UTF_8);
         ScenarioReader.read("good", good);
         String bad = good.replaceFirst(java.util.regex.Pattern.quote(from), to);
-        ScenarioException e = assertThrows(ScenarioException.class, () -> ScenarioReader.read("bad", bad));
+        ScenarioException e =
+                assertThrows(ScenarioException.class, () -> ScenarioReader.read("bad", bad));
         assertTrue(e.getMessage().contains(told), e.getMessage());
     }
 
--- a/src/test/java/rosespread/release/GateTest.java
+++ b/src/test/java/rosespread/release/GateTest.java
@@ -21,11 +21,16 @@
     private static final double ANY = Double.POSITIVE_INFINITY;
     private final Gate gate = new Gate();
 
-    /** "1=0.5 2=1" are lines; "1 2c 3d 4g" are nodes: ready, cold at 0.2, draining, gone; x: not open. */
+    /**
+     * "1=0.5 2=1" are lines; "1 2c 3d 4g" are nodes: ready, cold at 0.2, draining, gone; x: not
+     * open.
+     */
     private static Map<NodeId, Double> lines(String text) {
         Map<NodeId, Double> lines = new TreeMap<>();
         for (String line : text == null ? new String[0] : text.split(" ")) {
-            lines.put(new NodeId(Long.parseLong(line.split("=")[0])), Double.parseDouble(line.split("=")[1]));
+            lines.put(
+                    new NodeId(Long.parseLong(line.split("=")[0])),
+                    Double.parseDouble(line.split("=")[1]));
         }
         return lines;
     }
@@ -33,57 +38,85 @@
     private static Gate.Scene scene(String nodes, boolean cause, double carried) {
         Map<NodeId, Gate.Fact> facts = new TreeMap<>();
         for (String node : nodes == null ? new String[0] : nodes.split(" ")) {
-            facts.put(new NodeId(Long.parseLong(node.replaceAll("[a-z]", ""))), new Gate.Fact(
-                    node.contains("d") ? NodeState.DRAINING : node.contains("g") ? NodeState.GONE
-                            : NodeState.READY, node.contains("c") ? 0.2 : 1, !node.contains("x")));
+            facts.put(
+                    new NodeId(Long.parseLong(node.replaceAll("[a-z]", ""))),
+                    new Gate.Fact(
+                            node.contains("d")
+                                    ? NodeState.DRAINING
+                                    : node.contains("g") ? NodeState.GONE : NodeState.READY,
+                            node.contains("c") ? 0.2 : 1,
+                            !node.contains("x")));
         }
         return new Gate.Scene(facts, 1, cause, carried);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "-", value = {
-        // what is out | wanted | nodes | cause seen | lines carried | refused for | what goes out
-        "1=1 2=1|1=1 2=0.5|1 2|false|9|-|1=1 2=0.5",
-        "1=1 2=1|1=NaN 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
-        "1=1 2=1|1=Infinity 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
-        "1=1 2=1|1=-1 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
-        "1=1 2=1|1=1 9=1|1 2|true|9|UNKNOWN_NODE|1=1 2=1",
-        "1=1 2=1|1=1 2=1 3=1|1 2 3d|true|9|LEAVING_NODE|1=1 2=1",
-        "1=1 2=1 3=1|1=1 2=1 3=1|1 2 3g|true|9|LEAVING_NODE|1=1 2=1",
-        "1=1 2=1|-|1 2|true|9|NO_NODE|1=1 2=1",
-        "1=1|3=1|1 2 3x|true|9|NO_NODE|1=1",
-        "3=1|3=1|1 2c 3g|true|9|LEAVING_NODE NO_NODE|1=1 2=0.2",
-        "1=1 2=1|1=1 2=1 3=1|1 2 3c|true|9|COLD_TOO_HIGH|1=1 2=1",
-        "1=1 2=1|1=1 2=1 3=0.3|1 2 3c|true|9|-|1=1 2=1 3=0.3",
-        "3=1|3=1 4=1|3c 4c|true|9|-|3=1 4=1",
-        "1=1 2=1|1=1 2=0.001 3=9|1 2 3|false|9|MOVES_TOO_MUCH|1=1 2=1",
-        "1=1 2=1|1=1 2=0.001 3=9|1 2 3|true|9|-|1=1 2=0.001 3=9",
-        "1=1 2=1 4=1 5=1|3=1|1g 2g 3 4g 5|false|9|-|3=1",
-        "1=1 2=1|1=0.9 2=0.9|1 2|false|1|TOO_MANY_LINES|1=1 2=1",
-        "-|1=1 2=1|1 2|false|1|-|1=1 2=1"})
-    void judges(String out, String wanted, String nodes, boolean cause, double carried, String reasons,
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "-",
+            value = {
+                // what is out | wanted | nodes | cause seen | lines carried | refused for | what
+                // goes out
+                "1=1 2=1|1=1 2=0.5|1 2|false|9|-|1=1 2=0.5",
+                "1=1 2=1|1=NaN 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
+                "1=1 2=1|1=Infinity 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
+                "1=1 2=1|1=-1 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
+                "1=1 2=1|1=1 9=1|1 2|true|9|UNKNOWN_NODE|1=1 2=1",
+                "1=1 2=1|1=1 2=1 3=1|1 2 3d|true|9|LEAVING_NODE|1=1 2=1",
+                "1=1 2=1 3=1|1=1 2=1 3=1|1 2 3g|true|9|LEAVING_NODE|1=1 2=1",
+                "1=1 2=1|-|1 2|true|9|NO_NODE|1=1 2=1",
+                "1=1|3=1|1 2 3x|true|9|NO_NODE|1=1",
+                "3=1|3=1|1 2c 3g|true|9|LEAVING_NODE NO_NODE|1=1 2=0.2",
+                "1=1 2=1|1=1 2=1 3=1|1 2 3c|true|9|COLD_TOO_HIGH|1=1 2=1",
+                "1=1 2=1|1=1 2=1 3=0.3|1 2 3c|true|9|-|1=1 2=1 3=0.3",
+                "3=1|3=1 4=1|3c 4c|true|9|-|3=1 4=1",
+                "1=1 2=1|1=1 2=0.001 3=9|1 2 3|false|9|MOVES_TOO_MUCH|1=1 2=1",
+                "1=1 2=1|1=1 2=0.001 3=9|1 2 3|true|9|-|1=1 2=0.001 3=9",
+                "1=1 2=1 4=1 5=1|3=1|1g 2g 3 4g 5|false|9|-|3=1",
+                "1=1 2=1|1=0.9 2=0.9|1 2|false|1|TOO_MANY_LINES|1=1 2=1",
+                "-|1=1 2=1|1 2|false|1|-|1=1 2=1"
+            })
+    void judges(
+            String out,
+            String wanted,
+            String nodes,
+            boolean cause,
+            double carried,
+            String reasons,
             String goesOut) {
         Gate.Verdict verdict = gate.judge(lines(out), lines(wanted), scene(nodes, cause, carried));
-        assertEquals(reasons == null ? List.of() : List.of(reasons.split(" ")),
+        assertEquals(
+                reasons == null ? List.of() : List.of(reasons.split(" ")),
                 verdict.refusals().stream().map(r -> r.reason().name()).toList());
         assertEquals(lines(goesOut), verdict.lines());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', nullValues = "-", value = {
-        "1=1 2=1 3=1 9=1|1 2d 3g|1=1", "2=1 3=1|1 2d 3g 4c|1=1 4=0.2", "1=1 2=5|1 2c|1=1 2=0.2",
-        "1=1 2=0.5|1 2c|1=1 2=0.2", "1=1 2=0.1|1 2c|1=1 2=0.1", "2=5|2c|2=5", "1=1|1d|-"})
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "-",
+            value = {
+                "1=1 2=1 3=1 9=1|1 2d 3g|1=1",
+                "2=1 3=1|1 2d 3g 4c|1=1 4=0.2",
+                "1=1 2=5|1 2c|1=1 2=0.2",
+                "1=1 2=0.5|1 2c|1=1 2=0.2",
+                "1=1 2=0.1|1 2c|1=1 2=0.1",
+                "2=5|2c|2=5",
+                "1=1|1d|-"
+            })
     void keepsWhatMayStay(String lines, String nodes, String left) {
         assertEquals(lines(left), gate.kept(lines(lines), scene(nodes, true, ANY)));
     }
 
     /**
-     * Whatever is wanted, nothing goes out to a node that leaves, and no table is left empty while a node is
-     * able.
+     * Whatever is wanted, nothing goes out to a node that leaves, and no table is left empty while
+     * a node is able.
      */
     @Property(seed = "1")
-    void nothingGoesOutThatMayNot(@ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> out,
-            @ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> wanted, @ForAll boolean cause) {
+    void nothingGoesOutThatMayNot(
+            @ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> out,
+            @ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> wanted,
+            @ForAll boolean cause) {
         Gate.Scene scene = scene("0 1c 2d 3g 4x", cause, ANY);
         Map<NodeId, Double> before = new TreeMap<>();
         Map<NodeId, Double> after = new TreeMap<>();
@@ -91,10 +124,14 @@
             before.put(new NodeId(i), Math.abs(out.get(i)) + 0.001);
             after.put(new NodeId(i), wanted.get(i));
         }
-        for (Map<NodeId, Double> gone : List.of(gate.judge(before, after, scene).lines(),
-                gate.kept(before, scene), gate.towards(before, gate.kept(before, scene), scene))) {
+        for (Map<NodeId, Double> gone :
+                List.of(
+                        gate.judge(before, after, scene).lines(),
+                        gate.kept(before, scene),
+                        gate.towards(before, gate.kept(before, scene), scene))) {
             assertTrue(!gone.isEmpty());
-            gone.forEach((node, weight) -> assertTrue(weight > 0 && node.value() <= 1, gone.toString()));
+            gone.forEach(
+                    (node, weight) -> assertTrue(weight > 0 && node.value() <= 1, gone.toString()));
         }
     }
 
@@ -111,25 +148,28 @@
                 out.keySet().retainAll(gate.kept(out, scene(nodes, true, ANY)).keySet());
                 standing.forget();
             }
-            Gate.Scene scene = scene(nodes, random.nextInt(3) > 0, random.nextInt(4) == 0 ? 1 : ANY);
+            Gate.Scene scene =
+                    scene(nodes, random.nextInt(3) > 0, random.nextInt(4) == 0 ? 1 : ANY);
             Map<NodeId, Double> changed = new TreeMap<>();
             for (int i = random.nextInt(3); i >= 0; i--) {
-                double weight = switch (random.nextInt(8)) {
-                    case 0 -> 0;
-                    case 1 -> random.nextBoolean() ? Double.NaN : -1;
-                    case 2 -> 20 * random.nextDouble();
-                    default -> 0.2 + random.nextDouble();
-                };
+                double weight =
+                        switch (random.nextInt(8)) {
+                            case 0 -> 0;
+                            case 1 -> random.nextBoolean() ? Double.NaN : -1;
+                            case 2 -> 20 * random.nextDouble();
+                            default -> 0.2 + random.nextDouble();
+                        };
                 changed.put(new NodeId(random.nextInt(10) == 0 ? 9 : random.nextInt(7)), weight);
             }
             Map<NodeId, Double> wanted = new TreeMap<>(out);
-            changed.forEach((node, weight) -> {
-                if (weight == 0) {
-                    wanted.remove(node);
-                } else {
-                    wanted.put(node, weight);
-                }
-            });
+            changed.forEach(
+                    (node, weight) -> {
+                        if (weight == 0) {
+                            wanted.remove(node);
+                        } else {
+                            wanted.put(node, weight);
+                        }
+                    });
             Gate.Verdict whole = gate.judge(out, wanted, scene);
             assertEquals(whole, gate.judge(standing, out, wanted, changed, scene), "step " + step);
             out = whole.refusals().isEmpty() ? wanted : out;
@@ -155,15 +195,21 @@
     @CsvSource({"500,3,10,0", "500,6,10,500", "500,5,10,0", "0,0,0,0"})
     void countsLinesOnTheirWayIfMostOweAnAnswer(long lines, long late, long proxies, long counted) {
         assertEquals(counted, Room.overdue(lines, late, proxies));
-        assertTrue(Room.overdue(801_000_000L, 500_000_000L) && !Room.overdue(799_000_000L, 500_000_000L));
+        assertTrue(
+                Room.overdue(801_000_000L, 500_000_000L)
+                        && !Room.overdue(799_000_000L, 500_000_000L));
     }
 
     @ParameterizedTest
-    @CsvSource({"1000,0,10,11,false,39", "1000,300,10,11,false,9", "1000,600,10,11,false,0",
-            "1000,600,10,11,true,19",
-        "1000,0,0,11,false,489"})
-    void leavesRoomToTheModule(double limit, double waiting, int proxies, double head, boolean drain,
-            int lines) {
+    @CsvSource({
+        "1000,0,10,11,false,39",
+        "1000,300,10,11,false,9",
+        "1000,600,10,11,false,0",
+        "1000,600,10,11,true,19",
+        "1000,0,0,11,false,489"
+    })
+    void leavesRoomToTheModule(
+            double limit, double waiting, int proxies, double head, boolean drain, int lines) {
         assertEquals(lines, Room.lines(limit, waiting, proxies, head, drain));
     }
 }
--- a/src/test/java/rosespread/resp/RespParserTest.java
+++ b/src/test/java/rosespread/resp/RespParserTest.java
@@ -22,8 +22,9 @@
     private static List<List<String>> read(byte[] bytes, Random cuts) throws RespException {
         List<List<String>> read = new ArrayList<>();
         RespParser parser = new RespParser(LIMITS, read::add);
-        for (int at = 0; at < bytes.length;) {
-            int part = cuts == null ? bytes.length : Math.min(bytes.length - at, 1 + cuts.nextInt(5));
+        for (int at = 0; at < bytes.length; ) {
+            int part =
+                    cuts == null ? bytes.length : Math.min(bytes.length - at, 1 + cuts.nextInt(5));
             parser.feed(ByteBuffer.wrap(bytes, at, part));
             at += part;
         }
@@ -33,10 +34,14 @@
     @Property(seed = "1", tries = 300)
     void whatWasWrittenIsReadHoweverItIsCut(
             @ForAll @Size(min = 1, max = 6) List<@Size(min = 1, max = 16) List<String>> messages,
-            @ForAll long cuts) throws RespException {
+            @ForAll long cuts)
+            throws RespException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        messages.removeIf(m -> RespWriter.bytes(m).length > LIMITS.bytes()
-                || !m.stream().allMatch(StandardCharsets.UTF_8.newEncoder()::canEncode));
+        messages.removeIf(
+                m ->
+                        RespWriter.bytes(m).length > LIMITS.bytes()
+                                || !m.stream()
+                                        .allMatch(StandardCharsets.UTF_8.newEncoder()::canEncode));
         messages.forEach(message -> RespWriter.write(message, out));
         assertEquals(messages, read(out.toByteArray(), new Random(cuts)));
     }
@@ -49,8 +54,11 @@
         RespWriter.write(List.of("hb"), out);
         byte[] bytes = out.toByteArray();
         for (int i = 0; i < 2; i++) {
-            bytes[random.nextInt(bytes.length)] = (byte) (random.nextBoolean() ? random.nextInt(256)
-                    : "*$0129\r\n".charAt(random.nextInt(8)));
+            bytes[random.nextInt(bytes.length)] =
+                    (byte)
+                            (random.nextBoolean()
+                                    ? random.nextInt(256)
+                                    : "*$0129\r\n".charAt(random.nextInt(8)));
         }
         assertEquals(outcome(bytes, null), outcome(bytes, new Random(where)));
     }
@@ -64,23 +72,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "GET / HTTP/1.1            | '*' expected, not byte 71 (byte 0)",
-        "*1~:5~                    | '$' expected, not byte 58 (byte 4)",
-        "*-1~                      | not a length of at most 9 digits (byte 1)",
-        "*0~                       | 0 strings, not 1 to 16 (byte 3)",
-        "*17~                      | 17 strings, not 1 to 16 (byte 4)",
-        "*1~$4097~                 | message over 4096 bytes (byte 10)",
-        "*1~$99999999999~          | not a length of at most 9 digits (byte 14)",
-        "*1~$2~hbx                 | CR expected, not byte 120 (byte 10)",
-        "*2~$4000~                 | ",
-        "*1~$~                     | not a length of at most 9 digits (byte 5)"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "GET / HTTP/1.1            | '*' expected, not byte 71 (byte 0)",
+                "*1~:5~                    | '$' expected, not byte 58 (byte 4)",
+                "*-1~                      | not a length of at most 9 digits (byte 1)",
+                "*0~                       | 0 strings, not 1 to 16 (byte 3)",
+                "*17~                      | 17 strings, not 1 to 16 (byte 4)",
+                "*1~$4097~                 | message over 4096 bytes (byte 10)",
+                "*1~$99999999999~          | not a length of at most 9 digits (byte 14)",
+                "*1~$2~hbx                 | CR expected, not byte 120 (byte 10)",
+                "*2~$4000~                 | ",
+                "*1~$~                     | not a length of at most 9 digits (byte 5)"
+            })
     void whatCannotBeReadIsNamedWithItsPlace(String text, String told) throws RespException {
         byte[] bytes = text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII);
         if (told == null) {
             assertTrue(read(bytes, null).isEmpty());
         } else {
-            assertEquals(told, assertThrows(RespException.class, () -> read(bytes, null)).getMessage());
+            assertEquals(
+                    told, assertThrows(RespException.class, () -> read(bytes, null)).getMessage());
         }
     }
 }
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 public class SettingsTest {
-    public static final String GOOD = """
+    public static final String GOOD =
+            """
             {"zones":["a","b"],"kinds":["k"],
              "methods":[{"name":"quote","criticality":1},{"name":"book","criticality":3,"onlyKinds":["k"]}],
              "list":{"port":8500,"service":"nodes"},"levels":"rate",
@@ -32,29 +33,41 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "\"zones\":[\"a\",\"b\"]|\"zones\":[\"a\",\"a\"]|zones[1]|\"a\"",
-        "\"port\":8500|\"port\":70000|list.port|70000",
-        "\"port\":8500|\"port\":\"8500\"|list.port|\"8500\"",
-        "\"onlyKinds\":[\"k\"]|\"onlyKinds\":[\"z\"]|methods[1].onlyKinds[0]|\"z\"",
-        "\"name\":\"book\"|\"name\":\"quote\"|methods[1].name|\"quote\"",
-        "\"levels\":\"rate\"|\"levels\":\"fast\"|levels|\"fast\"",
-        "\"linesPerSecond\":1000|\"linesPerSecond\":0|channel.linesPerSecond|0",
-        "\"linesPerSecond\":1000|\"linesPerSecnd\":1000|channel.linesPerSecond|missing",
-        "\"share\":0.2|\"share\":1.2|cold.share|1.2",
-        "\"cold\":{|\"cold\":7,\"x\":{|cold|7",
-        "\"drainGraceMs\":2000|\"drainGraceMs\":2000,\"drainGraceMs\":1|(whole)|line 5",
-        "\"zones\"|zones|(whole)|line 1, column"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "\"zones\":[\"a\",\"b\"]|\"zones\":[\"a\",\"a\"]|zones[1]|\"a\"",
+                "\"port\":8500|\"port\":70000|list.port|70000",
+                "\"port\":8500|\"port\":\"8500\"|list.port|\"8500\"",
+                "\"onlyKinds\":[\"k\"]|\"onlyKinds\":[\"z\"]|methods[1].onlyKinds[0]|\"z\"",
+                "\"name\":\"book\"|\"name\":\"quote\"|methods[1].name|\"quote\"",
+                "\"levels\":\"rate\"|\"levels\":\"fast\"|levels|\"fast\"",
+                "\"linesPerSecond\":1000|\"linesPerSecond\":0|channel.linesPerSecond|0",
+                "\"linesPerSecond\":1000|\"linesPerSecnd\":1000|channel.linesPerSecond|missing",
+                "\"share\":0.2|\"share\":1.2|cold.share|1.2",
+                "\"cold\":{|\"cold\":7,\"x\":{|cold|7",
+                "\"drainGraceMs\":2000|\"drainGraceMs\":2000,\"drainGraceMs\":1|(whole)|line 5",
+                "\"zones\"|zones|(whole)|line 1, column"
+            })
     void namesFieldValueAndWhatIsAllowed(String from, String to, String field, String value) {
-        SettingsException e = assertThrows(SettingsException.class,
-                () -> SettingsReader.read(GOOD.replace(from, to)));
-        assertTrue(e.faults().stream().anyMatch(f -> f.field().equals(field) && f.value().startsWith(value)
-                && !f.allowed().isEmpty()), e.getMessage());
+        SettingsException e =
+                assertThrows(
+                        SettingsException.class, () -> SettingsReader.read(GOOD.replace(from, to)));
+        assertTrue(
+                e.faults().stream()
+                        .anyMatch(
+                                f ->
+                                        f.field().equals(field)
+                                                && f.value().startsWith(value)
+                                                && !f.allowed().isEmpty()),
+                e.getMessage());
     }
 
     @Test
     void tellsAllFaultsAtOnce() {
-        SettingsException e = assertThrows(SettingsException.class, () -> SettingsReader.read("{}"));
+        SettingsException e =
+                assertThrows(SettingsException.class, () -> SettingsReader.read("{}"));
         assertTrue(e.faults().size() > 8, e.getMessage());
     }
 
--- a/src/test/java/rosespread/store/TableStoreTest.java
+++ b/src/test/java/rosespread/store/TableStoreTest.java
@@ -32,12 +32,14 @@
 import rosespread.table.Hold;
 import rosespread.table.TableVersion;
 
-/** What a store gives back after it ended in any way, and what it does when the disk does not do its part. */
+/**
+ * What a store gives back after it ended in any way, and what it does when the disk does not do its
+ * part.
+ */
 class TableStoreTest {
     private static final int TABLES = 3;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private TableStore store;
     private long wall = 1_700_000_000_000L;
 
@@ -54,23 +56,40 @@
             int what = random.nextInt(12);
             if (what == 0 && !history.isEmpty()) {
                 long to = random.nextBoolean() ? 0 : history.versions().get(0).number();
-                return new Entry.Holding(id, to > 0 ? Hold.PINNED : Hold.RELEASING, to, to > 0
-                        ? Map.of(new NodeId(3), 0.25, new NodeId(-1), 0.0) : Map.of());
+                return new Entry.Holding(
+                        id,
+                        to > 0 ? Hold.PINNED : Hold.RELEASING,
+                        to,
+                        to > 0 ? Map.of(new NodeId(3), 0.25, new NodeId(-1), 0.0) : Map.of());
             }
             if (what == 2) {
                 stamp++;
-                return new Entry.Drained(new Drain(new NodeId(random.nextInt(4)), "n", random.nextBoolean(),
-                        stamp, "o", "call-" + stamp, wall));
+                return new Entry.Drained(
+                        new Drain(
+                                new NodeId(random.nextInt(4)),
+                                "n",
+                                random.nextBoolean(),
+                                stamp,
+                                "o",
+                                "call-" + stamp,
+                                wall));
             }
             if (what == 1 && !history.isEmpty()) {
-                return new Entry.Committed(history.renumber(history.current().number() + 1024, wall));
+                return new Entry.Committed(
+                        history.renumber(history.current().number() + 1024, wall));
             }
             TableVersion before = history.current();
             TableVersion next = before;
             while (next == before) {
-                next = history.commit(Map.of(new NodeId(~(long) random.nextInt(40) << 40),
-                        random.nextDouble(), new NodeId(random.nextInt(5)), random.nextInt(3) / 2.0),
-                        TableVersion.Cause.MODULE, wall);
+                next =
+                        history.commit(
+                                Map.of(
+                                        new NodeId(~(long) random.nextInt(40) << 40),
+                                        random.nextDouble(),
+                                        new NodeId(random.nextInt(5)),
+                                        random.nextInt(3) / 2.0),
+                                TableVersion.Cause.MODULE,
+                                wall);
             }
             return new Entry.Committed(next);
         }
@@ -79,12 +98,27 @@
     /** Without the lines of each version, which its digest stands for. */
     private static String told(Image image) {
         StringBuilder text = new StringBuilder().append(image.layout()).append(image.drains());
-        image.tables().forEach(t -> {
-            text.append("\n").append(t.hold()).append(t.to()).append(t.kept()).append(t.pending());
-            t.versions().forEach(v -> text.append("\n  ").append(v.table()).append(v.number())
-                    .append(v.cause()).append(v.atMillis()).append(' ').append(v.parent()).append(' ')
-                    .append(v.digest()));
-        });
+        image.tables()
+                .forEach(
+                        t -> {
+                            text.append("\n")
+                                    .append(t.hold())
+                                    .append(t.to())
+                                    .append(t.kept())
+                                    .append(t.pending());
+                            t.versions()
+                                    .forEach(
+                                            v ->
+                                                    text.append("\n  ")
+                                                            .append(v.table())
+                                                            .append(v.number())
+                                                            .append(v.cause())
+                                                            .append(v.atMillis())
+                                                            .append(' ')
+                                                            .append(v.parent())
+                                                            .append(' ')
+                                                            .append(v.digest()));
+                        });
         return text.toString();
     }
 
@@ -93,7 +127,7 @@
     }
 
     private Image open(Sink.Disk disk, long grown) throws IOException {
-        store = new TableStore(folder, disk, () -> wall++, () -> { }, grown);
+        store = new TableStore(folder, disk, () -> wall++, () -> {}, grown);
         return store.open();
     }
 
@@ -190,7 +224,10 @@
             assertEquals(length - ends.get(1 + wholeLines), content.cut());
             byte[] rubbish = Arrays.copyOf(Arrays.copyOf(whole, length), length + 300);
             Files.write(file, rubbish);
-            assertEquals(wholeLines, TableFile.read(file).entries(), "zeros that a crash left are cut too");
+            assertEquals(
+                    wholeLines,
+                    TableFile.read(file).entries(),
+                    "zeros that a crash left are cut too");
         }
     }
 
@@ -212,7 +249,8 @@
             lineAt--;
         }
         StoreException told = assertThrows(StoreException.class, () -> TableFile.read(file));
-        assertTrue(told.getMessage().startsWith(file + ": damaged at byte " + lineAt + " of "),
+        assertTrue(
+                told.getMessage().startsWith(file + ": damaged at byte " + lineAt + " of "),
                 told.getMessage());
         same(Image.EMPTY, open());
         assertTrue(names().stream().anyMatch(name -> name.contains("damaged")), names().toString());
@@ -335,7 +373,7 @@
     @Test
     void aFolderHasOneUser() throws IOException {
         open();
-        TableStore other = new TableStore(folder, Sink.DISK, () -> wall, () -> { });
+        TableStore other = new TableStore(folder, Sink.DISK, () -> wall, () -> {});
         IOException told = assertThrows(IOException.class, other::open);
         assertTrue(told.getMessage().contains("in use by another conductor"), told.getMessage());
         store.close();
@@ -347,32 +385,34 @@
     void aDiskThatStandsStillIsToldOnceTooMuchWaits() throws IOException {
         CountDownLatch goesOn = new CountDownLatch(1);
         boolean[] stands = {false};
-        open(path -> {
-            Sink to = Sink.DISK.create(path);
-            return new Sink() {
-                @Override
-                public void write(ByteBuffer bytes) throws IOException {
-                    to.write(bytes);
-                }
+        open(
+                path -> {
+                    Sink to = Sink.DISK.create(path);
+                    return new Sink() {
+                        @Override
+                        public void write(ByteBuffer bytes) throws IOException {
+                            to.write(bytes);
+                        }
 
-                @Override
-                public void force() throws IOException {
-                    if (stands[0]) {
-                        try {
-                            goesOn.await();
-                        } catch (InterruptedException e) {
-                            throw new IOException(e);
+                        @Override
+                        public void force() throws IOException {
+                            if (stands[0]) {
+                                try {
+                                    goesOn.await();
+                                } catch (InterruptedException e) {
+                                    throw new IOException(e);
+                                }
+                            }
+                            to.force();
                         }
-                    }
-                    to.force();
-                }
 
-                @Override
-                public void close() throws IOException {
-                    to.close();
-                }
-            };
-        }, 64 << 20);
+                        @Override
+                        public void close() throws IOException {
+                            to.close();
+                        }
+                    };
+                },
+                64 << 20);
         stands[0] = true;
         Past past = new Past();
         Random random = new Random(7);
@@ -381,12 +421,13 @@
         }
         assertTrue(store.trouble().contains("behind"), store.trouble());
         goesOn.countDown();
-        await().until(() -> {
-            if (store.wantsImage()) {
-                store.image(past.model.image());
-            }
-            return store.trouble().isEmpty();
-        });
+        await().until(
+                        () -> {
+                            if (store.wantsImage()) {
+                                store.image(past.model.image());
+                            }
+                            return store.trouble().isEmpty();
+                        });
         append(past, random, 3);
         kept(past);
         store.close();
--- a/src/test/java/rosespread/table/TableVersionTest.java
+++ b/src/test/java/rosespread/table/TableVersionTest.java
@@ -18,8 +18,8 @@
 
 class TableVersionTest {
     /**
-     * Any history: the digest is that of the lines, old versions stay as they were, changes lead from one to
-     * any.
+     * Any history: the digest is that of the lines, old versions stay as they were, changes lead
+     * from one to any.
      */
     @Property(seed = "1")
     void versionsNeverChangeAndDigestsFitTheirLines(
@@ -32,7 +32,8 @@
             NodeId node = new NodeId(step % 6);
             double weight = step / 6 % 5 / 4.0;
             TableVersion before = history.current();
-            TableVersion after = history.commit(Map.of(node, weight), TableVersion.Cause.MODULE, step);
+            TableVersion after =
+                    history.commit(Map.of(node, weight), TableVersion.Cause.MODULE, step);
             Double old = weight > 0 ? model.put(node, weight) : model.remove(node);
             boolean same = old == null ? weight == 0 : old == weight;
             assertEquals(same ? before.number() : before.number() + 1, after.number());
@@ -45,11 +46,19 @@
             TableVersion last = versions.get(versions.size() - 1);
             Map<NodeId, Double> straight = versions.get(i).changesTo(last.lines());
             if (versions.get(i).number() > 0) {
-                assertEquals(straight, history.difference(versions.get(i).number(), last.number())
-                        .orElseThrow());
+                assertEquals(
+                        straight,
+                        history.difference(versions.get(i).number(), last.number()).orElseThrow());
             }
-            assertEquals(new TreeMap<>(last.lines()), new TreeMap<>(versions.get(i).with(
-                    versions.get(i).changesTo(last.lines()), TableVersion.Cause.OPERATOR, 0).lines()));
+            assertEquals(
+                    new TreeMap<>(last.lines()),
+                    new TreeMap<>(
+                            versions.get(i)
+                                    .with(
+                                            versions.get(i).changesTo(last.lines()),
+                                            TableVersion.Cause.OPERATOR,
+                                            0)
+                                    .lines()));
         }
     }
 
@@ -63,11 +72,14 @@
         assertEquals(256, history.versions().size());
         assertEquals(3.0, history.version(3).orElseThrow().lines().get(new NodeId(1)));
         assertTrue(history.version(4).isEmpty());
-        history.commit(Map.of(new NodeId(1), 7.0), TableVersion.Cause.MODULE, 2L * 24 * 3600 * 1000);
-        assertEquals(List.of(3L, 1001L), history.versions().stream().map(TableVersion::number).toList());
+        history.commit(
+                Map.of(new NodeId(1), 7.0), TableVersion.Cause.MODULE, 2L * 24 * 3600 * 1000);
+        assertEquals(
+                List.of(3L, 1001L), history.versions().stream().map(TableVersion::number).toList());
         history.commit(Map.of(new NodeId(1), 8.0), TableVersion.Cause.MODULE, 5);
         assertEquals(1002, history.current().number(), "a clock set back loses nothing");
-        assertSame(history.current(), history.commit(Map.of(new NodeId(2), 0.0), TableVersion.Cause.MODULE,
-                6));
+        assertSame(
+                history.current(),
+                history.commit(Map.of(new NodeId(2), 0.0), TableVersion.Cause.MODULE, 6));
     }
 }
--- a/src/test/java/rosespread/turn/DecisionLoopTest.java
+++ b/src/test/java/rosespread/turn/DecisionLoopTest.java
@@ -13,29 +13,34 @@
     private final Inbox inbox = new Inbox();
     private final AtomicInteger turns = new AtomicInteger();
     private final AtomicInteger lost = new AtomicInteger();
+
     /** Each look at the clock is half a second later. */
     private final AtomicLong clock = new AtomicLong();
 
     private DecisionLoop loop(java.util.function.LongUnaryOperator turn) {
-        return new DecisionLoop(inbox, turn, lost::incrementAndGet, () -> clock.addAndGet(SECOND / 2));
+        return new DecisionLoop(
+                inbox, turn, lost::incrementAndGet, () -> clock.addAndGet(SECOND / 2));
     }
 
     @Test
     @Timeout(20)
     void anErrorInAnEventOrATurnDoesNotEndIt() {
         DecisionLoop[] loop = new DecisionLoop[1];
-        loop[0] = loop(now -> {
-            if (turns.incrementAndGet() == 1) {
-                throw new OutOfMemoryError("on purpose");
-            }
-            if (turns.get() == 3) {
-                loop[0].stop();
-            }
-            return now;
-        });
-        inbox.put(now -> {
-            throw new NoClassDefFoundError("on purpose");
-        });
+        loop[0] =
+                loop(
+                        now -> {
+                            if (turns.incrementAndGet() == 1) {
+                                throw new OutOfMemoryError("on purpose");
+                            }
+                            if (turns.get() == 3) {
+                                loop[0].stop();
+                            }
+                            return now;
+                        });
+        inbox.put(
+                now -> {
+                    throw new NoClassDefFoundError("on purpose");
+                });
         loop[0].run();
         assertEquals(3, turns.get());
         assertEquals(0, lost.get());
@@ -45,12 +50,14 @@
     @Timeout(20)
     void turnsThatOnlyFailEndItAndItSaysSo() {
         DecisionLoop[] loop = new DecisionLoop[1];
-        loop[0] = loop(now -> {
-            if (turns.incrementAndGet() == 1000) {
-                loop[0].stop();
-            }
-            throw new IllegalStateException("on purpose");
-        });
+        loop[0] =
+                loop(
+                        now -> {
+                            if (turns.incrementAndGet() == 1000) {
+                                loop[0].stop();
+                            }
+                            throw new IllegalStateException("on purpose");
+                        });
         loop[0].run();
         assertTrue(turns.get() > 10 && turns.get() < 1000, turns + " turns");
         assertEquals(1, lost.get());
--- a/src/test/java/rosespread/turn/RoundsTest.java
+++ b/src/test/java/rosespread/turn/RoundsTest.java
@@ -14,31 +14,32 @@
     private final List<String> seen = new ArrayList<>();
     private boolean faulty;
     private boolean lost;
-    private final Rounds.Player player = new Rounds.Player() {
-        @Override
-        public void round(Feed feed) {
-            seen.add("round");
-            if (faulty) {
-                throw new StackOverflowError("on purpose");
-            }
-        }
+    private final Rounds.Player player =
+            new Rounds.Player() {
+                @Override
+                public void round(Feed feed) {
+                    seen.add("round");
+                    if (faulty) {
+                        throw new StackOverflowError("on purpose");
+                    }
+                }
 
-        @Override
-        public void faulted(Throwable fault) {
-            seen.add("faulted");
-            if (lost) {
-                throw new IllegalStateException("can't begin either");
-            }
-            rounds.begin();
-        }
-    };
+                @Override
+                public void faulted(Throwable fault) {
+                    seen.add("faulted");
+                    if (lost) {
+                        throw new IllegalStateException("can't begin either");
+                    }
+                    rounds.begin();
+                }
+            };
 
     @Test
     void whatComesTogetherIsOneRoundAndTheNextWaitsForTheGap() {
-        rounds.add(observer -> { });
-        rounds.add(observer -> { });
+        rounds.add(observer -> {});
+        rounds.add(observer -> {});
         assertEquals(Long.MAX_VALUE, rounds.turn(1000 * MILLI, player));
-        rounds.add(observer -> { });
+        rounds.add(observer -> {});
         assertEquals(1010 * MILLI, rounds.turn(1001 * MILLI, player));
         rounds.turn(1010 * MILLI, player);
         assertEquals(List.of("round", "round"), seen);
@@ -56,7 +57,7 @@
     @Test
     void aModuleThatThrowsBeginsAnewAfterAPause() {
         faulty = true;
-        rounds.add(observer -> { });
+        rounds.add(observer -> {});
         assertEquals(2000 * MILLI, rounds.turn(1000 * MILLI, player));
         faulty = false;
         rounds.turn(1999 * MILLI, player);
@@ -70,7 +71,7 @@
     void aModuleThatCannotBeginAnewIsBegunAgainLater() {
         faulty = true;
         lost = true;
-        rounds.add(observer -> { });
+        rounds.add(observer -> {});
         assertThrows(IllegalStateException.class, () -> rounds.turn(1000 * MILLI, player));
         rounds.turn(1500 * MILLI, player);
         assertEquals(List.of("round", "faulted"), seen);
