--- /dev/null
+++ b/src/test/java/rosespread/adapter/SimulatorWireTest.java
@@ -0,0 +1,238 @@
+package rosespread.adapter;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.dynatrace.hash4j.hashing.Hashing;
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import java.io.ByteArrayInputStream;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import rosespread.api.MethodId;
+import rosespread.api.NodeId;
+import rosespread.api.Orders;
+import rosespread.api.ProxyId;
+import rosespread.api.TableId;
+import rosespread.launch.LaunchException;
+
+/**
+ * Pins the simulator's wire: each action literally, the words for verdicts, lists and nodes, and by length and
+ * digest the replies to a fixed session of three conductors. The text of log lines is left out of the digest.
+ * The session orders neither a node withdrawn nor a level; these are pinned literally only.
+ */
+class SimulatorWireTest {
+    private static final String INFO = "{'azs':['a','b'],'kinds':['k','l'],'profiles':[{'name':'m',"
+            + "'effect':'safe','importance':1,'giveUp':2,'onlyKinds':['l'],'new':{}},"
+            + "{'name':'o','importance':3,'giveUp':2}],'membershipMode':'subscribe',"
+            + "'domain':{'channelRate':1000,'overhead':4,'queueCap':1500,'reportEvery':1,'throttleBy':'rps',"
+            + "'pushesAllowed':30,'countedOver':10,'pushDelayMax':0.5},"
+            + "'contract':{'stopSendingWithin':2,'cold':16,'coldShare':0.2,'overloadFor':1.5},"
+            + "'policyLimits':{'probes':true},'report':{'columns':['utilization']}}";
+
+    private final List<String> batches = new ArrayList<>();
+
+    private static String run(String input) throws IOException, WireException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        new Adapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        return out.toString(StandardCharsets.UTF_8);
+    }
+
+    // ---- actions and words ----
+
+    private static String written(Consumer<Orders> orders) throws IOException {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        try (JsonGenerator reply = new JsonFactory().createGenerator(bytes)) {
+            orders.accept(new Steps(3, reply));
+            Steps.fault(3, reply, "why");
+        }
+        return bytes.toString(StandardCharsets.UTF_8).replace('"', '\'').replace("} {", "}\n{") + "\n";
+    }
+
+    @Test
+    void eachActionLiterally() throws IOException {
+        assertEquals("""
+                {'msg':'Assign','conductorId':3,'tbl':1,'w':0.1,'node':4000000000}
+                {'msg':'Point','conductorId':3,'clientLb':2,'classBits':8589934593,'tbl':1}
+                {'msg':'Cordon','conductorId':3,'active':true,'node':7}
+                {'msg':'Admit','conductorId':3,'letIn':3.5,'secondTry':1,'tbl':1,'classBits':4}
+                {'msg':'Admit','conductorId':3,'letIn':1000000.0,'secondTry':1,'tbl':1,'classBits':1}
+                {'msg':'Mark','conductorId':3,'rev':9,'active':false}
+                {'msg':'Ping','conductorId':3,'node':7}
+                {'msg':'StreamChanges','conductorId':3,'active':true}
+                {'msg':'Arm','conductorId':3,'delay':1.5,'ctx':'round'}
+                {'msg':'Log','conductorId':3,'reasonText':'line'}
+                {'msg':'Fault','conductorId':3,'reasonText':'why'}
+                """, written(orders -> {
+            orders.line(new TableId(1), new NodeId(4_000_000_000L), 0.1);
+            orders.bind(new ProxyId(2), List.of(new MethodId(0), new MethodId(33)), new TableId(1));
+            orders.withdraw(new NodeId(7), true);
+            orders.level(new TableId(1), new MethodId(2), 3.5);
+            orders.level(new TableId(1), new MethodId(0), Double.POSITIVE_INFINITY);
+            orders.mark(9);
+            orders.probe(new NodeId(7));
+            orders.followList();
+            orders.wakeAfter(1_500_000_000L);
+            orders.log("line");
+        }));
+    }
+
+    /** Meanings by place, as the names of the constants are no part of the wire. */
+    @Test
+    void wordsForVerdictsListsAndNodes() throws LaunchException {
+        List<String> told = new ArrayList<>();
+        for (String word : List.of("delivered", "shed", "expired", "dial_failed", "dropped", "else")) {
+            told.add(String.valueOf(Words.verdict(word).ordinal()));
+        }
+        for (String word : List.of("Partial", "Complete", "Persisted", "Error")) {
+            told.add(String.valueOf(Words.listKind(word).ordinal()));
+        }
+        for (String word : List.of("ready", "draining", "gone")) {
+            told.add(String.valueOf(Words.state(word).ordinal()));
+        }
+        assertEquals("0 2 3 4 4 1 2 1 0 3 0 1 2", String.join(" ", told));
+        assertThrows(LaunchException.class, () -> Words.listKind("partial"));
+        assertThrows(LaunchException.class, () -> Words.state("Ready"));
+    }
+
+    // ---- a session ----
+
+    private void batch(double time, String... events) {
+        batches.add(("{'simTime':" + time + ",'msgs':[" + String.join(",", events) + "]}\n")
+                .replace('\'', '"'));
+    }
+
+    private static String event(String name, int conductor, String fields) {
+        return "{'msg':'" + name + "','conductorId':" + conductor + fields + "}";
+    }
+
+    private static String entry(int node, String state) {
+        return "{'w':1,'zone':'" + (node % 2 == 0 ? "a" : "b") + "','node':" + node + ",'lifecycle':'" + state
+                + "','cameUp':0,'kind':'" + (node % 3 == 0 ? "k" : "l") + "'}";
+    }
+
+    private static String list(int conductor, String kind, String... entries) {
+        return event("Topology", conductor, ",'rev':0,'kind':'" + kind + "','elements':["
+                + String.join(",", entries) + "]");
+    }
+
+    private static String launch(int conductor) {
+        String[] entries = new String[12];
+        for (int node = 0; node < entries.length; node++) {
+            entries[node] = entry(node, "ready");
+        }
+        return event("Launch", conductor, ",'nonce64':" + (5 + conductor) + ",'info':" + INFO) + ","
+                + list(conductor, "Persisted", entries);
+    }
+
+    private static String join(int conductor, int proxy) {
+        return event("Attached", conductor, ",'clientLb':" + proxy + ",'zone':'"
+                + (proxy % 2 == 0 ? "a" : "b") + "','w':" + (20 + proxy) + ",'active':true");
+    }
+
+    private void reports(double time, int sick) {
+        List<String> events = new ArrayList<>();
+        for (int node = 0; node < 12; node++) {
+            events.add(event("Digest", 0, ",'node':" + node + ",'zone':'a','count':50,'unanswered':"
+                    + (node == sick ? 50 : 0) + ",'costTime':0.02,'covers':1,'report':["
+                    + (0.4 + node / 10.0) + "]"));
+        }
+        for (int proxy = 0; proxy < 4; proxy++) {
+            events.add(event("OfferedLoad", 0, ",'clientLb':" + proxy
+                    + ",'category':'m','count':90,'covers':1"));
+            events.add(event("Installed", 0, ",'clientLb':" + proxy + ",'rev':1,'costTime':0.05"));
+        }
+        events.add(event("Wakeup", 0, ""));
+        batch(time, events.toArray(String[]::new));
+    }
+
+    private void session() {
+        batch(0);
+        batch(0.5, launch(0), launch(1));
+        batch(1, join(0, 0), join(0, 1), join(0, 2), join(0, 3), join(1, 0));
+        for (int i = 0; i < 8; i++) {
+            reports(2 + i, i > 2 ? 4 : -1);
+        }
+        batch(10.5, event("PingResult", 0, ",'node':4,'verdict':'dial_failed'"));
+        batch(11, list(0, "Partial", entry(5, "draining"), entry(6, "gone")), event("Unsubscribed", 0,
+                ",'clientLb':3"));
+        batch(12, event("PingResult", 0, ",'node':4,'verdict':'delivered'"), event("Wakeup", 0, ""));
+        reports(13, -1);
+        batch(14, list(0, "Error"), event("Detach", 1, ""));
+        batch(15, event("Wakeup", 1, ""), event("Wakeup", 0, ""), event("Novelty", 0, ""));
+        reports(16, -1);
+        drainWhileManyJoin();
+    }
+
+    /** Many proxies join at once, and a node leaves and comes back meanwhile. */
+    private void drainWhileManyJoin() {
+        batch(17, launch(2));
+        String[] joins = new String[45];
+        for (int proxy = 0; proxy < joins.length; proxy++) {
+            joins[proxy] = join(2, proxy);
+        }
+        batch(18, joins);
+        batch(18.1, list(2, "Partial", entry(5, "draining")));
+        batch(18.4, event("Wakeup", 2, ""));
+        batch(19, event("Wakeup", 2, ""));
+        batch(20, list(2, "Partial", entry(5, "ready")));
+        batch(22, event("Wakeup", 2, ""));
+        batch(30, event("Wakeup", 2, ""));
+    }
+
+    /** Whole replies but for the text of log lines: length and digest of each. */
+    private static String digests(String replies) {
+        StringBuilder all = new StringBuilder();
+        for (String reply : replies.split("\n")) {
+            String rest = reply.replaceAll("\"reasonText\":\"([^\"\\\\]|\\\\.)*\"", "\"reasonText\":\"\"");
+            all.append(rest.length()).append(' ').append(Long.toHexString(Hashing.xxh3_64()
+                    .hashBytesToLong(rest.getBytes(StandardCharsets.UTF_8)))).append('\n');
+        }
+        return all.toString();
+    }
+
+    @Test
+    void repliesToAFixedSession() throws IOException, WireException {
+        session();
+        String replies = run(String.join("", batches));
+        for (String action : List.of("Assign", "Point", "Mark", "Ping", "StreamChanges", "Arm")) {
+            assertTrue(replies.contains("\"msg\":\"" + action + "\""), "no " + action);
+        }
+        assertFalse(replies.contains("\"msg\":\"Fault\""), replies);
+        assertEquals("""
+                12 a7ab9ed818cd3d84
+                2559 241d39bccd959023
+                789 c73e6e3150923b97
+                1448 176ae3432d678eff
+                67 bc4f0bb9f29e130c
+                549 465b4f09e894384c
+                1456 c917a5e18972e38c
+                107 8cfb273fd0610cfb
+                153 c05a038e228db440
+                1900 5df179901c06eac8
+                107 8cfb273fd0610cfb
+                693 1a8c0154be4a1bfa
+                831 39203b8d2be242da
+                469 9d1d566968694cde
+                563 e591652ad5fafe1f
+                157 febd9e448a34bbc2
+                107 8cfb273fd0610cfb
+                1562 180129c4f6b3b6bb
+                1767 836ad2ee1249ffee
+                4629 ce572bf6981f4fba
+                3789 785571ce4601916d
+                237 51e6dda76883b003
+                773 26f466950960c958
+                12 a7ab9ed818cd3d84
+                549 97be287fe5876c6b
+                733 820802e2c9bc3f79
+                """, digests(replies));
+    }
+}
