--- /dev/null
+++ b/src/test/java/rosespread/policy/OrderEffects.java
@@ -0,0 +1,22 @@
+package rosespread.policy;
+
+/** What the simulated fleet does as the routing policy's orders reach it. */
+interface OrderEffects {
+    /** Sets a table's weight entry; weight 0 removes it. */
+    void weightEntry(int table, long node, double weight);
+
+    void fullTable(int proxy, int[] methods, int table);
+
+    void exclusion(long node, boolean excluded);
+
+    void admissionLimit(int table, int method, double limit);
+
+    /** Asks the proxies reached in this round for an acknowledgement. */
+    void acknowledgeWith(int mark);
+
+    void probe(long node);
+
+    void followNodeList();
+
+    void wakeAfter(long nanos);
+}
--- /dev/null
+++ b/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
@@ -0,0 +1,78 @@
+package rosespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import rosespread.policy.RecordingOrders.Count;
+
+/**
+ * Freezes the decisions of the routing policy to the last digit: the digest of all orders of seeded histories
+ * must stay as recorded. A refactoring leaves it as it is; a change of decisions records it anew and says so.
+ */
+class PolicyCharacterizationTest {
+    private static final long SEED = 20240;
+
+    @ParameterizedTest(name = "{0} {1}")
+    @CsvSource({
+        "RATE_LIMITED, MASS_RECONNECT, 61b32ed453977d8d",
+        "RATE_LIMITED, ROLLING_REPLACEMENT, 7cb802e9dffc29ec",
+        "RATE_LIMITED, OVERLOAD, 2bae97d0ea2d7c35",
+        "RATE_LIMITED, LOST_REPORTS, d17322fd8076d0e0",
+        "RATE_LIMITED, NODE_FAILURES, e6b512e4e638281d",
+        "RATE_LIMITED, POLICY_RESTART, 7d33be2d69f51389",
+        "RATE_LIMITED, CHURN, ee723ca1e4bdedee",
+        "RATE_LIMITED, SITE_RETURN, e809bcd12d8c24bd",
+        "RATE_LIMITED, UNSTEADY_NODES, 4b839e8ae3481b6b",
+        "RATE_LIMITED, SLOW_RAMPS, 4274b686f10edec2",
+        "ZONED, MASS_RECONNECT, c2b4f4c0403e99ee",
+        "ZONED, ROLLING_REPLACEMENT, 98f3cff65c7e67b5",
+        "ZONED, OVERLOAD, cc0387bc82ceffdb",
+        "ZONED, LOST_REPORTS, 9075eda3f0a26308",
+        "ZONED, NODE_FAILURES, ee42f727a4e5f3c6",
+        "ZONED, POLICY_RESTART, c458ebe8f1c6759b",
+        "ZONED, CHURN, 19def81767f25a59",
+        "ZONED, SITE_RETURN, e56a999d49cd9be0",
+        "ZONED, UNSTEADY_NODES, bb70f2ce3db25f69",
+        "ZONED, SLOW_RAMPS, 9a02d9120321a6ed",
+        "SLOW_CHANNEL, MASS_RECONNECT, 3ef5f3bce26e14e",
+        "SLOW_CHANNEL, ROLLING_REPLACEMENT, c0788277774ec371",
+        "SLOW_CHANNEL, OVERLOAD, 65db27f3cf735e33",
+        "SLOW_CHANNEL, LOST_REPORTS, 8551d483b222b53d",
+        "SLOW_CHANNEL, NODE_FAILURES, f6b66b0266fa27fb",
+        "SLOW_CHANNEL, POLICY_RESTART, a74b1445390173bb",
+        "SLOW_CHANNEL, CHURN, e8741e7f8ae6e778",
+        "SLOW_CHANNEL, SITE_RETURN, 3d7f5b1b931e4f95",
+        "SLOW_CHANNEL, UNSTEADY_NODES, aa50e0a6ab0828b9",
+        "SLOW_CHANNEL, SLOW_RAMPS, 456ff60433100b45",
+        "MANY_GROUPS, MASS_RECONNECT, 1511517b62552342",
+        "MANY_GROUPS, ROLLING_REPLACEMENT, c717b1d43cde980b",
+        "MANY_GROUPS, OVERLOAD, 88fcb08469e741a2",
+        "MANY_GROUPS, LOST_REPORTS, 4cf0fed431c653d1",
+        "MANY_GROUPS, NODE_FAILURES, 3a286252156cbb48",
+        "MANY_GROUPS, POLICY_RESTART, 553b584a07479850",
+        "MANY_GROUPS, CHURN, 34af2b5057059d32",
+        "MANY_GROUPS, SITE_RETURN, d2f44c349b130cf7",
+        "MANY_GROUPS, UNSTEADY_NODES, 4414373d547e0a34",
+        "MANY_GROUPS, SLOW_RAMPS, b0568e1698060f7"
+    })
+    void ordersStayAsRecorded(Deployment deployment, History history, String recorded) {
+        RecordingOrders orders = play(deployment, history);
+        for (Count count : history.reached()) {
+            assertTrue(orders.count(count) > 0 || !applies(deployment, count), count + " not reached");
+        }
+        assertEquals(recorded, Long.toHexString(orders.digest()));
+    }
+
+    /** Limits are set only where proxies heed them. */
+    private static boolean applies(Deployment deployment, Count count) {
+        return deployment != Deployment.SLOW_CHANNEL || count != Count.LIMITS && count != Count.LIMITS_LIFTED;
+    }
+
+    static RecordingOrders play(Deployment deployment, History history) {
+        FleetSimulator fleet = new FleetSimulator(deployment, SEED, () -> 0);
+        history.play(fleet);
+        return fleet.orders();
+    }
+}
--- /dev/null
+++ b/src/test/java/rosespread/policy/SimulatedProxy.java
@@ -0,0 +1,37 @@
+package rosespread.policy;
+
+/** A proxy of the simulated fleet: the tables it routes by and how it acknowledges. */
+final class SimulatedProxy {
+    /** How acknowledgements come back. */
+    enum Acknowledgement { PROMPT, LATE, NEVER }
+
+    final int id;
+    final int zone;
+    final double rate;
+    final SimulatedTable[] tables;
+    Acknowledgement acknowledgement = Acknowledgement.PROMPT;
+    boolean joined;
+    int session;
+    /** Lines written to it in this round. */
+    int written;
+
+    SimulatedProxy(int id, int zone, double rate, int methods) {
+        this.id = id;
+        this.zone = zone;
+        this.rate = rate;
+        this.tables = new SimulatedTable[methods];
+    }
+
+    boolean follows(SimulatedTable table) {
+        for (SimulatedTable own : tables) {
+            if (own == table) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    boolean hasTables() {
+        return tables[0] != null;
+    }
+}
