--- a/src/test/java/rosespread/adapter/SimulatorWireTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorWireTest.java
@@ -24,18 +24,20 @@
 import rosespread.launch.LaunchException;
 
 /**
- * Pins the simulator's wire: each action literally, the words for verdicts, lists and nodes, and by length and
- * digest the replies to a fixed session of three conductors. The text of log lines is left out of the digest.
- * The session orders neither a node withdrawn nor a level; these are pinned literally only.
+ * Pins the simulator's wire: each action literally, the words for verdicts, lists and nodes, and by
+ * length and digest the replies to a fixed session of three conductors. The text of log lines is
+ * left out of the digest. The session orders neither a node withdrawn nor a level; these are pinned
+ * literally only.
  */
 class SimulatorWireTest {
-    private static final String INFO = "{'azs':['a','b'],'kinds':['k','l'],'profiles':[{'name':'m',"
-            + "'effect':'safe','importance':1,'giveUp':2,'onlyKinds':['l'],'new':{}},"
-            + "{'name':'o','importance':3,'giveUp':2}],'membershipMode':'subscribe',"
-            + "'domain':{'channelRate':1000,'overhead':4,'queueCap':1500,'reportEvery':1,'throttleBy':'rps',"
-            + "'pushesAllowed':30,'countedOver':10,'pushDelayMax':0.5},"
-            + "'contract':{'stopSendingWithin':2,'cold':16,'coldShare':0.2,'overloadFor':1.5},"
-            + "'policyLimits':{'probes':true},'report':{'columns':['utilization']}}";
+    private static final String INFO =
+            "{'azs':['a','b'],'kinds':['k','l'],'profiles':[{'name':'m',"
+                    + "'effect':'safe','importance':1,'giveUp':2,'onlyKinds':['l'],'new':{}},"
+                    + "{'name':'o','importance':3,'giveUp':2}],'membershipMode':'subscribe',"
+                    + "'domain':{'channelRate':1000,'overhead':4,'queueCap':1500,'reportEvery':1,'throttleBy':'rps',"
+                    + "'pushesAllowed':30,'countedOver':10,'pushDelayMax':0.5},"
+                    + "'contract':{'stopSendingWithin':2,'cold':16,'coldShare':0.2,'overloadFor':1.5},"
+                    + "'policyLimits':{'probes':true},'report':{'columns':['utilization']}}";
 
     private final List<String> batches = new ArrayList<>();
 
@@ -53,12 +55,14 @@
             orders.accept(new Steps(3, reply));
             Steps.fault(3, reply, "why");
         }
-        return bytes.toString(StandardCharsets.UTF_8).replace('"', '\'').replace("} {", "}\n{") + "\n";
+        return bytes.toString(StandardCharsets.UTF_8).replace('"', '\'').replace("} {", "}\n{")
+                + "\n";
     }
 
     @Test
     void eachActionLiterally() throws IOException {
-        assertEquals("""
+        assertEquals(
+                """
                 {'msg':'Assign','conductorId':3,'tbl':1,'w':0.1,'node':4000000000}
                 {'msg':'Point','conductorId':3,'clientLb':2,'classBits':8589934593,'tbl':1}
                 {'msg':'Cordon','conductorId':3,'active':true,'node':7}
@@ -70,25 +74,31 @@
                 {'msg':'Arm','conductorId':3,'delay':1.5,'ctx':'round'}
                 {'msg':'Log','conductorId':3,'reasonText':'line'}
                 {'msg':'Fault','conductorId':3,'reasonText':'why'}
-                """, written(orders -> {
-            orders.line(new TableId(1), new NodeId(4_000_000_000L), 0.1);
-            orders.bind(new ProxyId(2), List.of(new MethodId(0), new MethodId(33)), new TableId(1));
-            orders.withdraw(new NodeId(7), true);
-            orders.level(new TableId(1), new MethodId(2), 3.5);
-            orders.level(new TableId(1), new MethodId(0), Double.POSITIVE_INFINITY);
-            orders.mark(9);
-            orders.probe(new NodeId(7));
-            orders.followList();
-            orders.wakeAfter(1_500_000_000L);
-            orders.log("line");
-        }));
+                """,
+                written(
+                        orders -> {
+                            orders.line(new TableId(1), new NodeId(4_000_000_000L), 0.1);
+                            orders.bind(
+                                    new ProxyId(2),
+                                    List.of(new MethodId(0), new MethodId(33)),
+                                    new TableId(1));
+                            orders.withdraw(new NodeId(7), true);
+                            orders.level(new TableId(1), new MethodId(2), 3.5);
+                            orders.level(new TableId(1), new MethodId(0), Double.POSITIVE_INFINITY);
+                            orders.mark(9);
+                            orders.probe(new NodeId(7));
+                            orders.followList();
+                            orders.wakeAfter(1_500_000_000L);
+                            orders.log("line");
+                        }));
     }
 
     /** Meanings by place, as the names of the constants are no part of the wire. */
     @Test
     void wordsForVerdictsListsAndNodes() throws LaunchException {
         List<String> told = new ArrayList<>();
-        for (String word : List.of("delivered", "shed", "expired", "dial_failed", "dropped", "else")) {
+        for (String word :
+                List.of("delivered", "shed", "expired", "dial_failed", "dropped", "else")) {
             told.add(String.valueOf(Words.verdict(word).ordinal()));
         }
         for (String word : List.of("Partial", "Complete", "Persisted", "Error")) {
@@ -105,8 +115,9 @@
     // ---- a session ----
 
     private void batch(double time, String... events) {
-        batches.add(("{'simTime':" + time + ",'msgs':[" + String.join(",", events) + "]}\n")
-                .replace('\'', '"'));
+        batches.add(
+                ("{'simTime':" + time + ",'msgs':[" + String.join(",", events) + "]}\n")
+                        .replace('\'', '"'));
     }
 
     private static String event(String name, int conductor, String fields) {
@@ -114,13 +125,22 @@
     }
 
     private static String entry(int node, String state) {
-        return "{'w':1,'zone':'" + (node % 2 == 0 ? "a" : "b") + "','node':" + node + ",'lifecycle':'" + state
-                + "','cameUp':0,'kind':'" + (node % 3 == 0 ? "k" : "l") + "'}";
+        return "{'w':1,'zone':'"
+                + (node % 2 == 0 ? "a" : "b")
+                + "','node':"
+                + node
+                + ",'lifecycle':'"
+                + state
+                + "','cameUp':0,'kind':'"
+                + (node % 3 == 0 ? "k" : "l")
+                + "'}";
     }
 
     private static String list(int conductor, String kind, String... entries) {
-        return event("Topology", conductor, ",'rev':0,'kind':'" + kind + "','elements':["
-                + String.join(",", entries) + "]");
+        return event(
+                "Topology",
+                conductor,
+                ",'rev':0,'kind':'" + kind + "','elements':[" + String.join(",", entries) + "]");
     }
 
     private static String launch(int conductor) {
@@ -128,25 +148,45 @@
         for (int node = 0; node < entries.length; node++) {
             entries[node] = entry(node, "ready");
         }
-        return event("Launch", conductor, ",'nonce64':" + (5 + conductor) + ",'info':" + INFO) + ","
+        return event("Launch", conductor, ",'nonce64':" + (5 + conductor) + ",'info':" + INFO)
+                + ","
                 + list(conductor, "Persisted", entries);
     }
 
     private static String join(int conductor, int proxy) {
-        return event("Attached", conductor, ",'clientLb':" + proxy + ",'zone':'"
-                + (proxy % 2 == 0 ? "a" : "b") + "','w':" + (20 + proxy) + ",'active':true");
+        return event(
+                "Attached",
+                conductor,
+                ",'clientLb':"
+                        + proxy
+                        + ",'zone':'"
+                        + (proxy % 2 == 0 ? "a" : "b")
+                        + "','w':"
+                        + (20 + proxy)
+                        + ",'active':true");
     }
 
     private void reports(double time, int sick) {
         List<String> events = new ArrayList<>();
         for (int node = 0; node < 12; node++) {
-            events.add(event("Digest", 0, ",'node':" + node + ",'zone':'a','count':50,'unanswered':"
-                    + (node == sick ? 50 : 0) + ",'costTime':0.02,'covers':1,'report':["
-                    + (0.4 + node / 10.0) + "]"));
+            events.add(
+                    event(
+                            "Digest",
+                            0,
+                            ",'node':"
+                                    + node
+                                    + ",'zone':'a','count':50,'unanswered':"
+                                    + (node == sick ? 50 : 0)
+                                    + ",'costTime':0.02,'covers':1,'report':["
+                                    + (0.4 + node / 10.0)
+                                    + "]"));
         }
         for (int proxy = 0; proxy < 4; proxy++) {
-            events.add(event("OfferedLoad", 0, ",'clientLb':" + proxy
-                    + ",'category':'m','count':90,'covers':1"));
+            events.add(
+                    event(
+                            "OfferedLoad",
+                            0,
+                            ",'clientLb':" + proxy + ",'category':'m','count':90,'covers':1"));
             events.add(event("Installed", 0, ",'clientLb':" + proxy + ",'rev':1,'costTime':0.05"));
         }
         events.add(event("Wakeup", 0, ""));
@@ -161,9 +201,14 @@
             reports(2 + i, i > 2 ? 4 : -1);
         }
         batch(10.5, event("PingResult", 0, ",'node':4,'verdict':'dial_failed'"));
-        batch(11, list(0, "Partial", entry(5, "draining"), entry(6, "gone")), event("Unsubscribed", 0,
-                ",'clientLb':3"));
-        batch(12, event("PingResult", 0, ",'node':4,'verdict':'delivered'"), event("Wakeup", 0, ""));
+        batch(
+                11,
+                list(0, "Partial", entry(5, "draining"), entry(6, "gone")),
+                event("Unsubscribed", 0, ",'clientLb':3"));
+        batch(
+                12,
+                event("PingResult", 0, ",'node':4,'verdict':'delivered'"),
+                event("Wakeup", 0, ""));
         reports(13, -1);
         batch(14, list(0, "Error"), event("Detach", 1, ""));
         batch(15, event("Wakeup", 1, ""), event("Wakeup", 0, ""), event("Novelty", 0, ""));
@@ -191,9 +236,17 @@
     private static String digests(String replies) {
         StringBuilder all = new StringBuilder();
         for (String reply : replies.split("\n")) {
-            String rest = reply.replaceAll("\"reasonText\":\"([^\"\\\\]|\\\\.)*\"", "\"reasonText\":\"\"");
-            all.append(rest.length()).append(' ').append(Long.toHexString(Hashing.xxh3_64()
-                    .hashBytesToLong(rest.getBytes(StandardCharsets.UTF_8)))).append('\n');
+            String rest =
+                    reply.replaceAll(
+                            "\"reasonText\":\"([^\"\\\\]|\\\\.)*\"", "\"reasonText\":\"\"");
+            all.append(rest.length())
+                    .append(' ')
+                    .append(
+                            Long.toHexString(
+                                    Hashing.xxh3_64()
+                                            .hashBytesToLong(
+                                                    rest.getBytes(StandardCharsets.UTF_8))))
+                    .append('\n');
         }
         return all.toString();
     }
@@ -206,7 +259,8 @@
             assertTrue(replies.contains("\"msg\":\"" + action + "\""), "no " + action);
         }
         assertFalse(replies.contains("\"msg\":\"Fault\""), replies);
-        assertEquals("""
+        assertEquals(
+                """
                 12 a7ab9ed818cd3d84
                 2559 241d39bccd959023
                 789 c73e6e3150923b97
@@ -233,6 +287,7 @@
                 12 a7ab9ed818cd3d84
                 549 97be287fe5876c6b
                 733 820802e2c9bc3f79
-                """, digests(replies));
+                """,
+                digests(replies));
     }
 }
--- a/src/test/java/rosespread/channel/FrameBytesTest.java
+++ b/src/test/java/rosespread/channel/FrameBytesTest.java
@@ -12,18 +12,22 @@
 import rosespread.api.TableId;
 
 /**
- * Pins the bytes of one frame of each kind in hexadecimal digits. The packed frame also pins what this version
- * of the Zstandard library makes of it.
+ * Pins the bytes of one frame of each kind in hexadecimal digits. The packed frame also pins what
+ * this version of the Zstandard library makes of it.
  */
 class FrameBytesTest {
     private static final NodeId NODE = new NodeId(0x0102030405060708L);
     private static final TableId TABLE = new TableId(0x0a0b);
-    private static final List<Frame.Line> LINES = List.of(new Frame.Line(NODE, 1.5),
-            new Frame.Line(new NodeId(-1), 0));
-    private static final List<Frame.Level> LEVELS = List.of(
-            new Frame.Level(new MethodId(0), 0.25, Frame.Tries.NONE),
-            new Frame.Level(new MethodId(1), 2, Frame.Tries.AFTER_PROOF),
-            new Frame.Level(new MethodId(31), Double.POSITIVE_INFINITY, Frame.Tries.AFTER_ANY_FAILURE));
+    private static final List<Frame.Line> LINES =
+            List.of(new Frame.Line(NODE, 1.5), new Frame.Line(new NodeId(-1), 0));
+    private static final List<Frame.Level> LEVELS =
+            List.of(
+                    new Frame.Level(new MethodId(0), 0.25, Frame.Tries.NONE),
+                    new Frame.Level(new MethodId(1), 2, Frame.Tries.AFTER_PROOF),
+                    new Frame.Level(
+                            new MethodId(31),
+                            Double.POSITIVE_INFINITY,
+                            Frame.Tries.AFTER_ANY_FAILURE));
 
     private static String hex(byte[] bytes) {
         return HexFormat.of().formatHex(bytes);
@@ -32,11 +36,20 @@
     private static Map<String, Frame> frames() {
         Map<String, Frame> all = new TreeMap<>();
         all.put("hello", new Frame.Hello(Frame.VERSION, "c-1", List.of("quote", "b\u00fc")));
-        all.put("join", new Frame.Join("p", "a", 5.5, true, List.of(new Frame.Holding(TABLE, 1024))));
+        all.put(
+                "join",
+                new Frame.Join("p", "a", 5.5, true, List.of(new Frame.Holding(TABLE, 1024))));
         all.put("join of a fresh proxy", new Frame.Join("p", "a", 1));
         all.put("node", new Frame.Node(NODE, "127.0.0.1", 40_000, "b"));
-        all.put("bind", new Frame.Bind(TABLE, 3, 0x1122334455667788L,
-                List.of(new MethodId(0), new MethodId(31)), LINES, LEVELS));
+        all.put(
+                "bind",
+                new Frame.Bind(
+                        TABLE,
+                        3,
+                        0x1122334455667788L,
+                        List.of(new MethodId(0), new MethodId(31)),
+                        LINES,
+                        LEVELS));
         all.put("lines", new Frame.Lines(TABLE, 3, 4, -2, LINES));
         all.put("missed", new Frame.Missed(TABLE, 7));
         all.put("withdraw", new Frame.Withdraw(NODE, true));
@@ -44,8 +57,12 @@
         all.put("levels", new Frame.Levels(TABLE, LEVELS));
         all.put("mark", new Frame.Mark(5, 4, 12, 120, 99_000));
         all.put("installed", new Frame.Installed(5));
-        all.put("sums", new Frame.Sums(1_000_000, List.of(new Frame.Sum(NODE, 9, 2, 0.125, Double.NaN))));
-        all.put("offered", new Frame.Offered(500_000, List.of(new Frame.Count(new MethodId(1), 77))));
+        all.put(
+                "sums",
+                new Frame.Sums(1_000_000, List.of(new Frame.Sum(NODE, 9, 2, 0.125, Double.NaN))));
+        all.put(
+                "offered",
+                new Frame.Offered(500_000, List.of(new Frame.Count(new MethodId(1), 77))));
         all.put("keep alive", new Frame.KeepAlive(8, true));
         for (Frame.Reason reason : Frame.Reason.values()) {
             all.put("close " + reason.ordinal(), new Frame.Close(reason, "r"));
@@ -56,9 +73,14 @@
     @Test
     void oneFrameOfEachKind() {
         StringBuilder all = new StringBuilder();
-        frames().forEach((name, frame) -> all.append(name).append(": ").append(hex(FrameWriter.bytes(frame)))
-                .append('\n'));
-        assertEquals("""
+        frames().forEach(
+                        (name, frame) ->
+                                all.append(name)
+                                        .append(": ")
+                                        .append(hex(FrameWriter.bytes(frame)))
+                                        .append('\n'));
+        assertEquals(
+                """
                 bind: 0000005b04000a0b00000000000000031122334455667788800000010000000201020304050607083ff8000\
                 000000000ffffffffffffffff000000000000000003003fd000000000000000014000000000000000011f7ff00000\
                 0000000002
@@ -87,20 +109,23 @@
                 000000000
                 withdraw: 0000000b0600010203040506070801
                 withdraw, back: 0000000b0600010203040506070800
-                """, all.toString());
+                """,
+                all.toString());
     }
 
     @Test
     void longTextIsCut() {
-        String hex = hex(FrameWriter.bytes(new Frame.Close(Frame.Reason.FULL, "\u00e9".repeat(200))));
+        String hex =
+                hex(FrameWriter.bytes(new Frame.Close(Frame.Reason.FULL, "\u00e9".repeat(200))));
         assertEquals("000001020d0008fe" + "c3a9".repeat(127), hex);
     }
 
     @Test
     void packedFrames() {
         byte[] frames = FrameWriter.bytes(new Frame.Hello(1, "abcd".repeat(40), List.of()));
-        assertEquals("000000240f00000000aa28b52ffd20aaad000070"
-                + "000000a601000001a0616263640001009929f705",
+        assertEquals(
+                "000000240f00000000aa28b52ffd20aaad000070"
+                        + "000000a601000001a0616263640001009929f705",
                 hex(FrameWriter.packed(frames)));
     }
 }
--- a/src/test/java/rosespread/conductor/ChannelBytesTest.java
+++ b/src/test/java/rosespread/conductor/ChannelBytesTest.java
@@ -28,9 +28,10 @@
 import rosespread.store.Image;
 
 /**
- * Pins by length and digest the bytes that the conductor writes on the project's own channel for a fixed row
- * of scripted rounds, stream by stream: greetings, whole tables plain and packed, deltas, levels, nodes
- * withdrawn and let in again, marks, missed deltas, versions gone back to, closed streams.
+ * Pins by length and digest the bytes that the conductor writes on the project's own channel for a
+ * fixed row of scripted rounds, stream by stream: greetings, whole tables plain and packed, deltas,
+ * levels, nodes withdrawn and let in again, marks, missed deltas, versions gone back to, closed
+ * streams.
  */
 class ChannelBytesTest {
     private static final long MILLI = 1_000_000L;
@@ -38,7 +39,7 @@
 
     private final List<ListedNode> nodes = new ArrayList<>();
     private final Map<String, ByteArrayOutputStream> streams = new TreeMap<>();
-    private Consumer<Orders> script = orders -> { };
+    private Consumer<Orders> script = orders -> {};
     private long now = 1_000_000 * MILLI;
     private Core core;
 
@@ -77,25 +78,32 @@
                 return (time, feed, orders) -> {
                     feed.to(new SilentObserver());
                     Consumer<Orders> once = script;
-                    script = o -> { };
+                    script = o -> {};
                     once.accept(orders);
                 };
             }
 
             @Override
-            public void probe(ListedNode node) { }
+            public void probe(ListedNode node) {}
 
             @Override
-            public void followList() { }
+            public void followList() {}
         };
     }
 
     @BeforeEach
     void begin() throws SettingsException {
-        core = new Core(world(), new Gate(), new Book(new MemoryLog(Image.EMPTY)),
-                () -> 1_700_000_000_000L + now / MILLI);
-        core.apply(now, SettingsReader.read(SettingsTest.GOOD.replace("\"linesPerSecond\":1000",
-                "\"linesPerSecond\":100000")));
+        core =
+                new Core(
+                        world(),
+                        new Gate(),
+                        new Book(new MemoryLog(Image.EMPTY)),
+                        () -> 1_700_000_000_000L + now / MILLI);
+        core.apply(
+                now,
+                SettingsReader.read(
+                        SettingsTest.GOOD.replace(
+                                "\"linesPerSecond\":1000", "\"linesPerSecond\":100000")));
         for (int i = 0; i < NODES; i++) {
             nodes.add(node(i, Observer.NodeState.READY));
         }
@@ -105,12 +113,20 @@
 
     private static ListedNode node(int i, Observer.NodeState state) {
         String host = "10.0.0." + i;
-        return new ListedNode(ListedNode.id("n" + i, host, 80), "n" + i, host, 80, i % 2 == 0 ? "a" : "b", "k",
-                1, state, 0);
+        return new ListedNode(
+                ListedNode.id("n" + i, host, 80),
+                "n" + i,
+                host,
+                80,
+                i % 2 == 0 ? "a" : "b",
+                "k",
+                1,
+                state,
+                0);
     }
 
     private void pass(long millis) {
-        for (long end = now + millis * MILLI; now < end;) {
+        for (long end = now + millis * MILLI; now < end; ) {
             now += 5 * MILLI;
             core.turn(now);
         }
@@ -122,7 +138,8 @@
         pass(60);
     }
 
-    private Link join(String stream, String proxy, String zone, boolean unpacks, Frame.Holding... held) {
+    private Link join(
+            String stream, String proxy, String zone, boolean unpacks, Frame.Holding... held) {
         Link link = core.opened(now, new Stream(stream));
         core.frame(now, link, new Frame.Hello(Frame.VERSION, proxy, List.of()));
         core.frame(now, link, new Frame.Join(proxy, zone, 5, unpacks, List.of(held)));
@@ -156,9 +173,17 @@
 
     private String digests() {
         StringBuilder all = new StringBuilder();
-        streams.forEach((name, bytes) -> all.append(name).append(": ").append(bytes.size()).append(' ')
-                .append(Long.toHexString(Hashing.xxh3_64().hashBytesToLong(bytes.toByteArray())))
-                .append('\n'));
+        streams.forEach(
+                (name, bytes) ->
+                        all.append(name)
+                                .append(": ")
+                                .append(bytes.size())
+                                .append(' ')
+                                .append(
+                                        Long.toHexString(
+                                                Hashing.xxh3_64()
+                                                        .hashBytesToLong(bytes.toByteArray())))
+                                .append('\n'));
         return all.toString();
     }
 
@@ -166,45 +191,50 @@
         join("p0 plain", "p0", "a", false);
         join("p1 unpacks", "p1", "b", true);
         join("p2 two tables", "p2", "a", true, new Frame.Holding(new TableId(2), 5));
-        order(orders -> {
-            for (int node = 0; node < NODES; node++) {
-                line(orders, 1, node, 1);
-            }
-            for (int node = 0; node < 6; node++) {
-                line(orders, 2, node, 1 + node / 8.0);
-            }
-            level(orders, 1, 0, Double.POSITIVE_INFINITY);
-            level(orders, 2, 1, 12.5);
-            bind(orders, 0, 1, 0, 1);
-            bind(orders, 1, 1, 0, 1);
-            bind(orders, 2, 1, 0);
-            bind(orders, 2, 2, 1);
-            orders.mark(1);
-        });
+        order(
+                orders -> {
+                    for (int node = 0; node < NODES; node++) {
+                        line(orders, 1, node, 1);
+                    }
+                    for (int node = 0; node < 6; node++) {
+                        line(orders, 2, node, 1 + node / 8.0);
+                    }
+                    level(orders, 1, 0, Double.POSITIVE_INFINITY);
+                    level(orders, 2, 1, 12.5);
+                    bind(orders, 0, 1, 0, 1);
+                    bind(orders, 1, 1, 0, 1);
+                    bind(orders, 2, 1, 0);
+                    bind(orders, 2, 2, 1);
+                    orders.mark(1);
+                });
     }
 
     private void changes() {
-        order(orders -> {
-            line(orders, 1, 3, 0.75);
-            line(orders, 1, 4, 0);
-            line(orders, 2, 7, 1.25);
-            orders.mark(2);
-        });
-        order(orders -> {
-            furtherTries(orders, 0, Frame.Tries.AFTER_ANY_FAILURE);
-            level(orders, 1, 0, 40);
-            level(orders, 1, 1, 0);
-        });
+        order(
+                orders -> {
+                    line(orders, 1, 3, 0.75);
+                    line(orders, 1, 4, 0);
+                    line(orders, 2, 7, 1.25);
+                    orders.mark(2);
+                });
+        order(
+                orders -> {
+                    furtherTries(orders, 0, Frame.Tries.AFTER_ANY_FAILURE);
+                    level(orders, 1, 0, 40);
+                    level(orders, 1, 1, 0);
+                });
         order(orders -> orders.withdraw(id(3), true));
-        order(orders -> {
-            bind(orders, 1, 2, 0, 1);
-            orders.mark(3);
-        });
-        order(orders -> {
-            orders.withdraw(id(3), false);
-            line(orders, 1, 3, 1);
-            orders.mark(4);
-        });
+        order(
+                orders -> {
+                    bind(orders, 1, 2, 0, 1);
+                    orders.mark(3);
+                });
+        order(
+                orders -> {
+                    orders.withdraw(id(3), false);
+                    line(orders, 1, 3, 1);
+                    orders.mark(4);
+                });
     }
 
     private void recovery(Link missing) {
@@ -216,10 +246,11 @@
         core.list(now, nodes);
         pass(300);
         join("p0 second stream", "p0", "a", true);
-        order(orders -> {
-            bind(orders, 0, 1, 0);
-            bind(orders, 0, 2, 1);
-        });
+        order(
+                orders -> {
+                    bind(orders, 0, 1, 0);
+                    bind(orders, 0, 2, 1);
+                });
         core.frame(now, missing, new Frame.KeepAlive(3, false));
         pass(3000);
     }
@@ -231,12 +262,14 @@
         order(orders -> bind(orders, 3, 1, 0, 1));
         changes();
         recovery(late);
-        assertEquals("""
+        assertEquals(
+                """
                 p0 plain: 5770 21666727d38d06
                 p0 second stream: 2241 b875dbec6cccf447
                 p1 unpacks: 2699 945e44b14bb1ab1b
                 p2 two tables: 2730 2a1836650e8061c6
                 p3 late: 7840 faab9d5fb80f41b8
-                """, digests());
+                """,
+                digests());
     }
 }
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -58,12 +58,14 @@
 import rosespread.table.TableVersion;
 
 /**
- * A state directory that an earlier version wrote is restored as it was, a damaged one is treated as it was,
- * and what is written now has the form that it had. The directory is the test resource {@code stored/v1}: a
- * whole process wrote it over two restarts. Expected values are the recorded ones, never computed anew.
+ * A state directory that an earlier version wrote is restored as it was, a damaged one is treated
+ * as it was, and what is written now has the form that it had. The directory is the test resource
+ * {@code stored/v1}: a whole process wrote it over two restarts. Expected values are the recorded
+ * ones, never computed anew.
  */
 class StoredStateTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    private static final InetSocketAddress ANY =
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final String TABLES = "tables-000003.log";
     private static final String REWRITTEN = "tables-000004.log";
     private static final String AUDIT = "audit.log";
@@ -76,14 +78,16 @@
     private static final long WALL = 1_700_000_000_000L;
     private static final NodeId LOW = new NodeId(3);
     private static final NodeId HIGH = new NodeId(-2);
+
     /** Bytes of the last entry of the tables file. */
     private static final int LAST_ENTRY = 148;
-    private static final Logger ROOT = (Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
+
+    private static final Logger ROOT =
+            (Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
 
     private final ListAppender<ILoggingEvent> logged = new ListAppender<>();
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     @BeforeEach
     void copy() throws IOException {
@@ -101,13 +105,16 @@
 
     /** Warnings and errors that name the folder. */
     private List<String> warned() {
-        return List.copyOf(logged.list).stream().filter(e -> e.getLevel().isGreaterOrEqual(Level.WARN))
+        return List.copyOf(logged.list).stream()
+                .filter(e -> e.getLevel().isGreaterOrEqual(Level.WARN))
                 .map(e -> e.getLevel() + " " + e.getFormattedMessage())
-                .filter(text -> text.contains(folder.toString())).toList();
+                .filter(text -> text.contains(folder.toString()))
+                .toList();
     }
 
     private static byte[] resource(String name) throws IOException {
-        try (InputStream in = StoredStateTest.class.getResourceAsStream("/rosespread/stored/" + name)) {
+        try (InputStream in =
+                StoredStateTest.class.getResourceAsStream("/rosespread/stored/" + name)) {
             return in.readAllBytes();
         }
     }
@@ -130,7 +137,7 @@
     }
 
     private TableStore store(Path at) {
-        return new TableStore(at, Sink.DISK, () -> WALL, () -> { });
+        return new TableStore(at, Sink.DISK, () -> WALL, () -> {});
     }
 
     private Image restored() throws IOException {
@@ -158,13 +165,30 @@
     private static String tables(Image image) {
         StringBuilder all = new StringBuilder();
         for (TableImage table : image.tables()) {
-            all.append(table.hold().name()).append(" to ").append(table.to()).append(" kept ")
-                    .append(table.kept()).append(" pending ").append(weights(table.pending())).append('\n');
+            all.append(table.hold().name())
+                    .append(" to ")
+                    .append(table.to())
+                    .append(" kept ")
+                    .append(table.kept())
+                    .append(" pending ")
+                    .append(weights(table.pending()))
+                    .append('\n');
             for (TableVersion v : table.versions()) {
-                all.append("  ").append(v.table().value()).append(" version ").append(v.number())
-                        .append(" after ").append(v.parent()).append(' ').append(v.cause().name())
-                        .append(" at ").append(v.atMillis()).append(' ').append(Long.toHexString(v.digest()))
-                        .append(' ').append(weights(v.lines())).append('\n');
+                all.append("  ")
+                        .append(v.table().value())
+                        .append(" version ")
+                        .append(v.number())
+                        .append(" after ")
+                        .append(v.parent())
+                        .append(' ')
+                        .append(v.cause().name())
+                        .append(" at ")
+                        .append(v.atMillis())
+                        .append(' ')
+                        .append(Long.toHexString(v.digest()))
+                        .append(' ')
+                        .append(weights(v.lines()))
+                        .append('\n');
             }
         }
         return all.toString();
@@ -178,17 +202,34 @@
 
     @Test
     void restoresDrains() throws IOException {
-        assertEquals(List.of("4be6ebe71f0b0a3f n1 true 1 ana drain-n1 1796224304835",
-                "6a284bbb7df2b3a6 n2 true 2 bo drain-n2 1796224304923",
-                "6a284bbb7df2b3a6 n2 false 3 ana undrain-n2 1796224305011",
-                "d01772803416568a n5 true 4 ana drain-n5 1796224308302",
-                "5d8619fdc4715e n4 false 5 unnamed own-1796224305712-3 1796224308389"),
+        assertEquals(
+                List.of(
+                        "4be6ebe71f0b0a3f n1 true 1 ana drain-n1 1796224304835",
+                        "6a284bbb7df2b3a6 n2 true 2 bo drain-n2 1796224304923",
+                        "6a284bbb7df2b3a6 n2 false 3 ana undrain-n2 1796224305011",
+                        "d01772803416568a n5 true 4 ana drain-n5 1796224308302",
+                        "5d8619fdc4715e n4 false 5 unnamed own-1796224305712-3 1796224308389"),
                 drains(restored().drains()));
     }
 
     private static List<String> drains(List<Drain> drains) {
-        return drains.stream().map(d -> Long.toHexString(d.node().value()) + " " + d.name() + " " + d.on()
-                + " " + d.stamp() + " " + d.by() + " " + d.call() + " " + d.atMillis()).toList();
+        return drains.stream()
+                .map(
+                        d ->
+                                Long.toHexString(d.node().value())
+                                        + " "
+                                        + d.name()
+                                        + " "
+                                        + d.on()
+                                        + " "
+                                        + d.stamp()
+                                        + " "
+                                        + d.by()
+                                        + " "
+                                        + d.call()
+                                        + " "
+                                        + d.atMillis())
+                .toList();
     }
 
     @Test
@@ -207,12 +248,13 @@
         assertEquals("bo", saved.by());
         assertEquals("settings-2", saved.call());
         assertEquals(1796224299644L, saved.atMillis());
-        assertEquals("{\"zones\":[\"a\",\"b\"],\"kinds\":[\"k\"],\"methods\":[{\"name\":\"quote\","
-                + "\"criticality\":1},{\"name\":\"book\",\"criticality\":3,\"onlyKinds\":[]}],"
-                + "\"list\":{\"port\":8500,\"service\":\"nodes\"},\"levels\":\"rate\","
-                + "\"channel\":{\"linesPerSecond\":20000,\"linesPerMessage\":10,\"queueLimit\":30000,"
-                + "\"messageLimit\":30},\"reportPeriodMs\":1000,\"seed\":7,\"drainLeastShare\":0.3,"
-                + "\"drainGraceMs\":2000,\"cold\":{\"timeMs\":16000,\"share\":0.2,\"windowMs\":1500}}",
+        assertEquals(
+                "{\"zones\":[\"a\",\"b\"],\"kinds\":[\"k\"],\"methods\":[{\"name\":\"quote\","
+                        + "\"criticality\":1},{\"name\":\"book\",\"criticality\":3,\"onlyKinds\":[]}],"
+                        + "\"list\":{\"port\":8500,\"service\":\"nodes\"},\"levels\":\"rate\","
+                        + "\"channel\":{\"linesPerSecond\":20000,\"linesPerMessage\":10,\"queueLimit\":30000,"
+                        + "\"messageLimit\":30},\"reportPeriodMs\":1000,\"seed\":7,\"drainLeastShare\":0.3,"
+                        + "\"drainGraceMs\":2000,\"cold\":{\"timeMs\":16000,\"share\":0.2,\"windowMs\":1500}}",
                 saved.text());
     }
 
@@ -226,23 +268,46 @@
             Conductor.Applied applied = conductor.apply("not read", "x", "settings-2", -1);
             assertTrue(applied.done());
             assertEquals(2, applied.inForce().orElseThrow().revision());
-            assertEquals(List.of("1 PINNED 6 7aef3e81f7c40890 6", "2 RELEASING 8 5bac19e3d9367829 8",
-                    "3 PINNED 5 599cf9e6ebaa9fa0 5"), conductor.state().tables().stream()
-                    .map(StoredStateTest::told).toList());
-            assertEquals(Set.of("n1 true 1 ana", "n2 false 3 ana", "n4 false 5 unnamed", "n5 true 4 ana"),
-                    new TreeSet<>(conductor.drains().stream().map(d -> d.name() + " " + d.on() + " "
-                            + d.stamp() + " " + d.by()).toList()));
-            DrainOutcome again = conductor.drain(new DrainCall("n2", true, "bo", "drain-n2", -1, false));
+            assertEquals(
+                    List.of(
+                            "1 PINNED 6 7aef3e81f7c40890 6",
+                            "2 RELEASING 8 5bac19e3d9367829 8",
+                            "3 PINNED 5 599cf9e6ebaa9fa0 5"),
+                    conductor.state().tables().stream().map(StoredStateTest::told).toList());
+            assertEquals(
+                    Set.of(
+                            "n1 true 1 ana",
+                            "n2 false 3 ana",
+                            "n4 false 5 unnamed",
+                            "n5 true 4 ana"),
+                    new TreeSet<>(
+                            conductor.drains().stream()
+                                    .map(
+                                            d ->
+                                                    d.name() + " " + d.on() + " " + d.stamp() + " "
+                                                            + d.by())
+                                    .toList()));
+            DrainOutcome again =
+                    conductor.drain(new DrainCall("n2", true, "bo", "drain-n2", -1, false));
             assertEquals(DrainOutcome.Kind.REPEATED, again.kind());
-            assertEquals(List.of("5d8619fdc4715e 1.0 0.25", "6a284bbb7df2b3a6 1.0 0.5"),
+            assertEquals(
+                    List.of("5d8619fdc4715e 1.0 0.25", "6a284bbb7df2b3a6 1.0 0.5"),
                     conductor.difference(3, 1, 2).orElseThrow().lines().stream()
-                            .map(c -> c.node() + " " + c.before() + " " + c.after()).toList());
+                            .map(c -> c.node() + " " + c.before() + " " + c.after())
+                            .toList());
         }
     }
 
     private static String told(ConductorState.Table table) {
         ConductorState.Version last = table.versions().get(table.versions().size() - 1);
-        return table.table() + " " + table.held() + " " + table.version() + " " + last.digest() + " "
+        return table.table()
+                + " "
+                + table.held()
+                + " "
+                + table.version()
+                + " "
+                + last.digest()
+                + " "
                 + table.versions().size();
     }
 
@@ -253,16 +318,19 @@
         try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
             assertTrue(log.write(act()));
         }
-        assertEquals(text("v1/" + AUDIT)
-                + "{\"n\":29,\"at\":1700000000000,\"who\":\"eve\",\"from\":\"control.example\",\"what\""
-                + ":\"POST /v1/tables/1/release\",\"call\":\"free-1\",\"outcome\":\"200 done\",\"cha"
-                + "in\":\"59201fd965218631cf9227fa8d323eefe80b7d29afac13fee765941aa7772c80\""
-                + "}\n", Files.readString(file(AUDIT)));
+        assertEquals(
+                text("v1/" + AUDIT)
+                        + "{\"n\":29,\"at\":1700000000000,\"who\":\"eve\",\"from\":\"control.example\",\"what\""
+                        + ":\"POST /v1/tables/1/release\",\"call\":\"free-1\",\"outcome\":\"200 done\",\"cha"
+                        + "in\":\"59201fd965218631cf9227fa8d323eefe80b7d29afac13fee765941aa7772c80\""
+                        + "}\n",
+                Files.readString(file(AUDIT)));
         assertEquals(AUDIT_LINES + 1, AuditLog.check(file(AUDIT)).lines());
     }
 
     private static AuditLog.Act act() {
-        return new AuditLog.Act("eve", "control.example", "POST /v1/tables/1/release", "free-1", "200 done");
+        return new AuditLog.Act(
+                "eve", "control.example", "POST /v1/tables/1/release", "free-1", "200 done");
     }
 
     @Test
@@ -271,9 +339,16 @@
         for (String line : Files.readAllLines(file(AUDIT))) {
             JsonNode all = new ObjectMapper().readTree(line);
             if (!all.path("outcome").asText().equals("asked")) {
-                acts.add(all.path("n").asLong() + " " + all.path("who").asText() + " "
-                        + all.path("what").asText() + " " + all.path("call").asText() + " "
-                        + all.path("outcome").asText().substring(0, 3));
+                acts.add(
+                        all.path("n").asLong()
+                                + " "
+                                + all.path("who").asText()
+                                + " "
+                                + all.path("what").asText()
+                                + " "
+                                + all.path("call").asText()
+                                + " "
+                                + all.path("outcome").asText().substring(0, 3));
             }
         }
         assertEquals(14, acts.size());
@@ -296,7 +371,8 @@
         assertEquals("PINNED", table.hold().name());
         assertEquals(1, table.to());
         assertEquals(Set.of(1L), table.kept());
-        assertEquals(Map.of("93c218910c6b496c", 1.0, "5d8619fdc4715e", 1.0, "6a284bbb7df2b3a6", 1.0),
+        assertEquals(
+                Map.of("93c218910c6b496c", 1.0, "5d8619fdc4715e", 1.0, "6a284bbb7df2b3a6", 1.0),
                 weights(table.pending()));
         assertEquals(3, table.current().number());
     }
@@ -309,8 +385,16 @@
         assertEquals(text("restored.txt"), tables(image));
         assertEquals(4, image.drains().size());
         int left = LAST_ENTRY - bytes;
-        assertEquals(List.of("WARN " + file(TABLES) + ": the last " + left + " bytes, from byte "
-                + (TABLES_BYTES - LAST_ENTRY) + " on, were not whole and are cut"), warned());
+        assertEquals(
+                List.of(
+                        "WARN "
+                                + file(TABLES)
+                                + ": the last "
+                                + left
+                                + " bytes, from byte "
+                                + (TABLES_BYTES - LAST_ENTRY)
+                                + " on, were not whole and are cut"),
+                warned());
     }
 
     @ParameterizedTest
@@ -320,50 +404,72 @@
         Image image = restored();
         assertEquals(text("restored.txt"), tables(image));
         assertEquals(5, image.drains().size());
-        assertEquals(List.of("WARN " + file(TABLES) + ": the last " + garbage.length()
-                + " bytes, from byte 4699 on, were not whole and are cut"), warned());
+        assertEquals(
+                List.of(
+                        "WARN "
+                                + file(TABLES)
+                                + ": the last "
+                                + garbage.length()
+                                + " bytes, from byte 4699 on, were not whole and are cut"),
+                warned());
     }
 
     /** What no crash can leave is refused as a whole, and the file stays for a look. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "{\"n\":21,|{\"n\":22,|2817 of 4699: the checksum is 5b49e547, written was \"74b825a6\"",
-        "\"hold\":\"PINNED\"|\"hold\":\"PINNEX\"|57 of 4699: the checksum is 849ba982, written was "
-                + "\"d24b5ece\""})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "{\"n\":21,|{\"n\":22,|2817 of 4699: the checksum is 5b49e547, written was \"74b825a6\"",
+                "\"hold\":\"PINNED\"|\"hold\":\"PINNEX\"|57 of 4699: the checksum is 849ba982, written was "
+                        + "\"d24b5ece\""
+            })
     void damageWithinATablesFileIsRefused(String from, String to, String fault) throws IOException {
         String all = text("v1/" + TABLES);
         Files.writeString(file(TABLES), all.replaceFirst(Pattern.quote(from), to));
         assertEquals(Image.EMPTY, restored());
         assertTrue(Files.exists(file(TABLES + ".damaged-" + WALL)));
-        assertEquals(List.of("ERROR " + file(TABLES) + ": damaged at byte " + fault + "; set aside as "
-                + file(TABLES + ".damaged-" + WALL)
-                + "; tables begin from the list and from what proxies hold"), warned());
+        assertEquals(
+                List.of(
+                        "ERROR "
+                                + file(TABLES)
+                                + ": damaged at byte "
+                                + fault
+                                + "; set aside as "
+                                + file(TABLES + ".damaged-" + WALL)
+                                + "; tables begin from the list and from what proxies hold"),
+                warned());
     }
 
     /** A whole last line whose checksum is right but which does not follow from those before. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "{\"n\":34,\"laidOut\":\"1\"}|sequence 34 after 32",
-        "{\"n\":33,\"laid\":\"1\"}|an entry of no known kind",
-        "{\"n\":33,\"hold\":{\"table\":9,\"state\":\"NONE\",\"to\":0,\"pending\":{}}}|"
-                + "table 9 is held but has no version",
-        "{\"n\":33,\"version\":{\"table\":1,\"number\":7,"
-                + "\"parent\":6,"
-                + "\"cause\":\"MODULE\",\"at\":1,"
-                + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 7 has digest "
-                + "7aef3e81f7c40890, written was 0",
-        "{\"n\":33,\"version\":{\"table\":1,\"number\":9,"
-                + "\"parent\":8,"
-                + "\"cause\":\"MODULE\",\"at\":1,"
-                + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 9 after 8 does not "
-                + "follow version 6"})
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "{\"n\":34,\"laidOut\":\"1\"}|sequence 34 after 32",
+                "{\"n\":33,\"laid\":\"1\"}|an entry of no known kind",
+                "{\"n\":33,\"hold\":{\"table\":9,\"state\":\"NONE\",\"to\":0,\"pending\":{}}}|"
+                        + "table 9 is held but has no version",
+                "{\"n\":33,\"version\":{\"table\":1,\"number\":7,"
+                        + "\"parent\":6,"
+                        + "\"cause\":\"MODULE\",\"at\":1,"
+                        + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 7 has digest "
+                        + "7aef3e81f7c40890, written was 0",
+                "{\"n\":33,\"version\":{\"table\":1,\"number\":9,"
+                        + "\"parent\":8,"
+                        + "\"cause\":\"MODULE\",\"at\":1,"
+                        + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 9 after 8 does not "
+                        + "follow version 6"
+            })
     void anEntryThatDoesNotFollowIsRefused(String json, String fault) throws IOException {
         refuses(json, fault);
     }
 
     @Test
     void anEntryWithAnUnknownStateIsRefused() throws IOException {
-        refuses("{\"n\":33,\"hold\":{\"table\":1,\"state\":\"HELD\",\"to\":0,\"pending\":{}}}",
+        refuses(
+                "{\"n\":33,\"hold\":{\"table\":1,\"state\":\"HELD\",\"to\":0,\"pending\":{}}}",
                 "No enum constant " + Hold.class.getCanonicalName() + ".HELD");
     }
 
@@ -372,10 +478,18 @@
         crc.update(json.getBytes(StandardCharsets.UTF_8));
         add(TABLES, String.format("%08x %s\n", crc.getValue(), json));
         assertEquals(Image.EMPTY, restored());
-        assertEquals(List.of("ERROR " + file(TABLES) + ": damaged at byte 4699 of "
-                + Files.size(file(TABLES + ".damaged-" + WALL)) + ": " + fault + "; set aside as "
-                + file(TABLES + ".damaged-" + WALL)
-                + "; tables begin from the list and from what proxies hold"), warned());
+        assertEquals(
+                List.of(
+                        "ERROR "
+                                + file(TABLES)
+                                + ": damaged at byte 4699 of "
+                                + Files.size(file(TABLES + ".damaged-" + WALL))
+                                + ": "
+                                + fault
+                                + "; set aside as "
+                                + file(TABLES + ".damaged-" + WALL)
+                                + "; tables begin from the list and from what proxies hold"),
+                warned());
     }
 
     @ParameterizedTest
@@ -392,20 +506,28 @@
     @Test
     void garbageWithoutAnEndAfterAnAuditLogIsCut() throws IOException {
         add(AUDIT, "garbage");
-        assertEquals(new AuditLog.Verdict(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
+        assertEquals(
+                new AuditLog.Verdict(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
                 AuditLog.check(file(AUDIT)));
         new AuditLog(file(AUDIT), () -> WALL).close();
         assertArrayEquals(resource("v1/" + AUDIT), Files.readAllBytes(file(AUDIT)));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {"garbage|line 29, byte 6018: not JSON",
-        "{}|line 29, byte 6018: not a line of an audit log",
-        "{\"n\":30,\"chain\":\"0\"}|line 29, byte 6018: its number is 30",
-        "{\"n\":29,\"chain\":\"0\"}|line 29, byte 6018: its chain does not follow from the line before"})
-    void aWholeLineOfGarbageAfterAnAuditLogIsRefused(String garbage, String fault) throws IOException {
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "garbage|line 29, byte 6018: not JSON",
+                "{}|line 29, byte 6018: not a line of an audit log",
+                "{\"n\":30,\"chain\":\"0\"}|line 29, byte 6018: its number is 30",
+                "{\"n\":29,\"chain\":\"0\"}|line 29, byte 6018: its chain does not follow from the line before"
+            })
+    void aWholeLineOfGarbageAfterAnAuditLogIsRefused(String garbage, String fault)
+            throws IOException {
         add(AUDIT, garbage + "\n");
-        IOException e = assertThrows(IOException.class, () -> new AuditLog(file(AUDIT), () -> WALL));
+        IOException e =
+                assertThrows(IOException.class, () -> new AuditLog(file(AUDIT), () -> WALL));
         assertEquals(file(AUDIT) + ": " + fault, e.getMessage());
     }
 
@@ -415,22 +537,30 @@
         Files.writeString(file(AUDIT), all.replaceFirst("drain-n1", "drain-n7"));
         AuditLog.Verdict verdict = AuditLog.check(file(AUDIT));
         assertEquals(12, verdict.lines());
-        assertEquals("line 13, byte 2542: its chain does not follow from the line before", verdict.fault());
+        assertEquals(
+                "line 13, byte 2542: its chain does not follow from the line before",
+                verdict.fault());
     }
 
     @Test
     void aDamagedSettingsFileIsRefused() throws IOException {
         cut(SETTINGS, 3);
-        assertEquals("/settings.json: damaged at byte 814 of 814: Unexpected end-of-input in"
-                + " VALUE_STRING", refusal());
+        assertEquals(
+                "/settings.json: damaged at byte 814 of 814: Unexpected end-of-input in"
+                        + " VALUE_STRING",
+                refusal());
         Files.write(file(SETTINGS), resource("v1/" + SETTINGS));
-        Files.writeString(file(SETTINGS), text("v1/" + SETTINGS).replace("\"seed\" : 7", "\"seed\" : 8"));
-        assertEquals("/settings.json: field digest is \"0x84b42e3ec1046869b6f327bd0cd5d98e\"; what is in "
-                + "the file has \"0xeb742477e9ed484f0505854cef605dca\"", refusal());
+        Files.writeString(
+                file(SETTINGS), text("v1/" + SETTINGS).replace("\"seed\" : 7", "\"seed\" : 8"));
+        assertEquals(
+                "/settings.json: field digest is \"0x84b42e3ec1046869b6f327bd0cd5d98e\"; what is in "
+                        + "the file has \"0xeb742477e9ed484f0505854cef605dca\"",
+                refusal());
     }
 
     private String refusal() {
-        return assertThrows(IOException.class, () -> new Snapshot(folder).load()).getMessage()
+        return assertThrows(IOException.class, () -> new Snapshot(folder).load())
+                .getMessage()
                 .replace(folder.toString(), "");
     }
 
@@ -443,13 +573,19 @@
         List<Entry> entries = new ArrayList<>(List.of(new Entry.LaidOut(-3)));
         double weight = 1;
         for (TableVersion.Cause cause : TableVersion.Cause.values()) {
-            version = version.with(Map.of(LOW, weight, HIGH, weight / 4), cause, WALL + (long) weight);
+            version =
+                    version.with(
+                            Map.of(LOW, weight, HIGH, weight / 4), cause, WALL + (long) weight);
             entries.add(new Entry.Committed(version));
             weight++;
         }
         for (Hold hold : Hold.values()) {
-            entries.add(new Entry.Holding(new TableId(7), hold, hold == Hold.PINNED ? 5 : 0,
-                    hold == Hold.PINNED ? Map.of(LOW, 0.25, HIGH, 0.0) : Map.of()));
+            entries.add(
+                    new Entry.Holding(
+                            new TableId(7),
+                            hold,
+                            hold == Hold.PINNED ? 5 : 0,
+                            hold == Hold.PINNED ? Map.of(LOW, 0.25, HIGH, 0.0) : Map.of()));
         }
         entries.add(new Entry.Drained(drain()));
         try (TableStore store = store(empty)) {
@@ -466,11 +602,17 @@
 
     @Test
     void anImageHasTheFormThatItHad(@TempDir Path empty) throws IOException {
-        TableVersion whole = TableVersion.whole(new TableId(7), 5, TableVersion.Cause.REJOIN, WALL, 2,
-                Map.of(LOW, 1.5, HIGH, 0.1));
+        TableVersion whole =
+                TableVersion.whole(
+                        new TableId(7),
+                        5,
+                        TableVersion.Cause.REJOIN,
+                        WALL,
+                        2,
+                        Map.of(LOW, 1.5, HIGH, 0.1));
         TableVersion next = whole.with(Map.of(HIGH, 0.0), TableVersion.Cause.OPERATOR, WALL + 1);
-        TableImage table = new TableImage(List.of(whole, next), Set.of(5L), Hold.PINNED, 5,
-                Map.of(HIGH, 0.1));
+        TableImage table =
+                new TableImage(List.of(whole, next), Set.of(5L), Hold.PINNED, 5, Map.of(HIGH, 0.1));
         try (TableStore store = store(empty)) {
             store.open();
             store.image(new Image(-3, List.of(table), List.of(drain())));
@@ -481,9 +623,12 @@
 
     @Test
     void aSnapshotHasTheFormThatItHad(@TempDir Path empty) throws IOException {
-        new Snapshot(empty).save(new Snapshot.Saved("{\"zones\":[\"a\"],\"seed\":7}", 12, "eve", "call-9",
-                WALL));
-        assertEquals("""
+        new Snapshot(empty)
+                .save(
+                        new Snapshot.Saved(
+                                "{\"zones\":[\"a\"],\"seed\":7}", 12, "eve", "call-9", WALL));
+        assertEquals(
+                """
                 {
                   "format" : 2,
                   "savedAtMillis" : 1700000000000,
@@ -495,7 +640,8 @@
                     "seed" : 7
                   },
                   "digest" : "0x6b3c321f73214f57fba3b2a6f7974e45"
-                }""", Files.readString(empty.resolve(SETTINGS)));
+                }""",
+                Files.readString(empty.resolve(SETTINGS)));
     }
 
     @Test
@@ -503,17 +649,20 @@
         try (AuditLog log = new AuditLog(empty.resolve(AUDIT), () -> WALL)) {
             log.write(act());
         }
-        assertEquals("{\"n\":1,\"at\":1700000000000,\"who\":\"eve\",\"from\":\"control.example\",\"what\":"
-                + "\"POST /v1/tables/1/release\",\"call\":\"free-1\",\"outcome\":\"200 done\",\"chai"
-                + "n\":\"ec3c03fd9187e5f464438fa441ce206c2c27b20b9efe90f5010b173ef0061fdf\"}"
-                + "\n", Files.readString(empty.resolve(AUDIT)));
+        assertEquals(
+                "{\"n\":1,\"at\":1700000000000,\"who\":\"eve\",\"from\":\"control.example\",\"what\":"
+                        + "\"POST /v1/tables/1/release\",\"call\":\"free-1\",\"outcome\":\"200 done\",\"chai"
+                        + "n\":\"ec3c03fd9187e5f464438fa441ce206c2c27b20b9efe90f5010b173ef0061fdf\"}"
+                        + "\n",
+                Files.readString(empty.resolve(AUDIT)));
     }
 
     @Test
     void aDrainHasTheFormThatConductorsTellEachOther() throws IOException {
         ObjectMapper json = new ObjectMapper();
-        assertEquals("{\"words\":[{\"node\":\"3\",\"name\":\"node-\u00fc\",\"on\":true,\"stamp\":41,"
-                + "\"by\":\"eve\",\"call\":\"call-41\",\"at\":1700000000000}]}",
+        assertEquals(
+                "{\"words\":[{\"node\":\"3\",\"name\":\"node-\u00fc\",\"on\":true,\"stamp\":41,"
+                        + "\"by\":\"eve\",\"call\":\"call-41\",\"at\":1700000000000}]}",
                 json.writeValueAsString(DrainJson.write(List.of(drain()))));
     }
 }
--- a/src/test/java/rosespread/http/RecordingServer.java
+++ b/src/test/java/rosespread/http/RecordingServer.java
@@ -13,8 +13,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A plain socket server that records the text of each request, with its own port written as PORT, and gives
- * one prepared answer to each. A request beyond the prepared answers is recorded and left unanswered.
+ * A plain socket server that records the text of each request, with its own port written as PORT,
+ * and gives one prepared answer to each. A request beyond the prepared answers is recorded and left
+ * unanswered.
  */
 public final class RecordingServer implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
@@ -29,8 +30,12 @@
 
     /** An answer with status 200, one extra header line (which may be empty) and a JSON body. */
     public static String json(String header, String body) {
-        return "HTTP/1.1 200 OK\r\n" + header + "content-type: application/json\r\ncontent-length: "
-                + body.length() + "\r\n\r\n" + body;
+        return "HTTP/1.1 200 OK\r\n"
+                + header
+                + "content-type: application/json\r\ncontent-length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
     }
 
     public InetSocketAddress address() {
@@ -82,8 +87,8 @@
     private synchronized void answer(Socket socket, String request) throws IOException {
         requests.add(request.replace(":" + server.getLocalPort(), ":PORT"));
         if (requests.size() <= answers.size()) {
-            socket.getOutputStream().write(answers.get(requests.size() - 1)
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            socket.getOutputStream()
+                    .write(answers.get(requests.size() - 1).getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
--- a/src/test/java/rosespread/list/OutgoingRequestsTest.java
+++ b/src/test/java/rosespread/list/OutgoingRequestsTest.java
@@ -16,29 +16,43 @@
 /** The exact requests of the Consul list client and of the health prober. */
 class OutgoingRequestsTest {
     private static final long MILLI = 1_000_000L;
-    private static final String FIRST = "GET /v1/health/service/nodes HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n"
-            + "user-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
-    private static final String BLOCKING = "GET /v1/health/service/nodes?index=42&wait=5000ms HTTP/1.1\r\n"
-            + "host: 127.0.0.1:PORT\r\nuser-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
-    private static final String PROBE = "GET /health HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n"
-            + "content-length: 0\r\n\r\n";
+    private static final String FIRST =
+            "GET /v1/health/service/nodes HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n"
+                    + "user-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
+    private static final String BLOCKING =
+            "GET /v1/health/service/nodes?index=42&wait=5000ms HTTP/1.1\r\n"
+                    + "host: 127.0.0.1:PORT\r\nuser-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
+    private static final String PROBE =
+            "GET /health HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n" + "content-length: 0\r\n\r\n";
 
-    private static ListClient client(HttpClient http, RecordingServer server, ScheduledExecutorService timer) {
-        return new ListClient(http, server.address(), "nodes", "agent-7", 5000 * MILLI, 2000 * MILLI,
-                1000 * MILLI, false, timer, System::nanoTime, new SplittableRandom(1),
+    private static ListClient client(
+            HttpClient http, RecordingServer server, ScheduledExecutorService timer) {
+        return new ListClient(
+                http,
+                server.address(),
+                "nodes",
+                "agent-7",
+                5000 * MILLI,
+                2000 * MILLI,
+                1000 * MILLI,
+                false,
+                timer,
+                System::nanoTime,
+                new SplittableRandom(1),
                 new ListClient.Follower() {
                     @Override
-                    public void whole(List<ListedNode> nodes) { }
+                    public void whole(List<ListedNode> nodes) {}
 
                     @Override
-                    public void unavailable(String why) { }
+                    public void unavailable(String why) {}
                 });
     }
 
     @Test
     void listRequestsAreUnchanged() throws IOException {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        try (RecordingServer server = new RecordingServer(RecordingServer.json("X-Consul-Index: 42\r\n", "[]"));
+        try (RecordingServer server =
+                        new RecordingServer(RecordingServer.json("X-Consul-Index: 42\r\n", "[]"));
                 HttpClient http = new HttpClient(1, HttpLimits.LARGE, 300, 5);
                 ListClient client = client(http, server, timer)) {
             client.follow();
@@ -53,7 +67,7 @@
     void probeRequestIsUnchanged() throws IOException {
         try (RecordingServer server = new RecordingServer(RecordingServer.json("", "{}"));
                 HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 5)) {
-            new Prober(http, "/health", 2000 * MILLI).probe(server.address(), verdict -> { });
+            new Prober(http, "/health", 2000 * MILLI).probe(server.address(), verdict -> {});
             await().until(() -> !server.requests().isEmpty());
             assertEquals(PROBE, server.requests().get(0));
         }
--- a/src/test/java/rosespread/platform/DiscoveryRequestTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryRequestTest.java
@@ -15,26 +15,36 @@
 
 /** The exact requests that are sent to discovery: the whole list first, then the watch. */
 class DiscoveryRequestTest {
-    private static final String WHOLE = "GET /api/targets HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n"
-            + "content-length: 0\r\n\r\n";
-    private static final String WATCH = "GET /api/targets?since=7&timeout_ms=1000 HTTP/1.1\r\n"
-            + "host: 127.0.0.1:PORT\r\ncontent-length: 0\r\n\r\n";
+    private static final String WHOLE =
+            "GET /api/targets HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n" + "content-length: 0\r\n\r\n";
+    private static final String WATCH =
+            "GET /api/targets?since=7&timeout_ms=1000 HTTP/1.1\r\n"
+                    + "host: 127.0.0.1:PORT\r\ncontent-length: 0\r\n\r\n";
 
     private static DiscoveryWatch watch(HttpClient http, ScheduledExecutorService timer) {
-        return new DiscoveryWatch(http, timer, new SplittableRandom(1), new DiscoveryWatch.Ears() {
-            @Override
-            public void list(TargetList list) { }
+        return new DiscoveryWatch(
+                http,
+                timer,
+                new SplittableRandom(1),
+                new DiscoveryWatch.Ears() {
+                    @Override
+                    public void list(TargetList list) {}
 
-            @Override
-            public void unavailable(String why) { }
-        });
+                    @Override
+                    public void unavailable(String why) {}
+                });
     }
 
     @Test
     void requestsAreUnchanged() throws IOException {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-        try (RecordingServer server = new RecordingServer(RecordingServer.json("",
-                "{\"version\":7,\"full\":true,\"servers\":[" + Sample.node("s-1", "SERVING") + "]}"));
+        try (RecordingServer server =
+                        new RecordingServer(
+                                RecordingServer.json(
+                                        "",
+                                        "{\"version\":7,\"full\":true,\"servers\":["
+                                                + Sample.node("s-1", "SERVING")
+                                                + "]}"));
                 HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 1);
                 DiscoveryWatch watch = watch(http, timer)) {
             watch.follow(server.address());
--- a/src/test/java/rosespread/platform/RespBytesTest.java
+++ b/src/test/java/rosespread/platform/RespBytesTest.java
@@ -22,9 +22,9 @@
 import rosespread.turn.Inbox;
 
 /**
- * Pins the bytes written to proxies of the platform: for a fixed row of orders, for a fixed day of the whole
- * core with proxies of two zones, and for the replies to strangers. Longer streams are compared by length and
- * digest, short ones literally.
+ * Pins the bytes written to proxies of the platform: for a fixed row of orders, for a fixed day of
+ * the whole core with proxies of two zones, and for the replies to strangers. Longer streams are
+ * compared by length and digest, short ones literally.
  */
 class RespBytesTest {
     private static final long SECOND = 1_000_000_000L;
@@ -43,8 +43,12 @@
 
     private String digests() {
         StringBuilder all = new StringBuilder();
-        streams.forEach((name, bytes) -> all.append(name).append(": ").append(digest(bytes.toByteArray()))
-                .append('\n'));
+        streams.forEach(
+                (name, bytes) ->
+                        all.append(name)
+                                .append(": ")
+                                .append(digest(bytes.toByteArray()))
+                                .append('\n'));
         return all.toString();
     }
 
@@ -87,8 +91,9 @@
         if (mark >= 0) {
             orders.mark(mark);
         }
-        orders.close((proxy, parts, last) ->
-                record("proxy " + proxy.value(), writer.bytes(parts, last)));
+        orders.close(
+                (proxy, parts, last) ->
+                        record("proxy " + proxy.value(), writer.bytes(parts, last)));
     }
 
     @Test
@@ -100,9 +105,10 @@
         bind(0, 2, 1);
         level(2, 1, 0.5);
         round(7);
-        assertEquals("*9|$6|assign|$7|classes|$6|lookup|$5|whole|$1|1|$5|lines|$3|A:2|$4|more|$1|1|"
-                + "*13|$6|assign|$7|classes|$5|order|$5|whole|$1|1|$5|lines|$10|B:0.100000|$5|level|$3|0.5|"
-                + "$5|retry|$1|1|$6|ticket|$1|7|",
+        assertEquals(
+                "*9|$6|assign|$7|classes|$6|lookup|$5|whole|$1|1|$5|lines|$3|A:2|$4|more|$1|1|"
+                        + "*13|$6|assign|$7|classes|$5|order|$5|whole|$1|1|$5|lines|$10|B:0.100000|$5|level|$3|0.5|"
+                        + "$5|retry|$1|1|$6|ticket|$1|7|",
                 streams.get("proxy 0").toString(StandardCharsets.UTF_8).replace("\r\n", "|"));
     }
 
@@ -112,12 +118,14 @@
         change();
         shutOut();
         replace();
-        assertEquals("""
+        assertEquals(
+                """
                 proxy 0: 561 7d30fa1470e2f090
                 proxy 1: 1458 fd21509474d1c12c
                 proxy 2: 819 b5581ddaddcee447
                 proxy 3: 570 5d87e8815892942e
-                """, digests());
+                """,
+                digests());
     }
 
     private void begin() {
@@ -187,16 +195,19 @@
     // ---- the whole core ----
 
     private PlatformCore core() throws LaunchException {
-        return new PlatformCore(Sample.parse(Sample.config("127.0.0.1:1", "127.0.0.1:2")),
+        return new PlatformCore(
+                Sample.parse(Sample.config("127.0.0.1:1", "127.0.0.1:2")),
                 new PlatformCore.World() {
                     @Override
-                    public void probe(NodeId node, Target target) { }
+                    public void probe(NodeId node, Target target) {}
 
                     @Override
                     public String seen() {
                         return "";
                     }
-                }, new Counts(), 0);
+                },
+                new Counts(),
+                0);
     }
 
     private Wire wire(String name) {
@@ -220,8 +231,9 @@
 
     private void tell(PlatformCore core, Wire wire, String words) {
         try {
-            Message message = new MessageReader(config.names(), config.proxies())
-                    .read(List.of(words.split(" ")));
+            Message message =
+                    new MessageReader(config.names(), config.proxies())
+                            .read(List.of(words.split(" ")));
             if (message instanceof Message.Join join) {
                 core.joined(now, wire, join);
             } else if (message instanceof Message.Sums sums) {
@@ -235,8 +247,15 @@
     }
 
     private void list(PlatformCore core, long version, String... nodes) throws LaunchException {
-        core.list(now, TargetList.parse(("{\"version\":" + version + ",\"full\":false,\"servers\":["
-                + String.join(",", nodes) + "]}").getBytes(StandardCharsets.UTF_8)));
+        core.list(
+                now,
+                TargetList.parse(
+                        ("{\"version\":"
+                                        + version
+                                        + ",\"full\":false,\"servers\":["
+                                        + String.join(",", nodes)
+                                        + "]}")
+                                .getBytes(StandardCharsets.UTF_8)));
     }
 
     private void pass(PlatformCore core, double seconds) {
@@ -248,13 +267,26 @@
     private void report(PlatformCore core, double utilization) {
         for (String zone : List.of("a", "b")) {
             for (int node = 1; node <= 4; node++) {
-                tell(core, null, "upstream_stats endpoint s-" + node + " locality " + zone
-                        + " total 400 errors 4 rtt 20 interval 500 metrics utilization:" + utilization);
+                tell(
+                        core,
+                        null,
+                        "upstream_stats endpoint s-"
+                                + node
+                                + " locality "
+                                + zone
+                                + " total 400 errors 4 rtt 20 interval 500 metrics utilization:"
+                                + utilization);
             }
         }
         for (int proxy = 0; proxy < 3; proxy++) {
-            tell(core, null, "client_stats node " + proxy + " route lookup total 300 errors 0 interval 500");
-            tell(core, null, "client_stats node " + proxy + " route order total 100 errors 0 interval 500");
+            tell(
+                    core,
+                    null,
+                    "client_stats node " + proxy + " route lookup total 300 errors 0 interval 500");
+            tell(
+                    core,
+                    null,
+                    "client_stats node " + proxy + " route order total 100 errors 0 interval 500");
         }
     }
 
@@ -265,7 +297,11 @@
     @Test
     void dayOfTheCoreWithProxiesOfTwoZones() throws LaunchException {
         PlatformCore core = core();
-        list(core, 8, Sample.node("s-2", "SERVING"), inZoneB(Sample.node("s-3", "SERVING")),
+        list(
+                core,
+                8,
+                Sample.node("s-2", "SERVING"),
+                inZoneB(Sample.node("s-3", "SERVING")),
                 inZoneB(Sample.node("s-4", "SERVING")));
         tell(core, wire("proxy 0 a"), "attach node 0 locality a w 50 cold 1");
         tell(core, wire("proxy 1 a"), "attach node 1 locality a w 70 cold 0");
@@ -279,24 +315,35 @@
         pass(core, 1);
         tell(core, wire("proxy 0 a, second stream"), "attach node 0 locality a w 50 cold 0");
         pass(core, 2);
-        list(core, 10, Sample.node("s-1", "SERVING").replace("\"started_ms\":0", "\"started_ms\":108000"));
+        list(
+                core,
+                10,
+                Sample.node("s-1", "SERVING").replace("\"started_ms\":0", "\"started_ms\":108000"));
         pass(core, 6);
-        assertEquals("""
+        assertEquals(
+                """
                 proxy 0 a: 443 1009ef16986646d
                 proxy 0 a, second stream: 450 f320fe65210abc2c
                 proxy 1 a: 1088 b16ca281eaa2f11d
                 proxy 2 b: 1088 b16ca281eaa2f11d
-                """, digests());
+                """,
+                digests());
     }
 
     // ---- replies to strangers ----
 
     private String exchange(String sent, int answered) throws IOException, LaunchException {
-        try (StreamServer server = new StreamServer(new Inbox(), core(),
-                new MessageReader(config.names(), config.proxies()), new Counts(), 10)) {
+        try (StreamServer server =
+                new StreamServer(
+                        new Inbox(),
+                        core(),
+                        new MessageReader(config.names(), config.proxies()),
+                        new Counts(),
+                        10)) {
             InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0));
             try (Socket peer = new Socket(at.getAddress(), at.getPort())) {
-                peer.getOutputStream().write(sent.replace("|", "\r\n").getBytes(StandardCharsets.US_ASCII));
+                peer.getOutputStream()
+                        .write(sent.replace("|", "\r\n").getBytes(StandardCharsets.US_ASCII));
                 byte[] answer = peer.getInputStream().readNBytes(answered);
                 return new String(answer, StandardCharsets.US_ASCII).replace("\r\n", "|");
             }
@@ -306,7 +353,8 @@
     @Test
     void repliesToStrangers() throws IOException, LaunchException {
         assertEquals("*1|$5|hb_ok|*1|$5|hb_ok|", exchange("*1|$2|hb|*1|$2|hb|", 30));
-        assertEquals("*3|$6|reject|$6|reason|$19|locality is missing|",
+        assertEquals(
+                "*3|$6|reject|$6|reason|$19|locality is missing|",
                 exchange("*3|$6|attach|$4|node|$1|1|", 1000));
     }
 }
--- a/src/test/java/rosespread/policy/FleetSimulator.java
+++ b/src/test/java/rosespread/policy/FleetSimulator.java
@@ -15,18 +15,19 @@
 import rosespread.api.Settings;
 
 /**
- * A seeded fleet that drives a routing policy in ticks of a tenth of a second: nodes answer for their load,
- * proxies route by the tables they were sent and acknowledge them as a slow channel delivers. The model is
- * loose: it is meant to lead the policy through its branches, not to measure it.
+ * A seeded fleet that drives a routing policy in ticks of a tenth of a second: nodes answer for
+ * their load, proxies route by the tables they were sent and acknowledge them as a slow channel
+ * delivers. The model is loose: it is meant to lead the policy through its branches, not to measure
+ * it.
  */
 public final class FleetSimulator implements OrderEffects {
     static final long SECOND = 1_000_000_000L;
     private static final long TICK = SECOND / 10;
 
     private record Acknowledgement(
-            long at, int order, SimulatedProxy proxy, int session, int mark, long took) { }
+            long at, int order, SimulatedProxy proxy, int session, int mark, long took) {}
 
-    private record ProbeResult(long at, SimulatedNode node) { }
+    private record ProbeResult(long at, SimulatedNode node) {}
 
     private final Deployment deployment;
     private final Settings settings;
@@ -37,8 +38,10 @@
     private final List<SimulatedProxy> proxies = new ArrayList<>();
     private final TreeMap<Long, SimulatedNode> nodeById = new TreeMap<>();
     private final TreeMap<Integer, SimulatedTable> tables = new TreeMap<>();
-    private final PriorityQueue<Acknowledgement> acknowledgements = new PriorityQueue<>(
-            java.util.Comparator.comparing(Acknowledgement::at).thenComparing(Acknowledgement::order));
+    private final PriorityQueue<Acknowledgement> acknowledgements =
+            new PriorityQueue<>(
+                    java.util.Comparator.comparing(Acknowledgement::at)
+                            .thenComparing(Acknowledgement::order));
     private final ArrayDeque<ProbeResult> probes = new ArrayDeque<>();
     private final List<Long> roundTimes = new ArrayList<>();
     private SimulatedTable earlierTable;
@@ -51,7 +54,9 @@
     private boolean listRequested;
     private double demand = 0.5;
 
-    /** @param clock times each round */
+    /**
+     * @param clock times each round
+     */
     public FleetSimulator(Deployment deployment, long seed, LongSupplier clock) {
         this.deployment = deployment;
         this.settings = deployment.settings();
@@ -63,7 +68,8 @@
         }
         for (int p = 0; p < deployment.proxies(); p++) {
             double rate = 5 + 20 * random.nextDouble();
-            proxies.add(new SimulatedProxy(p, p % settings.zones(), rate, settings.methods().size()));
+            proxies.add(
+                    new SimulatedProxy(p, p % settings.zones(), rate, settings.methods().size()));
         }
         earlierTable = uniformTable();
         startPolicy(seed + 1);
@@ -92,8 +98,14 @@
         double rarity = n % 12 == 5 ? 0.1 : n % 12 == 8 ? 5 : 1;
         double capacity = (20 + 20 * kind) * (0.6 + 0.8 * random.nextDouble()) * rarity;
         long id = (n + 1) * 7919L % 100_003;
-        SimulatedNode node = new SimulatedNode(id, kind, n / 2 % settings.zones(), 1 + 0.5 * kind, capacity,
-                settings.zones());
+        SimulatedNode node =
+                new SimulatedNode(
+                        id,
+                        kind,
+                        n / 2 % settings.zones(),
+                        1 + 0.5 * kind,
+                        capacity,
+                        settings.zones());
         nodes.add(node);
         nodeById.put(id, node);
         return n;
@@ -113,10 +125,11 @@
         acknowledgements.clear();
         probes.clear();
         wakeAt = Long.MAX_VALUE;
-        proxies.forEach(proxy -> {
-            proxy.joined = false;
-            Arrays.fill(proxy.tables, null);
-        });
+        proxies.forEach(
+                proxy -> {
+                    proxy.joined = false;
+                    Arrays.fill(proxy.tables, null);
+                });
         list(ListKind.REMEMBERED, 0, nodes.size());
     }
 
@@ -218,16 +231,23 @@
     private void answerProbes() {
         while (!probes.isEmpty() && probes.peekFirst().at() <= now) {
             SimulatedNode node = probes.removeFirst().node();
-            Verdict verdict = !node.reachable ? random.nextBoolean() ? Verdict.UNREACHABLE : Verdict.TIMED_OUT
-                    : random.nextDouble() < node.failures ? Verdict.ABORTED
-                    : node.loadRatio(warmth(node)) > 1 ? Verdict.PUSHED_BACK : Verdict.OK;
+            Verdict verdict =
+                    !node.reachable
+                            ? random.nextBoolean() ? Verdict.UNREACHABLE : Verdict.TIMED_OUT
+                            : random.nextDouble() < node.failures
+                                    ? Verdict.ABORTED
+                                    : node.loadRatio(warmth(node)) > 1
+                                            ? Verdict.PUSHED_BACK
+                                            : Verdict.OK;
             driver.probeResult(node.id, verdict);
         }
     }
 
     private double warmth(SimulatedNode node) {
-        double part = node.started == Long.MIN_VALUE ? 1
-                : Math.min(1, (now - node.started) / (double) settings.coldTime());
+        double part =
+                node.started == Long.MIN_VALUE
+                        ? 1
+                        : Math.min(1, (now - node.started) / (double) settings.coldTime());
         return settings.coldShare() + (1 - settings.coldShare()) * part;
     }
 
@@ -237,10 +257,13 @@
     }
 
     private double admitted(SimulatedProxy proxy, int method) {
-        double limit = proxy.tables[method] == null ? Double.POSITIVE_INFINITY
-                : proxy.tables[method].limits[method];
+        double limit =
+                proxy.tables[method] == null
+                        ? Double.POSITIVE_INFINITY
+                        : proxy.tables[method].limits[method];
         double rate = offered(proxy, method);
-        return settings.throttle() == Settings.Throttle.SHARE ? rate * Math.min(1, limit)
+        return settings.throttle() == Settings.Throttle.SHARE
+                ? rate * Math.min(1, limit)
                 : Math.min(rate, limit);
     }
 
@@ -260,12 +283,13 @@
 
     private void spread(SimulatedTable table) {
         double sum = table.sum();
-        table.weights.forEach((id, weight) -> {
-            double[] load = nodeById.get(id).load;
-            for (int z = 0; z < load.length; z++) {
-                load[z] += table.sent[z] * weight / sum;
-            }
-        });
+        table.weights.forEach(
+                (id, weight) -> {
+                    double[] load = nodeById.get(id).load;
+                    for (int z = 0; z < load.length; z++) {
+                        load[z] += table.sent[z] * weight / sum;
+                    }
+                });
     }
 
     private void report() {
@@ -278,8 +302,12 @@
         for (SimulatedProxy proxy : proxies) {
             if ((tick + proxy.id) % period == 0 && proxy.joined) {
                 for (int m = 0; m < proxy.tables.length; m++) {
-                    double rate = offered(proxy, m) * (admitted(proxy, m) < offered(proxy, m) ? 1.1 : 1);
-                    driver.offeredLoad(proxy.id, m, draw(rate * settings.reportPeriod() / SECOND),
+                    double rate =
+                            offered(proxy, m) * (admitted(proxy, m) < offered(proxy, m) ? 1.1 : 1);
+                    driver.offeredLoad(
+                            proxy.id,
+                            m,
+                            draw(rate * settings.reportPeriod() / SECOND),
                             settings.reportPeriod());
                 }
             }
@@ -296,15 +324,25 @@
         double ratio = node.loadRatio(warmth(node));
         boolean present = node.reachable && node.state != NodeState.GONE;
         double unanswered = present ? Math.max(node.failures, 0.4 * Math.min(1, ratio - 1)) : 1;
-        double latency = 0.05 * (2 - node.kind) / (1 - Math.min(0.9, ratio))
-                * (0.9 + 0.2 * random.nextDouble());
+        double latency =
+                0.05
+                        * (2 - node.kind)
+                        / (1 - Math.min(0.9, ratio))
+                        * (0.9 + 0.2 * random.nextDouble());
         double utilization = Math.min(1, ratio * (0.95 + 0.1 * random.nextDouble()));
         for (int z = 0; z < node.load.length; z++) {
             int tries = draw(node.load[z] * span / SECOND);
-            int lost = Math.min(tries, Math.max(0, (int) (tries * unanswered + random.nextDouble())));
+            int lost =
+                    Math.min(tries, Math.max(0, (int) (tries * unanswered + random.nextDouble())));
             boolean dropped = node.reportsLost || node.reportsHeld || tries == 0 && !present;
             if (!dropped) {
-                driver.loadReport(node.id, z, tries, lost, tries > lost ? latency : Double.NaN, span,
+                driver.loadReport(
+                        node.id,
+                        z,
+                        tries,
+                        lost,
+                        tries > lost ? latency : Double.NaN,
+                        span,
                         deployment.utilizationTold() && present ? utilization : Double.NaN);
             }
         }
@@ -323,8 +361,8 @@
     }
 
     private SimulatedTable table(int id) {
-        return tables.computeIfAbsent(id,
-                t -> new SimulatedTable(settings.methods().size(), settings.zones()));
+        return tables.computeIfAbsent(
+                id, t -> new SimulatedTable(settings.methods().size(), settings.zones()));
     }
 
     @Override
@@ -338,7 +376,8 @@
 
     @Override
     public void exclusion(long node, boolean excluded) {
-        proxies.stream().filter(proxy -> proxy.joined && !proxy.hasTables())
+        proxies.stream()
+                .filter(proxy -> proxy.joined && !proxy.hasTables())
                 .forEach(proxy -> proxy.written++);
         if (excluded) {
             earlierTable.weights.remove(node);
@@ -356,8 +395,12 @@
     @Override
     public void acknowledgeWith(int mark) {
         for (SimulatedProxy proxy : proxies) {
-            int lines = proxy.written + tables.values().stream()
-                    .filter(table -> table.changes > 0 && proxy.follows(table)).mapToInt(t -> t.changes).sum();
+            int lines =
+                    proxy.written
+                            + tables.values().stream()
+                                    .filter(table -> table.changes > 0 && proxy.follows(table))
+                                    .mapToInt(t -> t.changes)
+                                    .sum();
             if (proxy.joined && lines > 0) {
                 send(proxy, mark, lines);
             }
@@ -365,13 +408,20 @@
     }
 
     private void send(SimulatedProxy proxy, int mark, int lines) {
-        channelFreeAt = Math.max(now, channelFreeAt) + (long) ((lines + settings.linesPerMessage() + 1)
-                / settings.linesPerSecond() * SECOND);
-        long late = proxy.acknowledgement == SimulatedProxy.Acknowledgement.LATE
-                ? random.nextLong(5 * SECOND) : random.nextLong(TICK);
+        channelFreeAt =
+                Math.max(now, channelFreeAt)
+                        + (long)
+                                ((lines + settings.linesPerMessage() + 1)
+                                        / settings.linesPerSecond()
+                                        * SECOND);
+        long late =
+                proxy.acknowledgement == SimulatedProxy.Acknowledgement.LATE
+                        ? random.nextLong(5 * SECOND)
+                        : random.nextLong(TICK);
         long at = channelFreeAt + settings.longestWay() / 2 + late;
         if (proxy.acknowledgement != SimulatedProxy.Acknowledgement.NEVER) {
-            acknowledgements.add(new Acknowledgement(at, sent++, proxy, proxy.session, mark, at - now));
+            acknowledgements.add(
+                    new Acknowledgement(at, sent++, proxy, proxy.session, mark, at - now));
         }
     }
 
--- a/src/test/java/rosespread/policy/History.java
+++ b/src/test/java/rosespread/policy/History.java
@@ -8,18 +8,28 @@
 import rosespread.policy.RecordingOrders.Count;
 import rosespread.policy.SimulatedProxy.Acknowledgement;
 
-/** Histories that lead the routing policy through its branches, each with what it must have reached. */
+/**
+ * Histories that lead the routing policy through its branches, each with what it must have reached.
+ */
 enum History {
-    MASS_RECONNECT(History::massReconnect, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS, Count.MARKS),
-    ROLLING_REPLACEMENT(History::rollingReplacement, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS),
-    OVERLOAD(History::overload, Count.FULL_TABLES, Count.ENTRIES, Count.LIMITS, Count.LIMITS_LIFTED),
+    MASS_RECONNECT(
+            History::massReconnect, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS, Count.MARKS),
+    ROLLING_REPLACEMENT(
+            History::rollingReplacement, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS),
+    OVERLOAD(
+            History::overload, Count.FULL_TABLES, Count.ENTRIES, Count.LIMITS, Count.LIMITS_LIFTED),
     LOST_REPORTS(History::lostReports, Count.FULL_TABLES, Count.ENTRIES),
     NODE_FAILURES(History::nodeFailures, Count.FULL_TABLES, Count.EJECTIONS, Count.RECOVERIES),
     POLICY_RESTART(History::policyRestart, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS),
     CHURN(History::churn, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS, Count.EXCLUSIONS),
     SITE_RETURN(History::siteReturn, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS),
     UNSTEADY_NODES(History::unsteadyNodes, Count.FULL_TABLES, Count.EJECTIONS, Count.RECOVERIES),
-    SLOW_RAMPS(History::slowRamps, Count.FULL_TABLES, Count.EJECTIONS, Count.LIMITS, Count.LIMITS_LIFTED);
+    SLOW_RAMPS(
+            History::slowRamps,
+            Count.FULL_TABLES,
+            Count.EJECTIONS,
+            Count.LIMITS,
+            Count.LIMITS_LIFTED);
 
     private final Consumer<FleetSimulator> course;
     private final List<Count> reached;
@@ -43,7 +53,10 @@
         fleet.run(seconds);
     }
 
-    /** All proxies come at once, then once more while a third of the nodes leave and some return cold. */
+    /**
+     * All proxies come at once, then once more while a third of the nodes leave and some return
+     * cold.
+     */
     private static void massReconnect(FleetSimulator fleet) {
         int third = fleet.nodes() / 3;
         fleet.join(0, fleet.proxies() / 4);
@@ -165,7 +178,9 @@
         fleet.run(8);
     }
 
-    /** Most nodes are lost under load and return cold; then the policy starts anew among cold nodes. */
+    /**
+     * Most nodes are lost under load and return cold; then the policy starts anew among cold nodes.
+     */
     private static void siteReturn(FleetSimulator fleet) {
         int most = fleet.nodes() * 3 / 5;
         fleet.demand(0.45);
@@ -186,7 +201,10 @@
         fleet.run(14);
     }
 
-    /** A third of the nodes fail by shares that rise and fall, each at its own pace, under growing load. */
+    /**
+     * A third of the nodes fail by shares that rise and fall, each at its own pace, under growing
+     * load.
+     */
     private static void unsteadyNodes(FleetSimulator fleet) {
         fleet.demand(0.1);
         settle(fleet, 6);
@@ -202,7 +220,9 @@
         fleet.run(8);
     }
 
-    /** Load and failures pass the policy's thresholds slowly, so that a small shift of one shows. */
+    /**
+     * Load and failures pass the policy's thresholds slowly, so that a small shift of one shows.
+     */
     private static void slowRamps(FleetSimulator fleet) {
         fleet.demand(0.4);
         settle(fleet, 6);
--- a/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
+++ b/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
@@ -8,8 +8,9 @@
 import rosespread.policy.RecordingOrders.Count;
 
 /**
- * Freezes the decisions of the routing policy to the last digit: the digest of all orders of seeded histories
- * must stay as recorded. A refactoring leaves it as it is; a change of decisions records it anew and says so.
+ * Freezes the decisions of the routing policy to the last digit: the digest of all orders of seeded
+ * histories must stay as recorded. A refactoring leaves it as it is; a change of decisions records
+ * it anew and says so.
  */
 class PolicyCharacterizationTest {
     private static final long SEED = 20240;
@@ -60,14 +61,16 @@
     void ordersStayAsRecorded(Deployment deployment, History history, String recorded) {
         RecordingOrders orders = play(deployment, history);
         for (Count count : history.reached()) {
-            assertTrue(orders.count(count) > 0 || !applies(deployment, count), count + " not reached");
+            assertTrue(
+                    orders.count(count) > 0 || !applies(deployment, count), count + " not reached");
         }
         assertEquals(recorded, Long.toHexString(orders.digest()));
     }
 
     /** Limits are set only where proxies heed them. */
     private static boolean applies(Deployment deployment, Count count) {
-        return deployment != Deployment.SLOW_CHANNEL || count != Count.LIMITS && count != Count.LIMITS_LIFTED;
+        return deployment != Deployment.SLOW_CHANNEL
+                || count != Count.LIMITS && count != Count.LIMITS_LIFTED;
     }
 
     static RecordingOrders play(Deployment deployment, History history) {
--- a/src/test/java/rosespread/policy/PolicyDriver.java
+++ b/src/test/java/rosespread/policy/PolicyDriver.java
@@ -17,7 +17,8 @@
 /** Collects events and feeds them to a routing policy round by round; it alone calls the policy. */
 final class PolicyDriver {
     /** One entry of a node list. */
-    record NodeEntry(long id, int kind, int zone, double weight, Observer.NodeState state, long started) { }
+    record NodeEntry(
+            long id, int kind, int zone, double weight, Observer.NodeState state, long started) {}
 
     private final Brain policy;
     private final RecordingOrders orders;
@@ -43,8 +44,15 @@
     void nodeList(Observer.ListKind kind, List<NodeEntry> entries) {
         events.add(o -> o.listBegins(kind));
         for (NodeEntry e : entries) {
-            events.add(o -> o.node(new NodeId(e.id()), new KindId(e.kind()), new ZoneId(e.zone()), e.weight(),
-                    e.state(), e.started()));
+            events.add(
+                    o ->
+                            o.node(
+                                    new NodeId(e.id()),
+                                    new KindId(e.kind()),
+                                    new ZoneId(e.zone()),
+                                    e.weight(),
+                                    e.state(),
+                                    e.started()));
         }
         events.add(Observer::listEnds);
     }
@@ -61,10 +69,24 @@
         events.add(o -> o.installed(new ProxyId(proxy), mark, took));
     }
 
-    void loadReport(long node, int zone, int tries, int unanswered, double latency, long span,
+    void loadReport(
+            long node,
+            int zone,
+            int tries,
+            int unanswered,
+            double latency,
+            long span,
             double utilization) {
-        events.add(o -> o.sums(new NodeId(node), new ZoneId(zone), tries, unanswered, latency, span,
-                utilization));
+        events.add(
+                o ->
+                        o.sums(
+                                new NodeId(node),
+                                new ZoneId(zone),
+                                tries,
+                                unanswered,
+                                latency,
+                                span,
+                                utilization));
     }
 
     void offeredLoad(int proxy, int method, int count, long span) {
--- a/src/test/java/rosespread/policy/RecordingOrders.java
+++ b/src/test/java/rosespread/policy/RecordingOrders.java
@@ -14,14 +14,29 @@
 import rosespread.api.TableId;
 
 /**
- * Digests and counts all orders of a routing policy, with every argument and the bits of every number, and
- * passes them on to the simulated fleet. The wording of log lines is no decision and is left out.
+ * Digests and counts all orders of a routing policy, with every argument and the bits of every
+ * number, and passes them on to the simulated fleet. The wording of log lines is no decision and is
+ * left out.
  */
 final class RecordingOrders implements Orders {
-    /** What a history can reach; an ejection is a weight cut to less than a fifth, a recovery its reverse. */
+    /**
+     * What a history can reach; an ejection is a weight cut to less than a fifth, a recovery its
+     * reverse.
+     */
     enum Count {
-        FULL_TABLES, ENTRIES, REMOVALS, EJECTIONS, RECOVERIES, EXCLUSIONS, READMISSIONS, LIMITS, LIMITS_LIFTED,
-        MARKS, PROBES, LIST_REQUESTS, TABLES
+        FULL_TABLES,
+        ENTRIES,
+        REMOVALS,
+        EJECTIONS,
+        RECOVERIES,
+        EXCLUSIONS,
+        READMISSIONS,
+        LIMITS,
+        LIMITS_LIFTED,
+        MARKS,
+        PROBES,
+        LIST_REQUESTS,
+        TABLES
     }
 
     private static final double EJECTED = 0.2;
@@ -54,9 +69,13 @@
 
     @Override
     public void line(TableId table, NodeId node, double weight) {
-        digest.putByte((byte) 1).putInt(table.value()).putLong(node.value())
+        digest.putByte((byte) 1)
+                .putInt(table.value())
+                .putLong(node.value())
                 .putLong(Double.doubleToRawLongBits(weight));
-        Double old = weights.computeIfAbsent(table.value(), t -> new HashMap<>()).put(node.value(), weight);
+        Double old =
+                weights.computeIfAbsent(table.value(), t -> new HashMap<>())
+                        .put(node.value(), weight);
         add(weight > 0 ? Count.ENTRIES : Count.REMOVALS);
         if (old != null && weight > 0 && weight < EJECTED * old) {
             add(Count.EJECTIONS);
@@ -86,7 +105,9 @@
 
     @Override
     public void level(TableId table, MethodId method, double admitted) {
-        digest.putByte((byte) 4).putInt(table.value()).putInt(method.value())
+        digest.putByte((byte) 4)
+                .putInt(table.value())
+                .putInt(method.value())
                 .putLong(Double.doubleToRawLongBits(admitted));
         add(Double.isInfinite(admitted) ? Count.LIMITS_LIFTED : Count.LIMITS);
         effects.admissionLimit(table.value(), method.value(), admitted);
@@ -120,5 +141,5 @@
     }
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 }
--- a/src/test/java/rosespread/policy/SimulatedNode.java
+++ b/src/test/java/rosespread/policy/SimulatedNode.java
@@ -13,11 +13,15 @@
     Observer.NodeState state = Observer.NodeState.READY;
     long started = Long.MIN_VALUE;
     long reportedAt;
+
     /** The share of tries that it aborts. */
     double failures;
+
     boolean reachable = true;
+
     /** Load reports are dropped, or gathered into one that comes late. */
     boolean reportsLost;
+
     boolean reportsHeld;
 
     SimulatedNode(long id, int kind, int zone, double weight, double capacity, int zones) {
--- a/src/test/java/rosespread/policy/SimulatedProxy.java
+++ b/src/test/java/rosespread/policy/SimulatedProxy.java
@@ -3,7 +3,11 @@
 /** A proxy of the simulated fleet: the tables it routes by and how it acknowledges. */
 final class SimulatedProxy {
     /** How acknowledgements come back. */
-    enum Acknowledgement { PROMPT, LATE, NEVER }
+    enum Acknowledgement {
+        PROMPT,
+        LATE,
+        NEVER
+    }
 
     final int id;
     final int zone;
@@ -12,6 +16,7 @@
     Acknowledgement acknowledgement = Acknowledgement.PROMPT;
     boolean joined;
     int session;
+
     /** Lines written to it in this round. */
     int written;
 
--- a/src/test/java/rosespread/policy/SimulatedTable.java
+++ b/src/test/java/rosespread/policy/SimulatedTable.java
@@ -7,8 +7,10 @@
 final class SimulatedTable {
     final TreeMap<Long, Double> weights = new TreeMap<>();
     final double[] limits;
+
     /** The rate sent by it from each zone. */
     final double[] sent;
+
     /** Changes written in this round. */
     int changes;
 
--- a/src/test/java/rosespread/rehearse/ReportKeysTest.java
+++ b/src/test/java/rosespread/rehearse/ReportKeysTest.java
@@ -19,10 +19,13 @@
 import rosespread.standin.ProxyStandin;
 import rosespread.standin.Site;
 
-/** The names in a report and in scenario files, which others read and write, stay as they were recorded. */
+/**
+ * The names in a report and in scenario files, which others read and write, stay as they were
+ * recorded.
+ */
 class ReportKeysTest {
-    private static final List<String> SHIPPED = List.of("bad-day", "drain-day", "full-size", "kill-day",
-            "quiet-day", "rollback-day");
+    private static final List<String> SHIPPED =
+            List.of("bad-day", "drain-day", "full-size", "kill-day", "quiet-day", "rollback-day");
 
     /** Paths of all names below a node; places in arrays count as one. */
     private static Set<String> keys(JsonNode node) {
@@ -43,7 +46,8 @@
     }
 
     private static JsonNode shipped(String name) throws IOException {
-        try (InputStream in = ReportKeysTest.class.getResourceAsStream("/scenarios/" + name + ".yaml")) {
+        try (InputStream in =
+                ReportKeysTest.class.getResourceAsStream("/scenarios/" + name + ".yaml")) {
             return new YAMLMapper().readTree(in);
         }
     }
@@ -60,14 +64,19 @@
         report.begins(0);
         report.dayBegins(List.of());
         for (Site.Method method : scenario.site().methods()) {
-            report.ended(new Clients.Arrival(1, 1, method, "north", 0.5, "", 1, 0, 1, 1),
-                    ProxyStandin.Result.OK, 1_000_000, 1);
+            report.ended(
+                    new Clients.Arrival(1, 1, method, "north", 0.5, "", 1, 0, 1, 1),
+                    ProxyStandin.Result.OK,
+                    1_000_000,
+                    1);
         }
         report.event(1, "something happened");
         auditor.shortQueue.broke("too long");
         report.refused(new ObjectMapper().readTree("[{\"refused\":{\"LEAVING_NODE\":2}}]"));
         report.ends(auditor, 1_000_000_000L, List.of());
-        assertEquals(recorded("""
+        assertEquals(
+                recorded(
+                        """
                 byMethod
                 byMethod.book
                 byMethod.book.aborted
@@ -214,11 +223,20 @@
                 seed
                 service
                 tablesRefused
-                tablesRefused.LEAVING_NODE"""), keys(new ObjectMapper().readTree(report.json())));
+                tablesRefused.LEAVING_NODE"""),
+                keys(new ObjectMapper().readTree(report.json())));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"bad-day", "drain-day", "full-size", "kill-day", "quiet-day", "rollback-day"})
+    @ValueSource(
+            strings = {
+                "bad-day",
+                "drain-day",
+                "full-size",
+                "kill-day",
+                "quiet-day",
+                "rollback-day"
+            })
     void aShippedScenarioIsReadInAllItsKeys(String name) throws Exception {
         assertEquals(name, ScenarioReader.named(name).name());
     }
@@ -229,7 +247,9 @@
         for (String name : SHIPPED) {
             all.addAll(keys(shipped(name)));
         }
-        assertEquals(recorded("""
+        assertEquals(
+                recorded(
+                        """
                 channel
                 channel.levels
                 channel.linesPerMessage
@@ -282,11 +302,13 @@
                 troubles[].what.share
                 troubles[].what.which
                 troubles[].what.zone
-                zones"""), all);
+                zones"""),
+                all);
     }
 
     /** Every name that a scenario may have, each with another value than if it were left out. */
-    private static final String ALL_NAMES = """
+    private static final String ALL_NAMES =
+            """
             name: all-names
             seconds: 12
             warmUpSeconds: 4
@@ -320,15 +342,16 @@
         Scenario scenario = ScenarioReader.read("all-names.yaml", ALL_NAMES);
         assertEquals(1, scenario.troubles().size());
         assertTrue(keys(new YAMLMapper().readTree(ALL_NAMES)).size() > 50);
-        assertEquals("{\"seed\":7,\"peers\":[\"127.0.0.1:8600\"],\"zones\":[\"north\",\"south\"],\""
-                + "kinds\":[\"large\"],\"methods\":[{\"name\":\"quote\",\"criticality\":3.0,\"o"
-                + "nlyKinds\":[\"large\"]}],\"list\":{\"port\":8500,\"service\":\"nodes\",\"wai"
-                + "tMs\":5000,\"silentAfterMs\":1500},\"probes\":{\"allowed\":false},\"leve"
-                + "ls\":\"share\",\"channel\":{\"linesPerSecond\":1200.0,\"linesPerMessage\""
-                + ":9.0,\"queueLimit\":1800.0,\"orderPrice\":0.1,\"messageLimit\":31,\"mes"
-                + "sageSpanMs\":9000.0,\"longestWayMs\":200.0},\"reportPeriodMs\":900.0,"
-                + "\"drainGraceMs\":2400.0,\"cold\":{\"timeMs\":8000.0,\"share\":0.3,\"windo"
-                + "wMs\":1200.0}}",
+        assertEquals(
+                "{\"seed\":7,\"peers\":[\"127.0.0.1:8600\"],\"zones\":[\"north\",\"south\"],\""
+                        + "kinds\":[\"large\"],\"methods\":[{\"name\":\"quote\",\"criticality\":3.0,\"o"
+                        + "nlyKinds\":[\"large\"]}],\"list\":{\"port\":8500,\"service\":\"nodes\",\"wai"
+                        + "tMs\":5000,\"silentAfterMs\":1500},\"probes\":{\"allowed\":false},\"leve"
+                        + "ls\":\"share\",\"channel\":{\"linesPerSecond\":1200.0,\"linesPerMessage\""
+                        + ":9.0,\"queueLimit\":1800.0,\"orderPrice\":0.1,\"messageLimit\":31,\"mes"
+                        + "sageSpanMs\":9000.0,\"longestWayMs\":200.0},\"reportPeriodMs\":900.0,"
+                        + "\"drainGraceMs\":2400.0,\"cold\":{\"timeMs\":8000.0,\"share\":0.3,\"windo"
+                        + "wMs\":1200.0}}",
                 scenario.settings(7, 8500, List.of("127.0.0.1:8600")));
     }
 }
