--- a/src/main/java/rosespread/adapter/Conductor.java
+++ b/src/main/java/rosespread/adapter/SimulatedController.java
@@ -7,32 +7,34 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import rosespread.Brain;
+import rosespread.api.EventHandler;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.api.Observer;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
-import rosespread.launch.Fields;
-import rosespread.launch.LaunchException;
-import rosespread.launch.Names;
+import rosespread.config.ConfigException;
+import rosespread.config.ConfigObject;
+import rosespread.config.NameRegistry;
+import rosespread.policy.RoutingPolicy;
 
 /** One conductor of the process: turns its events into calls on its own decision module. */
-final class Conductor {
+final class SimulatedController {
     private final int id;
-    private final Brain brain;
-    private final Names names;
-    private final List<Consumer<Observer>> calls = new ArrayList<>();
+    private final RoutingPolicy brain;
+    private final NameRegistry names;
+    private final List<Consumer<EventHandler>> calls = new ArrayList<>();
 
-    Conductor(int id, Fields launch) throws LaunchException {
+    SimulatedController(int id, ConfigObject launch) throws ConfigException {
         this.id = id;
-        Fields info = launch.object("info");
-        this.names = new Names(info);
-        this.brain = new Brain(names.settings(info), new SplittableRandom(launch.whole("nonce64")));
+        ConfigObject info = launch.object("info");
+        this.names = new NameRegistry(info);
+        this.brain =
+                new RoutingPolicy(
+                        names.settings(info), new SplittableRandom(launch.whole("nonce64")));
     }
 
     /** Decodes one event; one of an unknown name is passed over. */
-    void take(Fields event) throws LaunchException {
+    void take(ConfigObject event) throws ConfigException {
         switch (event.text("msg")) {
             case "Topology" -> takeList(event);
             case "Attached" -> {
@@ -49,7 +51,7 @@
                 ProxyId proxy = proxy(event);
                 int mark = event.integer("rev");
                 long took = event.nanos("costTime", 0);
-                calls.add(observer -> observer.installed(proxy, mark, took));
+                calls.add(observer -> observer.acknowledged(proxy, mark, took));
             }
             case "Digest" -> {
                 NodeId node = node(event);
@@ -62,7 +64,7 @@
                 double utilization = names.utilization(event);
                 calls.add(
                         observer ->
-                                observer.sums(
+                                observer.loadReported(
                                         node,
                                         zone,
                                         tries,
@@ -76,58 +78,58 @@
                 MethodId method = names.method(event.text("category"));
                 int count = event.integer("count");
                 long covers = event.nanos("covers");
-                calls.add(observer -> observer.offered(proxy, method, count, covers));
+                calls.add(observer -> observer.demandReported(proxy, method, count, covers));
             }
             case "PingResult" -> {
                 NodeId node = node(event);
-                Observer.Verdict verdict = Words.verdict(event.text("verdict"));
-                calls.add(observer -> observer.probed(node, verdict));
+                EventHandler.HealthCheckResult verdict = WireNames.verdict(event.text("verdict"));
+                calls.add(observer -> observer.healthChecked(node, verdict));
             }
-            case "Wakeup" -> calls.add(Observer::woke);
+            case "Wakeup" -> calls.add(EventHandler::timerFired);
             default -> {}
         }
     }
 
-    private void takeList(Fields event) throws LaunchException {
-        Observer.ListKind kind = Words.listKind(event.text("kind"));
-        calls.add(observer -> observer.listBegins(kind));
-        for (Fields entry : event.objects("elements")) {
+    private void takeList(ConfigObject event) throws ConfigException {
+        EventHandler.NodeListKind kind = WireNames.listKind(event.text("kind"));
+        calls.add(observer -> observer.listStarted(kind));
+        for (ConfigObject entry : event.objects("elements")) {
             NodeId node = node(entry);
-            Observer.NodeState state = Words.state(entry.text("lifecycle"));
+            EventHandler.NodeState state = WireNames.state(entry.text("lifecycle"));
             var machine = names.kind(entry.text("kind", ""));
             ZoneId zone = names.zone(entry.text("zone", ""));
             double weight = entry.number("w", 1);
             double up = entry.number("cameUp", 0);
             long started = up == 0 ? Long.MIN_VALUE : Math.round(up * 1e9);
-            calls.add(observer -> observer.node(node, machine, zone, weight, state, started));
+            calls.add(observer -> observer.nodeListed(node, machine, zone, weight, state, started));
         }
-        calls.add(Observer::listEnds);
+        calls.add(EventHandler::listCompleted);
     }
 
     /**
      * Plays the round; what the module throws goes out as the wire's fault and ends the day there.
      */
     void round(long now, JsonGenerator reply) throws IOException {
-        List<Consumer<Observer>> round = List.copyOf(calls);
+        List<Consumer<EventHandler>> round = List.copyOf(calls);
         calls.clear();
         try {
             brain.round(
                     now,
                     observer -> round.forEach(call -> call.accept(observer)),
-                    new Steps(id, reply));
+                    new SimulatorActionWriter(id, reply));
         } catch (UncheckedIOException e) {
             throw e.getCause();
         } catch (RuntimeException e) {
             StackTraceElement[] at = e.getStackTrace();
-            Steps.fault(id, reply, e + (at.length > 0 ? " at " + at[0] : ""));
+            SimulatorActionWriter.fault(id, reply, e + (at.length > 0 ? " at " + at[0] : ""));
         }
     }
 
-    private static ProxyId proxy(Fields event) throws LaunchException {
+    private static ProxyId proxy(ConfigObject event) throws ConfigException {
         return new ProxyId(event.integer("clientLb"));
     }
 
-    private static NodeId node(Fields event) throws LaunchException {
+    private static NodeId node(ConfigObject event) throws ConfigException {
         return new NodeId(event.whole("node"));
     }
 }
--- a/src/main/java/rosespread/adapter/Steps.java
+++ b/src/main/java/rosespread/adapter/SimulatorActionWriter.java
@@ -5,17 +5,17 @@
 import java.io.UncheckedIOException;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.api.Orders;
+import rosespread.api.PolicyActions;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
-import rosespread.launch.Names;
+import rosespread.config.NameRegistry;
 
 /** Writes a conductor's orders as the wire's actions. */
-final class Steps implements Orders {
+final class SimulatorActionWriter implements PolicyActions {
     private final int conductor;
     private final JsonGenerator reply;
 
-    Steps(int conductor, JsonGenerator reply) {
+    SimulatorActionWriter(int conductor, JsonGenerator reply) {
         this.conductor = conductor;
         this.reply = reply;
     }
@@ -37,11 +37,12 @@
     }
 
     static void fault(int conductor, JsonGenerator reply, String text) {
-        new Steps(conductor, reply).step("Fault", () -> reply.writeStringField("reasonText", text));
+        new SimulatorActionWriter(conductor, reply)
+                .step("Fault", () -> reply.writeStringField("reasonText", text));
     }
 
     @Override
-    public void line(TableId table, NodeId node, double weight) {
+    public void setWeight(TableId table, NodeId node, double weight) {
         step(
                 "Assign",
                 () -> {
@@ -52,7 +53,7 @@
     }
 
     @Override
-    public void bind(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
+    public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
         step(
                 "Point",
                 () -> {
@@ -63,7 +64,7 @@
     }
 
     @Override
-    public void withdraw(NodeId node, boolean out) {
+    public void setExcluded(NodeId node, boolean out) {
         step(
                 "Cordon",
                 () -> {
@@ -73,19 +74,20 @@
     }
 
     @Override
-    public void level(TableId table, MethodId method, double admitted) {
+    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
         step(
                 "Admit",
                 () -> {
-                    reply.writeNumberField("letIn", Math.min(admitted, Names.UNBOUNDED_LEVEL));
-                    reply.writeNumberField("secondTry", Names.RETRY_AFTER_PROOF);
+                    reply.writeNumberField(
+                            "letIn", Math.min(admitted, NameRegistry.UNBOUNDED_LEVEL));
+                    reply.writeNumberField("secondTry", NameRegistry.RETRY_AFTER_PROOF);
                     reply.writeNumberField("tbl", table.value());
                     reply.writeNumberField("classBits", 1L << method.value());
                 });
     }
 
     @Override
-    public void mark(int mark) {
+    public void requestAcknowledgement(int mark) {
         step(
                 "Mark",
                 () -> {
@@ -95,17 +97,17 @@
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         step("Ping", () -> reply.writeNumberField("node", node.value()));
     }
 
     @Override
-    public void followList() {
+    public void watchNodes() {
         step("StreamChanges", () -> reply.writeBooleanField("active", true));
     }
 
     @Override
-    public void wakeAfter(long nanos) {
+    public void startTimer(long nanos) {
         step(
                 "Arm",
                 () -> {
--- a/src/main/java/rosespread/adapter/Adapter.java
+++ b/src/main/java/rosespread/adapter/SimulatorAdapter.java
@@ -13,20 +13,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.TreeMap;
-import rosespread.launch.Fields;
-import rosespread.launch.LaunchException;
+import rosespread.config.ConfigException;
+import rosespread.config.ConfigObject;
 
 /**
  * Speaks the simulator's wire: a batch a line in, a reply a line out, for as many conductors as it
  * names.
  */
-public final class Adapter {
+public final class SimulatorAdapter {
     private final JsonFactory json = new JsonFactory();
     private final BufferedReader in;
     private final OutputStream out;
-    private final Map<Integer, Conductor> conductors = new TreeMap<>();
+    private final Map<Integer, SimulatedController> conductors = new TreeMap<>();
 
-    public Adapter(InputStream in, OutputStream out) {
+    public SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
@@ -42,24 +42,24 @@
             } catch (JsonProcessingException e) {
                 throw new WireException(
                         "line " + number + " is not a batch: " + e.getOriginalMessage());
-            } catch (LaunchException e) {
+            } catch (ConfigException e) {
                 throw new WireException("line " + number + " is not a batch: " + e.getMessage());
             }
         }
     }
 
-    private ByteArrayOutputStream answer(String line) throws IOException, LaunchException {
-        Fields batch = Fields.of("the line", parse(line));
+    private ByteArrayOutputStream answer(String line) throws IOException, ConfigException {
+        ConfigObject batch = ConfigObject.of("the line", parse(line));
         long now = batch.nanos("simTime");
-        Map<Integer, Conductor> concerned = new TreeMap<>();
-        for (Fields event : batch.requiredObjects("msgs")) {
+        Map<Integer, SimulatedController> concerned = new TreeMap<>();
+        for (ConfigObject event : batch.requiredObjects("msgs")) {
             take(event, concerned);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator reply = json.createGenerator(bytes)) {
             reply.writeStartObject();
             reply.writeArrayFieldStart("steps");
-            for (Conductor conductor : concerned.values()) {
+            for (SimulatedController conductor : concerned.values()) {
                 conductor.round(now, reply);
             }
             reply.writeEndArray();
@@ -74,7 +74,7 @@
             if (parser.nextToken() == null) {
                 return null;
             }
-            Object value = Fields.read(parser);
+            Object value = ConfigObject.read(parser);
             return parser.nextToken() == null ? value : null;
         }
     }
@@ -83,11 +83,12 @@
      * An event of a conductor that has not been launched is passed over: nobody is there to hear
      * it.
      */
-    private void take(Fields event, Map<Integer, Conductor> concerned) throws LaunchException {
+    private void take(ConfigObject event, Map<Integer, SimulatedController> concerned)
+            throws ConfigException {
         int id = event.integer("conductorId");
         switch (event.text("msg")) {
             case "Launch" -> {
-                Conductor launched = new Conductor(id, event);
+                SimulatedController launched = new SimulatedController(id, event);
                 conductors.put(id, launched);
                 concerned.put(id, launched);
             }
@@ -96,7 +97,7 @@
                 concerned.remove(id);
             }
             default -> {
-                Conductor conductor = conductors.get(id);
+                SimulatedController conductor = conductors.get(id);
                 if (conductor != null) {
                     conductor.take(event);
                     concerned.put(id, conductor);
--- a/src/main/java/rosespread/control/ControlServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package rosespread.control;
+package rosespread.admin;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -24,11 +24,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.audit.AuditLog;
-import rosespread.conductor.Conductor;
-import rosespread.conductor.ConductorState;
-import rosespread.conductor.DrainCall;
-import rosespread.conductor.DrainJson;
-import rosespread.conductor.DrainOutcome;
+import rosespread.controller.Controller;
+import rosespread.controller.ControllerStatus;
+import rosespread.controller.DrainJson;
+import rosespread.controller.DrainRequest;
+import rosespread.controller.DrainResult;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpLimits;
 import rosespread.http.HttpMessage;
@@ -41,8 +41,8 @@
  * The API for operators; docs/daemon.md lists its calls. Acts name their caller, may name the
  * revision that they are made against and an id under which they are done once, and are audited.
  */
-public final class ControlServer implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
+public final class AdminServer implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
     private static final Pattern ONE = Pattern.compile("/v1/tables/([0-9]{1,5})");
     private static final Pattern ACT =
             Pattern.compile(
@@ -55,7 +55,7 @@
             JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
     private static final Pattern NODE_ACT =
             Pattern.compile("/v1/nodes/([^/?]{1,400})/(drain|undrain)(?:\\?force=(true|false))?");
-    private final Conductor conductor;
+    private final Controller conductor;
     private final AuditLog audit;
     private final String ownIds = "own-" + System.currentTimeMillis() + "-";
     private long ownId;
@@ -76,14 +76,14 @@
                     });
 
     /** Without an audit log. */
-    public ControlServer(Conductor conductor) {
+    public AdminServer(Controller conductor) {
         this(conductor, null);
     }
 
     /**
      * @param audit where acts go, or null
      */
-    public ControlServer(Conductor conductor, AuditLog audit) {
+    public AdminServer(Controller conductor, AuditLog audit) {
         this.conductor = conductor;
         this.audit = audit;
         this.http = new HttpServer(1, HttpLimits.USUAL, this::take);
@@ -101,7 +101,7 @@
         worker.shutdownNow();
     }
 
-    private void take(HttpMessage.Call call, HttpServer.Exchange exchange) {
+    private void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         try {
             worker.execute(() -> exchange.answer(answer(call)));
         } catch (RejectedExecutionException e) {
@@ -109,7 +109,7 @@
         }
     }
 
-    private HttpMessage.Answer answer(HttpMessage.Call call) {
+    private HttpMessage.Response answer(HttpMessage.Request call) {
         try {
             Caller caller = Caller.of(call, ownIds + ownId++);
             return switch (call.path()) {
@@ -155,12 +155,12 @@
     }
 
     /** Does an act between two lines of the audit log; tells whether it is audited. */
-    private HttpMessage.Answer audited(HttpMessage.Call call, Caller caller, Act act)
+    private HttpMessage.Response audited(HttpMessage.Request call, Caller caller, Act act)
             throws IOException {
         if (audit != null) {
             audit.write(line(call, caller, "asked"));
         }
-        HttpMessage.Answer answer = act.run();
+        HttpMessage.Response answer = act.run();
         if (audit != null) {
             audit.write(
                     line(
@@ -178,10 +178,10 @@
     }
 
     private interface Act {
-        HttpMessage.Answer run() throws IOException;
+        HttpMessage.Response run() throws IOException;
     }
 
-    private static AuditLog.Act line(HttpMessage.Call call, Caller caller, String outcome) {
+    private static AuditLog.Act line(HttpMessage.Request call, Caller caller, String outcome) {
         return new AuditLog.Act(
                 caller.who(),
                 call.headers().first("host").orElse(""),
@@ -194,7 +194,7 @@
      * {@code GET /v1/nodes}; {@code POST /v1/nodes/NAME/drain} and {@code .../undrain}, with {@code
      * ?force=true} past the guard.
      */
-    private HttpMessage.Answer nodes(HttpMessage.Call call, Caller caller) throws IOException {
+    private HttpMessage.Response nodes(HttpMessage.Request call, Caller caller) throws IOException {
         if (call.path().equals("/v1/nodes")) {
             return call.verb().equals("GET")
                     ? json(200, conductor.state().nodes())
@@ -215,9 +215,9 @@
                 call,
                 caller,
                 () -> {
-                    DrainOutcome outcome =
+                    DrainResult outcome =
                             conductor.drain(
-                                    new DrainCall(
+                                    new DrainRequest(
                                             name,
                                             act.group(2).equals("drain"),
                                             caller.who(),
@@ -233,22 +233,21 @@
                                                 .put("done", true)
                                                 .put(
                                                         "repeated",
-                                                        outcome.kind()
-                                                                == DrainOutcome.Kind.REPEATED)
+                                                        outcome.kind() == DrainResult.Kind.REPEATED)
                                                 .put("revision", outcome.revision()));
-                        case NO_NODE -> Problem.of(404, "No such node", told);
+                        case NO_NODE -> ProblemDetails.of(404, "No such node", told);
                         case AMBIGUOUS ->
-                                Problem.of(
+                                ProblemDetails.of(
                                         409, "Several nodes have this name", "name one of " + told);
                         case STALE ->
-                                Problem.of(
+                                ProblemDetails.of(
                                         412,
                                         "Changed since",
                                         "since revision " + caller.revision() + ": " + told,
                                         outcome.told(),
                                         outcome.revision());
                         case GUARDED ->
-                                Problem.of(
+                                ProblemDetails.of(
                                         409,
                                         "Too much would be drained",
                                         told,
@@ -259,7 +258,7 @@
     }
 
     /** One screen's worth: counts, versions and troubles, without lines, nodes and proxies. */
-    private ObjectNode status(ConductorState state) {
+    private ObjectNode status(ControllerStatus state) {
         ObjectNode all =
                 json.createObjectNode()
                         .put("name", conductor.name())
@@ -298,7 +297,7 @@
     }
 
     /** Serving without storage is serving; the trouble is told beside. */
-    private HttpMessage.Answer health(ConductorState state) throws IOException {
+    private HttpMessage.Response health(ControllerStatus state) throws IOException {
         return json(
                 state.phase().equals("serving") ? 200 : 503,
                 json.createObjectNode()
@@ -308,7 +307,8 @@
                         .put("audit", audit == null ? "" : audit.trouble()));
     }
 
-    private HttpMessage.Answer settings(HttpMessage.Call call, Caller caller) throws IOException {
+    private HttpMessage.Response settings(HttpMessage.Request call, Caller caller)
+            throws IOException {
         Optional<Snapshot.Saved> now = conductor.settings();
         if (call.verb().equals("GET")) {
             return now.isEmpty()
@@ -318,7 +318,7 @@
                                     + (conductor.settingsTrouble().isEmpty()
                                             ? ""
                                             : "; " + conductor.settingsTrouble()))
-                    : new HttpMessage.Answer(
+                    : new HttpMessage.Response(
                             200,
                             HttpHeaders.of(
                                     "content-type",
@@ -348,7 +348,7 @@
                 caller,
                 () -> {
                     try {
-                        Conductor.Applied applied =
+                        Controller.Applied applied =
                                 conductor.apply(
                                         call.text(), caller.who(), caller.id(), caller.revision());
                         long revision = applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
@@ -371,7 +371,8 @@
                                                                 + Instant.ofEpochMilli(
                                                                         is.atMillis()))
                                         .orElse("there are no settings");
-                        return Problem.of(412, "Changed since", since, List.of(since), revision);
+                        return ProblemDetails.of(
+                                412, "Changed since", since, List.of(since), revision);
                     } catch (SettingsException e) {
                         return faults(e);
                     } catch (IOException e) {
@@ -384,7 +385,7 @@
     }
 
     /** Whether settings would hold; nothing changes. */
-    private HttpMessage.Answer tried(HttpMessage.Call call) throws IOException {
+    private HttpMessage.Response tried(HttpMessage.Request call) throws IOException {
         try {
             SettingsReader.read(call.text());
             return json(200, json.createObjectNode().put("applied", false).put("good", true));
@@ -393,8 +394,8 @@
         }
     }
 
-    private static HttpMessage.Answer faults(SettingsException e) {
-        ObjectNode told = Problem.members(422, "Settings not applied", e.getMessage());
+    private static HttpMessage.Response faults(SettingsException e) {
+        ObjectNode told = ProblemDetails.members(422, "Settings not applied", e.getMessage());
         ArrayNode faults = told.putArray("faults");
         e.faults()
                 .forEach(
@@ -403,7 +404,7 @@
                                         .put("field", fault.field())
                                         .put("value", fault.value())
                                         .put("allowed", fault.allowed()));
-        return Problem.answer(told);
+        return ProblemDetails.answer(told);
     }
 
     /**
@@ -411,7 +412,8 @@
      * /v1/tables/N/diff?from=V&to=V}; {@code POST /v1/tables/N/rollback?version=V}, {@code
      * .../pin}, {@code .../release}.
      */
-    private HttpMessage.Answer tables(HttpMessage.Call call, Caller caller) throws IOException {
+    private HttpMessage.Response tables(HttpMessage.Request call, Caller caller)
+            throws IOException {
         if (call.path().equals("/v1/tables")) {
             return call.verb().equals("GET")
                     ? json(200, conductor.state().tables())
@@ -419,7 +421,8 @@
         }
         Matcher one = ONE.matcher(call.target());
         if (one.matches() && call.verb().equals("GET")) {
-            Optional<ConductorState.Table> table = conductor.table(Integer.parseInt(one.group(1)));
+            Optional<ControllerStatus.Table> table =
+                    conductor.table(Integer.parseInt(one.group(1)));
             return table.isPresent()
                     ? json(200, table.get())
                     : error(404, "no table " + one.group(1));
@@ -439,8 +442,9 @@
         if (!call.verb().equals("POST")) {
             return error(405, "only POST " + call.path());
         }
-        Conductor.TableAct what = Conductor.TableAct.valueOf(act.group(2).toUpperCase(Locale.ROOT));
-        if ((what == Conductor.TableAct.ROLLBACK) != (act.group(3) != null)) {
+        Controller.TableAct what =
+                Controller.TableAct.valueOf(act.group(2).toUpperCase(Locale.ROOT));
+        if ((what == Controller.TableAct.ROLLBACK) != (act.group(3) != null)) {
             return error(
                     400, "version is " + act.group(3) + "; a rollback, and only that, names one");
         }
@@ -449,7 +453,7 @@
                 call,
                 caller,
                 () -> {
-                    Conductor.Outcome outcome =
+                    Controller.Outcome outcome =
                             conductor.act(what, Integer.parseInt(act.group(1)), version);
                     return outcome.why().isEmpty()
                             ? json(
@@ -461,15 +465,15 @@
                 });
     }
 
-    private HttpMessage.Answer difference(Matcher diff) throws IOException {
+    private HttpMessage.Response difference(Matcher diff) throws IOException {
         int table = Integer.parseInt(diff.group(1));
         long from = Long.parseLong(diff.group(2));
         long to = Long.parseLong(diff.group(3));
-        Optional<ConductorState.Difference> found = conductor.difference(table, from, to);
+        Optional<ControllerStatus.Difference> found = conductor.difference(table, from, to);
         if (found.isPresent()) {
             return json(200, found.get());
         }
-        Optional<ConductorState.Table> there = conductor.table(table);
+        Optional<ControllerStatus.Table> there = conductor.table(table);
         return error(
                 404,
                 there.isEmpty()
@@ -482,8 +486,8 @@
                                         : from));
     }
 
-    private static HttpMessage.Answer error(int status, String detail) {
-        return Problem.of(
+    private static HttpMessage.Response error(int status, String detail) {
+        return ProblemDetails.of(
                 status,
                 switch (status) {
                     case 400 -> "Bad call";
@@ -496,7 +500,7 @@
                 detail);
     }
 
-    private HttpMessage.Answer json(int status, Object body) throws JsonProcessingException {
-        return HttpMessage.Answer.json(status, json.writeValueAsString(body) + "\n");
+    private HttpMessage.Response json(int status, Object body) throws JsonProcessingException {
+        return HttpMessage.Response.json(status, json.writeValueAsString(body) + "\n");
     }
 }
--- a/src/main/java/rosespread/control/Caller.java
+++ b/src/main/java/rosespread/admin/Caller.java
@@ -1,4 +1,4 @@
-package rosespread.control;
+package rosespread.admin;
 
 import java.util.Optional;
 import rosespread.http.HttpMessage;
@@ -16,7 +16,7 @@
     /**
      * @throws IllegalArgumentException if a header is not what it may be; the message names it
      */
-    static Caller of(HttpMessage.Call call, String ownId) {
+    static Caller of(HttpMessage.Request call, String ownId) {
         String who = call.headers().first("x-operator").orElse("unnamed");
         String id = call.headers().first("idempotency-key").orElse(ownId);
         Optional<String> match = call.headers().first("if-match");
--- a/src/main/java/rosespread/control/Daemon.java
+++ b/src/main/java/rosespread/admin/Daemon.java
@@ -1,4 +1,4 @@
-package rosespread.control;
+package rosespread.admin;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,8 +8,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.audit.AuditLog;
-import rosespread.conductor.Conductor;
-import rosespread.release.Gate;
+import rosespread.controller.Controller;
+import rosespread.validation.TableChangeValidator;
 
 /** A conductor and its control API as a process that runs until it is told to stop. */
 public final class Daemon {
@@ -23,13 +23,13 @@
             Path state,
             InetSocketAddress listen,
             InetSocketAddress control,
-            Conductor.Planning planning,
-            Gate gate)
+            Controller.Planning planning,
+            TableChangeValidator gate)
             throws IOException, InterruptedException {
         CountDownLatch forever = new CountDownLatch(1);
-        Conductor conductor = new Conductor(name, state, planning, gate);
+        Controller conductor = new Controller(name, state, planning, gate);
         AuditLog audit = audit(state.resolve("audit.log"));
-        ControlServer api = new ControlServer(conductor, audit);
+        AdminServer api = new AdminServer(conductor, audit);
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
--- a/src/main/java/rosespread/control/Problem.java
+++ b/src/main/java/rosespread/admin/ProblemDetails.java
@@ -1,4 +1,4 @@
-package rosespread.control;
+package rosespread.admin;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -6,17 +6,17 @@
 import rosespread.http.HttpMessage;
 
 /** What is wrong with a call, as problem details (RFC 9457). */
-final class Problem {
+final class ProblemDetails {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Problem() {}
+    private ProblemDetails() {}
 
-    static HttpMessage.Answer of(int status, String title, String detail) {
+    static HttpMessage.Response of(int status, String title, String detail) {
         return answer(members(status, title, detail));
     }
 
     /** With sentences that say why, or what changed, each on its own. */
-    static HttpMessage.Answer of(
+    static HttpMessage.Response of(
             int status, String title, String detail, List<String> reasons, long revision) {
         ObjectNode members = members(status, title, detail);
         reasons.forEach(members.putArray("reasons")::add);
@@ -32,8 +32,8 @@
                 .put("detail", detail);
     }
 
-    static HttpMessage.Answer answer(ObjectNode members) {
-        return HttpMessage.Answer.of(
+    static HttpMessage.Response answer(ObjectNode members) {
+        return HttpMessage.Response.of(
                 members.path("status").asInt(),
                 "application/problem+json",
                 members.toPrettyString() + "\n");
--- a/src/main/java/rosespread/api/Observer.java
+++ b/src/main/java/rosespread/api/EventHandler.java
@@ -1,11 +1,11 @@
 package rosespread.api;
 
 /** Takes what came in, one call an event, in the order of arrival. */
-public interface Observer {
-    enum ListKind {
-        REMEMBERED,
-        WHOLE,
-        CHANGES,
+public interface EventHandler {
+    enum NodeListKind {
+        CACHED,
+        FULL,
+        INCREMENTAL,
         UNAVAILABLE
     }
 
@@ -15,24 +15,30 @@
         GONE
     }
 
-    enum Verdict {
-        OK,
-        ABORTED,
-        PUSHED_BACK,
+    enum HealthCheckResult {
+        PASSED,
+        FAILED,
+        REJECTED,
         TIMED_OUT,
         UNREACHABLE
     }
 
-    /** Opens a list of nodes; its entries and {@link #listEnds} follow. */
-    void listBegins(ListKind kind);
+    /** Opens a list of nodes; its entries and {@link #listCompleted} follow. */
+    void listStarted(NodeListKind kind);
 
     /**
      * One entry; {@code started} is the clock time of the last start, {@link Long#MIN_VALUE} if
      * long ago.
      */
-    void node(NodeId node, KindId kind, ZoneId zone, double weight, NodeState state, long started);
+    void nodeListed(
+            NodeId node,
+            MachineTypeId kind,
+            ZoneId zone,
+            double weight,
+            NodeState state,
+            long started);
 
-    void listEnds();
+    void listCompleted();
 
     /** A stream from a proxy stands; {@code rate} is its usual RPCs a second. */
     void proxyJoined(ProxyId proxy, ZoneId zone, double rate);
@@ -43,13 +49,13 @@
      * The proxy has applied everything up to this mark; {@code took} runs from the order to its
      * effect.
      */
-    void installed(ProxyId proxy, int mark, long took);
+    void acknowledged(ProxyId proxy, int mark, long took);
 
     /**
      * What the proxies of a zone met at a node. A measure that did not come is NaN: latency in
      * seconds, utilization as the busy share of the node's cores.
      */
-    void sums(
+    void loadReported(
             NodeId node,
             ZoneId zone,
             int tries,
@@ -59,10 +65,10 @@
             double utilization);
 
     /** RPCs of a method that came to a proxy, pushed back ones and clients' repeats among them. */
-    void offered(ProxyId proxy, MethodId method, int count, long covers);
+    void demandReported(ProxyId proxy, MethodId method, int count, long covers);
 
-    void probed(NodeId node, Verdict verdict);
+    void healthChecked(NodeId node, HealthCheckResult verdict);
 
     /** A wake-up ordered earlier is due. */
-    void woke();
+    void timerFired();
 }
--- a/src/main/java/rosespread/api/Feed.java
+++ b/src/main/java/rosespread/api/EventSource.java
@@ -2,7 +2,7 @@
 
 /** One round's events. */
 @FunctionalInterface
-public interface Feed {
+public interface EventSource {
     /** Hands every event to the observer, in order. */
-    void to(Observer observer);
+    void deliverTo(EventHandler observer);
 }
--- a/src/main/java/rosespread/api/KindId.java
+++ b/src/main/java/rosespread/api/MachineTypeId.java
@@ -1,9 +1,9 @@
 package rosespread.api;
 
 /** A kind of machine, by its place among the settings' kinds. */
-public record KindId(int value) implements Comparable<KindId> {
+public record MachineTypeId(int value) implements Comparable<MachineTypeId> {
     @Override
-    public int compareTo(KindId other) {
+    public int compareTo(MachineTypeId other) {
         return Integer.compare(value, other.value);
     }
 
@@ -13,7 +13,7 @@
      */
     @Override
     public boolean equals(Object other) {
-        return other instanceof KindId id && id.value == value;
+        return other instanceof MachineTypeId id && id.value == value;
     }
 
     @Override
--- a/src/main/java/rosespread/api/Orders.java
+++ b/src/main/java/rosespread/api/PolicyActions.java
@@ -4,30 +4,30 @@
  * Takes a round's decisions as they are made; those of one round leave as one message for each
  * proxy.
  */
-public interface Orders {
+public interface PolicyActions {
     /** Sets a table's line; weight 0 removes it. */
-    void line(TableId table, NodeId node, double weight);
+    void setWeight(TableId table, NodeId node, double weight);
 
     /**
      * Sends a proxy the whole table for these methods; it gets the table's changes from then on.
      */
-    void bind(ProxyId proxy, Iterable<MethodId> methods, TableId table);
+    void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table);
 
     /** Shuts a node out of everything that the joined proxies hold, or lets it in again. */
-    void withdraw(NodeId node, boolean out);
+    void setExcluded(NodeId node, boolean out);
 
     /** Lets in so much of a method at each proxy of the table (infinite: all). */
-    void level(TableId table, MethodId method, double admitted);
+    void setAdmissionLimit(TableId table, MethodId method, double admitted);
 
     /** Asks each proxy that this round reaches to answer with this number, 0 to 65535. */
-    void mark(int mark);
+    void requestAcknowledgement(int mark);
 
-    void probe(NodeId node);
+    void checkHealth(NodeId node);
 
     /** Asks to be told of changes to the list. */
-    void followList();
+    void watchNodes();
 
-    void wakeAfter(long nanos);
+    void startTimer(long nanos);
 
     void log(String line);
 }
--- a/src/main/java/rosespread/api/Settings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -7,29 +7,32 @@
  * What a conductor is told at its start; times in nanoseconds. Decoded once, never copied. The
  * order price is what the channel's usual pace costs, as a part of all service.
  */
-public record Settings(
+public record PolicySettings(
         List<Method> methods,
         int zones,
-        boolean sliced,
+        boolean keyRangeTables,
         boolean listOnDemand,
-        boolean probesAllowed,
+        boolean healthChecksAllowed,
         Throttle throttle,
-        double linesPerSecond,
-        double linesPerMessage,
-        double queueLimit,
-        double orderPrice,
+        double entriesPerSecond,
+        double messageOverheadEntries,
+        double queueLimitEntries,
+        double channelCost,
         int messageLimit,
-        long messageSpan,
-        long longestWay,
-        long reportPeriod,
-        long drainGrace,
-        long coldTime,
-        double coldShare,
-        long coldWindow) {
+        long messageWindowNanos,
+        long maxPropagationDelayNanos,
+        long reportPeriodNanos,
+        long drainTimeoutNanos,
+        long warmUpNanos,
+        double coldCapacityRatio,
+        long coldWindowNanos) {
 
     /** A method; the sets name the only kinds and zones open to it, and are empty where all are. */
     public record Method(
-            double criticality, Set<KindId> onlyKinds, Set<ZoneId> onlyZones, boolean ownZone) {}
+            double priorityWeight,
+            Set<MachineTypeId> allowedMachineTypes,
+            Set<ZoneId> allowedZones,
+            boolean localZoneOnly) {}
 
     /** What a level is counted in, if proxies heed levels at all. */
     public enum Throttle {
--- a/src/main/java/rosespread/cli/ConductorCommand.java
+++ b/src/main/java/rosespread/cli/ConductorCommand.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rosespread.conductor.Conductor;
-import rosespread.control.Daemon;
-import rosespread.release.Gate;
+import rosespread.admin.Daemon;
+import rosespread.controller.Controller;
+import rosespread.validation.TableChangeValidator;
 
 /** Runs one conductor until it is told to stop. */
 @Command(
@@ -47,7 +47,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Daemon.run(name, state, listen, control, Conductor.MODULE, new Gate());
+        Daemon.run(name, state, listen, control, Controller.MODULE, new TableChangeValidator());
         return 0;
     }
 }
--- a/src/main/java/rosespread/cli/FleetCommand.java
+++ b/src/main/java/rosespread/cli/FleetCommand.java
@@ -28,7 +28,7 @@
 import rosespread.fleet.Emptied;
 import rosespread.fleet.FieldChanges;
 import rosespread.fleet.Fleet;
-import rosespread.fleet.Reply;
+import rosespread.fleet.FleetResponse;
 import rosespread.fleet.StagedApply;
 
 /** Tends several conductors with one call. */
@@ -122,7 +122,7 @@
         }
 
         /** Every conductor's answer by its address. */
-        static String json(List<Reply> replies) {
+        static String json(List<FleetResponse> replies) {
             ObjectNode all = new ObjectMapper().createObjectNode();
             replies.forEach(
                     reply -> {
@@ -137,8 +137,8 @@
             return all.toPrettyString();
         }
 
-        static Integer code(List<Reply> replies) {
-            long ok = replies.stream().filter(Reply::isOk).count();
+        static Integer code(List<FleetResponse> replies) {
+            long ok = replies.stream().filter(FleetResponse::isOk).count();
             return ok == replies.size() ? 0 : ok == 0 ? 1 : SOME;
         }
     }
@@ -150,7 +150,7 @@
     static final class Status extends Call {
         @Override
         Integer run(Fleet fleet, PrintWriter out, PrintWriter err) {
-            List<Reply> replies = fleet.ask("GET", "/v1/status", "");
+            List<FleetResponse> replies = fleet.ask("GET", "/v1/status", "");
             if (asJson()) {
                 out.println(json(replies));
                 return code(replies);
@@ -166,7 +166,7 @@
                     "settings",
                     "held",
                     "trouble");
-            for (Reply reply : replies) {
+            for (FleetResponse reply : replies) {
                 JsonNode is = reply.body();
                 if (!reply.isOk()) {
                     out.printf("%-22s %-10s %s%n", reply.address(), "-", reply.detail());
@@ -222,13 +222,13 @@
     static final class Nodes extends Call {
         @Override
         Integer run(Fleet fleet, PrintWriter out, PrintWriter err) {
-            List<Reply> replies = fleet.ask("GET", "/v1/nodes", "");
+            List<FleetResponse> replies = fleet.ask("GET", "/v1/nodes", "");
             if (asJson()) {
                 out.println(json(replies));
                 return code(replies);
             }
             Map<String, Map<String, List<String>>> byNode = new TreeMap<>();
-            for (Reply reply : replies) {
+            for (FleetResponse reply : replies) {
                 if (!reply.isOk()) {
                     err.println(reply.address() + ": " + reply.detail());
                 }
@@ -263,7 +263,7 @@
                                                                     || at.size()
                                                                             < replies.stream()
                                                                                     .filter(
-                                                                                            Reply
+                                                                                            FleetResponse
                                                                                                     ::isOk)
                                                                                     .count()
                                                             ? "   (at "
@@ -292,7 +292,7 @@
                             + verb
                             + query;
             // One id at all conductors: what one of them told another of is not done twice.
-            List<Reply> replies =
+            List<FleetResponse> replies =
                     fleet.ask("POST", path, "", "idempotency-key", UUID.randomUUID().toString());
             if (asJson()) {
                 out.println(json(replies));
@@ -395,7 +395,7 @@
     static final class ShowSettings extends Call {
         @Override
         Integer run(Fleet fleet, PrintWriter out, PrintWriter err) {
-            List<Reply> replies = fleet.ask("GET", "/v1/settings", "");
+            List<FleetResponse> replies = fleet.ask("GET", "/v1/settings", "");
             out.println(json(replies));
             return code(replies);
         }
@@ -415,8 +415,8 @@
                 err.println("standard input is not JSON: " + e.getOriginalMessage());
                 return 2;
             }
-            List<Reply> replies = fleet.ask("GET", "/v1/settings", "");
-            for (Reply reply : replies) {
+            List<FleetResponse> replies = fleet.ask("GET", "/v1/settings", "");
+            for (FleetResponse reply : replies) {
                 // Before any settings each field is a new one.
                 JsonNode is = reply.isOk() ? reply.body() : MissingNode.getInstance();
                 if (!reply.isOk() && reply.status() != 404) {
@@ -457,7 +457,7 @@
                 throws IOException, InterruptedException {
             String text = input();
             if (dry) {
-                List<Reply> replies = fleet.ask("PUT", "/v1/settings?dry-run=true", text);
+                List<FleetResponse> replies = fleet.ask("PUT", "/v1/settings?dry-run=true", text);
                 out.println(json(replies));
                 return code(replies);
             }
@@ -481,13 +481,13 @@
     static final class Log extends Call {
         @Override
         Integer run(Fleet fleet, PrintWriter out, PrintWriter err) {
-            List<Reply> replies = fleet.ask("GET", "/v1/acts", "");
+            List<FleetResponse> replies = fleet.ask("GET", "/v1/acts", "");
             if (asJson()) {
                 out.println(json(replies));
                 return code(replies);
             }
             List<String> lines = new ArrayList<>();
-            for (Reply reply : replies) {
+            for (FleetResponse reply : replies) {
                 if (!reply.isOk()) {
                     err.println(reply.address() + ": " + reply.detail());
                 }
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -4,7 +4,7 @@
 import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import rosespread.adapter.Adapter;
+import rosespread.adapter.SimulatorAdapter;
 import rosespread.adapter.WireException;
 
 /** The program: one subcommand a job. */
@@ -72,7 +72,7 @@
 
     private static int adapter() {
         try {
-            new Adapter(System.in, System.out).run();
+            new SimulatorAdapter(System.in, System.out).run();
             return 0;
         } catch (WireException | IOException e) {
             System.err.println("rosespread adapter: " + e.getMessage());
--- a/src/main/java/rosespread/cli/RehearseCommand.java
+++ b/src/main/java/rosespread/cli/RehearseCommand.java
@@ -9,9 +9,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rosespread.rehearse.Rehearsal;
-import rosespread.rehearse.Report;
-import rosespread.rehearse.ScenarioException;
+import rosespread.scenario.Report;
+import rosespread.scenario.ScenarioException;
+import rosespread.scenario.ScenarioRun;
 
 /** Plays a scripted day on loopback and judges the five rules from the sockets. */
 @Command(
@@ -53,9 +53,9 @@
     public Integer call() throws Exception {
         try {
             Report report =
-                    Rehearsal.play(
+                    ScenarioRun.play(
                             scenario,
-                            new Rehearsal.Options(
+                            new ScenarioRun.Options(
                                     seed, !noConductor, Main.class.getName(), List.of()));
             if (out != null) {
                 Files.writeString(out, report.json());
--- a/src/main/java/rosespread/cli/ServeCommand.java
+++ b/src/main/java/rosespread/cli/ServeCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import rosespread.platform.PlatformConductor;
+import rosespread.platform.PlatformController;
 
 /** Runs one conductor on the platform. */
 @Command(
@@ -15,7 +15,7 @@
 final class ServeCommand implements Callable<Integer> {
     /** Started often and by a program, and short of memory: past the reading of arguments. */
     static int serve() {
-        return PlatformConductor.serve(System.getenv());
+        return PlatformController.serve(System.getenv());
     }
 
     @Override
--- a/src/main/java/rosespread/cli/StandinCommand.java
+++ b/src/main/java/rosespread/cli/StandinCommand.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rosespread.rehearse.OpenSite;
-import rosespread.rehearse.ScenarioException;
+import rosespread.scenario.OpenSite;
+import rosespread.scenario.ScenarioException;
 
 /** Stand-ins for conductors that were started by hand. */
 @Command(
--- a/src/main/java/rosespread/cli/TableCommand.java
+++ b/src/main/java/rosespread/cli/TableCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import rosespread.fleet.Fleet;
-import rosespread.fleet.Reply;
+import rosespread.fleet.FleetResponse;
 
 /** Looks at a conductor's tables and their versions, and goes back to one. */
 @Command(
@@ -73,10 +73,10 @@
         /**
          * @throws IOException if no answer came
          */
-        Reply ask(String verb, String path) throws IOException {
+        FleetResponse ask(String verb, String path) throws IOException {
             try (Fleet fleet =
                     new Fleet(List.of(control), System.getProperty("user.name"), TIMEOUT)) {
-                Reply reply = fleet.ask(control, verb, path, "");
+                FleetResponse reply = fleet.ask(control, verb, path, "");
                 if (reply.status() == 0) {
                     throw new IOException(reply.address() + ": " + reply.detail());
                 }
@@ -89,7 +89,7 @@
         }
 
         Integer act(String path, PrintWriter out, PrintWriter err) throws IOException {
-            Reply reply = ask("POST", path);
+            FleetResponse reply = ask("POST", path);
             (reply.isOk() ? out : err)
                     .println(
                             asJson()
@@ -214,7 +214,8 @@
 
         @Override
         Integer run(PrintWriter out, PrintWriter err) throws IOException {
-            Reply reply = ask("GET", "/v1/tables/" + table + "/diff?from=" + from + "&to=" + to);
+            FleetResponse reply =
+                    ask("GET", "/v1/tables/" + table + "/diff?from=" + from + "&to=" + to);
             JsonNode told = reply.body();
             if (!reply.isOk()) {
                 err.println(reply.detail());
--- a/src/main/java/rosespread/launch/Fields.java
+++ b/src/main/java/rosespread/config/ConfigObject.java
@@ -1,4 +1,4 @@
-package rosespread.launch;
+package rosespread.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -11,13 +11,13 @@
 /**
  * A JSON object as it was read, with a plain complaint where a field lacks or is of another type.
  */
-public final class Fields {
+public final class ConfigObject {
     private static final double SECOND = 1e9;
 
     private final String what;
     private final Map<?, ?> values;
 
-    private Fields(String what, Map<?, ?> values) {
+    private ConfigObject(String what, Map<?, ?> values) {
         this.what = what;
         this.values = values;
     }
@@ -54,110 +54,110 @@
         }
     }
 
-    public static Fields of(String what, Object value) throws LaunchException {
+    public static ConfigObject of(String what, Object value) throws ConfigException {
         if (value instanceof Map<?, ?> map) {
-            return new Fields(what, map);
+            return new ConfigObject(what, map);
         }
-        throw new LaunchException(what + " is not an object");
+        throw new ConfigException(what + " is not an object");
     }
 
     public boolean has(String key) {
         return values.get(key) != null;
     }
 
-    public Fields object(String key) throws LaunchException {
+    public ConfigObject object(String key) throws ConfigException {
         return of(what + "." + key, need(key));
     }
 
-    public List<?> array(String key) throws LaunchException {
+    public List<?> array(String key) throws ConfigException {
         if (!has(key)) {
             return List.of();
         }
         if (values.get(key) instanceof List<?> list) {
             return list;
         }
-        throw new LaunchException(what + "." + key + " is not an array");
+        throw new ConfigException(what + "." + key + " is not an array");
     }
 
-    public List<Fields> objects(String key) throws LaunchException {
-        List<Fields> all = new ArrayList<>();
+    public List<ConfigObject> objects(String key) throws ConfigException {
+        List<ConfigObject> all = new ArrayList<>();
         for (Object value : array(key)) {
             all.add(of(what + "." + key + " entry", value));
         }
         return all;
     }
 
-    public List<Fields> requiredObjects(String key) throws LaunchException {
+    public List<ConfigObject> requiredObjects(String key) throws ConfigException {
         need(key);
         return objects(key);
     }
 
-    public String text(String key) throws LaunchException {
+    public String text(String key) throws ConfigException {
         if (need(key) instanceof String text) {
             return text;
         }
-        throw new LaunchException(what + "." + key + " is not a string");
+        throw new ConfigException(what + "." + key + " is not a string");
     }
 
-    public String text(String key, String absent) throws LaunchException {
+    public String text(String key, String absent) throws ConfigException {
         return has(key) ? text(key) : absent;
     }
 
-    public boolean flag(String key) throws LaunchException {
+    public boolean flag(String key) throws ConfigException {
         return has(key) && flagOf(need(key), key);
     }
 
     /** The flag at a place of an array; false beyond its end. */
-    boolean flagAt(String key, int place) throws LaunchException {
+    boolean flagAt(String key, int place) throws ConfigException {
         List<?> all = array(key);
         return place < all.size() && flagOf(all.get(place), key);
     }
 
-    private boolean flagOf(Object value, String key) throws LaunchException {
+    private boolean flagOf(Object value, String key) throws ConfigException {
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw new LaunchException(what + "." + key + " is not true or false");
+        throw new ConfigException(what + "." + key + " is not true or false");
     }
 
-    public double number(String key) throws LaunchException {
+    public double number(String key) throws ConfigException {
         if (need(key) instanceof Number number) {
             return number.doubleValue();
         }
-        throw new LaunchException(what + "." + key + " is not a number");
+        throw new ConfigException(what + "." + key + " is not a number");
     }
 
-    public double number(String key, double absent) throws LaunchException {
+    public double number(String key, double absent) throws ConfigException {
         return has(key) ? number(key) : absent;
     }
 
-    public int integer(String key) throws LaunchException {
+    public int integer(String key) throws ConfigException {
         return (int) whole(key);
     }
 
-    public int integer(String key, int absent) throws LaunchException {
+    public int integer(String key, int absent) throws ConfigException {
         return has(key) ? integer(key) : absent;
     }
 
-    public long whole(String key) throws LaunchException {
+    public long whole(String key) throws ConfigException {
         if (need(key) instanceof Number number) {
             return number.longValue();
         }
-        throw new LaunchException(what + "." + key + " is not a number");
+        throw new ConfigException(what + "." + key + " is not a number");
     }
 
-    public long nanos(String key) throws LaunchException {
+    public long nanos(String key) throws ConfigException {
         return Math.round(number(key) * SECOND);
     }
 
-    public long nanos(String key, long absent) throws LaunchException {
+    public long nanos(String key, long absent) throws ConfigException {
         return has(key) ? nanos(key) : absent;
     }
 
-    private Object need(String key) throws LaunchException {
+    private Object need(String key) throws ConfigException {
         Object value = values.get(key);
         if (value == null) {
-            throw new LaunchException(what + " lacks \"" + key + "\"");
+            throw new ConfigException(what + " lacks \"" + key + "\"");
         }
         return value;
     }
--- a/src/main/java/rosespread/launch/Names.java
+++ b/src/main/java/rosespread/config/NameRegistry.java
@@ -1,4 +1,4 @@
-package rosespread.launch;
+package rosespread.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.IntFunction;
-import rosespread.api.KindId;
+import rosespread.api.MachineTypeId;
 import rosespread.api.MethodId;
-import rosespread.api.Settings;
+import rosespread.api.PolicySettings;
 import rosespread.api.ZoneId;
 
 /** The names that one conductor's settings give, and the settings themselves; names end here. */
-public final class Names {
+public final class NameRegistry {
     /** Stands for a level without bound, far above what a proxy can meet. */
     public static final double UNBOUNDED_LEVEL = 1e6;
 
@@ -28,14 +28,14 @@
     private final int namedZones;
     private final int utilization;
 
-    public Names(Fields info) throws LaunchException {
+    public NameRegistry(ConfigObject info) throws ConfigException {
         for (Object zone : info.array("azs")) {
             zones.putIfAbsent(String.valueOf(zone), zones.size());
         }
         for (Object kind : info.array("kinds")) {
             kinds.putIfAbsent(String.valueOf(kind), kinds.size());
         }
-        for (Fields method : info.requiredObjects("profiles")) {
+        for (ConfigObject method : info.requiredObjects("profiles")) {
             methods.put(method.text("name"), methods.size());
             methodNames.add(method.text("name"));
         }
@@ -52,15 +52,15 @@
         return new ZoneId(zones.get(name));
     }
 
-    public synchronized KindId kind(String name) {
+    public synchronized MachineTypeId kind(String name) {
         kinds.putIfAbsent(name, kinds.size());
-        return new KindId(kinds.get(name));
+        return new MachineTypeId(kinds.get(name));
     }
 
-    public MethodId method(String name) throws LaunchException {
+    public MethodId method(String name) throws ConfigException {
         Integer place = methods.get(name);
         if (place == null) {
-            throw new LaunchException("no method \"" + name + "\" among the settings");
+            throw new ConfigException("no method \"" + name + "\" among the settings");
         }
         return new MethodId(place);
     }
@@ -74,12 +74,12 @@
         return Optional.ofNullable(methods.get(name)).map(MethodId::new);
     }
 
-    /** Names of the methods, in the order of their places. */
+    /** NameRegistry of the methods, in the order of their places. */
     public List<String> methodNames() {
         return List.copyOf(methodNames);
     }
 
-    public double utilization(Fields event) throws LaunchException {
+    public double utilization(ConfigObject event) throws ConfigException {
         List<?> report = event.array("report");
         boolean told = utilization >= 0 && utilization < report.size();
         return told && report.get(utilization) instanceof Number value
@@ -87,15 +87,15 @@
                 : Double.NaN;
     }
 
-    public Settings settings(Fields info) throws LaunchException {
-        Fields domain = info.object("domain");
-        Fields rules = info.object("contract");
-        Fields limits = info.object("policyLimits");
-        List<Settings.Method> decoded = new ArrayList<>();
-        for (Fields method : info.requiredObjects("profiles")) {
+    public PolicySettings settings(ConfigObject info) throws ConfigException {
+        ConfigObject domain = info.object("domain");
+        ConfigObject rules = info.object("contract");
+        ConfigObject limits = info.object("policyLimits");
+        List<PolicySettings.Method> decoded = new ArrayList<>();
+        for (ConfigObject method : info.requiredObjects("profiles")) {
             decoded.add(method(method, domain.flagAt("zoneBound", decoded.size())));
         }
-        return new Settings(
+        return new PolicySettings(
                 List.copyOf(decoded),
                 zones.size(),
                 domain.integer("shards", 0) > 0,
@@ -116,10 +116,11 @@
                 rules.nanos("overloadFor"));
     }
 
-    private Settings.Method method(Fields method, boolean ownZone) throws LaunchException {
-        return new Settings.Method(
+    private PolicySettings.Method method(ConfigObject method, boolean ownZone)
+            throws ConfigException {
+        return new PolicySettings.Method(
                 method.number("importance"),
-                places(method, "onlyKinds", name -> kind(name).value(), KindId::new),
+                places(method, "onlyKinds", name -> kind(name).value(), MachineTypeId::new),
                 places(method, "onlyZones", name -> zone(name).value(), ZoneId::new),
                 ownZone);
     }
@@ -128,8 +129,9 @@
         int of(String name);
     }
 
-    private static <T> Set<T> places(Fields method, String key, Place place, IntFunction<T> id)
-            throws LaunchException {
+    private static <T> Set<T> places(
+            ConfigObject method, String key, Place place, IntFunction<T> id)
+            throws ConfigException {
         Set<T> all = new TreeSet<>();
         for (Object name : method.array(key)) {
             all.add(id.apply(place.of(String.valueOf(name))));
@@ -137,11 +139,11 @@
         return all;
     }
 
-    private static Settings.Throttle throttle(String name) {
+    private static PolicySettings.Throttle throttle(String name) {
         return switch (name) {
-            case "ratio" -> Settings.Throttle.SHARE;
-            case "rps" -> Settings.Throttle.RATE;
-            default -> Settings.Throttle.NONE;
+            case "ratio" -> PolicySettings.Throttle.SHARE;
+            case "rps" -> PolicySettings.Throttle.RATE;
+            default -> PolicySettings.Throttle.NONE;
         };
     }
 }
--- a/src/main/java/rosespread/conductor/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,7 +12,7 @@
 import rosespread.channel.Frame;
 import rosespread.channel.FrameException;
 import rosespread.channel.FrameReader;
-import rosespread.turn.Inbox;
+import rosespread.eventloop.EventQueue;
 
 /**
  * The proxies' side of the conductor's sockets: turns what happens there into events for the inbox.
@@ -22,15 +22,15 @@
     private static final int CLOSE_MILLIS = 500;
 
     private final NioSocketAcceptor acceptor;
-    private final Inbox inbox;
-    private final Core core;
+    private final EventQueue inbox;
+    private final ControllerState core;
 
     /** Filled in on the decision thread, read there only. */
     private static final class Holder {
-        private Link link;
+        private ProxySession link;
     }
 
-    ChannelServer(int threads, Inbox inbox, Core core) {
+    ChannelServer(int threads, EventQueue inbox, ControllerState core) {
         this.inbox = inbox;
         this.core = core;
         acceptor = new NioSocketAcceptor(threads);
@@ -68,7 +68,7 @@
         acceptor.dispose(false);
     }
 
-    private static final class SessionWire implements Link.Wire {
+    private static final class SessionWire implements ProxySession.Transport {
         private final IoSession session;
         private final String remote;
 
@@ -111,7 +111,7 @@
         public void sessionOpened(IoSession session) {
             Holder holder = new Holder();
             session.setAttribute(LINK, holder);
-            Link.Wire wire = new SessionWire(session);
+            ProxySession.Transport wire = new SessionWire(session);
             inbox.put(now -> holder.link = core.opened(now, wire));
         }
 
@@ -119,7 +119,7 @@
         public void messageReceived(IoSession session, Object message) {
             Holder holder = (Holder) session.getAttribute(LINK);
             Frame frame = (Frame) message;
-            Inbox.Event event = now -> core.frame(now, holder.link, frame);
+            EventQueue.Event event = now -> core.frame(now, holder.link, frame);
             if (frame instanceof Frame.Sums || frame instanceof Frame.Offered) {
                 inbox.putReport(event);
             } else {
--- a/src/main/java/rosespread/conductor/Conductor.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -15,42 +15,44 @@
 import java.util.function.LongFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rosespread.Brain;
 import rosespread.api.TableId;
+import rosespread.discovery.HealthChecker;
+import rosespread.discovery.ListedNode;
+import rosespread.discovery.NodeListClient;
 import rosespread.drain.Drain;
+import rosespread.eventloop.EventLoop;
+import rosespread.eventloop.EventQueue;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpLimits;
-import rosespread.list.ListClient;
-import rosespread.list.ListedNode;
-import rosespread.list.Prober;
-import rosespread.release.Gate;
+import rosespread.policy.RoutingPolicy;
 import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
 import rosespread.settings.SettingsReader;
 import rosespread.settings.Snapshot;
-import rosespread.store.Sink;
+import rosespread.store.LogOutput;
 import rosespread.store.TableStore;
-import rosespread.turn.DecisionLoop;
-import rosespread.turn.Inbox;
+import rosespread.validation.TableChangeValidator;
 
 /**
- * The running conductor: one decision thread round a {@link Core}, fed through a lock-free inbox by
- * MINA's I/O threads. Nothing else calls the core, and nothing blocks that thread.
+ * The running conductor: one decision thread round a {@link ControllerState}, fed through a
+ * lock-free inbox by MINA's I/O threads. Nothing else calls the core, and nothing blocks that
+ * thread.
  */
-public final class Conductor implements AutoCloseable {
+public final class Controller implements AutoCloseable {
     /** Makes the planner; the module by default, something worse in experiments. */
     @FunctionalInterface
     public interface Planning {
-        Planner planner(FleetSettings settings, long seed);
+        Policy planner(FleetSettings settings, long seed);
     }
 
     public static final Planning MODULE =
             (settings, seed) -> {
-                Brain brain = new Brain(settings.module(), new SplittableRandom(seed));
+                RoutingPolicy brain =
+                        new RoutingPolicy(settings.module(), new SplittableRandom(seed));
                 return brain::round;
             };
 
-    private static final Logger LOG = LoggerFactory.getLogger(Conductor.class);
+    private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final long ACT_SECONDS = 2;
 
     /**
@@ -65,10 +67,10 @@
     private final String name;
     private final Planning planning;
     private final Snapshot snapshot;
-    private final Inbox inbox = new Inbox();
+    private final EventQueue inbox = new EventQueue();
     private final TableStore store;
-    private final Book book;
-    private final Core core;
+    private final TableRegistry book;
+    private final ControllerState core;
     private final ChannelServer server;
     private final ScheduledExecutorService timer =
             Executors.newSingleThreadScheduledExecutor(
@@ -81,30 +83,33 @@
             new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
     private final PeerDrains peers;
     private final Thread thread;
-    private final DecisionLoop loop;
-    private volatile ConductorState state;
+    private final EventLoop loop;
+    private volatile ControllerStatus state;
     private volatile String settingsTrouble = "";
     private volatile Snapshot.Saved inForce;
-    private ListClient list;
-    private Prober prober;
+    private NodeListClient list;
+    private HealthChecker prober;
 
     /**
      * @param folder where the snapshot of the settings is; made if it is not there
      */
-    public Conductor(String name, Path folder, Planning planning, Gate gate) {
+    public Controller(String name, Path folder, Planning planning, TableChangeValidator gate) {
         this.name = name;
         this.planning = planning;
         this.snapshot = new Snapshot(folder);
         // The store wakes the decision thread, as messages may wait for what is now kept.
         this.store =
                 new TableStore(
-                        folder, Sink.DISK, System::currentTimeMillis, () -> inbox.put(now -> {}));
-        this.book = new Book(store);
-        this.core = new Core(new Outside(), gate, book, System::currentTimeMillis);
+                        folder,
+                        LogOutput.DISK,
+                        System::currentTimeMillis,
+                        () -> inbox.put(now -> {}));
+        this.book = new TableRegistry(store);
+        this.core = new ControllerState(new Outside(), gate, book, System::currentTimeMillis);
         this.server = new ChannelServer(2, inbox, core);
         this.state = core.state();
         this.peers = new PeerDrains(http, timer, words -> inbox.put(now -> core.hear(now, words)));
-        this.loop = new DecisionLoop(inbox, core::turn, this::undecided);
+        this.loop = new EventLoop(inbox, core::runDue, this::undecided);
         this.thread =
                 new Thread(
                         () -> {
@@ -199,9 +204,10 @@
                     }
                     FleetSettings.Catalogue at = settings.list();
                     prober =
-                            new Prober(http, settings.probes().path(), settings.probes().timeout());
+                            new HealthChecker(
+                                    http, settings.probes().path(), settings.probes().timeout());
                     list =
-                            new ListClient(
+                            new NodeListClient(
                                     http,
                                     new InetSocketAddress(at.host(), at.port()),
                                     at.service(),
@@ -265,23 +271,23 @@
     }
 
     /** A table as it is at this moment, with what it still has to send. */
-    public Optional<ConductorState.Table> table(int table) throws IOException {
+    public Optional<ControllerStatus.Table> table(int table) throws IOException {
         return decide(now -> core.table(new TableId(table)));
     }
 
     /** What changes from one kept version of a table to another. */
-    public Optional<ConductorState.Difference> difference(int table, long from, long to)
+    public Optional<ControllerStatus.Difference> difference(int table, long from, long to)
             throws IOException {
         return decide(now -> core.difference(new TableId(table), from, to));
     }
 
     /** Takes a call on a node up; waits until it is kept as long as the disk has no trouble. */
-    public DrainOutcome drain(DrainCall call) throws IOException {
+    public DrainResult drain(DrainRequest call) throws IOException {
         long[] last = new long[1];
-        DrainOutcome outcome =
+        DrainResult outcome =
                 decide(
                         now -> {
-                            DrainOutcome told = core.drain(now, call);
+                            DrainResult told = core.drain(now, call);
                             last[0] = book.last();
                             return told;
                         });
@@ -312,7 +318,7 @@
      * The state as it is now; that of the last time it was asked for if the decision thread does
      * not answer. It is gathered only when asked for, as it grows with the fleet.
      */
-    public ConductorState state() {
+    public ControllerStatus state() {
         try {
             state = decide(now -> core.state());
         } catch (IOException e) {
@@ -327,7 +333,7 @@
     }
 
     public long reportsDropped() {
-        return inbox.reportsDropped();
+        return inbox.droppedReports();
     }
 
     /** Why a snapshot was refused; empty if none was. */
@@ -358,7 +364,7 @@
         }
     }
 
-    private final class ListEars implements ListClient.Follower {
+    private final class ListEars implements NodeListClient.Follower {
         @Override
         public void whole(List<ListedNode> nodes) {
             inbox.put(now -> core.list(now, nodes));
@@ -370,21 +376,21 @@
         }
     }
 
-    private final class Outside implements Core.World {
+    private final class Outside implements ControllerState.Environment {
         @Override
-        public Planner planner(FleetSettings settings, long seed) {
+        public Policy newPolicy(FleetSettings settings, long seed) {
             return planning.planner(settings, seed);
         }
 
         @Override
-        public void probe(ListedNode node) {
-            prober.probe(
+        public void checkHealth(ListedNode node) {
+            prober.check(
                     node.address(),
-                    verdict -> inbox.put(now -> core.probed(now, node.id(), verdict)));
+                    verdict -> inbox.put(now -> core.healthChecked(now, node.id(), verdict)));
         }
 
         @Override
-        public void followList() {
+        public void watchNodes() {
             list.follow();
         }
     }
--- a/src/main/java/rosespread/conductor/Core.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.nio.charset.StandardCharsets;
@@ -11,42 +11,42 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rosespread.api.Feed;
-import rosespread.api.KindId;
+import rosespread.api.EventHandler;
+import rosespread.api.EventSource;
+import rosespread.api.MachineTypeId;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.api.Observer;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 import rosespread.api.ZoneId;
 import rosespread.channel.Frame;
 import rosespread.channel.FrameWriter;
+import rosespread.discovery.ListedNode;
 import rosespread.drain.Drain;
 import rosespread.drain.DrainGuard;
-import rosespread.drain.Drains;
-import rosespread.list.ListedNode;
-import rosespread.release.Gate;
-import rosespread.release.Patience;
+import rosespread.drain.DrainRegistry;
+import rosespread.eventloop.RoundScheduler;
 import rosespread.settings.FleetSettings;
-import rosespread.turn.Rounds;
+import rosespread.validation.DurabilityTimeout;
+import rosespread.validation.TableChangeValidator;
 
 /**
  * The conductor without its threads and sockets: tells the module what happened and carries out its
  * orders. All of it runs on one thread; the caller brings events and the time, so that a test can
  * drive it by a clock of its own. It decides nothing: what was ordered leaves as it was ordered.
  */
-public final class Core {
+public final class ControllerState {
     /** What the core asks of the world outside. */
-    public interface World {
-        Planner planner(FleetSettings settings, long seed);
+    public interface Environment {
+        Policy newPolicy(FleetSettings settings, long seed);
 
-        /** Probes; {@link Core#probed} is called later. */
-        void probe(ListedNode node);
+        /** Probes; {@link ControllerState#healthChecked} is called later. */
+        void checkHealth(ListedNode node);
 
-        void followList();
+        void watchNodes();
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ControllerState.class);
     private static final long JOIN_WITHIN = 5_000_000_000L;
 
     /** Keep-alives missed in a row that break a stream. */
@@ -60,13 +60,13 @@
     private static final int PROXIES_MOST = 1 << 16;
     private static final long UNWRITTEN_MOST = 4L << 20;
 
-    private final World world;
-    private final Gate gate;
-    private final Book book;
+    private final Environment world;
+    private final TableChangeValidator gate;
+    private final TableRegistry book;
     private final TableViews views;
     private final LongSupplier wallMillis;
-    private final Set<Link> links = new LinkedHashSet<>();
-    private final TreeMap<ProxyId, Link> joined = new TreeMap<>();
+    private final Set<ProxySession> links = new LinkedHashSet<>();
+    private final TreeMap<ProxyId, ProxySession> joined = new TreeMap<>();
     private final TreeMap<String, ProxyId> byName = new TreeMap<>();
     private final TreeMap<NodeId, ListedNode> nodes = new TreeMap<>();
 
@@ -78,12 +78,12 @@
     private final TreeMap<NodeId, Start> starts = new TreeMap<>();
     private final TreeMap<String, Integer> zones = new TreeMap<>();
     private final TreeMap<String, Integer> kinds = new TreeMap<>();
-    private final Rounds rounds = new Rounds();
-    private final Rounds.Player player = new Playing();
-    private SumsGatherer sums = new SumsGatherer();
+    private final RoundScheduler rounds = new RoundScheduler();
+    private final RoundScheduler.RoundHandler player = new Playing();
+    private LoadReportAggregator sums = new LoadReportAggregator();
     private FleetSettings settings;
-    private Planner planner;
-    private TurnOrders turn;
+    private Policy planner;
+    private TableUpdateWriter runDue;
     private PacedChannel channel;
     private long number;
     private long now;
@@ -113,7 +113,11 @@
     /**
      * @param book what was committed so far; restored before the first settings
      */
-    public Core(World world, Gate gate, Book book, LongSupplier wallMillis) {
+    public ControllerState(
+            Environment world,
+            TableChangeValidator gate,
+            TableRegistry book,
+            LongSupplier wallMillis) {
         this.book = book;
         this.views = new TableViews(book, nodes);
         this.world = world;
@@ -157,38 +161,40 @@
     }
 
     private void begin(String why) {
-        for (Link link : List.copyOf(links)) {
+        for (ProxySession link : List.copyOf(links)) {
             close(link, Frame.Reason.STOPPING, why);
         }
-        rounds.begin();
-        sums = new SumsGatherer();
+        rounds.restart();
+        sums = new LoadReportAggregator();
         channel =
                 new PacedChannel(
                         settings.channel().linesPerSecond(),
                         book.log(),
-                        new Patience(settings.drainGrace()));
-        number = turn == null ? number : turn.number();
+                        new DurabilityTimeout(settings.drainGrace()));
+        number = runDue == null ? number : runDue.number();
         lastCause = now;
         book.moduleBegins();
         factsChange();
-        turn = new TurnOrders(joined, nodes, channel, settings, gate, book, number, new Acts());
-        planner = world.planner(settings, settings.seed());
+        runDue =
+                new TableUpdateWriter(
+                        joined, nodes, channel, settings, gate, book, number, new Acts());
+        planner = world.newPolicy(settings, settings.seed());
         sumsAt = now + settings.reportPeriod();
         if (listKnown) {
-            tellList(Observer.ListKind.REMEMBERED);
+            tellList(EventHandler.NodeListKind.CACHED);
         }
     }
 
     // ---- streams ----
 
-    public Link opened(long time, Link.Wire wire) {
+    public ProxySession opened(long time, ProxySession.Transport wire) {
         now = time;
-        Link link = new Link(wire, now);
+        ProxySession link = new ProxySession(wire, now);
         links.add(link);
         return link;
     }
 
-    public void frame(long time, Link link, Frame frame) {
+    public void frame(long time, ProxySession link, Frame frame) {
         now = time;
         if (link.closed) {
             return;
@@ -224,7 +230,7 @@
         }
     }
 
-    private void greet(Link link, Frame frame) {
+    private void greet(ProxySession link, Frame frame) {
         if (!(frame instanceof Frame.Hello hello)) {
             close(link, Frame.Reason.BAD_FRAME, "the first frame must be Hello");
         } else if (hello.version() != Frame.VERSION) {
@@ -242,7 +248,7 @@
         }
     }
 
-    private void join(Link link, Frame frame) {
+    private void join(ProxySession link, Frame frame) {
         if (!(frame instanceof Frame.Join join)) {
             close(link, Frame.Reason.BAD_FRAME, "the second frame must be Join");
             return;
@@ -294,8 +300,8 @@
      * An answer to a mark that was not written on this stream is nobody's: it may be of an earlier
      * one.
      */
-    private void installed(Link link, long answered) {
-        Link.Marked found =
+    private void installed(ProxySession link, long answered) {
+        ProxySession.Marked found =
                 link.marks.stream().filter(m -> m.number() == answered).findFirst().orElse(null);
         if (found == null) {
             counts.strayAnswers++;
@@ -307,7 +313,7 @@
         link.marks.removeFirst();
         long took = now - found.orderedAt();
         if (found.mark() >= 0) {
-            rounds.add(observer -> observer.installed(link.proxy, found.mark(), took));
+            rounds.add(observer -> observer.acknowledged(link.proxy, found.mark(), took));
         }
     }
 
@@ -328,7 +334,7 @@
         return known.size() == met.sums().size() ? met : new Frame.Sums(met.coversMicros(), known);
     }
 
-    private void offered(Link link, Frame.Offered offered) {
+    private void offered(ProxySession link, Frame.Offered offered) {
         for (Frame.Count count : offered.counts()) {
             if (count.method().value() >= settings.methods().size()) {
                 close(
@@ -339,7 +345,7 @@
             }
             rounds.add(
                     observer ->
-                            observer.offered(
+                            observer.demandReported(
                                     link.proxy,
                                     count.method(),
                                     count.came(),
@@ -348,7 +354,7 @@
     }
 
     /** The stream broke, a moment or a while ago. */
-    public void closed(long time, Link link) {
+    public void closed(long time, ProxySession link) {
         now = time;
         if (!link.closed) {
             close(link, null, "the stream closed");
@@ -356,12 +362,12 @@
     }
 
     /** The stream brought what is not the protocol. */
-    public void garbled(long time, Link link, Frame.Reason reason, String text) {
+    public void garbled(long time, ProxySession link, Frame.Reason reason, String text) {
         now = time;
         close(link, reason, text);
     }
 
-    private void close(Link link, Frame.Reason reason, String text) {
+    private void close(ProxySession link, Frame.Reason reason, String text) {
         if (link.closed) {
             return;
         }
@@ -404,11 +410,11 @@
      * fresh one.
      */
     private void endDrainsOfGone(Set<NodeId> before) {
-        for (Drain word : List.copyOf(book.drains().words())) {
+        for (Drain word : List.copyOf(book.drains().allLatest())) {
             // Only one that was listed here: this list may be behind the one by which the word was
             // given.
             if (word.on() && before.contains(word.node()) && !told.containsKey(word.node())) {
-                long stamp = book.drains().next();
+                long stamp = book.drains().nextStamp();
                 book.take(
                         new Drain(
                                 word.node(),
@@ -439,17 +445,17 @@
         listed.clear();
         listed.putAll(next);
         nodes.putAll(listed);
-        if (turn != null) {
+        if (runDue != null) {
             nodes.keySet()
                     .removeIf(
                             id ->
                                     !listed.containsKey(id)
-                                            && !turn.withdrawn().contains(id)
-                                            && !turn.names(id));
+                                            && !runDue.withdrawn().contains(id)
+                                            && !runDue.names(id));
             starts.keySet().retainAll(nodes.keySet());
             triedAt.keySet().retainAll(nodes.keySet());
             factsChange();
-            tellList(Observer.ListKind.WHOLE);
+            tellList(EventHandler.NodeListKind.FULL);
         }
     }
 
@@ -471,23 +477,23 @@
                 && before.startedMillis() == after.startedMillis();
     }
 
-    private void tellList(Observer.ListKind kind) {
+    private void tellList(EventHandler.NodeListKind kind) {
         List<ListedNode> told = List.copyOf(listed.values());
         Map<NodeId, Long> up = new TreeMap<>();
         told.forEach(node -> up.put(node.id(), started(node)));
         rounds.add(
                 observer -> {
-                    observer.listBegins(kind);
+                    observer.listStarted(kind);
                     for (ListedNode node : told) {
-                        observer.node(
+                        observer.nodeListed(
                                 node.id(),
-                                new KindId(place(kinds, node.kind())),
+                                new MachineTypeId(place(kinds, node.kind())),
                                 new ZoneId(place(zones, node.zone())),
                                 node.weight(),
                                 node.state(),
                                 up.get(node.id()));
                     }
-                    observer.listEnds();
+                    observer.listCompleted();
                 });
     }
 
@@ -524,31 +530,31 @@
         counts.listTrouble = why;
         rounds.add(
                 observer -> {
-                    observer.listBegins(Observer.ListKind.UNAVAILABLE);
-                    observer.listEnds();
+                    observer.listStarted(EventHandler.NodeListKind.UNAVAILABLE);
+                    observer.listCompleted();
                 });
     }
 
-    public void probed(long time, NodeId node, Observer.Verdict verdict) {
+    public void healthChecked(long time, NodeId node, EventHandler.HealthCheckResult verdict) {
         now = time;
-        rounds.add(observer -> observer.probed(node, verdict));
+        rounds.add(observer -> observer.healthChecked(node, verdict));
     }
 
     // ---- the round ----
 
     /** Does what is due; returns the time of the next thing due. */
-    public long turn(long time) {
+    public long runDue(long time) {
         now = time;
         if (settings == null) {
             return Long.MAX_VALUE;
         }
         if (now >= sumsAt) {
             sumsAt = now + settings.reportPeriod();
-            SumsGatherer gathered = sums;
-            sums = new SumsGatherer();
+            LoadReportAggregator gathered = sums;
+            sums = new LoadReportAggregator();
             rounds.add(gathered::handTo);
         }
-        long next = Math.min(sumsAt, rounds.turn(now, player));
+        long next = Math.min(sumsAt, rounds.runDue(now, player));
         if (book.log().wantsImage()) {
             book.log().image(book.image());
         }
@@ -557,15 +563,15 @@
     }
 
     /** A module that throws has lost its place: a fresh one begins, as after a restart. */
-    private final class Playing implements Rounds.Player {
+    private final class Playing implements RoundScheduler.RoundHandler {
         @Override
-        public void round(Feed feed) {
-            planner.round(now, feed, turn);
-            turn.close(now, wallMillis.getAsLong());
+        public void runRound(EventSource feed) {
+            planner.round(now, feed, runDue);
+            runDue.close(now, wallMillis.getAsLong());
         }
 
         @Override
-        public void faulted(Throwable fault) {
+        public void roundFailed(Throwable fault) {
             LOG.error("the decision module failed and begins anew", fault);
             begin("the decision module begins anew");
         }
@@ -574,7 +580,7 @@
     private long keepAlive() {
         long every = settings.channel().keepAlive();
         long next = Long.MAX_VALUE;
-        for (Link link : List.copyOf(links)) {
+        for (ProxySession link : List.copyOf(links)) {
             if (now - link.heardAt > KEEP_ALIVES_MISSED * every && link.joined()) {
                 counts.silent++;
                 close(
@@ -601,21 +607,21 @@
     /** Tells all proxies that the conductor stops. */
     public void stop(long time) {
         now = time;
-        for (Link link : List.copyOf(links)) {
+        for (ProxySession link : List.copyOf(links)) {
             close(link, Frame.Reason.STOPPING, "the conductor stops");
         }
     }
 
     /** What there is to see, as it is now. */
-    public ConductorState state() {
-        return ConductorState.of(
+    public ControllerStatus state() {
+        return ControllerStatus.of(
                 settings,
                 joined.values(),
                 listed.values(),
                 views.all(),
                 book.drains(),
                 triedAt,
-                turn == null ? List.<NodeId>of() : turn.withdrawn(),
+                runDue == null ? List.<NodeId>of() : runDue.withdrawn(),
                 channel,
                 counts,
                 rounds,
@@ -623,9 +629,9 @@
                 now);
     }
 
-    private ConductorState.Storage storage() {
-        Patience patience = channel == null ? null : channel.patience();
-        return new ConductorState.Storage(
+    private ControllerStatus.Storage storage() {
+        DurabilityTimeout patience = channel == null ? null : channel.patience();
+        return new ControllerStatus.Storage(
                 book.log().trouble(),
                 patience != null && patience.late(),
                 Math.max(0, book.last() - book.log().durable()),
@@ -639,16 +645,16 @@
      * Takes an operator's call on a node up: once for each id, against the revision that it names,
      * and not if the guard is against it.
      */
-    public DrainOutcome drain(long time, DrainCall call) {
+    public DrainResult drain(long time, DrainRequest call) {
         now = time;
-        Drains drains = book.drains();
-        if (drains.ofCall(call.id()).isPresent()) {
-            return DrainOutcome.done(drains.revision(), true);
+        DrainRegistry drains = book.drains();
+        if (drains.findByRequestId(call.id()).isPresent()) {
+            return DrainResult.done(drains.revision(), true);
         }
-        List<Drain> since = call.revision() < 0 ? List.of() : drains.since(call.revision());
+        List<Drain> since = call.revision() < 0 ? List.of() : drains.changesSince(call.revision());
         if (!since.isEmpty()) {
-            return new DrainOutcome(
-                    DrainOutcome.Kind.STALE,
+            return new DrainResult(
+                    DrainResult.Kind.STALE,
                     drains.revision(),
                     since.stream()
                             .map(
@@ -666,12 +672,12 @@
         List<ListedNode> named = told.values().stream().filter(node -> call.names(node)).toList();
         if (named.size() != 1) {
             return named.isEmpty()
-                    ? new DrainOutcome(
-                            DrainOutcome.Kind.NO_NODE,
+                    ? new DrainResult(
+                            DrainResult.Kind.NO_NODE,
                             drains.revision(),
                             List.of("no node " + call.node() + " among " + told.size() + " listed"))
-                    : new DrainOutcome(
-                            DrainOutcome.Kind.AMBIGUOUS,
+                    : new DrainResult(
+                            DrainResult.Kind.AMBIGUOUS,
                             drains.revision(),
                             named.stream()
                                     .map(
@@ -698,7 +704,7 @@
                                                                         n.kind(),
                                                                         n.weight(),
                                                                         n.state()
-                                                                                == Observer
+                                                                                == EventHandler
                                                                                         .NodeState
                                                                                         .READY))
                                                 .toList(),
@@ -712,14 +718,14 @@
                                                 .toList())
                         : List.of();
         if (!against.isEmpty()) {
-            return new DrainOutcome(DrainOutcome.Kind.GUARDED, drains.revision(), against);
+            return new DrainResult(DrainResult.Kind.GUARDED, drains.revision(), against);
         }
         book.take(
                 new Drain(
                         node.id(),
                         node.name(),
                         call.on(),
-                        drains.next(),
+                        drains.nextStamp(),
                         call.by(),
                         call.id(),
                         wallMillis.getAsLong()));
@@ -728,7 +734,7 @@
                 .addKeyValue("by", call.by())
                 .log((call.on() ? "drain of " : "end of the drain of ") + node.name());
         relist();
-        return DrainOutcome.done(drains.revision(), false);
+        return DrainResult.done(drains.revision(), false);
     }
 
     /** Takes words up that other conductors have; tells how many change anything. */
@@ -736,7 +742,7 @@
         now = time;
         int changes = 0;
         for (Drain word : words) {
-            if (word.after(book.drains().word(word.node()).orElse(null)) && book.take(word)) {
+            if (word.after(book.drains().latest(word.node()).orElse(null)) && book.take(word)) {
                 changes++;
                 LOG.atInfo()
                         .addKeyValue("node", word.name())
@@ -755,17 +761,17 @@
 
     /** Operators' last words on nodes. */
     public List<Drain> drains() {
-        return List.copyOf(book.drains().words());
+        return List.copyOf(book.drains().allLatest());
     }
 
     // ---- acts of operators on tables ----
 
-    /** See {@link TurnOrders#rollback}. */
+    /** See {@link TableUpdateWriter#rollback}. */
     public String rollback(long time, TableId table, long version) {
         now = time;
-        return turn == null
+        return runDue == null
                 ? "no settings yet"
-                : turn.rollback(table, version, now, wallMillis.getAsLong());
+                : runDue.rollback(table, version, now, wallMillis.getAsLong());
     }
 
     /**
@@ -773,39 +779,41 @@
      */
     public String release(long time, TableId table) {
         now = time;
-        return turn == null ? "no settings yet" : turn.release(table);
+        return runDue == null ? "no settings yet" : runDue.release(table);
     }
 
     /** A table with what it still has to send. */
-    public Optional<ConductorState.Table> table(TableId table) {
+    public Optional<ControllerStatus.Table> table(TableId table) {
         return views.one(table);
     }
 
     /** What changes from one kept version of a table to another. */
-    public Optional<ConductorState.Difference> difference(TableId table, long from, long to) {
+    public Optional<ControllerStatus.Difference> difference(TableId table, long from, long to) {
         return views.difference(table, from, to);
     }
 
     /** Holds a table at what is out now. Returns why not, or nothing. */
     public String pin(long time, TableId table) {
         now = time;
-        return turn == null ? "no settings yet" : turn.pin(table);
+        return runDue == null ? "no settings yet" : runDue.pin(table);
     }
 
-    private final class Acts implements TurnOrders.Effects {
+    private final class Acts implements TableUpdateWriter.Effects {
         @Override
-        public Gate.Scene scene(Set<MethodId> methods, Set<ZoneId> homes, double carried) {
-            Map<NodeId, Gate.Fact> facts =
-                    new FactsView(
+        public TableChangeValidator.ValidationContext scene(
+                Set<MethodId> methods, Set<ZoneId> homes, double carried) {
+            Map<NodeId, TableChangeValidator.NodeFact> facts =
+                    new NodeFactsView(
                             nodes,
                             node -> {
                                 ListedNode is = listed.get(node.id());
-                                return new Gate.Fact(
-                                        is == null ? Observer.NodeState.GONE : is.state(),
+                                return new TableChangeValidator.NodeFact(
+                                        is == null ? EventHandler.NodeState.GONE : is.state(),
                                         warmth(node),
                                         open(node, methods, homes));
                             });
-            return new Gate.Scene(facts, factsVersion(), now - lastCause < CAUSE_LASTS, carried);
+            return new TableChangeValidator.ValidationContext(
+                    facts, factsVersion(), now - lastCause < CAUSE_LASTS, carried);
         }
 
         @Override
@@ -856,18 +864,18 @@
         public void probe(NodeId node) {
             ListedNode listing = nodes.get(node);
             if (listing != null) {
-                world.probe(listing);
+                world.checkHealth(listing);
             }
         }
 
         @Override
         public void followList() {
-            world.followList();
+            world.watchNodes();
         }
 
         @Override
         public void wakeAfter(long nanos) {
-            rounds.wakeAt(now + nanos);
+            rounds.scheduleAt(now + nanos);
         }
 
         @Override
--- a/src/main/java/rosespread/conductor/ConductorState.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -1,18 +1,18 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import rosespread.api.NodeId;
+import rosespread.discovery.ListedNode;
 import rosespread.drain.Drain;
-import rosespread.drain.Drains;
-import rosespread.list.ListedNode;
+import rosespread.drain.DrainRegistry;
+import rosespread.eventloop.RoundScheduler;
 import rosespread.settings.FleetSettings;
-import rosespread.turn.Rounds;
 
 /** The conductor at one moment, for those who look from outside. Ages and times in milliseconds. */
-public record ConductorState(
+public record ControllerStatus(
         String phase,
         int proxies,
         int proxiesBound,
@@ -81,17 +81,17 @@
     public record Proxy(String name, int unanswered, long messages, long heardAgoMs, int tables) {}
 
     /** Before any settings came. */
-    static ConductorState of(
+    static ControllerStatus of(
             FleetSettings settings,
-            Collection<Link> links,
+            Collection<ProxySession> links,
             Collection<ListedNode> listed,
             List<Table> tables,
-            Drains drains,
+            DrainRegistry drains,
             Map<NodeId, Long> triedAt,
             Collection<NodeId> withdrawn,
             PacedChannel channel,
-            Core.Counts counts,
-            Rounds rounds,
+            ControllerState.Counts counts,
+            RoundScheduler rounds,
             Storage storage,
             long now) {
         int unheard =
@@ -115,14 +115,14 @@
                             node.kind(),
                             node.state().name(),
                             withdrawn.contains(node.id()),
-                            drains.word(node.id()).filter(Drain::on).map(Drain::by).orElse(""),
+                            drains.latest(node.id()).filter(Drain::on).map(Drain::by).orElse(""),
                             triedAt.containsKey(node.id())
                                     ? (now - triedAt.get(node.id())) / 1_000_000
                                     : -1,
                             unheard));
         }
         List<Proxy> proxies = new ArrayList<>();
-        for (Link link : links) {
+        for (ProxySession link : links) {
             proxies.add(
                     new Proxy(
                             link.name,
@@ -131,20 +131,20 @@
                             (now - link.heardAt) / 1_000_000,
                             link.bound.size()));
         }
-        return new ConductorState(
+        return new ControllerStatus(
                 settings == null ? "waiting for settings" : "serving",
                 links.size(),
                 (int) links.stream().filter(link -> !link.bound.isEmpty()).count(),
                 channel == null ? 0 : channel.linesWaiting(),
                 channel == null ? 0 : channel.mostWaiting(),
                 channel == null ? 0 : channel.messagesLeft(),
-                rounds.played(),
+                rounds.roundsRun(),
                 rounds.meanNanos() / 1e6,
-                rounds.worstNanos() / 1e6,
+                rounds.maxNanos() / 1e6,
                 counts.joins,
                 counts.strayAnswers,
                 counts.unknownNodes,
-                rounds.faults(),
+                rounds.failures(),
                 counts.missed,
                 counts.silent,
                 counts.slow,
--- a/src/main/java/rosespread/conductor/DrainJson.java
+++ b/src/main/java/rosespread/controller/DrainJson.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/rosespread/conductor/DrainCall.java
+++ b/src/main/java/rosespread/controller/DrainRequest.java
@@ -1,6 +1,6 @@
-package rosespread.conductor;
+package rosespread.controller;
 
-import rosespread.list.ListedNode;
+import rosespread.discovery.ListedNode;
 
 /**
  * An operator's call to drain a node or to end that.
@@ -10,7 +10,7 @@
  * @param id repeated calls of one id are one
  * @param force whether the guard is passed over
  */
-public record DrainCall(
+public record DrainRequest(
         String node, boolean on, String by, String id, long revision, boolean force) {
     boolean names(ListedNode listed) {
         return node.equals(listed.name())
--- a/src/main/java/rosespread/conductor/DrainOutcome.java
+++ b/src/main/java/rosespread/controller/DrainResult.java
@@ -1,9 +1,9 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.List;
 
 /** What came of a call on a node; {@code told} says why not, or what changed since its revision. */
-public record DrainOutcome(Kind kind, long revision, List<String> told) {
+public record DrainResult(Kind kind, long revision, List<String> told) {
     /** REPEATED: a call of this id was taken up before. */
     public enum Kind {
         DONE,
@@ -14,8 +14,8 @@
         GUARDED
     }
 
-    static DrainOutcome done(long revision, boolean before) {
-        return new DrainOutcome(before ? Kind.REPEATED : Kind.DONE, revision, List.of());
+    static DrainResult done(long revision, boolean before) {
+        return new DrainResult(before ? Kind.REPEATED : Kind.DONE, revision, List.of());
     }
 
     public boolean isDone() {
--- a/src/main/java/rosespread/conductor/SumsGatherer.java
+++ b/src/main/java/rosespread/controller/LoadReportAggregator.java
@@ -1,10 +1,10 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import rosespread.api.EventHandler;
 import rosespread.api.NodeId;
-import rosespread.api.Observer;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
 import rosespread.channel.Frame;
@@ -14,7 +14,7 @@
  * period. The time covered is that of all reports over the number of proxies that reported, so that
  * several late reports of a proxy that come at once cover as many periods.
  */
-final class SumsGatherer {
+final class LoadReportAggregator {
     private static final class Met {
         int tries;
         int unanswered;
@@ -51,13 +51,13 @@
     }
 
     /** Hands over all that was gathered. */
-    void handTo(Observer observer) {
+    void handTo(EventHandler observer) {
         for (Map.Entry<ZoneId, Zone> entry : zones.entrySet()) {
             Zone zone = entry.getValue();
             long covers = zone.covers / zone.proxies.size();
             for (Map.Entry<NodeId, Met> line : zone.met.entrySet()) {
                 Met met = line.getValue();
-                observer.sums(
+                observer.loadReported(
                         line.getKey(),
                         entry.getKey(),
                         met.tries,
--- a/src/main/java/rosespread/conductor/FactsView.java
+++ b/src/main/java/rosespread/controller/NodeFactsView.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.AbstractMap;
 import java.util.AbstractSet;
@@ -7,21 +7,23 @@
 import java.util.Set;
 import java.util.function.Function;
 import rosespread.api.NodeId;
-import rosespread.list.ListedNode;
-import rosespread.release.Gate;
+import rosespread.discovery.ListedNode;
+import rosespread.validation.TableChangeValidator;
 
 /** What is known of nodes, worked out for those that are asked for: a small change asks for few. */
-final class FactsView extends AbstractMap<NodeId, Gate.Fact> {
+final class NodeFactsView extends AbstractMap<NodeId, TableChangeValidator.NodeFact> {
     private final Map<NodeId, ListedNode> nodes;
-    private final Function<ListedNode, Gate.Fact> fact;
+    private final Function<ListedNode, TableChangeValidator.NodeFact> fact;
 
-    FactsView(Map<NodeId, ListedNode> nodes, Function<ListedNode, Gate.Fact> fact) {
+    NodeFactsView(
+            Map<NodeId, ListedNode> nodes,
+            Function<ListedNode, TableChangeValidator.NodeFact> fact) {
         this.nodes = nodes;
         this.fact = fact;
     }
 
     @Override
-    public Gate.Fact get(Object node) {
+    public TableChangeValidator.NodeFact get(Object node) {
         ListedNode listed = nodes.get(node);
         return listed == null ? null : fact.apply(listed);
     }
@@ -32,10 +34,10 @@
     }
 
     @Override
-    public Set<Entry<NodeId, Gate.Fact>> entrySet() {
+    public Set<Entry<NodeId, TableChangeValidator.NodeFact>> entrySet() {
         return new AbstractSet<>() {
             @Override
-            public Iterator<Entry<NodeId, Gate.Fact>> iterator() {
+            public Iterator<Entry<NodeId, TableChangeValidator.NodeFact>> iterator() {
                 Iterator<Entry<NodeId, ListedNode>> each = nodes.entrySet().iterator();
                 return new Iterator<>() {
                     @Override
@@ -44,7 +46,7 @@
                     }
 
                     @Override
-                    public Entry<NodeId, Gate.Fact> next() {
+                    public Entry<NodeId, TableChangeValidator.NodeFact> next() {
                         Entry<NodeId, ListedNode> next = each.next();
                         return Map.entry(next.getKey(), fact.apply(next.getValue()));
                     }
--- a/src/main/java/rosespread/conductor/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -1,12 +1,12 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.List;
 import rosespread.channel.Frame;
 import rosespread.channel.FrameWriter;
-import rosespread.release.Patience;
 import rosespread.store.TableLog;
+import rosespread.validation.DurabilityTimeout;
 
 /**
  * The conductor's way out: messages leave one after the other at the settings' pace, in lines a
@@ -22,11 +22,15 @@
     private static final long LOOK_EVERY = 2_000_000L;
 
     private record Waiting(
-            Link link, List<byte[]> frames, int lines, Link.Marked marked, long after) {}
+            ProxySession link,
+            List<byte[]> frames,
+            int lines,
+            ProxySession.Marked marked,
+            long after) {}
 
     private final double linesPerSecond;
     private final TableLog log;
-    private final Patience patience;
+    private final DurabilityTimeout patience;
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
     private long freeAt = Long.MIN_VALUE;
     private long lines;
@@ -34,7 +38,7 @@
     private long left;
     private boolean held;
 
-    PacedChannel(double linesPerSecond, TableLog log, Patience patience) {
+    PacedChannel(double linesPerSecond, TableLog log, DurabilityTimeout patience) {
         this.linesPerSecond = linesPerSecond;
         this.log = log;
         this.patience = patience;
@@ -43,7 +47,12 @@
     /**
      * @param after the sequence that must be kept before the message leaves
      */
-    void offer(Link link, List<byte[]> frames, int count, Link.Marked marked, long after) {
+    void offer(
+            ProxySession link,
+            List<byte[]> frames,
+            int count,
+            ProxySession.Marked marked,
+            long after) {
         queue.addLast(new Waiting(link, frames, count, marked, after));
         lines += count;
         most = Math.max(most, lines);
@@ -102,9 +111,9 @@
             at += frame.length;
         }
         System.arraycopy(mark, 0, all, at, mark.length);
-        Link.Marked marked = message.marked;
+        ProxySession.Marked marked = message.marked;
         message.link.marks.addLast(
-                new Link.Marked(
+                new ProxySession.Marked(
                         marked.number(),
                         marked.round(),
                         marked.mark(),
@@ -117,7 +126,7 @@
     }
 
     /** What waits for a stream that is gone is lost, as what was on its way. */
-    void drop(Link link) {
+    void drop(ProxySession link) {
         for (Iterator<Waiting> i = queue.iterator(); i.hasNext(); ) {
             Waiting message = i.next();
             if (message.link == link) {
@@ -135,7 +144,7 @@
         return most;
     }
 
-    Patience patience() {
+    DurabilityTimeout patience() {
         return patience;
     }
 
--- a/src/main/java/rosespread/conductor/PeerDrains.java
+++ b/src/main/java/rosespread/controller/PeerDrains.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -45,7 +45,7 @@
         for (InetSocketAddress peer : all) {
             http.call(
                     peer,
-                    new HttpMessage.Call(
+                    new HttpMessage.Request(
                             "GET",
                             "/v1/drains",
                             HttpHeaders.of("host", peer.getHostString() + ":" + peer.getPort()),
@@ -53,7 +53,7 @@
                     TIMEOUT,
                     new HttpClient.Taker() {
                         @Override
-                        public void answered(HttpMessage.Answer answer) {
+                        public void answered(HttpMessage.Response answer) {
                             if (answer.status() == 200) {
                                 take(peer, answer);
                             }
@@ -78,7 +78,7 @@
         }
     }
 
-    private void take(InetSocketAddress peer, HttpMessage.Answer answer) {
+    private void take(InetSocketAddress peer, HttpMessage.Response answer) {
         try {
             List<Drain> words = DrainJson.read(answer.body());
             if (!words.isEmpty()) {
--- a/src/main/java/rosespread/conductor/Link.java
+++ b/src/main/java/rosespread/controller/ProxySession.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.ArrayDeque;
 import java.util.Set;
@@ -12,9 +12,9 @@
 import rosespread.channel.Frame;
 
 /** One proxy's stream, as the decision thread knows it. */
-public final class Link {
+public final class ProxySession {
     /** What a stream can do; called on the decision thread, must not block. */
-    public interface Wire {
+    public interface Transport {
         void write(byte[] frames);
 
         /** Bytes handed over that the socket has not taken. */
@@ -29,7 +29,7 @@
     /** A message that was written and is not answered yet. */
     record Marked(long number, long round, int mark, long orderedAt, int lines, long writtenAt) {}
 
-    final Wire wire;
+    final Transport wire;
     final long openedAt;
     final ArrayDeque<Marked> marks = new ArrayDeque<>();
     final Set<NodeId> told = new TreeSet<>();
@@ -52,7 +52,7 @@
     /** Tables that it could not follow and must be sent whole. */
     final TreeSet<TableId> owes = new TreeSet<>();
 
-    Link(Wire wire, long now) {
+    ProxySession(Transport wire, long now) {
         this.wire = wire;
         this.openedAt = now;
         this.heardAt = now;
--- a/src/main/java/rosespread/conductor/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -14,9 +14,9 @@
 import rosespread.channel.FrameReader;
 import rosespread.channel.FrameWriter;
 import rosespread.channel.Packing;
-import rosespread.list.ListedNode;
-import rosespread.table.History;
+import rosespread.discovery.ListedNode;
 import rosespread.table.TableVersion;
+import rosespread.table.VersionHistory;
 
 /** The frames of one round, each written once however many proxies it goes to. */
 final class RoundFrames {
@@ -58,7 +58,7 @@
      * @param named whether the nodes are named before their lines, for a stream that knows none of
      *     them
      */
-    byte[] bind(History history, Set<MethodId> methods, boolean named, boolean packed) {
+    byte[] bind(VersionHistory history, Set<MethodId> methods, boolean named, boolean packed) {
         TableId table = history.current().table();
         return wholes.computeIfAbsent(
                 new Whole(table, methods, named, packed && Packing.isAvailable()),
@@ -74,7 +74,7 @@
                 });
     }
 
-    private byte[] whole(History history, Whole key) {
+    private byte[] whole(VersionHistory history, Whole key) {
         TableVersion version = history.current();
         TreeMap<NodeId, Double> sorted = new TreeMap<>(version.lines());
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
--- a/src/main/java/rosespread/conductor/Book.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,21 +13,21 @@
 import rosespread.api.TableId;
 import rosespread.api.ZoneId;
 import rosespread.drain.Drain;
-import rosespread.drain.Drains;
-import rosespread.release.Gate;
-import rosespread.store.Entry;
-import rosespread.store.Image;
+import rosespread.drain.DrainRegistry;
+import rosespread.store.LogEntry;
+import rosespread.store.StoreSnapshot;
 import rosespread.store.TableLog;
-import rosespread.table.History;
-import rosespread.table.Hold;
-import rosespread.table.TableImage;
+import rosespread.table.PinState;
+import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
+import rosespread.table.VersionHistory;
+import rosespread.validation.TableChangeValidator;
 
 /**
  * All tables as they were committed, and how they are held. It outlives the module, and through its
  * log the process: each change is appended before any message can tell of it.
  */
-public final class Book {
+public final class TableRegistry {
     /**
      * Numbers jump to a multiple of this beyond what a proxy holds, so that the next proxy of the
      * same past needs no further jump.
@@ -40,7 +40,7 @@
     /** A table beside its versions: what the module wants of it and how it is held. */
     static final class Table {
         final TableId id;
-        History history;
+        VersionHistory history;
         final TreeMap<NodeId, Double> wanted = new TreeMap<>();
         final Set<MethodId> methods = new TreeSet<>();
         final Set<ZoneId> homes = new TreeSet<>();
@@ -51,7 +51,7 @@
          */
         final TreeMap<NodeId, Double> pending = new TreeMap<>();
 
-        Hold hold = Hold.NONE;
+        PinState hold = PinState.NONE;
 
         /** The version that it goes back to; 0 if it has arrived or goes to none. */
         long to;
@@ -62,19 +62,19 @@
         /** The number that proxies which follow its deltas hold. */
         long sent;
 
-        List<Gate.Refusal> refusals = List.of();
-        final TreeMap<Gate.Reason, Long> refused = new TreeMap<>();
+        List<TableChangeValidator.Refusal> refusals = List.of();
+        final TreeMap<TableChangeValidator.Reason, Long> refused = new TreeMap<>();
         long steppedAt = Long.MIN_VALUE / 2;
 
         /** What the gate knows of the lines that are out. */
-        final Gate.Standing standing = new Gate.Standing();
+        final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
 
         /** When, and by which facts, a table that is held was looked at last. */
         long lookedAt = Long.MIN_VALUE / 2;
 
         long lookedBy = -1;
 
-        Table(TableId id, History history) {
+        Table(TableId id, VersionHistory history) {
             this.id = id;
             this.history = history;
             this.sent = history.current().number();
@@ -91,20 +91,20 @@
     /** Numbers that proxies hold of tables that are not there yet. */
     private final TreeMap<TableId, Long> floors = new TreeMap<>();
 
-    private final Drains drains = new Drains();
+    private final DrainRegistry drains = new DrainRegistry();
     private long layout;
     private long last;
 
-    public Book(TableLog log) {
+    public TableRegistry(TableLog log) {
         this.log = log;
     }
 
     /** Begins with what was kept. */
-    public void restore(Image image) {
+    public void restore(StoreSnapshot image) {
         layout = image.layout();
-        image.drains().forEach(drains::take);
-        for (TableImage kept : image.tables()) {
-            Table table = new Table(kept.current().table(), new History(kept));
+        image.drains().forEach(drains::apply);
+        for (TableSnapshot kept : image.tables()) {
+            Table table = new Table(kept.current().table(), new VersionHistory(kept));
             table.hold = kept.hold();
             table.to = kept.to();
             table.pending.putAll(kept.pending());
@@ -136,10 +136,10 @@
             return;
         }
         layout = next;
-        last = log.append(new Entry.LaidOut(next));
+        last = log.append(new LogEntry.LaidOut(next));
         for (Table table : tables.values()) {
             table.history.forget();
-            table.hold = Hold.NONE;
+            table.hold = PinState.NONE;
             table.to = 0;
             table.pending.clear();
         }
@@ -147,7 +147,7 @@
 
     Table table(TableId id) {
         return tables.computeIfAbsent(
-                id, t -> new Table(t, new History(t, floors.getOrDefault(t, 0L))));
+                id, t -> new Table(t, new VersionHistory(t, floors.getOrDefault(t, 0L))));
     }
 
     /** The table if there is one. */
@@ -174,7 +174,7 @@
         TableVersion before = table.out();
         TableVersion next = table.history.commit(delta, cause, wallMillis);
         if (next != before) {
-            last = log.append(new Entry.Committed(next));
+            last = log.append(new LogEntry.Committed(next));
         }
         return next;
     }
@@ -183,7 +183,7 @@
      * Holds a table or lets go of it; {@code pending} is what it has to change to come to {@code
      * to}.
      */
-    void hold(Table table, Hold hold, long to, Map<NodeId, Double> pending) {
+    void hold(Table table, PinState hold, long to, Map<NodeId, Double> pending) {
         table.pending.clear();
         table.pending.putAll(pending);
         boolean lasts = to > 0 || hold.lasting() != table.hold.lasting() || to != table.to;
@@ -195,7 +195,7 @@
         if (lasts && !table.history.isEmpty()) {
             last =
                     log.append(
-                            new Entry.Holding(
+                            new LogEntry.Holding(
                                     table.id, hold.lasting(), to, new TreeMap<>(pending)));
         }
     }
@@ -213,29 +213,29 @@
         long number = (held / JUMP + 1) * JUMP;
         floors.put(id, number);
         if (table != null && table.history.isEmpty()) {
-            History fresh = new History(id, number);
+            VersionHistory fresh = new VersionHistory(id, number);
             fresh.levels().putAll(table.history.levels());
             table.history = fresh;
             table.sent = number;
         } else if (table != null) {
-            last = log.append(new Entry.Committed(table.history.renumber(number, wallMillis)));
+            last = log.append(new LogEntry.Committed(table.history.renumber(number, wallMillis)));
         }
     }
 
-    Drains drains() {
+    DrainRegistry drains() {
         return drains;
     }
 
     /** Takes an operator's word on a node; tells whether it changes anything. */
     boolean take(Drain word) {
-        boolean changes = drains.take(word);
-        last = log.append(new Entry.Drained(word));
+        boolean changes = drains.apply(word);
+        last = log.append(new LogEntry.Drained(word));
         return changes;
     }
 
-    Image image() {
-        List<TableImage> all = new ArrayList<>();
+    StoreSnapshot image() {
+        List<TableSnapshot> all = new ArrayList<>();
         tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
-        return new Image(layout, all, drains.all());
+        return new StoreSnapshot(layout, all, drains.all());
     }
 }
--- a/src/main/java/rosespread/conductor/TurnOrders.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,27 +12,27 @@
 import java.util.TreeSet;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.api.Orders;
+import rosespread.api.PolicyActions;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 import rosespread.api.ZoneId;
 import rosespread.channel.Frame;
 import rosespread.channel.FrameWriter;
-import rosespread.conductor.Book.Table;
-import rosespread.list.ListedNode;
-import rosespread.release.Gate;
-import rosespread.release.Room;
+import rosespread.controller.TableRegistry.Table;
+import rosespread.discovery.ListedNode;
 import rosespread.settings.FleetSettings;
-import rosespread.table.History;
-import rosespread.table.Hold;
+import rosespread.table.PinState;
 import rosespread.table.TableVersion;
+import rosespread.table.VersionHistory;
+import rosespread.validation.ChannelCapacity;
+import rosespread.validation.TableChangeValidator;
 
 /**
  * Takes one round's orders, has the gate judge them, commits what passes as versions, and makes one
  * message of it for each proxy concerned. A table's change is written once and shared by all its
  * proxies.
  */
-public final class TurnOrders implements Orders {
+public final class TableUpdateWriter implements PolicyActions {
     /** What the orders act on besides the proxies, and what the gate must know. */
     interface Effects {
         void probe(NodeId node);
@@ -43,7 +43,8 @@
 
         void log(String line);
 
-        Gate.Scene scene(Set<MethodId> methods, Set<ZoneId> homes, double carried);
+        TableChangeValidator.ValidationContext scene(
+                Set<MethodId> methods, Set<ZoneId> homes, double carried);
 
         ZoneId zone(ListedNode node);
 
@@ -57,16 +58,16 @@
     private static final long STEP_EVERY = 1_000_000_000L;
     private static final long LOOK_EVERY = 50_000_000L;
 
-    private final Book book;
+    private final TableRegistry book;
     private final TreeSet<NodeId> withdrawn = new TreeSet<>();
-    private final Map<ProxyId, Link> links;
+    private final Map<ProxyId, ProxySession> links;
     private final Map<NodeId, ListedNode> nodes;
     private final PacedChannel channel;
     private final FleetSettings.Channel limits;
     private final long grace;
     private final int linesPerMessage;
     private final Effects effects;
-    private final Gate gate;
+    private final TableChangeValidator gate;
     private final Map<TableId, Map<NodeId, Double>> changed = new LinkedHashMap<>();
     private final Map<TableId, Map<MethodId, Double>> leveled = new LinkedHashMap<>();
     private final TreeMap<MethodId, Frame.Tries> tries = new TreeMap<>();
@@ -83,13 +84,13 @@
     private long number;
     private long round;
 
-    TurnOrders(
-            Map<ProxyId, Link> links,
+    TableUpdateWriter(
+            Map<ProxyId, ProxySession> links,
             Map<NodeId, ListedNode> nodes,
             PacedChannel channel,
             FleetSettings settings,
-            Gate gate,
-            Book book,
+            TableChangeValidator gate,
+            TableRegistry book,
             long firstNumber,
             Effects effects) {
         this.gate = gate;
@@ -105,13 +106,13 @@
     }
 
     @Override
-    public void line(TableId id, NodeId node, double weight) {
+    public void setWeight(TableId id, NodeId node, double weight) {
         Table table = book.table(id);
         if (table.awaited) {
             // What the module orders takes the place of all lines that are out, not only of those
             // it names.
             table.awaited = false;
-            table.hold = table.hold == Hold.NONE ? Hold.REFUSED : table.hold;
+            table.hold = table.hold == PinState.NONE ? PinState.REFUSED : table.hold;
         }
         if (weight == 0) {
             table.wanted.remove(node);
@@ -127,7 +128,7 @@
     }
 
     @Override
-    public void bind(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
+    public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
         Set<MethodId> all = new TreeSet<>();
         methods.forEach(all::add);
         if (book.table(table).methods.addAll(all)) {
@@ -139,7 +140,7 @@
     }
 
     @Override
-    public void withdraw(NodeId node, boolean out) {
+    public void setExcluded(NodeId node, boolean out) {
         if (out) {
             withdrawn.add(node);
         } else {
@@ -149,7 +150,7 @@
     }
 
     @Override
-    public void level(TableId table, MethodId method, double admitted) {
+    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
         book.table(table).history.levels().put(method, admitted);
         leveled.computeIfAbsent(table, t -> new LinkedHashMap<>()).put(method, admitted);
     }
@@ -163,22 +164,22 @@
     }
 
     @Override
-    public void mark(int mark) {
+    public void requestAcknowledgement(int mark) {
         this.mark = mark;
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         effects.probe(node);
     }
 
     @Override
-    public void followList() {
+    public void watchNodes() {
         effects.followList();
     }
 
     @Override
-    public void wakeAfter(long nanos) {
+    public void startTimer(long nanos) {
         effects.wakeAfter(nanos);
     }
 
@@ -220,7 +221,7 @@
         }
         Map<NodeId, Double> lines =
                 effects.listKnown() ? gate.kept(target.lines(), scene(table)) : target.lines();
-        book.hold(table, Hold.PINNED, version, table.out().changesTo(lines));
+        book.hold(table, PinState.PINNED, version, table.out().changesTo(lines));
         effects.log(
                 "table "
                         + id.value()
@@ -238,28 +239,28 @@
         if (table == null || table.history.isEmpty()) {
             return "no table " + id.value() + (table == null ? "" : " yet");
         }
-        book.hold(table, Hold.PINNED, 0, Map.of());
+        book.hold(table, PinState.PINNED, 0, Map.of());
         effects.log("table " + id.value() + " is held at version " + table.out().number());
         return "";
     }
 
     String release(TableId id) {
         Table table = book.find(id);
-        if (table == null || table.hold != Hold.PINNED) {
+        if (table == null || table.hold != PinState.PINNED) {
             return "table " + id.value() + " is not held";
         }
-        book.hold(table, Hold.RELEASING, 0, Map.of());
+        book.hold(table, PinState.RELEASING, 0, Map.of());
         effects.log("table " + id.value() + " follows the module again, step by step");
         return "";
     }
 
     // ---- commit ----
 
-    private List<Link> users(TableId table) {
+    private List<ProxySession> users(TableId table) {
         return links.values().stream().filter(link -> link.bound.containsKey(table)).toList();
     }
 
-    private Gate.Scene scene(Table table) {
+    private TableChangeValidator.ValidationContext scene(Table table) {
         if (table.homes.isEmpty()) {
             // A table that was restored: its zones are those of its lines.
             table.out().lines().keySet().stream()
@@ -269,7 +270,7 @@
         return effects.scene(
                 table.methods,
                 table.homes,
-                Room.carried(
+                ChannelCapacity.carried(
                         limits.linesPerSecond(),
                         grace,
                         limits.queueLimit(),
@@ -292,14 +293,14 @@
                                         link.marks.stream()
                                                 .filter(
                                                         m ->
-                                                                Room.overdue(
+                                                                ChannelCapacity.overdue(
                                                                         now - m.writtenAt(),
                                                                         limits.longestWay()))
-                                                .mapToLong(Link.Marked::lines)
+                                                .mapToLong(ProxySession.Marked::lines)
                                                 .sum())
                         .filter(lines -> lines > 0)
                         .toArray();
-        overdue = Room.overdue(Arrays.stream(late).sum(), late.length, links.size());
+        overdue = ChannelCapacity.overdue(Arrays.stream(late).sum(), late.length, links.size());
         // Whatever goes out, each proxy that the module meant to reach gets a message with its
         // mark.
         committed =
@@ -343,7 +344,7 @@
     private boolean moves(Table table, long now) {
         boolean held =
                 effects.listKnown()
-                        && (table.hold != Hold.NONE
+                        && (table.hold != PinState.NONE
                                 || table.awaited && !table.out().lines().isEmpty());
         if (!changed.containsKey(table.id)
                 && !(held
@@ -359,7 +360,7 @@
     }
 
     private TableVersion committed(Table table, long now, long wallMillis) {
-        Gate.Scene scene = scene(table);
+        TableChangeValidator.ValidationContext scene = scene(table);
         return switch (table.hold) {
             case PINNED -> goingBack(table, scene, now, wallMillis);
             case RELEASING -> released(table, scene, now, wallMillis);
@@ -370,19 +371,20 @@
         };
     }
 
-    private TableVersion judged(Table table, Gate.Scene scene, long now, long wallMillis) {
+    private TableVersion judged(
+            Table table, TableChangeValidator.ValidationContext scene, long now, long wallMillis) {
         TableVersion out = table.out();
-        if (table.hold != Hold.NONE) {
+        if (table.hold != PinState.NONE) {
             table.standing.forget();
         }
-        Gate.Verdict verdict =
-                gate.judge(
+        TableChangeValidator.ValidationResult verdict =
+                gate.validate(
                         table.standing,
                         out.lines(),
                         table.wanted,
                         changed.getOrDefault(table.id, Map.of()),
                         scene);
-        boolean followed = table.hold == Hold.NONE && verdict.refusals().isEmpty();
+        boolean followed = table.hold == PinState.NONE && verdict.refusals().isEmpty();
         refused(table, verdict.refusals());
         Map<NodeId, Double> delta =
                 followed ? changed.get(table.id) : out.changesTo(verdict.lines());
@@ -391,7 +393,7 @@
             Map<NodeId, Double> all = delta;
             delta = fitting(table, all, scene, now);
             // What was held back is caught up with before the module's changes go out as they come.
-            table.hold = delta.size() < all.size() ? Hold.REFUSED : table.hold;
+            table.hold = delta.size() < all.size() ? PinState.REFUSED : table.hold;
         }
         return book.commit(
                 table,
@@ -401,13 +403,15 @@
     }
 
     /** Until the module has spoken of a table, only what may not stay goes. */
-    private TableVersion awaited(Table table, Gate.Scene scene, long now, long wallMillis) {
+    private TableVersion awaited(
+            Table table, TableChangeValidator.ValidationContext scene, long now, long wallMillis) {
         Map<NodeId, Double> delta = table.out().changesTo(gate.kept(table.out().lines(), scene));
         return book.commit(
                 table, fitting(table, delta, scene, now), TableVersion.Cause.GUARD, wallMillis);
     }
 
-    private TableVersion goingBack(Table table, Gate.Scene scene, long now, long wallMillis) {
+    private TableVersion goingBack(
+            Table table, TableChangeValidator.ValidationContext scene, long now, long wallMillis) {
         TableVersion out = table.out();
         Map<NodeId, Double> target = new TreeMap<>(out.lines());
         table.pending.forEach(
@@ -423,12 +427,13 @@
         TableVersion next = book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
         table.pending.keySet().removeAll(delta.keySet());
         if (table.to > 0 && delta.size() == all.size()) {
-            book.hold(table, Hold.PINNED, 0, Map.of());
+            book.hold(table, PinState.PINNED, 0, Map.of());
         }
         return next;
     }
 
-    private TableVersion released(Table table, Gate.Scene scene, long now, long wallMillis) {
+    private TableVersion released(
+            Table table, TableChangeValidator.ValidationContext scene, long now, long wallMillis) {
         TableVersion out = table.out();
         boolean due = now - table.steppedAt >= STEP_EVERY;
         Map<NodeId, Double> aim =
@@ -438,17 +443,18 @@
         Map<NodeId, Double> delta = fitting(table, out.changesTo(aim), scene, now);
         table.steppedAt = due ? now : table.steppedAt;
         if (!table.awaited && out.changesTo(table.wanted).isEmpty()) {
-            book.hold(table, Hold.NONE, 0, Map.of());
+            book.hold(table, PinState.NONE, 0, Map.of());
             effects.log(
                     "table " + table.id.value() + " follows the module at version " + out.number());
         }
         return book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
     }
 
-    private void refused(Table table, List<Gate.Refusal> refusals) {
-        List<Gate.Reason> before = table.refusals.stream().map(Gate.Refusal::reason).toList();
-        if (!refusals.stream().map(Gate.Refusal::reason).toList().equals(before)) {
-            for (Gate.Refusal refusal : refusals) {
+    private void refused(Table table, List<TableChangeValidator.Refusal> refusals) {
+        List<TableChangeValidator.Reason> before =
+                table.refusals.stream().map(TableChangeValidator.Refusal::reason).toList();
+        if (!refusals.stream().map(TableChangeValidator.Refusal::reason).toList().equals(before)) {
+            for (TableChangeValidator.Refusal refusal : refusals) {
                 table.refused.merge(refusal.reason(), 1L, Long::sum);
                 effects.log(
                         "table "
@@ -467,7 +473,7 @@
             }
         }
         table.refusals = refusals;
-        table.hold = refusals.isEmpty() ? Hold.NONE : Hold.REFUSED;
+        table.hold = refusals.isEmpty() ? PinState.NONE : PinState.REFUSED;
     }
 
     private String name(NodeId node) {
@@ -475,8 +481,10 @@
     }
 
     private static boolean urgent(
-            Map.Entry<NodeId, Double> line, Map<NodeId, Double> old, Gate.Scene scene) {
-        Gate.Fact fact = scene.nodes().get(line.getKey());
+            Map.Entry<NodeId, Double> line,
+            Map<NodeId, Double> old,
+            TableChangeValidator.ValidationContext scene) {
+        TableChangeValidator.NodeFact fact = scene.nodes().get(line.getKey());
         return line.getValue() == 0
                 ? fact == null || fact.leaving()
                 : fact != null
@@ -489,8 +497,11 @@
      * largest.
      */
     private Map<NodeId, Double> fitting(
-            Table table, Map<NodeId, Double> delta, Gate.Scene scene, long now) {
-        List<Link> users = users(table.id);
+            Table table,
+            Map<NodeId, Double> delta,
+            TableChangeValidator.ValidationContext scene,
+            long now) {
+        List<ProxySession> users = users(table.id);
         Map<NodeId, Double> old = table.out().lines();
         // A node that leaves and one that has started cold may wait for neither room nor messages.
         boolean drain = delta.entrySet().stream().anyMatch(l -> urgent(l, old, scene));
@@ -500,14 +511,14 @@
         if (!users.stream()
                 .allMatch(
                         link ->
-                                Room.message(
+                                ChannelCapacity.message(
                                         limits.messageLimit(),
                                         link.writtenWithin(now, limits.messageSpan()),
-                                        drain || table.hold == Hold.PINNED))) {
+                                        drain || table.hold == PinState.PINNED))) {
             return Map.of();
         }
         int fit =
-                Room.lines(
+                ChannelCapacity.lines(
                         limits.queueLimit(),
                         channel.linesWaiting() + overdue + committed,
                         users.size(),
@@ -534,7 +545,7 @@
         Map<TableId, Frame.Lines> deltas = commit(now, wallMillis);
         RoundFrames frames = new RoundFrames(nodes, tries);
         round = number + 1;
-        for (Link link : links.values()) {
+        for (ProxySession link : links.values()) {
             Message message = new Message(link);
             Map<TableId, Set<MethodId>> bound =
                     new LinkedHashMap<>(binds.getOrDefault(link.proxy, Map.of()));
@@ -574,9 +585,9 @@
      * A proxy that could not follow a table gets it whole at once, as far as its messages and the
      * queue allow.
      */
-    private void owed(Link link, Map<TableId, Set<MethodId>> bound, long now) {
+    private void owed(ProxySession link, Map<TableId, Set<MethodId>> bound, long now) {
         if (link.owes.isEmpty()
-                || !Room.message(
+                || !ChannelCapacity.message(
                         limits.messageLimit(),
                         link.writtenWithin(now, limits.messageSpan()),
                         true)) {
@@ -587,7 +598,7 @@
             if (!link.bound.containsKey(id) || bound.containsKey(id)) {
                 link.owes.remove(id);
             } else if (lines
-                    <= Room.lines(
+                    <= ChannelCapacity.lines(
                             limits.queueLimit(),
                             channel.linesWaiting() + overdue + committed,
                             1,
@@ -599,7 +610,7 @@
         }
     }
 
-    private boolean holds(Link link, NodeId node) {
+    private boolean holds(ProxySession link, NodeId node) {
         return link.bound.keySet().stream()
                 .anyMatch(t -> book.table(t).out().lines().containsKey(node));
     }
@@ -609,8 +620,8 @@
      * before.
      */
     private void bind(RoundFrames frames, Message message, TableId id, Set<MethodId> methods) {
-        Link link = message.link;
-        History history = book.table(id).history;
+        ProxySession link = message.link;
+        VersionHistory history = book.table(id).history;
         Set<NodeId> named = history.current().lines().keySet();
         boolean fresh = Collections.disjoint(link.told, named);
         if (fresh) {
@@ -630,12 +641,12 @@
     }
 
     private final class Message {
-        private final Link link;
+        private final ProxySession link;
         private final List<byte[]> frames = new ArrayList<>();
         private int lines;
         private boolean due;
 
-        Message(Link link) {
+        Message(ProxySession link) {
             this.link = link;
         }
 
@@ -656,8 +667,8 @@
         }
 
         /**
-         * Names nodes to the stream before their first line; this counts no line, as no proxy acts
-         * on it.
+         * NameRegistry nodes to the stream before their first line; this counts no line, as no
+         * proxy acts on it.
          */
         void tell(Set<NodeId> named) {
             for (NodeId id : named) {
@@ -675,7 +686,7 @@
                         link,
                         frames,
                         lines + linesPerMessage + 1,
-                        new Link.Marked(++number, round, mark, now, lines, now),
+                        new ProxySession.Marked(++number, round, mark, now, lines, now),
                         book.last());
             }
         }
--- a/src/main/java/rosespread/conductor/TableViews.java
+++ b/src/main/java/rosespread/controller/TableViews.java
@@ -1,4 +1,4 @@
-package rosespread.conductor;
+package rosespread.controller;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,28 +8,28 @@
 import java.util.TreeMap;
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
-import rosespread.conductor.Book.Table;
-import rosespread.list.ListedNode;
+import rosespread.controller.TableRegistry.Table;
+import rosespread.discovery.ListedNode;
 
 /** Tables and versions by the nodes' names, for those who look from outside. */
 final class TableViews {
-    private final Book book;
+    private final TableRegistry book;
     private final Map<NodeId, ListedNode> nodes;
 
-    TableViews(Book book, Map<NodeId, ListedNode> nodes) {
+    TableViews(TableRegistry book, Map<NodeId, ListedNode> nodes) {
         this.book = book;
         this.nodes = nodes;
     }
 
     /** All tables with their versions, for the state. */
-    List<ConductorState.Table> all() {
-        List<ConductorState.Table> all = new ArrayList<>();
+    List<ControllerStatus.Table> all() {
+        List<ControllerStatus.Table> all = new ArrayList<>();
         book.tables().forEach(table -> all.add(view(table, table.out().lines())));
         return all;
     }
 
     /** One table as it will be once what it has to send has left. */
-    Optional<ConductorState.Table> one(TableId id) {
+    Optional<ControllerStatus.Table> one(TableId id) {
         return Optional.ofNullable(book.find(id))
                 .map(
                         table -> {
@@ -46,12 +46,12 @@
                         });
     }
 
-    private ConductorState.Table view(Table table, Map<NodeId, Double> lines) {
-        List<ConductorState.Version> versions =
+    private ControllerStatus.Table view(Table table, Map<NodeId, Double> lines) {
+        List<ControllerStatus.Version> versions =
                 table.history.versions().stream()
                         .map(
                                 v ->
-                                        new ConductorState.Version(
+                                        new ControllerStatus.Version(
                                                 v.number(),
                                                 v.cause().name(),
                                                 v.atMillis(),
@@ -61,7 +61,7 @@
                         .toList();
         Map<String, Long> refused = new TreeMap<>();
         table.refused.forEach((reason, count) -> refused.put(reason.name(), count));
-        return new ConductorState.Table(
+        return new ControllerStatus.Table(
                 table.id.value(),
                 table.out().number(),
                 table.hold.name(),
@@ -81,7 +81,7 @@
      * What changes from one kept version to another, by the nodes' names; nothing if one is not
      * kept.
      */
-    Optional<ConductorState.Difference> difference(TableId id, long from, long to) {
+    Optional<ControllerStatus.Difference> difference(TableId id, long from, long to) {
         Table table = book.find(id);
         return table == null
                 ? Optional.empty()
@@ -91,16 +91,17 @@
                                 changes -> {
                                     Map<NodeId, Double> before =
                                             table.history.version(from).orElseThrow().lines();
-                                    List<ConductorState.Changed> all = new ArrayList<>();
+                                    List<ControllerStatus.Changed> all = new ArrayList<>();
                                     changes.forEach(
                                             (node, weight) ->
                                                     all.add(
-                                                            new ConductorState.Changed(
+                                                            new ControllerStatus.Changed(
                                                                     ListedNode.name(nodes, node),
                                                                     before.getOrDefault(node, 0.0),
                                                                     weight)));
-                                    all.sort(Comparator.comparing(ConductorState.Changed::node));
-                                    return new ConductorState.Difference(id.value(), from, to, all);
+                                    all.sort(Comparator.comparing(ControllerStatus.Changed::node));
+                                    return new ControllerStatus.Difference(
+                                            id.value(), from, to, all);
                                 });
     }
 }
--- a/src/main/java/rosespread/list/CatalogueReader.java
+++ b/src/main/java/rosespread/discovery/CatalogReader.java
@@ -1,4 +1,4 @@
-package rosespread.list;
+package rosespread.discovery;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
-import rosespread.api.Observer.NodeState;
+import rosespread.api.EventHandler.NodeState;
 
 /**
  * Reads an answer of Consul's {@code /v1/health/service/NAME}. Zone, kind and start come from
@@ -14,35 +14,35 @@
  * "started=…"; maintenance of the service or its machine is a drain, any other critical check means
  * that no process runs.
  */
-final class CatalogueReader {
+final class CatalogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MOST = 100_000;
 
-    private CatalogueReader() {}
+    private CatalogReader() {}
 
     /**
-     * @throws ListException if the body is not such an answer; names entry and field
+     * @throws NodeListException if the body is not such an answer; names entry and field
      */
-    static List<ListedNode> read(String body) throws ListException {
+    static List<ListedNode> read(String body) throws NodeListException {
         JsonNode all;
         try {
             all = JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            throw new ListException(
+            throw new NodeListException(
                     "not JSON at line "
                             + e.getLocation().getLineNr()
                             + ", column "
                             + e.getLocation().getColumnNr());
         }
         if (all == null || !all.isArray() || all.size() > MOST) {
-            throw new ListException("not an array of at most " + MOST + " entries");
+            throw new NodeListException("not an array of at most " + MOST + " entries");
         }
         List<ListedNode> nodes = new ArrayList<>(all.size());
         TreeSet<Long> seen = new TreeSet<>();
         for (int i = 0; i < all.size(); i++) {
             ListedNode node = node(all.get(i), "[" + i + "]");
             if (!seen.add(node.id().value())) {
-                throw new ListException(
+                throw new NodeListException(
                         "[" + i + "].Service.ID " + node.name() + " is listed twice");
             }
             nodes.add(node);
@@ -50,7 +50,7 @@
         return nodes;
     }
 
-    private static ListedNode node(JsonNode entry, String at) throws ListException {
+    private static ListedNode node(JsonNode entry, String at) throws NodeListException {
         JsonNode service = entry.path("Service");
         String name = service.path("ID").asText();
         String host = service.path("Address").asText();
@@ -59,7 +59,8 @@
         }
         int port = service.path("Port").asInt();
         if (name.isEmpty() || host.isEmpty() || host.length() > 255 || port < 1 || port > 65_535) {
-            throw new ListException(at + ".Service lacks ID, Address or a Port from 1 to 65535");
+            throw new NodeListException(
+                    at + ".Service lacks ID, Address or a Port from 1 to 65535");
         }
         boolean draining = false;
         boolean critical = false;
@@ -78,7 +79,7 @@
         try {
             started = Long.parseLong(label(service, "started", "0"));
         } catch (NumberFormatException e) {
-            throw new ListException(at + ".Service.Meta.started is not a whole number");
+            throw new NodeListException(at + ".Service.Meta.started is not a whole number");
         }
         NodeState state =
                 critical ? NodeState.GONE : draining ? NodeState.DRAINING : NodeState.READY;
--- a/src/main/java/rosespread/list/Prober.java
+++ b/src/main/java/rosespread/discovery/HealthChecker.java
@@ -1,27 +1,27 @@
-package rosespread.list;
+package rosespread.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import rosespread.api.Observer.Verdict;
+import rosespread.api.EventHandler.HealthCheckResult;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
 
 /** Probes a node by one GET; 429 and 503 are a push-back, other statuses from 400 on an abort. */
-public final class Prober {
+public final class HealthChecker {
     private final HttpClient http;
     private final String path;
     private final long timeout;
 
-    public Prober(HttpClient http, String path, long timeout) {
+    public HealthChecker(HttpClient http, String path, long timeout) {
         this.http = http;
         this.path = path;
         this.timeout = timeout;
     }
 
-    public void probe(InetSocketAddress node, Consumer<Verdict> then) {
-        HttpMessage.Call call =
-                new HttpMessage.Call(
+    public void check(InetSocketAddress node, Consumer<HealthCheckResult> then) {
+        HttpMessage.Request call =
+                new HttpMessage.Request(
                         "GET",
                         path,
                         HttpHeaders.of("host", node.getHostString() + ":" + node.getPort()),
@@ -32,23 +32,23 @@
                 timeout,
                 new HttpClient.Taker() {
                     @Override
-                    public void answered(HttpMessage.Answer answer) {
+                    public void answered(HttpMessage.Response answer) {
                         int status = answer.status();
                         then.accept(
                                 status < 400
-                                        ? Verdict.OK
+                                        ? HealthCheckResult.PASSED
                                         : status == 429 || status == 503
-                                                ? Verdict.PUSHED_BACK
-                                                : Verdict.ABORTED);
+                                                ? HealthCheckResult.REJECTED
+                                                : HealthCheckResult.FAILED);
                     }
 
                     @Override
                     public void failed(HttpClient.Failure failure, String detail) {
                         then.accept(
                                 switch (failure) {
-                                    case TIMED_OUT -> Verdict.TIMED_OUT;
-                                    case MALFORMED -> Verdict.ABORTED;
-                                    default -> Verdict.UNREACHABLE;
+                                    case TIMED_OUT -> HealthCheckResult.TIMED_OUT;
+                                    case MALFORMED -> HealthCheckResult.FAILED;
+                                    default -> HealthCheckResult.UNREACHABLE;
                                 });
                     }
                 });
--- a/src/main/java/rosespread/list/ListedNode.java
+++ b/src/main/java/rosespread/discovery/ListedNode.java
@@ -1,10 +1,10 @@
-package rosespread.list;
+package rosespread.discovery;
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.net.InetSocketAddress;
 import java.util.Map;
+import rosespread.api.EventHandler.NodeState;
 import rosespread.api.NodeId;
-import rosespread.api.Observer.NodeState;
 
 /**
  * A node as the list has it. Its id is a hash of the service's id and address: the same for every
--- a/src/main/java/rosespread/list/ListClient.java
+++ b/src/main/java/rosespread/discovery/NodeListClient.java
@@ -1,4 +1,4 @@
-package rosespread.list;
+package rosespread.discovery;
 
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -16,7 +16,7 @@
  * time (the list has then begun anew). A query that fails, or is silent past its wait, tells that
  * the list is unavailable; what was known stays.
  */
-public final class ListClient implements AutoCloseable {
+public final class NodeListClient implements AutoCloseable {
     /** Called on I/O and timer threads; must not block. */
     public interface Follower {
         void whole(List<ListedNode> nodes);
@@ -50,7 +50,7 @@
      * @param onDemand after a failure, whether to wait for {@link #follow} instead of going on by
      *     itself
      */
-    public ListClient(
+    public NodeListClient(
             HttpClient http,
             InetSocketAddress server,
             String service,
@@ -96,8 +96,8 @@
                 blocking
                         ? "?index=" + index + "&wait=" + TimeUnit.NANOSECONDS.toMillis(wait) + "ms"
                         : "";
-        HttpMessage.Call call =
-                new HttpMessage.Call(
+        HttpMessage.Request call =
+                new HttpMessage.Request(
                         "GET",
                         path + query,
                         HttpHeaders.of(
@@ -114,18 +114,18 @@
                 patience,
                 new HttpClient.Taker() {
                     @Override
-                    public void answered(HttpMessage.Answer answer) {
+                    public void answered(HttpMessage.Response answer) {
                         take(answer);
                     }
 
                     @Override
                     public void failed(HttpClient.Failure failure, String detail) {
-                        ListClient.this.failed(failure + ": " + detail);
+                        NodeListClient.this.failed(failure + ": " + detail);
                     }
                 });
     }
 
-    private synchronized void take(HttpMessage.Answer answer) {
+    private synchronized void take(HttpMessage.Response answer) {
         if (closed) {
             return;
         }
@@ -140,8 +140,8 @@
         }
         List<ListedNode> nodes;
         try {
-            nodes = CatalogueReader.read(answer.text());
-        } catch (ListException e) {
+            nodes = CatalogReader.read(answer.text());
+        } catch (NodeListException e) {
             failed(e.getMessage());
             return;
         }
--- a/src/main/java/rosespread/list/ListException.java
+++ b/src/main/java/rosespread/discovery/NodeListException.java
@@ -1,10 +1,10 @@
-package rosespread.list;
+package rosespread.discovery;
 
 /** An answer that is not the list's. */
-final class ListException extends Exception {
+final class NodeListException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    ListException(String message) {
+    NodeListException(String message) {
         super(message);
     }
 }
--- a/src/main/java/rosespread/drain/Drains.java
+++ b/src/main/java/rosespread/drain/DrainRegistry.java
@@ -14,14 +14,14 @@
 import rosespread.api.NodeId;
 
 /**
- * All words of operators on nodes, the last one each. Words that were taken back stay for a while,
- * so that a conductor that missed one learns of it.
+ * All words of operators on nodes, the last one each. WireNames that were taken back stay for a
+ * while, so that a conductor that missed one learns of it.
  */
-public final class Drains {
+public final class DrainRegistry {
     private static final int CALLS_MOST = 4096;
     private static final int TAKEN_BACK_MOST = 1024;
 
-    private final TreeMap<NodeId, Drain> words = new TreeMap<>();
+    private final TreeMap<NodeId, Drain> allLatest = new TreeMap<>();
 
     /** The calls that gave a word lately, oldest first. */
     private final Map<String, Drain> calls = new LinkedHashMap<>();
@@ -29,20 +29,20 @@
     private long stamp;
 
     /** Takes a word given here or elsewhere; tells whether it changes anything. */
-    public boolean take(Drain word) {
+    public boolean apply(Drain word) {
         stamp = Math.max(stamp, word.stamp());
         remember(word);
-        if (!word.after(words.get(word.node()))) {
+        if (!word.after(allLatest.get(word.node()))) {
             return false;
         }
-        words.put(word.node(), word);
+        allLatest.put(word.node(), word);
         List<Drain> back =
-                words.values().stream()
+                allLatest.values().stream()
                         .filter(w -> !w.on())
                         .sorted(Comparator.comparingLong(Drain::stamp))
                         .toList();
         back.subList(0, Math.max(0, back.size() - TAKEN_BACK_MOST))
-                .forEach(w -> words.remove(w.node()));
+                .forEach(w -> allLatest.remove(w.node()));
         return true;
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** The stamp for a word that is given now. */
-    public long next() {
+    public long nextStamp() {
         return stamp + 1;
     }
 
@@ -64,35 +64,35 @@
     }
 
     public boolean drains(NodeId node) {
-        Drain word = words.get(node);
+        Drain word = allLatest.get(node);
         return word != null && word.on();
     }
 
     /** What a call of this id did before. */
-    public Optional<Drain> ofCall(String call) {
+    public Optional<Drain> findByRequestId(String call) {
         return Optional.ofNullable(calls.get(call));
     }
 
-    public Optional<Drain> word(NodeId node) {
-        return Optional.ofNullable(words.get(node));
+    public Optional<Drain> latest(NodeId node) {
+        return Optional.ofNullable(allLatest.get(node));
     }
 
-    /** Words that were given after a revision, oldest first. */
-    public List<Drain> since(long revision) {
-        List<Drain> later = new ArrayList<>(words.values());
+    /** WireNames that were given after a revision, oldest first. */
+    public List<Drain> changesSince(long revision) {
+        List<Drain> later = new ArrayList<>(allLatest.values());
         later.removeIf(word -> word.stamp() <= revision);
         later.sort(Comparator.comparingLong(Drain::stamp));
         return later;
     }
 
-    public Collection<Drain> words() {
-        return Collections.unmodifiableCollection(words.values());
+    public Collection<Drain> allLatest() {
+        return Collections.unmodifiableCollection(allLatest.values());
     }
 
     /** All that must be taken again to come to the same, in this order. */
     public List<Drain> all() {
         Set<Drain> all = new LinkedHashSet<>(calls.values());
-        all.addAll(words.values());
+        all.addAll(allLatest.values());
         List<Drain> sorted = new ArrayList<>(all);
         sorted.sort(Comparator.comparingLong(Drain::stamp));
         return sorted;
--- a/src/main/java/rosespread/turn/DecisionLoop.java
+++ b/src/main/java/rosespread/eventloop/EventLoop.java
@@ -1,4 +1,4 @@
-package rosespread.turn;
+package rosespread.eventloop;
 
 import java.util.function.LongSupplier;
 import java.util.function.LongUnaryOperator;
@@ -10,8 +10,8 @@
  * or turn that goes wrong does not end it, an Error among them; turns that do nothing but fail do,
  * as a conductor that can't decide must not look alive while its other threads go on answering.
  */
-public final class DecisionLoop implements Runnable {
-    private static final Logger LOG = LoggerFactory.getLogger(DecisionLoop.class);
+public final class EventLoop implements Runnable {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private static final long LEAST_SLEEP = 200_000L;
     private static final long LONGEST_SLEEP = 20_000_000L;
     private static final int EVENTS_A_TURN = 4096;
@@ -21,7 +21,7 @@
 
     private static final int FAILURES_MOST = 10;
 
-    private final Inbox inbox;
+    private final EventQueue inbox;
     private final LongUnaryOperator turn;
     private final LongSupplier clock;
     private final Runnable lost;
@@ -33,11 +33,11 @@
      * @param turn what is done at a time of {@link System#nanoTime()}; returns when to come back
      * @param lost called once, on this thread, if it ends though nobody stopped it
      */
-    public DecisionLoop(Inbox inbox, LongUnaryOperator turn, Runnable lost) {
+    public EventLoop(EventQueue inbox, LongUnaryOperator turn, Runnable lost) {
         this(inbox, turn, lost, System::nanoTime);
     }
 
-    DecisionLoop(Inbox inbox, LongUnaryOperator turn, Runnable lost, LongSupplier clock) {
+    EventLoop(EventQueue inbox, LongUnaryOperator turn, Runnable lost, LongSupplier clock) {
         this.inbox = inbox;
         this.turn = turn;
         this.lost = lost;
@@ -58,7 +58,7 @@
     private void decide() {
         while (!stopping && !failing()) {
             long now = clock.getAsLong();
-            Inbox.Event event = inbox.poll();
+            EventQueue.Event event = inbox.poll();
             for (int i = 0; event != null; i++) {
                 guarded(event, now);
                 event = i < EVENTS_A_TURN ? inbox.poll() : null;
@@ -85,9 +85,9 @@
      * holds for an Error too, such as a heap that was full for a moment; the thread would end
      * without a word.
      */
-    private static boolean guarded(Inbox.Event event, long now) {
+    private static boolean guarded(EventQueue.Event event, long now) {
         try {
-            event.at(now);
+            event.handle(now);
             return true;
         } catch (RuntimeException | Error e) {
             LOG.error("an event could not be taken up", e);
--- a/src/main/java/rosespread/turn/Inbox.java
+++ b/src/main/java/rosespread/eventloop/EventQueue.java
@@ -1,4 +1,4 @@
-package rosespread.turn;
+package rosespread.eventloop;
 
 import java.util.concurrent.atomic.LongAdder;
 import java.util.concurrent.locks.LockSupport;
@@ -9,11 +9,11 @@
  * reports are dropped and counted, as newer ones follow; all else waits for room on the thread that
  * brings it, which holds back its sockets.
  */
-public final class Inbox {
+public final class EventQueue {
     /** Runs on the decision thread. */
     @FunctionalInterface
     public interface Event {
-        void at(long now);
+        void handle(long now);
     }
 
     private static final int ROOM = 1 << 16;
@@ -45,7 +45,7 @@
         }
     }
 
-    public long reportsDropped() {
+    public long droppedReports() {
         return dropped.sum();
     }
 
--- a/src/main/java/rosespread/fleet/Differences.java
+++ b/src/main/java/rosespread/fleet/Differences.java
@@ -17,8 +17,8 @@
     private Differences() {}
 
     /** A sentence for each difference, in a steady order; empty if all that answered are alike. */
-    public static List<String> among(List<Reply> replies) {
-        List<Reply> answered = replies.stream().filter(Reply::isOk).toList();
+    public static List<String> among(List<FleetResponse> replies) {
+        List<FleetResponse> answered = replies.stream().filter(FleetResponse::isOk).toList();
         List<String> told = new ArrayList<>();
         differ(
                 answered,
@@ -49,7 +49,7 @@
             List<String> without =
                     answered.stream()
                             .filter(r -> !r.body().path("drained").has(node))
-                            .map(Reply::address)
+                            .map(FleetResponse::address)
                             .toList();
             if (!without.isEmpty()) {
                 told.add("node " + node + " is drained, but not at " + String.join(", ", without));
@@ -59,7 +59,10 @@
     }
 
     private static void differ(
-            List<Reply> replies, String what, Function<JsonNode, String> value, List<String> told) {
+            List<FleetResponse> replies,
+            String what,
+            Function<JsonNode, String> value,
+            List<String> told) {
         Map<String, List<String>> byValue = new TreeMap<>();
         replies.forEach(
                 reply ->
--- a/src/main/java/rosespread/fleet/Emptied.java
+++ b/src/main/java/rosespread/fleet/Emptied.java
@@ -13,9 +13,9 @@
     private Emptied() {}
 
     /** Why it is not known to be empty yet, a sentence a conductor; empty if it is. */
-    public static List<String> not(String node, List<Reply> nodes, long quietMillis) {
+    public static List<String> not(String node, List<FleetResponse> nodes, long quietMillis) {
         List<String> reasons = new ArrayList<>();
-        for (Reply reply : nodes) {
+        for (FleetResponse reply : nodes) {
             if (!reply.isOk()) {
                 reasons.add(reply.address() + " does not answer: " + reply.detail());
                 continue;
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -40,8 +40,8 @@
     }
 
     /** Asks all; the replies stand in the conductors' order. */
-    public List<Reply> ask(String verb, String path, String body, String... headers) {
-        List<CompletableFuture<Reply>> asked = new ArrayList<>();
+    public List<FleetResponse> ask(String verb, String path, String body, String... headers) {
+        List<CompletableFuture<FleetResponse>> asked = new ArrayList<>();
         for (InetSocketAddress conductor : conductors) {
             asked.add(start(conductor, verb, path, body, headers));
         }
@@ -49,28 +49,28 @@
     }
 
     /** Asks one. */
-    public Reply ask(
+    public FleetResponse ask(
             InetSocketAddress conductor, String verb, String path, String body, String... headers) {
         return start(conductor, verb, path, body, headers).join();
     }
 
-    private CompletableFuture<Reply> start(
+    private CompletableFuture<FleetResponse> start(
             InetSocketAddress to, String verb, String path, String body, String... headers) {
-        CompletableFuture<Reply> done = new CompletableFuture<>();
+        CompletableFuture<FleetResponse> done = new CompletableFuture<>();
         HttpHeaders all =
                 HttpHeaders.of(headers)
                         .add("host", to.getHostString() + ":" + to.getPort())
                         .add("x-operator", operator);
         http.call(
                 to,
-                new HttpMessage.Call(verb, path, all, body.getBytes(StandardCharsets.UTF_8)),
+                new HttpMessage.Request(verb, path, all, body.getBytes(StandardCharsets.UTF_8)),
                 nanos,
                 new HttpClient.Taker() {
                     @Override
-                    public void answered(HttpMessage.Answer answer) {
+                    public void answered(HttpMessage.Response answer) {
                         JsonNode read = read(answer.body());
                         done.complete(
-                                new Reply(
+                                new FleetResponse(
                                         to,
                                         answer.status(),
                                         read,
@@ -81,7 +81,7 @@
                     @Override
                     public void failed(HttpClient.Failure failure, String detail) {
                         done.complete(
-                                new Reply(
+                                new FleetResponse(
                                         to,
                                         0,
                                         MissingNode.getInstance(),
--- a/src/main/java/rosespread/fleet/Reply.java
+++ b/src/main/java/rosespread/fleet/FleetResponse.java
@@ -10,7 +10,7 @@
  *     sentence
  * @param ran whether the call may have been taken up
  */
-public record Reply(
+public record FleetResponse(
         InetSocketAddress conductor, int status, JsonNode body, String detail, boolean ran) {
     public boolean isOk() {
         return status == 200;
--- a/src/main/java/rosespread/fleet/StagedApply.java
+++ b/src/main/java/rosespread/fleet/StagedApply.java
@@ -31,8 +31,8 @@
      * stopped.
      */
     public int run(String settings, String call) throws InterruptedException {
-        List<Reply> tried = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
-        for (Reply reply : tried) {
+        List<FleetResponse> tried = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
+        for (FleetResponse reply : tried) {
             if (!reply.isOk()) {
                 progress.accept(
                         reply.address() + ": " + why(reply) + "; nothing was applied anywhere");
@@ -41,11 +41,11 @@
         }
         int done = 0;
         for (InetSocketAddress conductor : fleet.conductors()) {
-            Reply before = fleet.ask(conductor, "GET", "/v1/status", "");
+            FleetResponse before = fleet.ask(conductor, "GET", "/v1/status", "");
             int bound = before.body().path("proxiesBound").asInt();
             // Against what it has now: another operator's settings of this moment are not
             // overwritten.
-            Reply put =
+            FleetResponse put =
                     fleet.ask(
                             conductor,
                             "PUT",
@@ -86,7 +86,7 @@
         return false;
     }
 
-    private static String why(Reply reply) {
+    private static String why(FleetResponse reply) {
         StringBuilder why =
                 new StringBuilder(
                         reply.detail().isEmpty() ? "status " + reply.status() : reply.detail());
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -39,7 +39,7 @@
 
     /** Takes the outcome on an I/O or timer thread and must not block. */
     public interface Taker {
-        void answered(HttpMessage.Answer answer);
+        void answered(HttpMessage.Response answer);
 
         void failed(Failure failure, String detail);
     }
@@ -84,7 +84,7 @@
      * Makes a call; {@code nanos} runs until the whole answer is there. A call that is given up on
      * closes its connection, so that the other side can stop. Returns what cancels it.
      */
-    public Runnable call(InetSocketAddress to, HttpMessage.Call call, long nanos, Taker taker) {
+    public Runnable call(InetSocketAddress to, HttpMessage.Request call, long nanos, Taker taker) {
         Talk talk = new Talk(to, call, taker);
         talk.deadline =
                 timer(
@@ -189,7 +189,7 @@
     /** One call and its one outcome. */
     private final class Talk {
         private final InetSocketAddress to;
-        private final HttpMessage.Call call;
+        private final HttpMessage.Request call;
         private final Taker taker;
         private final AtomicBoolean over = new AtomicBoolean();
         private volatile IoSession session;
@@ -200,7 +200,7 @@
          */
         private volatile boolean again;
 
-        Talk(InetSocketAddress to, HttpMessage.Call call, Taker taker) {
+        Talk(InetSocketAddress to, HttpMessage.Request call, Taker taker) {
             this.to = to;
             this.call = call;
             this.taker = taker;
@@ -219,7 +219,7 @@
             }
         }
 
-        /** Heard twice of one connection, it counts once. */
+        /** LoadReportStatistics twice of one connection, it counts once. */
         void broke(IoSession on, String detail) {
             if (!on.equals(session)) {
                 return;
@@ -239,7 +239,7 @@
             }
         }
 
-        void answered(HttpMessage.Answer answer) {
+        void answered(HttpMessage.Response answer) {
             if (over.compareAndSet(false, true)) {
                 deadline.cancel(false);
                 session.removeAttribute(TALK);
@@ -274,7 +274,7 @@
             if (talk == null) {
                 session.closeNow();
             } else {
-                talk.answered((HttpMessage.Answer) message);
+                talk.answered((HttpMessage.Response) message);
             }
         }
 
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -20,7 +20,7 @@
     /**
      * @param target the path and query as they stand in the first line
      */
-    record Call(String verb, String target, HttpHeaders headers, byte[] body)
+    record Request(String verb, String target, HttpHeaders headers, byte[] body)
             implements HttpMessage {
         public String path() {
             int query = target.indexOf('?');
@@ -28,15 +28,15 @@
         }
     }
 
-    record Answer(int status, HttpHeaders headers, byte[] body) implements HttpMessage {
-        public static Answer of(int status, String type, String text) {
-            return new Answer(
+    record Response(int status, HttpHeaders headers, byte[] body) implements HttpMessage {
+        public static Response of(int status, String type, String text) {
+            return new Response(
                     status,
                     HttpHeaders.of("content-type", type),
                     text.getBytes(StandardCharsets.UTF_8));
         }
 
-        public static Answer json(int status, String text) {
+        public static Response json(int status, String text) {
             return of(status, "application/json", text);
         }
     }
--- a/src/main/java/rosespread/http/HttpParser.java
+++ b/src/main/java/rosespread/http/HttpParser.java
@@ -241,12 +241,12 @@
         body = null;
         if (calls) {
             String[] parts = first.split(" ");
-            out.accept(new HttpMessage.Call(parts[0], parts[1], closing(), bytes));
+            out.accept(new HttpMessage.Request(parts[0], parts[1], closing(), bytes));
         } else {
             int status = Integer.parseInt(first.substring(9, 12));
             if (status >= 200) {
                 bodiless = false;
-                out.accept(new HttpMessage.Answer(status, closing(), bytes));
+                out.accept(new HttpMessage.Response(status, closing(), bytes));
             }
         }
     }
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -21,7 +21,7 @@
      */
     @FunctionalInterface
     public interface Handler {
-        void take(HttpMessage.Call call, Exchange exchange);
+        void take(HttpMessage.Request call, Exchange exchange);
     }
 
     /** One call to be answered once. */
@@ -30,7 +30,7 @@
         int port();
 
         /** The answer; a second one, or one after the caller has hung up, is dropped. */
-        void answer(HttpMessage.Answer answer);
+        void answer(HttpMessage.Response answer);
 
         /** Closes without an answer. */
         void hangUp();
@@ -91,14 +91,14 @@
     /** One connection's calls in their order. */
     private final class Lane {
         private final IoSession session;
-        private final ArrayDeque<HttpMessage.Call> waiting = new ArrayDeque<>();
+        private final ArrayDeque<HttpMessage.Request> waiting = new ArrayDeque<>();
         private Turn current;
 
         Lane(IoSession session) {
             this.session = session;
         }
 
-        void take(HttpMessage.Call call) {
+        void take(HttpMessage.Request call) {
             synchronized (this) {
                 if (current != null) {
                     waiting.add(call);
@@ -113,7 +113,7 @@
         }
 
         void done(Turn turn) {
-            HttpMessage.Call next;
+            HttpMessage.Request next;
             synchronized (this) {
                 if (current != turn) {
                     return;
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void answer(HttpMessage.Answer answer) {
+        public void answer(HttpMessage.Response answer) {
             synchronized (this) {
                 if (answered) {
                     return;
@@ -201,7 +201,7 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            ((Lane) session.getAttribute(LANE)).take((HttpMessage.Call) message);
+            ((Lane) session.getAttribute(LANE)).take((HttpMessage.Request) message);
         }
 
         @Override
@@ -225,7 +225,8 @@
             for (Throwable at = cause; at != null; at = at.getCause()) {
                 if (at instanceof HttpException e && session.isConnected()) {
                     session.write(
-                            HttpMessage.Answer.of(e.status(), "text/plain", e.getMessage() + "\n"));
+                            HttpMessage.Response.of(
+                                    e.status(), "text/plain", e.getMessage() + "\n"));
                     session.closeOnFlush();
                     return;
                 }
--- a/src/main/java/rosespread/platform/Addresses.java
+++ b/src/main/java/rosespread/platform/Addresses.java
@@ -1,13 +1,13 @@
 package rosespread.platform;
 
 import java.net.InetSocketAddress;
-import rosespread.launch.LaunchException;
+import rosespread.config.ConfigException;
 
 /** Addresses as the platform writes them; always figures, as there are no names to look up. */
 final class Addresses {
     private Addresses() {}
 
-    static InetSocketAddress read(String field, String text) throws LaunchException {
+    static InetSocketAddress read(String field, String text) throws ConfigException {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
@@ -16,7 +16,7 @@
                 || !port.matches("[0-9]{1,5}")
                 || Integer.parseInt(port) < 1
                 || Integer.parseInt(port) > 65_535) {
-            throw new LaunchException(field + " \"" + text + "\" is not like 10.0.0.4:3000");
+            throw new ConfigException(field + " \"" + text + "\" is not like 10.0.0.4:3000");
         }
         return new InetSocketAddress(host, Integer.parseInt(port));
     }
--- a/src/main/java/rosespread/platform/ChannelFit.java
+++ b/src/main/java/rosespread/platform/ChannelFit.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import rosespread.api.Settings;
+import rosespread.api.PolicySettings;
 
 /**
  * Tells operators at the start where the settings leave no way to keep the rule on drains, however
@@ -19,14 +19,15 @@
      * One sentence for each thing that does not fit while all of these proxies are at one
      * conductor.
      */
-    static List<String> warnings(Settings settings, int proxies) {
+    static List<String> warnings(PolicySettings settings, int proxies) {
         List<String> warnings = new ArrayList<>();
-        double grace = settings.drainGrace() / NANOS;
+        double grace = settings.drainTimeoutNanos() / NANOS;
         // A message that takes one node out: its head, the line and the mark that asks for an
         // answer.
-        double removal = settings.linesPerMessage() + 2;
+        double removal = settings.messageOverheadEntries() + 2;
         double toAll =
-                proxies * removal / settings.linesPerSecond() + settings.longestWay() / NANOS;
+                proxies * removal / settings.entriesPerSecond()
+                        + settings.maxPropagationDelayNanos() / NANOS;
         if (toAll > grace) {
             warnings.add(
                     text(
@@ -34,17 +35,17 @@
                                     + " %.1f s: drains can't be kept if all proxies come here",
                             proxies, toAll, grace));
         }
-        if (settings.queueLimit() < removal) {
+        if (settings.queueLimitEntries() < removal) {
             warnings.add(
                     text(
                             "the channel's queue takes %.0f lines, the shortest message has %.0f: nothing"
                                     + " can be told",
-                            settings.queueLimit(), removal));
+                            settings.queueLimitEntries(), removal));
         }
         double apart =
                 settings.messageLimit() == 0
                         ? 0
-                        : settings.messageSpan() / NANOS / settings.messageLimit();
+                        : settings.messageWindowNanos() / NANOS / settings.messageLimit();
         if (apart > grace) {
             warnings.add(
                     text(
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
+import rosespread.config.ConfigException;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
-import rosespread.launch.LaunchException;
 
 /**
  * Follows discovery: the whole list first, then a watch that is asked for anew as soon as it is
@@ -97,8 +97,8 @@
                 whole
                         ? "/api/targets"
                         : "/api/targets?since=" + version + "&timeout_ms=" + WAIT_MILLIS;
-        HttpMessage.Call call =
-                new HttpMessage.Call(
+        HttpMessage.Request call =
+                new HttpMessage.Request(
                         "GET",
                         target,
                         HttpHeaders.of("host", at.getHostString() + ":" + at.getPort()),
@@ -114,14 +114,14 @@
         private Runnable cancel = () -> {};
 
         @Override
-        public void answered(HttpMessage.Answer answer) {
+        public void answered(HttpMessage.Response answer) {
             if (answer.status() != 200) {
                 failed("status " + answer.status());
                 return;
             }
             try {
                 take(this, TargetList.parse(answer.body()));
-            } catch (LaunchException | RuntimeException | StackOverflowError e) {
+            } catch (ConfigException | RuntimeException | StackOverflowError e) {
                 // Whatever an answer does to its reader, the next call is made: else nobody would
                 // ask again.
                 failed(String.valueOf(e.getMessage()));
--- a/src/main/java/rosespread/platform/Json.java
+++ b/src/main/java/rosespread/platform/Json.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import java.io.IOException;
-import rosespread.launch.Fields;
-import rosespread.launch.LaunchException;
+import rosespread.config.ConfigException;
+import rosespread.config.ConfigObject;
 
 /** One JSON object from bytes. */
 final class Json {
@@ -14,24 +14,24 @@
     private Json() {}
 
     /**
-     * @throws LaunchException naming line and column, if the bytes are not one object
+     * @throws ConfigException naming line and column, if the bytes are not one object
      */
-    static Fields object(String what, byte[] bytes) throws LaunchException {
+    static ConfigObject object(String what, byte[] bytes) throws ConfigException {
         try (JsonParser parser = JSON.createParser(bytes)) {
-            Object value = parser.nextToken() == null ? null : Fields.read(parser);
+            Object value = parser.nextToken() == null ? null : ConfigObject.read(parser);
             if (parser.nextToken() != null) {
-                throw new LaunchException(what + " goes on after its end");
+                throw new ConfigException(what + " goes on after its end");
             }
-            return Fields.of(what, value);
+            return ConfigObject.of(what, value);
         } catch (JsonProcessingException e) {
-            throw new LaunchException(
+            throw new ConfigException(
                     what
                             + " is not JSON at line "
                             + e.getLocation().getLineNr()
                             + ", column "
                             + e.getLocation().getColumnNr());
         } catch (IOException e) {
-            throw new LaunchException(what + " can't be read: " + e.getMessage());
+            throw new ConfigException(what + " can't be read: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/rosespread/platform/Heard.java
+++ b/src/main/java/rosespread/platform/LoadReportStatistics.java
@@ -9,7 +9,7 @@
  * What reports told since it was last asked: sums of RPCs as they came, before the module makes
  * anything of them, so that its view can be held against them.
  */
-final class Heard {
+final class LoadReportStatistics {
     private long reports;
     private long tries;
     private long unanswered;
--- a/src/main/java/rosespread/platform/SpoiltException.java
+++ b/src/main/java/rosespread/platform/MalformedMessageException.java
@@ -1,7 +1,7 @@
 package rosespread.platform;
 
 /** A message that was read but can't be used; told by reason and field. */
-final class SpoiltException extends Exception {
+final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /** Why, few enough to be counted each for itself. */
@@ -17,7 +17,7 @@
 
     private final Reason reason;
 
-    SpoiltException(Reason reason, String detail) {
+    MalformedMessageException(Reason reason, String detail) {
         super(detail, null, false, false);
         this.reason = reason;
     }
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -7,12 +7,12 @@
 import rosespread.api.MethodId;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
-import rosespread.launch.Names;
-import rosespread.platform.SpoiltException.Reason;
+import rosespread.config.NameRegistry;
+import rosespread.platform.MalformedMessageException.Reason;
 
 /**
  * Reads the platform's messages: first the kind, then names and values in turn. Each is checked
- * whole before anything of it is used. Fields that are not known are passed over.
+ * whole before anything of it is used. ConfigObject that are not known are passed over.
  */
 final class MessageReader {
     /**
@@ -32,15 +32,15 @@
             MOST_LOAD = 1e9;
     private static final double NANOS = 1e6;
 
-    private final Names names;
+    private final NameRegistry names;
     private final int proxies;
 
-    MessageReader(Names names, int proxies) {
+    MessageReader(NameRegistry names, int proxies) {
         this.names = names;
         this.proxies = proxies;
     }
 
-    Message read(List<String> words) throws SpoiltException {
+    Message read(List<String> words) throws MalformedMessageException {
         String kind = words.get(0);
         if (kind.equals("hb")) {
             return new Message.Heartbeat();
@@ -59,7 +59,7 @@
             case "upstream_stats" -> in.sums();
             case "client_stats" -> in.offered();
             default ->
-                    throw new SpoiltException(
+                    throw new MalformedMessageException(
                             Reason.KIND, "a message of kind \"" + shown(kind) + "\"");
         };
     }
@@ -71,26 +71,28 @@
     private final class Words {
         private final Map<String, String> fields = new HashMap<>();
 
-        Words(List<String> words) throws SpoiltException {
+        Words(List<String> words) throws MalformedMessageException {
             if (words.size() % 2 == 0) {
-                throw new SpoiltException(Reason.PAIRS, "a name without a value");
+                throw new MalformedMessageException(Reason.PAIRS, "a name without a value");
             }
             for (int i = 1; i < words.size(); i += 2) {
                 if (fields.put(words.get(i), words.get(i + 1)) != null) {
-                    throw new SpoiltException(Reason.PAIRS, shown(words.get(i)) + " is told twice");
+                    throw new MalformedMessageException(
+                            Reason.PAIRS, shown(words.get(i)) + " is told twice");
                 }
             }
         }
 
-        private String text(String field) throws SpoiltException {
+        private String text(String field) throws MalformedMessageException {
             String text = fields.get(field);
             if (text == null) {
-                throw new SpoiltException(Reason.MISSING, field + " is missing");
+                throw new MalformedMessageException(Reason.MISSING, field + " is missing");
             }
             return text;
         }
 
-        private double number(String field, double least, double most) throws SpoiltException {
+        private double number(String field, double least, double most)
+                throws MalformedMessageException {
             return number(field, text(field), least, most);
         }
 
@@ -98,63 +100,64 @@
          * Plain figures only: what Java takes beyond them, such as NaN or 0x1p3, is no number here.
          */
         private double number(String field, String text, double least, double most)
-                throws SpoiltException {
+                throws MalformedMessageException {
             if (!text.matches(
                     "[+-]?([0-9]{1,18}(\\.[0-9]{0,18})?|\\.[0-9]{1,18})([eE][+-]?[0-9]{1,3})?")) {
-                throw new SpoiltException(
+                throw new MalformedMessageException(
                         Reason.TYPE, field + " \"" + shown(text) + "\" is not a number");
             }
             double value = Double.parseDouble(text);
             if (!(value >= least && value <= most)) {
-                throw new SpoiltException(
+                throw new MalformedMessageException(
                         Reason.RANGE, field + " " + shown(text) + " is out of range");
             }
             return value;
         }
 
-        private int whole(String field, int least, int most) throws SpoiltException {
+        private int whole(String field, int least, int most) throws MalformedMessageException {
             double value = number(field, least, most);
             if (value != Math.rint(value)) {
-                throw new SpoiltException(Reason.TYPE, field + " is not a whole number");
+                throw new MalformedMessageException(Reason.TYPE, field + " is not a whole number");
             }
             return (int) value;
         }
 
-        private boolean flag(String field) throws SpoiltException {
+        private boolean flag(String field) throws MalformedMessageException {
             return whole(field, 0, 1) == 1;
         }
 
-        private ZoneId zone() throws SpoiltException {
+        private ZoneId zone() throws MalformedMessageException {
             String zone = text("locality");
             if (!names.namesZone(zone)) {
-                throw new SpoiltException(Reason.UNKNOWN, "no zone \"" + shown(zone) + "\"");
+                throw new MalformedMessageException(
+                        Reason.UNKNOWN, "no zone \"" + shown(zone) + "\"");
             }
             return names.zone(zone);
         }
 
-        private ProxyId proxy() throws SpoiltException {
+        private ProxyId proxy() throws MalformedMessageException {
             int proxy = whole("node", 0, Integer.MAX_VALUE);
             if (proxy >= proxies) {
-                throw new SpoiltException(Reason.UNKNOWN, "no proxy " + proxy);
+                throw new MalformedMessageException(Reason.UNKNOWN, "no proxy " + proxy);
             }
             return new ProxyId(proxy);
         }
 
-        private long covers() throws SpoiltException {
+        private long covers() throws MalformedMessageException {
             double millis = number("interval", 0, MOST_MILLIS);
             if (millis == 0) {
-                throw new SpoiltException(Reason.RANGE, "interval is 0");
+                throw new MalformedMessageException(Reason.RANGE, "interval is 0");
             }
             return Math.round(millis * NANOS);
         }
 
-        private Message sums() throws SpoiltException {
+        private Message sums() throws MalformedMessageException {
             String node = text("endpoint");
             ZoneId zone = zone();
             int tries = whole("total", 0, MOST_COUNT);
             int unanswered = whole("errors", 0, MOST_COUNT);
             if (unanswered > tries) {
-                throw new SpoiltException(Reason.RANGE, "more errors than tries");
+                throw new MalformedMessageException(Reason.RANGE, "more errors than tries");
             }
             double millis =
                     fields.containsKey("rtt") || tries > unanswered
@@ -165,13 +168,13 @@
                     node, zone, tries, unanswered, latency, covers(), utilization());
         }
 
-        private double utilization() throws SpoiltException {
+        private double utilization() throws MalformedMessageException {
             double found = Double.NaN;
             String metrics = fields.get("metrics");
             for (String pair : metrics == null ? new String[0] : metrics.split(",", -1)) {
                 int colon = pair.indexOf(':');
                 if (colon < 1) {
-                    throw new SpoiltException(
+                    throw new MalformedMessageException(
                             Reason.TYPE, "metrics \"" + shown(pair) + "\" is not a pair");
                 }
                 String name = pair.substring(0, colon);
@@ -187,14 +190,14 @@
             return found;
         }
 
-        private Message offered() throws SpoiltException {
+        private Message offered() throws MalformedMessageException {
             ProxyId proxy = proxy();
             String route = text("route");
             MethodId method =
                     names.findMethod(route)
                             .orElseThrow(
                                     () ->
-                                            new SpoiltException(
+                                            new MalformedMessageException(
                                                     Reason.UNKNOWN,
                                                     "no method \"" + shown(route) + "\""));
             int count = whole("total", 0, MOST_COUNT);
