--- a/src/main/java/rosespread/platform/PartWriter.java
+++ b/src/main/java/rosespread/platform/PartWriter.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.launch.Names;
+import rosespread.config.NameRegistry;
 import rosespread.resp.RespWriter;
 
 /** Writes a message's parts in the platform's words. */
@@ -18,10 +18,10 @@
 
     private static final MathContext FIGURES = new MathContext(6);
 
-    private final Names names;
+    private final NameRegistry names;
     private final NodeNames nodes;
 
-    PartWriter(Names names, NodeNames nodes) {
+    PartWriter(NameRegistry names, NodeNames nodes) {
         this.names = names;
         this.nodes = nodes;
     }
@@ -63,8 +63,8 @@
                             .collect(Collectors.joining(",")));
         }
         if (!Double.isNaN(part.level())) {
-            add(words, "level", figure(Math.min(part.level(), Names.UNBOUNDED_LEVEL)));
-            add(words, "retry", Integer.toString(Names.RETRY_AFTER_PROOF));
+            add(words, "level", figure(Math.min(part.level(), NameRegistry.UNBOUNDED_LEVEL)));
+            add(words, "retry", Integer.toString(NameRegistry.RETRY_AFTER_PROOF));
         }
         addNodes(words, "out", part.out());
         addNodes(words, "back", part.back());
--- a/src/main/java/rosespread/platform/Peer.java
+++ b/src/main/java/rosespread/platform/PeerConnection.java
@@ -5,7 +5,7 @@
 import rosespread.api.ZoneId;
 
 /** One connection and who is at its other end. Written by its I/O thread only. */
-final class Peer implements Wire {
+final class PeerConnection implements Wire {
     enum Role {
         STRANGER,
         COLLECTOR,
@@ -19,7 +19,7 @@
     ZoneId zone;
     ProxyId proxy;
 
-    Peer(IoSession session, long openedAt) {
+    PeerConnection(IoSession session, long openedAt) {
         this.session = session;
         this.openedAt = openedAt;
     }
--- a/src/main/java/rosespread/platform/PlatformConfig.java
+++ b/src/main/java/rosespread/platform/PlatformConfig.java
@@ -5,10 +5,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import rosespread.api.Settings;
-import rosespread.launch.Fields;
-import rosespread.launch.LaunchException;
-import rosespread.launch.Names;
+import rosespread.api.PolicySettings;
+import rosespread.config.ConfigException;
+import rosespread.config.ConfigObject;
+import rosespread.config.NameRegistry;
 
 /** What the platform tells a conductor at its start and, by the same file, while it runs. */
 record PlatformConfig(
@@ -18,39 +18,40 @@
         long seed,
         int sockets,
         TargetList known,
-        Names names,
-        Settings settings,
+        NameRegistry names,
+        PolicySettings settings,
         int proxies) {
     private static final long MOST_BYTES = 16L << 20;
 
     /**
      * Reads the file that the environment names.
      *
-     * @throws LaunchException naming the variable or field at fault
+     * @throws ConfigException naming the variable or field at fault
      */
-    static PlatformConfig read(Map<String, String> environment) throws LaunchException {
+    static PlatformConfig read(Map<String, String> environment) throws ConfigException {
         String path = environment.get("ROUTER_CONFIG");
         if (path == null || path.isEmpty()) {
-            throw new LaunchException("ROUTER_CONFIG is not set");
+            throw new ConfigException("ROUTER_CONFIG is not set");
         }
         byte[] bytes;
         try {
             if (Files.size(Path.of(path)) > MOST_BYTES) {
-                throw new LaunchException("ROUTER_CONFIG is over " + MOST_BYTES + " bytes");
+                throw new ConfigException("ROUTER_CONFIG is over " + MOST_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(Path.of(path));
         } catch (IOException e) {
-            throw new LaunchException("ROUTER_CONFIG can't be read: " + e);
+            throw new ConfigException("ROUTER_CONFIG can't be read: " + e);
         }
         return read(Json.object("the configuration", bytes), environment);
     }
 
-    static PlatformConfig read(Fields all, Map<String, String> environment) throws LaunchException {
-        Fields info = all.object("settings");
-        Names names = new Names(info);
+    static PlatformConfig read(ConfigObject all, Map<String, String> environment)
+            throws ConfigException {
+        ConfigObject info = all.object("settings");
+        NameRegistry names = new NameRegistry(info);
         int proxies = info.object("domain").integer("agents");
         if (proxies < 1 || proxies > 65_536) {
-            throw new LaunchException("settings.domain.agents is not 1 to 65536");
+            throw new ConfigException("settings.domain.agents is not 1 to 65536");
         }
         int sockets = all.has("limits") ? all.object("limits").integer("sockets", 1024) : 1024;
         TargetList known =
@@ -69,16 +70,16 @@
                 proxies);
     }
 
-    private static InetSocketAddress address(Fields all, String field, String absent)
-            throws LaunchException {
+    private static InetSocketAddress address(ConfigObject all, String field, String absent)
+            throws ConfigException {
         return Addresses.read(field, absent == null ? all.text(field) : all.text(field, absent));
     }
 
-    private static long seed(String text) throws LaunchException {
+    private static long seed(String text) throws ConfigException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new LaunchException("seed \"" + text + "\" is not up to 16 hexadecimal digits");
+            throw new ConfigException("seed \"" + text + "\" is not up to 16 hexadecimal digits");
         }
     }
 }
--- a/src/main/java/rosespread/platform/PlatformConductor.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -17,19 +17,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.api.NodeId;
+import rosespread.config.ConfigException;
+import rosespread.discovery.HealthChecker;
+import rosespread.eventloop.EventLoop;
+import rosespread.eventloop.EventQueue;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpLimits;
-import rosespread.launch.LaunchException;
-import rosespread.list.Prober;
-import rosespread.turn.DecisionLoop;
-import rosespread.turn.Inbox;
 
 /**
  * One conductor on the platform, in the foreground: told by the environment and a file, stopped by
  * SIGTERM, told of a new file by SIGHUP. Nothing of it is kept on disk.
  */
-public final class PlatformConductor {
-    private static final Logger LOG = LoggerFactory.getLogger(PlatformConductor.class);
+public final class PlatformController {
+    private static final Logger LOG = LoggerFactory.getLogger(PlatformController.class);
     private static final int CONNECT_MILLIS = 500;
 
     /** Unused connections are dropped soon, as descriptors are few. */
@@ -48,8 +48,8 @@
     private static final int KEPT_BACK = 72;
 
     private final Map<String, String> environment;
-    private final Inbox inbox = new Inbox();
-    private final Counts counts = new Counts();
+    private final EventQueue inbox = new EventQueue();
+    private final PlatformMetrics counts = new PlatformMetrics();
     private final ScheduledExecutorService timer =
             Executors.newSingleThreadScheduledExecutor(
                     task -> {
@@ -59,19 +59,19 @@
                     });
     private final HttpClient http =
             new HttpClient(1, HttpLimits.USUAL, CONNECT_MILLIS, IDLE_SECONDS);
-    private final Prober prober = new Prober(http, "/-/healthy", PROBE_NANOS);
+    private final HealthChecker prober = new HealthChecker(http, "/-/healthy", PROBE_NANOS);
     private final DiscoveryWatch watch;
-    private final PlatformCore core;
+    private final PlatformState core;
     private final StreamServer server;
     private PlatformConfig config;
     private long lookedAt;
 
-    private PlatformConductor(PlatformConfig config, Map<String, String> environment) {
+    private PlatformController(PlatformConfig config, Map<String, String> environment) {
         this.config = config;
         this.environment = environment;
         this.lookedAt = System.nanoTime();
         long wallOffset = System.nanoTime() - System.currentTimeMillis() * 1_000_000;
-        core = new PlatformCore(config, new Outside(), counts, wallOffset);
+        core = new PlatformState(config, new Outside(), counts, wallOffset);
         server =
                 new StreamServer(
                         inbox,
@@ -94,7 +94,7 @@
      *     of it
      */
     static int serve(Map<String, String> environment, BiPredicate<String, Runnable> signals) {
-        CompletableFuture<PlatformConductor> running = new CompletableFuture<>();
+        CompletableFuture<PlatformController> running = new CompletableFuture<>();
         signals.test(
                 "TERM",
                 () -> {
@@ -110,10 +110,10 @@
         }
         try {
             PlatformConfig config = PlatformConfig.read(environment);
-            PlatformConductor conductor = new PlatformConductor(config, environment);
+            PlatformController conductor = new PlatformController(config, environment);
             conductor.start();
             running.complete(conductor);
-        } catch (LaunchException e) {
+        } catch (ConfigException e) {
             System.err.println("rosespread serve: " + e.getMessage());
             return 2;
         } catch (IOException e) {
@@ -134,7 +134,7 @@
 
     private void start() throws IOException {
         Thread decisions =
-                new Thread(new DecisionLoop(inbox, core::turn, this::undecided), "decisions");
+                new Thread(new EventLoop(inbox, core::turn, this::undecided), "decisions");
         decisions.setDaemon(true);
         decisions.start();
         watch.follow(config.discovery());
@@ -189,7 +189,7 @@
             if (!next.discovery().equals(config.discovery())) {
                 take(next);
             }
-        } catch (LaunchException | RuntimeException e) {
+        } catch (ConfigException | RuntimeException e) {
             LOG.debug("the configuration can't be used now: {}", e.getMessage());
         }
     }
@@ -198,7 +198,7 @@
     private synchronized void reload() {
         try {
             take(PlatformConfig.read(environment));
-        } catch (LaunchException | RuntimeException e) {
+        } catch (ConfigException | RuntimeException e) {
             LOG.error("the new configuration is at fault and changes nothing: {}", e.getMessage());
         }
     }
@@ -226,14 +226,14 @@
         public void unavailable(String why) {
             LOG.warn("discovery: {}", why);
             inbox.put(now -> core.listUnavailable());
-            timer.execute(PlatformConductor.this::look);
+            timer.execute(PlatformController.this::look);
         }
     }
 
-    private final class Outside implements PlatformCore.World {
+    private final class Outside implements PlatformState.World {
         @Override
         public void probe(NodeId node, Target target) {
-            prober.probe(target.address(), verdict -> inbox.put(now -> core.probed(node, verdict)));
+            prober.check(target.address(), verdict -> inbox.put(now -> core.probed(node, verdict)));
         }
 
         @Override
--- a/src/main/java/rosespread/platform/Counts.java
+++ b/src/main/java/rosespread/platform/PlatformMetrics.java
@@ -6,23 +6,23 @@
 import java.util.stream.Collectors;
 
 /** What happened at the sockets since the start; written by any thread. */
-final class Counts {
+final class PlatformMetrics {
     final LongAdder opened = new LongAdder();
     final LongAdder strangersClosed = new LongAdder();
     final LongAdder evicted = new LongAdder();
     final LongAdder rejected = new LongAdder();
     final LongAdder garbled = new LongAdder();
     final LongAdder notAccepted = new LongAdder();
-    private final Map<SpoiltException.Reason, LongAdder> dropped =
-            new EnumMap<>(SpoiltException.Reason.class);
+    private final Map<MalformedMessageException.Reason, LongAdder> dropped =
+            new EnumMap<>(MalformedMessageException.Reason.class);
 
-    Counts() {
-        for (SpoiltException.Reason reason : SpoiltException.Reason.values()) {
+    PlatformMetrics() {
+        for (MalformedMessageException.Reason reason : MalformedMessageException.Reason.values()) {
             dropped.put(reason, new LongAdder());
         }
     }
 
-    void drop(SpoiltException.Reason reason) {
+    void drop(MalformedMessageException.Reason reason) {
         dropped.get(reason).increment();
     }
 
--- a/src/main/java/rosespread/platform/PlatformCore.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -9,19 +9,19 @@
 import java.util.TreeSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rosespread.Brain;
-import rosespread.api.Feed;
+import rosespread.api.EventHandler;
+import rosespread.api.EventSource;
 import rosespread.api.NodeId;
-import rosespread.api.Observer;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
-import rosespread.turn.Rounds;
+import rosespread.eventloop.RoundScheduler;
+import rosespread.policy.RoutingPolicy;
 
 /**
  * The conductor's state on the decision thread: who is joined by which stream, what is listed, and
  * the module. Everything here is called from that thread only.
  */
-final class PlatformCore {
+final class PlatformState {
     /** What it needs of the outside. */
     interface World {
         void probe(NodeId node, Target target);
@@ -30,7 +30,7 @@
         String seen();
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(PlatformCore.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PlatformState.class);
     private static final long SECOND = 1_000_000_000L;
 
     /** A stream that leaves so much unread is of no use, and what waits for it must not grow. */
@@ -41,18 +41,18 @@
 
     private final PlatformConfig config;
     private final World world;
-    private final Counts counts;
+    private final PlatformMetrics counts;
     private final long wallOffset;
-    private final Rounds rounds = new Rounds();
-    private final Rounds.Player player = new Playing();
+    private final RoundScheduler rounds = new RoundScheduler();
+    private final RoundScheduler.RoundHandler player = new Playing();
     private final NodeNames nodes = new NodeNames();
     private final PartWriter writer;
     private final Map<NodeId, Target> listed = new TreeMap<>();
     private final TreeSet<NodeId> restless = new TreeSet<>();
     private final Map<ProxyId, Stream> streams = new TreeMap<>();
     private final Map<ZoneId, Long> reports = new TreeMap<>();
-    private Brain brain;
-    private RoundOrders orders;
+    private RoutingPolicy brain;
+    private PlatformUpdateWriter orders;
     private int begun;
     private int ticket;
     private long now;
@@ -60,7 +60,7 @@
     private long messages;
     private long bytes;
     private long strayAnswers;
-    private final Heard heard = new Heard();
+    private final LoadReportStatistics heard = new LoadReportStatistics();
 
     private static final class Stream {
         final Wire wire;
@@ -80,26 +80,26 @@
      * @param wallOffset what is added to nanoseconds of the wall clock to have the module's time;
      *     fixed, so that a start always comes out the same
      */
-    PlatformCore(PlatformConfig config, World world, Counts counts, long wallOffset) {
+    PlatformState(PlatformConfig config, World world, PlatformMetrics counts, long wallOffset) {
         this.config = config;
         this.world = world;
         this.counts = counts;
         this.wallOffset = wallOffset;
         this.writer = new PartWriter(config.names(), nodes);
-        list(Observer.ListKind.REMEMBERED, config.known());
+        list(EventHandler.NodeListKind.CACHED, config.known());
         begin();
     }
 
     /** A fresh module, told what is held: the list and who is joined. */
     private void begin() {
-        brain = new Brain(config.settings(), new SplittableRandom(config.seed() + begun));
+        brain = new RoutingPolicy(config.settings(), new SplittableRandom(config.seed() + begun));
         begun++;
         orders =
-                new RoundOrders(
+                new PlatformUpdateWriter(
                         config.settings().methods().size(), restless::contains, new Asking());
-        rounds.begin();
+        rounds.restart();
         streams.values().forEach(stream -> stream.marks.clear());
-        tellList(Observer.ListKind.REMEMBERED, listed);
+        tellList(EventHandler.NodeListKind.CACHED, listed);
         streams.values().forEach(stream -> tellJoin(stream.join));
     }
 
@@ -119,11 +119,15 @@
             listUnavailable();
             return;
         }
-        list(list.full() ? Observer.ListKind.WHOLE : Observer.ListKind.CHANGES, list);
+        list(
+                list.full()
+                        ? EventHandler.NodeListKind.FULL
+                        : EventHandler.NodeListKind.INCREMENTAL,
+                list);
     }
 
-    private void list(Observer.ListKind kind, TargetList list) {
-        boolean whole = kind != Observer.ListKind.CHANGES;
+    private void list(EventHandler.NodeListKind kind, TargetList list) {
+        boolean whole = kind != EventHandler.NodeListKind.INCREMENTAL;
         if (!whole && list.targets().isEmpty()) {
             return;
         }
@@ -141,7 +145,7 @@
         }
         told.forEach(
                 (id, target) -> {
-                    if (target.state() == Observer.NodeState.GONE) {
+                    if (target.state() == EventHandler.NodeState.GONE) {
                         listed.remove(id);
                     } else {
                         listed.put(id, target);
@@ -155,7 +159,7 @@
                 told.size(),
                 listed.size(),
                 listed.values().stream()
-                        .filter(target -> target.state() == Observer.NodeState.DRAINING)
+                        .filter(target -> target.state() == EventHandler.NodeState.DRAINING)
                         .count());
     }
 
@@ -165,12 +169,12 @@
      * of a message for each of them at each proxy would fill the channel for nothing.
      */
     private static boolean mayBeShutOut(Target target, Target before) {
-        return target.state() != Observer.NodeState.READY
+        return target.state() != EventHandler.NodeState.READY
                 || before != null && before.startedMillis() != target.startedMillis();
     }
 
-    private void tellList(Observer.ListKind kind, Map<NodeId, Target> told) {
-        rounds.add(observer -> observer.listBegins(kind));
+    private void tellList(EventHandler.NodeListKind kind, Map<NodeId, Target> told) {
+        rounds.add(observer -> observer.listStarted(kind));
         told.forEach(
                 (id, target) -> {
                     long started =
@@ -179,7 +183,7 @@
                                     : target.startedMillis() * 1_000_000 + wallOffset;
                     rounds.add(
                             observer ->
-                                    observer.node(
+                                    observer.nodeListed(
                                             id,
                                             config.names().kind(target.kind()),
                                             config.names().zone(target.zone()),
@@ -187,19 +191,19 @@
                                             target.state(),
                                             started));
                 });
-        rounds.add(Observer::listEnds);
+        rounds.add(EventHandler::listCompleted);
     }
 
     /** The module is told only where the settings say that it asks for the list. */
     void listUnavailable() {
         if (config.settings().listOnDemand()) {
-            rounds.add(observer -> observer.listBegins(Observer.ListKind.UNAVAILABLE));
-            rounds.add(Observer::listEnds);
+            rounds.add(observer -> observer.listStarted(EventHandler.NodeListKind.UNAVAILABLE));
+            rounds.add(EventHandler::listCompleted);
         }
     }
 
-    void probed(NodeId node, Observer.Verdict verdict) {
-        rounds.add(observer -> observer.probed(node, verdict));
+    void probed(NodeId node, EventHandler.HealthCheckResult verdict) {
+        rounds.add(observer -> observer.healthChecked(node, verdict));
     }
 
     // ---- streams ----
@@ -239,7 +243,7 @@
         }
     }
 
-    /** Counts only on the stream that carried the mark. */
+    /** PlatformMetrics only on the stream that carried the mark. */
     void done(long time, Wire wire, Message.Done done) {
         now = time;
         Stream stream = streams.get(done.proxy());
@@ -249,7 +253,7 @@
             strayAnswers++;
             return;
         }
-        rounds.add(observer -> observer.installed(done.proxy(), mark.mark(), done.took()));
+        rounds.add(observer -> observer.acknowledged(done.proxy(), mark.mark(), done.took()));
     }
 
     // ---- reports ----
@@ -258,14 +262,14 @@
         now = time;
         NodeId node = nodes.find(sums.node()).orElse(null);
         if (node == null) {
-            counts.drop(SpoiltException.Reason.UNKNOWN);
+            counts.drop(MalformedMessageException.Reason.UNKNOWN);
             return;
         }
         reports.merge(sums.zone(), 1L, Long::sum);
         heard.sums(node, sums);
         rounds.add(
                 observer ->
-                        observer.sums(
+                        observer.loadReported(
                                 node,
                                 sums.zone(),
                                 sums.tries(),
@@ -280,7 +284,7 @@
         heard.offered(offered);
         rounds.add(
                 observer ->
-                        observer.offered(
+                        observer.demandReported(
                                 offered.proxy(),
                                 offered.method(),
                                 offered.count(),
@@ -307,7 +311,7 @@
             }
             LOG.info("{}", seen());
         }
-        return Math.min(rounds.turn(now, player), seenAt + SECOND);
+        return Math.min(rounds.runDue(now, player), seenAt + SECOND);
     }
 
     String seen() {
@@ -329,9 +333,9 @@
                 + " listed "
                 + listed.size()
                 + " rounds "
-                + rounds.played()
+                + rounds.roundsRun()
                 + " worst "
-                + rounds.worstNanos() / 1000
+                + rounds.maxNanos() / 1000
                 + " us messages "
                 + messages
                 + " bytes "
@@ -353,9 +357,9 @@
     }
 
     /** A module that throws has lost its place: a fresh one begins, as after a restart. */
-    private final class Playing implements Rounds.Player {
+    private final class Playing implements RoundScheduler.RoundHandler {
         @Override
-        public void round(Feed feed) {
+        public void runRound(EventSource feed) {
             brain.round(now, feed, orders);
             Map<List<Part>, byte[]> written = new LinkedHashMap<>();
             ticket = (ticket + 1) % TICKETS;
@@ -363,7 +367,7 @@
         }
 
         @Override
-        public void faulted(Throwable fault) {
+        public void roundFailed(Throwable fault) {
             LOG.error("the decision module failed and begins anew", fault);
             begin();
         }
@@ -394,7 +398,7 @@
         stream.wire.write(message);
     }
 
-    private final class Asking implements RoundOrders.Besides {
+    private final class Asking implements PlatformUpdateWriter.Besides {
         @Override
         public void probe(NodeId node) {
             Target target = listed.get(node);
@@ -409,7 +413,7 @@
 
         @Override
         public void wakeAfter(long nanos) {
-            rounds.wakeAt(now + nanos);
+            rounds.scheduleAt(now + nanos);
         }
 
         @Override
--- a/src/main/java/rosespread/platform/RoundOrders.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.api.Orders;
+import rosespread.api.PolicyActions;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
@@ -19,7 +19,7 @@
  * ours: what a proxy holds is written to it for the methods concerned, with changes against what
  * was last written on its stream.
  */
-final class RoundOrders implements Orders {
+final class PlatformUpdateWriter implements PolicyActions {
     /** What the module asks for besides messages. */
     interface Besides {
         void probe(NodeId node);
@@ -70,7 +70,7 @@
      * @param restless whether a node ever left or started anew, so that some conductor may have
      *     shut it out
      */
-    RoundOrders(int methods, Predicate<NodeId> restless, Besides besides) {
+    PlatformUpdateWriter(int methods, Predicate<NodeId> restless, Besides besides) {
         this.methods = methods;
         this.restless = restless;
         this.besides = besides;
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void line(TableId table, NodeId node, double weight) {
+    public void setWeight(TableId table, NodeId node, double weight) {
         Table of = table(table);
         if (weight > 0) {
             of.lines.put(node, weight);
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public void bind(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
+    public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
         Held held = proxies.get(proxy);
         if (held == null) {
             return;
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void withdraw(NodeId node, boolean out) {
+    public void setExcluded(NodeId node, boolean out) {
         shut.put(node, out);
         if (out) {
             withdrawn.add(node);
@@ -139,29 +139,29 @@
     }
 
     @Override
-    public void level(TableId table, MethodId method, double admitted) {
+    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
         Table of = table(table);
         of.levels.put(method, admitted);
         of.changedLevels.put(method, admitted);
     }
 
     @Override
-    public void mark(int mark) {
+    public void requestAcknowledgement(int mark) {
         this.mark = mark;
     }
 
     @Override
-    public void probe(NodeId node) {
+    public void checkHealth(NodeId node) {
         besides.probe(node);
     }
 
     @Override
-    public void followList() {
+    public void watchNodes() {
         besides.followList();
     }
 
     @Override
-    public void wakeAfter(long nanos) {
+    public void startTimer(long nanos) {
         besides.wakeAfter(nanos);
     }
 
--- a/src/main/java/rosespread/platform/StreamServer.java
+++ b/src/main/java/rosespread/platform/StreamServer.java
@@ -16,10 +16,10 @@
 import org.apache.mina.filter.codec.ProtocolCodecFilter;
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
+import rosespread.eventloop.EventQueue;
 import rosespread.resp.RespCodec;
 import rosespread.resp.RespLimits;
 import rosespread.resp.RespWriter;
-import rosespread.turn.Inbox;
 
 /**
  * Where proxies and collectors connect, and strangers too. Who has not joined holds little and not
@@ -44,18 +44,23 @@
     private static final byte[] ALIVE = RespWriter.bytes(List.of("hb_ok"));
 
     private final Acceptor acceptor = new Acceptor();
-    private final Inbox inbox;
-    private final PlatformCore core;
+    private final EventQueue inbox;
+    private final PlatformState core;
     private final MessageReader reader;
-    private final Counts counts;
+    private final PlatformMetrics counts;
     private final AtomicInteger open = new AtomicInteger();
-    private final Set<Peer> strangers = new LinkedHashSet<>();
+    private final Set<PeerConnection> strangers = new LinkedHashSet<>();
     private volatile int most;
 
     /**
      * @param most how many connections may be open at once
      */
-    StreamServer(Inbox inbox, PlatformCore core, MessageReader reader, Counts counts, int most) {
+    StreamServer(
+            EventQueue inbox,
+            PlatformState core,
+            MessageReader reader,
+            PlatformMetrics counts,
+            int most) {
         this.inbox = inbox;
         this.core = core;
         this.reader = reader;
@@ -93,10 +98,10 @@
 
     /** Closes those that had their time to join. */
     void sweep(long now) {
-        List<Peer> late = new ArrayList<>();
+        List<PeerConnection> late = new ArrayList<>();
         synchronized (strangers) {
-            for (Iterator<Peer> all = strangers.iterator(); all.hasNext(); ) {
-                Peer peer = all.next();
+            for (Iterator<PeerConnection> all = strangers.iterator(); all.hasNext(); ) {
+                PeerConnection peer = all.next();
                 if (now - peer.openedAt < JOIN_WITHIN) {
                     break;
                 }
@@ -105,13 +110,13 @@
             }
         }
         counts.strangersClosed.add(late.size());
-        late.forEach(Peer::close);
+        late.forEach(PeerConnection::close);
     }
 
     private void evictOldest() {
-        Peer oldest = null;
+        PeerConnection oldest = null;
         synchronized (strangers) {
-            Iterator<Peer> all = strangers.iterator();
+            Iterator<PeerConnection> all = strangers.iterator();
             if (all.hasNext()) {
                 oldest = all.next();
                 all.remove();
@@ -123,7 +128,7 @@
         }
     }
 
-    private void known(Peer peer) {
+    private void known(PeerConnection peer) {
         synchronized (strangers) {
             strangers.remove(peer);
         }
@@ -183,7 +188,7 @@
     private final class Sessions extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            Peer peer = new Peer(session, System.nanoTime());
+            PeerConnection peer = new PeerConnection(session, System.nanoTime());
             session.setAttribute(PEER, peer);
             counts.opened.increment();
             synchronized (strangers) {
@@ -193,23 +198,23 @@
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            Peer peer = (Peer) session.getAttribute(PEER);
-            if (session.isClosing() || peer.role == Peer.Role.REJECTED) {
+            PeerConnection peer = (PeerConnection) session.getAttribute(PEER);
+            if (session.isClosing() || peer.role == PeerConnection.Role.REJECTED) {
                 return;
             }
             try {
                 @SuppressWarnings("unchecked")
                 List<String> words = (List<String>) message;
                 take(peer, reader.read(words));
-            } catch (SpoiltException e) {
+            } catch (MalformedMessageException e) {
                 counts.drop(e.reason());
-                if (peer.role == Peer.Role.STRANGER) {
+                if (peer.role == PeerConnection.Role.STRANGER) {
                     reject(peer, e.getMessage());
                 }
             }
         }
 
-        private void take(Peer peer, Message message) throws SpoiltException {
+        private void take(PeerConnection peer, Message message) throws MalformedMessageException {
             if (message instanceof Message.Heartbeat) {
                 if (peer.unwritten() > UNREAD_MOST) {
                     peer.close();
@@ -217,26 +222,30 @@
                     peer.write(ALIVE);
                 }
             } else if (message instanceof Message.Collector collector
-                    && peer.role == Peer.Role.STRANGER) {
+                    && peer.role == PeerConnection.Role.STRANGER) {
                 peer.zone = collector.zone();
-                joined(peer, Peer.Role.COLLECTOR);
-            } else if (message instanceof Message.Join join && peer.role == Peer.Role.STRANGER) {
+                joined(peer, PeerConnection.Role.COLLECTOR);
+            } else if (message instanceof Message.Join join
+                    && peer.role == PeerConnection.Role.STRANGER) {
                 peer.proxy = join.proxy();
-                joined(peer, Peer.Role.PROXY);
+                joined(peer, PeerConnection.Role.PROXY);
                 inbox.put(now -> core.joined(now, peer, join));
             } else if (message instanceof Message.Done done && done.proxy().equals(peer.proxy)) {
                 inbox.put(now -> core.done(now, peer, done));
             } else if (message instanceof Message.Offered offered
-                    && (peer.role == Peer.Role.COLLECTOR || offered.proxy().equals(peer.proxy))) {
+                    && (peer.role == PeerConnection.Role.COLLECTOR
+                            || offered.proxy().equals(peer.proxy))) {
                 inbox.putReport(now -> core.offered(now, offered));
-            } else if (message instanceof Message.Sums sums && peer.role == Peer.Role.COLLECTOR) {
+            } else if (message instanceof Message.Sums sums
+                    && peer.role == PeerConnection.Role.COLLECTOR) {
                 inbox.putReport(now -> core.sums(now, sums));
             } else {
-                throw new SpoiltException(SpoiltException.Reason.PLACE, "this has no place here");
+                throw new MalformedMessageException(
+                        MalformedMessageException.Reason.PLACE, "this has no place here");
             }
         }
 
-        private void joined(Peer peer, Peer.Role role) {
+        private void joined(PeerConnection peer, PeerConnection.Role role) {
             peer.role = role;
             known(peer);
             RespCodec.limit(peer.session, JOINED);
@@ -247,9 +256,9 @@
          * stays among the strangers: guards against one that never reads its word and would keep
          * its descriptor for good.
          */
-        private void reject(Peer peer, String why) {
+        private void reject(PeerConnection peer, String why) {
             counts.rejected.increment();
-            peer.role = Peer.Role.REJECTED;
+            peer.role = PeerConnection.Role.REJECTED;
             peer.session.suspendRead();
             peer.write(RespWriter.bytes(List.of("reject", "reason", why)));
             peer.session.closeOnFlush();
@@ -257,9 +266,9 @@
 
         @Override
         public void sessionClosed(IoSession session) {
-            Peer peer = (Peer) session.getAttribute(PEER);
+            PeerConnection peer = (PeerConnection) session.getAttribute(PEER);
             known(peer);
-            if (peer.role == Peer.Role.PROXY) {
+            if (peer.role == PeerConnection.Role.PROXY) {
                 inbox.put(now -> core.closed(now, peer, peer.proxy));
             }
         }
--- a/src/main/java/rosespread/platform/Target.java
+++ b/src/main/java/rosespread/platform/Target.java
@@ -1,7 +1,7 @@
 package rosespread.platform;
 
 import java.net.InetSocketAddress;
-import rosespread.api.Observer.NodeState;
+import rosespread.api.EventHandler.NodeState;
 
 /**
  * A node as discovery has it.
--- a/src/main/java/rosespread/platform/TargetList.java
+++ b/src/main/java/rosespread/platform/TargetList.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import rosespread.api.Observer.NodeState;
-import rosespread.launch.Fields;
-import rosespread.launch.LaunchException;
+import rosespread.api.EventHandler.NodeState;
+import rosespread.config.ConfigException;
+import rosespread.config.ConfigObject;
 
 /**
  * One answer of discovery: the whole list, or the entries that changed since an earlier version.
@@ -17,33 +17,33 @@
     private static final long MOST_STARTED = 9_000_000_000_000L;
 
     /**
-     * @throws LaunchException if it is no such answer; names line and column, or entry and field
+     * @throws ConfigException if it is no such answer; names line and column, or entry and field
      */
-    static TargetList parse(byte[] body) throws LaunchException {
+    static TargetList parse(byte[] body) throws ConfigException {
         return read(Json.object("the answer", body));
     }
 
-    static TargetList read(Fields list) throws LaunchException {
+    static TargetList read(ConfigObject list) throws ConfigException {
         long version = list.whole("version");
         List<Target> targets = new ArrayList<>();
-        List<Fields> entries = list.requiredObjects("servers");
+        List<ConfigObject> entries = list.requiredObjects("servers");
         if (entries.size() > MOST) {
-            throw new LaunchException("servers has over " + MOST + " entries");
+            throw new ConfigException("servers has over " + MOST + " entries");
         }
         for (int i = 0; i < entries.size(); i++) {
             try {
                 targets.add(target(entries.get(i)));
-            } catch (LaunchException e) {
-                throw new LaunchException("entry " + i + " of servers: " + e.getMessage());
+            } catch (ConfigException e) {
+                throw new ConfigException("entry " + i + " of servers: " + e.getMessage());
             }
         }
         return new TargetList(version, list.flag("full"), List.copyOf(targets));
     }
 
-    private static Target target(Fields entry) throws LaunchException {
+    private static Target target(ConfigObject entry) throws ConfigException {
         String name = entry.text("id");
         if (name.isEmpty() || name.length() > 255 || name.matches(".*[,:+\\s].*")) {
-            throw new LaunchException("id \"" + name + "\" can't be written in an order");
+            throw new ConfigException("id \"" + name + "\" can't be written in an order");
         }
         NodeState state =
                 switch (entry.text("state")) {
@@ -51,13 +51,13 @@
                     case "DRAINING" -> NodeState.DRAINING;
                     case "DELETED" -> NodeState.GONE;
                     default ->
-                            throw new LaunchException(
+                            throw new ConfigException(
                                     "state \"" + entry.text("state") + "\" is not known");
                 };
         double weight = entry.number("weight", 1);
         long started = entry.has("started_ms") ? (long) entry.number("started_ms") : 0;
         if (!(weight >= 0) || Double.isInfinite(weight) || started < 0 || started > MOST_STARTED) {
-            throw new LaunchException("weight or started_ms is out of range");
+            throw new ConfigException("weight or started_ms is out of range");
         }
         InetSocketAddress address =
                 state == NodeState.GONE && !entry.has("addr")
--- a/src/main/java/rosespread/Brain.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -1,23 +1,23 @@
-package rosespread;
+package rosespread.policy;
 
 import java.util.*;
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import rosespread.api.*;
-import rosespread.api.Observer;
-import rosespread.measure.*;
-import rosespread.state.*;
+import rosespread.api.EventHandler;
+import rosespread.policy.state.*;
+import rosespread.stats.*;
 
 /**
- * All decisions of one conductor. The caller makes one Brain a conductor and calls {@link #round}
- * once for each round with all that came in; the orders go straight into the writer. Its interface
- * is rosespread.api. The order below: observe, estimate, judge health, commit, deliver, levels. The
- * mechanism is commit and deliver: lines that truly change are committed with one pending delivery
- * per table, one delivery is in flight per table, the proxies' answers settle it, laggards are
- * bound again.
+ * All decisions of one conductor. The caller makes one RoutingPolicy a conductor and calls {@link
+ * #round} once for each round with all that came in; the orders go straight into the writer. Its
+ * interface is rosespread.policy.api. The order below: observe, estimate, judge health, commit,
+ * deliver, levels. The mechanism is commit and deliver: lines that truly change are committed with
+ * one pending delivery per table, one delivery is in flight per table, the proxies' answers settle
+ * it, laggards are bound again.
  */
-public final class Brain {
+public final class RoutingPolicy {
     /** Units of time; the module looks once a tick when nothing comes in. */
     private static final long SECOND = 1_000_000_000L, NEVER = Node.NEVER, TICK = SECOND / 10;
 
@@ -149,29 +149,29 @@
      */
     private static final double SHED_BUSY = 0.6, SHED_IDLE = 0.5;
 
-    private final Settings settings;
+    private final PolicySettings settings;
     private final RandomGenerator random;
     private final TreeMap<NodeId, Node> nodes = new TreeMap<>();
     private final Map<NodeId, Node> index = new LinkedHashMap<>();
     private final TreeMap<ProxyId, Proxy> proxies = new TreeMap<>();
-    private final List<GroupTable> tables = new ArrayList<>();
+    private final List<ShardTable> tables = new ArrayList<>();
     private final DecayingSum lag = new DecayingSum(10 * SECOND),
             lagCount = new DecayingSum(10 * SECOND);
     private final DecayingSum covers = new DecayingSum(5 * SECOND),
             coverCount = new DecayingSum(5 * SECOND);
     private final TreeMap<ProxyId, Double> turn = new TreeMap<>();
-    private final List<ProxyGroup> groups = new ArrayList<>();
+    private final List<ProxyShard> groups = new ArrayList<>();
     private final Map<Integer, List<Node>> openNodes = new TreeMap<>();
     private final Map<MethodId, Double> demands = new TreeMap<>();
-    private Orders orders;
+    private PolicyActions orders;
     private long now, sequence, nextStep, nextLevel, freeAt;
     private boolean started, listLost, awake, uncommitted, crowded, crowd, moved, shedding, told;
     private double slack, window, turnLines, unit = Double.NaN;
-    private final MessageLedger ledger = new MessageLedger();
-    private final TreeMap<KindId, Double> unitOfKind = new TreeMap<>(),
+    private final InFlightMessages ledger = new InFlightMessages();
+    private final TreeMap<MachineTypeId, Double> unitOfKind = new TreeMap<>(),
             latencyOfKind = new TreeMap<>();
 
-    public Brain(Settings settings, RandomGenerator random) {
+    public RoutingPolicy(PolicySettings settings, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
         layOutTables();
@@ -183,8 +183,8 @@
      * queue has no room for one delivery to all; each group's deliveries leave for themselves.
      * Small fleets are one group.
      */
-    private ProxyGroup layOutTables() {
-        ProxyGroup group = new ProxyGroup(settings, tables.size() + 1);
+    private ProxyShard layOutTables() {
+        ProxyShard group = new ProxyShard(settings, tables.size() + 1);
         if (!groups.isEmpty()) {
             group.takeLevels(groups.get(0));
         }
@@ -197,7 +197,7 @@
     /**
      * Those of the first group: what is open to a table and what it should say is the same in each.
      */
-    private List<GroupTable> firstTables() {
+    private List<ShardTable> firstTables() {
         return groups.get(0).tables;
     }
 
@@ -205,9 +205,9 @@
      * The emptiest of those; a new one once all are so large that a delivery of every line would
      * not fit.
      */
-    private ProxyGroup groupToJoin(Predicate<ProxyGroup> those) {
+    private ProxyShard groupToJoin(Predicate<ProxyShard> those) {
         double lines = headAndMark() + firstTables().stream().mapToInt(t -> open(t).size()).sum();
-        double most = Math.max(LEAST_GROUP, PART_DELIVERY * settings.queueLimit() / lines);
+        double most = Math.max(LEAST_GROUP, PART_DELIVERY * settings.queueLimitEntries() / lines);
         return groups.stream()
                 .filter(g -> g.members.size() + 1 <= most && !g.abandoned() && those.test(g))
                 .min(Comparator.comparing(g -> g.members.size()))
@@ -215,13 +215,13 @@
     }
 
     /** Decides one round: {@code feed} brings what came in, {@code out} takes the orders. */
-    public void round(long time, Feed feed, Orders out) {
+    public void round(long time, EventSource feed, PolicyActions out) {
         now = time;
         orders = out;
         openNodes.clear();
-        feed.to(new Ear());
+        feed.deliverTo(new Ear());
         demands.clear();
-        if (settings.sliced()) {
+        if (settings.keyRangeTables()) {
             if (!started) {
                 orders.log("slices are not decided by this module: their tables stay as they are");
             }
@@ -229,7 +229,7 @@
             return;
         }
         if (settings.listOnDemand() && (!started || listLost)) {
-            orders.followList();
+            orders.watchNodes();
         }
         awake |= !started;
         started = true;
@@ -240,7 +240,7 @@
         }
         if (awake) {
             awake = false;
-            orders.wakeAfter(TICK);
+            orders.startTimer(TICK);
             estimate();
             judge();
             probe();
@@ -266,13 +266,13 @@
      * Load and answers are averaged over so many reports, demand over fewer: where the intake
      * spaces reports out the window grows with their spacing.
      */
-    private void add(WindowRate rate, double reports, double part, double seconds) {
+    private void add(WindowedRate rate, double reports, double part, double seconds) {
         rate.add(
                 now,
                 part,
                 seconds,
                 Math.max(
-                        reports * settings.reportPeriod(),
+                        reports * settings.reportPeriodNanos(),
                         reports < WINDOW_REPORTS ? spacing() : window));
     }
 
@@ -282,22 +282,27 @@
      */
     private double spacing() {
         return Math.max(
-                settings.reportPeriod(), covers.read(now) / Math.max(1, coverCount.read(now)));
+                settings.reportPeriodNanos(), covers.read(now) / Math.max(1, coverCount.read(now)));
     }
 
-    private final class Ear implements Observer {
+    private final class Ear implements EventHandler {
         private final Set<NodeId> listed = new TreeSet<>();
-        private ListKind kind;
+        private NodeListKind kind;
 
         @Override
-        public void listBegins(ListKind kind) {
+        public void listStarted(NodeListKind kind) {
             this.kind = kind;
             listed.clear();
         }
 
         @Override
-        public void node(
-                NodeId id, KindId kind, ZoneId zone, double weight, NodeState state, long up) {
+        public void nodeListed(
+                NodeId id,
+                MachineTypeId kind,
+                ZoneId zone,
+                double weight,
+                NodeState state,
+                long up) {
             listed.add(id);
             Node node = index.get(id);
             if (node == null) {
@@ -318,14 +323,14 @@
         }
 
         @Override
-        public void listEnds() {
+        public void listCompleted() {
             uncommitted = true;
-            if (kind == ListKind.WHOLE || kind == ListKind.REMEMBERED) {
+            if (kind == NodeListKind.FULL || kind == NodeListKind.CACHED) {
                 nodes.values().stream()
                         .filter(node -> !listed.contains(node.id))
                         .forEach(node -> node.become(NodeState.GONE, now));
             }
-            listLost |= kind == ListKind.UNAVAILABLE;
+            listLost |= kind == NodeListKind.UNAVAILABLE;
             openNodes.clear();
         }
 
@@ -347,8 +352,8 @@
 
         /** The stream is ordered, so an answer also settles all that was sent before it. */
         @Override
-        public void installed(ProxyId id, int mark, long took) {
-            long sequence = ledger.answered(id, mark);
+        public void acknowledged(ProxyId id, int mark, long took) {
+            long sequence = ledger.acknowledged(id, mark);
             if (sequence == 0) {
                 return;
             }
@@ -361,7 +366,7 @@
         }
 
         @Override
-        public void sums(
+        public void loadReported(
                 NodeId id,
                 ZoneId zone,
                 int tries,
@@ -370,14 +375,14 @@
                 long covers,
                 double utilization) {
             Node node = nodes.getOrDefault(id, new Node(id, HEALTH_WINDOW));
-            Brain.this.covers.add(now, covers);
+            RoutingPolicy.this.covers.add(now, covers);
             coverCount.add(now, 1);
             node.tries.add(now, tries);
             node.unanswered.add(now, unanswered);
             node.answeredAt = tries > unanswered ? now : node.answeredAt;
             double seconds = covers / (double) SECOND;
             add(
-                    node.tried.computeIfAbsent(zone, z -> new WindowRate()),
+                    node.tried.computeIfAbsent(zone, z -> new WindowedRate()),
                     DEMAND_REPORTS,
                     tries,
                     seconds);
@@ -385,7 +390,7 @@
                 return;
             }
             add(
-                    node.answered.computeIfAbsent(zone, z -> new WindowRate()),
+                    node.answered.computeIfAbsent(zone, z -> new WindowedRate()),
                     WINDOW_REPORTS,
                     tries - unanswered,
                     seconds);
@@ -399,11 +404,11 @@
         }
 
         @Override
-        public void offered(ProxyId id, MethodId method, int count, long covers) {
+        public void demandReported(ProxyId id, MethodId method, int count, long covers) {
             Proxy proxy = proxies.get(id);
             if (proxy != null) {
                 add(
-                        proxy.offered.computeIfAbsent(method, m -> new WindowRate()),
+                        proxy.offered.computeIfAbsent(method, m -> new WindowedRate()),
                         DEMAND_REPORTS,
                         count,
                         covers / (double) SECOND);
@@ -412,22 +417,22 @@
 
         /** A probe that was pushed back tells nothing of the node's health. */
         @Override
-        public void probed(NodeId id, Verdict verdict) {
+        public void healthChecked(NodeId id, HealthCheckResult verdict) {
             Node node = nodes.getOrDefault(id, new Node(id, HEALTH_WINDOW));
-            if (verdict != Verdict.PUSHED_BACK) {
+            if (verdict != HealthCheckResult.REJECTED) {
                 node.tries.add(now, PROBE_TRIES);
-                node.unanswered.add(now, verdict == Verdict.OK ? 0 : PROBE_TRIES);
+                node.unanswered.add(now, verdict == HealthCheckResult.PASSED ? 0 : PROBE_TRIES);
             }
         }
 
         @Override
-        public void woke() {
+        public void timerFired() {
             awake = true;
         }
     }
 
     // ---- estimate ----
-    private double perSecond(Map<ZoneId, WindowRate> byZone) {
+    private double perSecond(Map<ZoneId, WindowedRate> byZone) {
         return byZone.values().stream().mapToDouble(rate -> rate.perSecond(now)).sum();
     }
 
@@ -446,7 +451,7 @@
             return;
         }
         unit = next;
-        for (KindId kind : latencyOfKind.keySet()) {
+        for (MachineTypeId kind : latencyOfKind.keySet()) {
             unitOfKind.merge(
                     kind, unitOf(kind, meanLatency), (old, fresh) -> fresh > 0 ? fresh : old);
         }
@@ -471,11 +476,11 @@
     }
 
     /** The nodes not sick of a kind, of all if none is named. */
-    private Stream<Node> well(KindId kind) {
+    private Stream<Node> well(MachineTypeId kind) {
         return ready().stream().filter(n -> !n.sick && (kind == null || kind.equals(n.kind)));
     }
 
-    private double meanLatency(KindId kind) {
+    private double meanLatency(MachineTypeId kind) {
         return well(kind)
                 .filter(n -> n.latency.known(now))
                 .mapToDouble(n -> n.latency.perSecond(now))
@@ -483,7 +488,7 @@
                 .orElse(Double.NaN);
     }
 
-    private double unitOf(KindId kind, double meanLatency) {
+    private double unitOf(MachineTypeId kind, double meanLatency) {
         List<Node> told = well(kind).filter(n -> !Double.isNaN(load(n, meanLatency))).toList();
         return told.stream().mapToDouble(n -> perSecond(n.answered)).sum()
                 / told.stream().mapToDouble(n -> load(n, meanLatency) * n.listed).sum();
@@ -499,11 +504,11 @@
     }
 
     /**
-     * Steps a weight towards what the node answers for its load, over a part of the gap; all of it
-     * at the first step of the nodes there at a start: guards against small machines that take as
-     * much as large ones. Without fresh answers it stays: guards against late sums being read as a
-     * change of the machine. A node that answers later than its like is not held to be larger:
-     * guards against reports that show too little load.
+     * SimulatorActionWriter a weight towards what the node answers for its load, over a part of the
+     * gap; all of it at the first step of the nodes there at a start: guards against small machines
+     * that take as much as large ones. Without fresh answers it stays: guards against late sums
+     * being read as a change of the machine. A node that answers later than its like is not held to
+     * be larger: guards against reports that show too little load.
      */
     private void step(Node node, double load) {
         double prior = unitOfKind.getOrDefault(node.kind, unit) * node.listed;
@@ -570,7 +575,7 @@
     }
 
     /** The same for like tables of all groups, and asked for as each proxy joins: sought once. */
-    private List<Node> open(GroupTable table) {
+    private List<Node> open(ShardTable table) {
         return openNodes.computeIfAbsent(
                 table.group.tables.indexOf(table),
                 place ->
@@ -584,7 +589,7 @@
     }
 
     private boolean cold(Node node) {
-        return node.cold(now, settings.coldTime());
+        return node.cold(now, settings.warmUpNanos());
     }
 
     /**
@@ -594,7 +599,8 @@
     private boolean usable(Node node) {
         return node.ready()
                 && (!cold(node)
-                        || now - node.removedAt > settings.drainGrace() + settings.coldWindow());
+                        || now - node.removedAt
+                                > settings.drainTimeoutNanos() + settings.coldWindowNanos());
     }
 
     /**
@@ -602,10 +608,10 @@
      */
     private double warmth(Node node) {
         return cold(node)
-                ? settings.coldShare()
-                        + (1 - settings.coldShare())
+                ? settings.coldCapacityRatio()
+                        + (1 - settings.coldCapacityRatio())
                                 * Math.max(0, now - node.up)
-                                / settings.coldTime()
+                                / settings.warmUpNanos()
                 : 1;
     }
 
@@ -613,7 +619,7 @@
         return nodes.stream().filter(n -> n.sick || !sickOnly).mapToDouble(Node::size).sum();
     }
 
-    private double present(Node node, GroupTable table) {
+    private double present(Node node, ShardTable table) {
         return warmth(node) * fitness(node, table);
     }
 
@@ -661,7 +667,7 @@
                                 + " s");
             }
         }
-        for (GroupTable table : firstTables()) {
+        for (ShardTable table : firstTables()) {
             double sick = size(open(table), true);
             double all = size(open(table), false);
             boolean panic = sick > MOST_SICK * all;
@@ -683,16 +689,16 @@
     /**
      * The part of its weight that health leaves a node; a panic bound keeps a table from emptying.
      */
-    private double fitness(Node node, GroupTable table) {
+    private double fitness(Node node, ShardTable table) {
         return table.panic || !node.sick ? 1 : now - node.sickSince < TRIAL_AFTER ? TRICKLE : TRIAL;
     }
 
     private void probe() {
-        for (Node node : settings.probesAllowed() ? ready() : List.<Node>of()) {
+        for (Node node : settings.healthChecksAllowed() ? ready() : List.<Node>of()) {
             boolean suspect = node.sick || node.unansweredShare(now) > SUSPECT_SHARE;
             if (now - node.probedAt >= (suspect ? PROBE_SUSPECT : PROBE_EVERY)) {
                 node.probedAt = now - random.nextLong(PROBE_SUSPECT / 2);
-                orders.probe(node.id);
+                orders.checkHealth(node.id);
             }
         }
     }
@@ -710,18 +716,22 @@
      */
     private void commit() {
         double load = loadRatio();
-        List<GroupTable> byRoom = new ArrayList<>(firstTables());
+        List<ShardTable> byRoom = new ArrayList<>(firstTables());
         byRoom.sort(Comparator.comparingInt(t -> open(t).size()));
         Map<NodeId, Double> spoken = new TreeMap<>();
         byRoom.forEach(table -> commit(table, wanted(table, load, spoken)));
     }
 
-    private void commit(GroupTable like, Map<NodeId, Double> alike) {
-        for (GroupTable table :
+    private void commit(ShardTable like, Map<NodeId, Double> alike) {
+        for (ShardTable table :
                 tables.stream().filter(t -> t.serves(like.like, like.home)).toList()) {
             double band =
                     LINE_BAND
-                            * (1 + 0.5 * alike.size() * proxies.size() / settings.linesPerSecond());
+                            * (1
+                                    + 0.5
+                                            * alike.size()
+                                            * proxies.size()
+                                            / settings.entriesPerSecond());
             List<NodeId> removed =
                     table.committed.keySet().stream().filter(id -> !alike.containsKey(id)).toList();
             boolean changed = !removed.isEmpty();
@@ -744,7 +754,7 @@
      * repeats, also under a conductor that has just started; it does harm where the warm nodes are
      * the overloaded ones.
      */
-    private Map<NodeId, Double> wanted(GroupTable table, double load, Map<NodeId, Double> spoken) {
+    private Map<NodeId, Double> wanted(ShardTable table, double load, Map<NodeId, Double> spoken) {
         List<Node> open = open(table);
         double mean = open.stream().mapToDouble(n -> n.listed).average().orElse(1);
         double most = open.stream().anyMatch(n -> n.busy.known(now)) ? 1 : COLD_BLIND;
@@ -790,31 +800,32 @@
      */
     private long patience() {
         double met = lag.read(now) / Math.max(1, lagCount.read(now));
-        double queue = waiting() / settings.linesPerSecond() * SECOND;
-        return Math.max(PATIENCE, (long) (3 * met + 4 * queue + settings.longestWay()));
+        double queue = waiting() / settings.entriesPerSecond() * SECOND;
+        return Math.max(
+                PATIENCE, (long) (3 * met + 4 * queue + settings.maxPropagationDelayNanos()));
     }
 
     /** Unanswered lines bound the queue from above, however slow the channel is. */
     private double waiting() {
-        return ledger.lines() + turnLines;
+        return ledger.entries() + turnLines;
     }
 
     private double headAndMark() {
-        return settings.linesPerMessage() + 1;
+        return settings.messageOverheadEntries() + 1;
     }
 
     /**
-     * Room for lines besides what waits. A removal waits behind all of it, so it must leave well
-     * within the grace, whatever the limit allows.
+     * ChannelCapacity for lines besides what waits. A removal waits behind all of it, so it must
+     * leave well within the grace, whatever the limit allows.
      */
     private double room(double part) {
         double inTime = part * QUEUE_GRACE * 2 * inHalfAGrace() + onTheWay();
-        return Math.min(part * settings.queueLimit(), inTime) - waiting();
+        return Math.min(part * settings.queueLimitEntries(), inTime) - waiting();
     }
 
     /** Lines that left the channel and were not answered yet. */
     private double onTheWay() {
-        return settings.linesPerSecond() * settings.longestWay() / SECOND;
+        return settings.entriesPerSecond() * settings.maxPropagationDelayNanos() / SECOND;
     }
 
     /** It may hold what left, and its grace runs: while no node comes or goes there is no haste. */
@@ -823,11 +834,11 @@
     }
 
     private int messages(Proxy proxy) {
-        return proxy.messages(now, settings.messageSpan());
+        return proxy.messages(now, settings.messageWindowNanos());
     }
 
     /** Lines of nodes that left and that the followers of a group still have. */
-    private Stream<Node> leftNodes(ProxyGroup group) {
+    private Stream<Node> leftNodes(ProxyShard group) {
         return group.tables.stream()
                 .flatMap(t -> t.laid.keySet().stream())
                 .map(this::node)
@@ -835,12 +846,12 @@
     }
 
     /** When the first of what left and is still held was told, now if there is none. */
-    private long told(ProxyGroup group) {
+    private long told(ProxyShard group) {
         return leftNodes(group).mapToLong(n -> n.leftAt).min().orElse(now);
     }
 
     private long thirdOfGrace() {
-        return (long) (TURN_GRACE * settings.drainGrace());
+        return (long) (TURN_GRACE * settings.drainTimeoutNanos());
     }
 
     /**
@@ -849,17 +860,17 @@
      * leave within the grace behind all that waits. Guards against later removals that hold up a
      * crowd.
      */
-    private boolean removalsWait(ProxyGroup group) {
+    private boolean removalsWait(ProxyShard group) {
         long told = told(group);
-        double queue = (waiting() + onTheWay()) / settings.linesPerSecond() * SECOND;
-        long latest = (long) (PART_DRAIN * settings.drainGrace() - queue);
+        double queue = (waiting() + onTheWay()) / settings.entriesPerSecond() * SECOND;
+        long latest = (long) (PART_DRAIN * settings.drainTimeoutNanos() - queue);
         return crowd
                 && now - told < Math.min(thirdOfGrace(), latest)
                 && unbound().stream().anyMatch(p -> p.waitsSince < told);
     }
 
     private double roomForRemovals() {
-        return PART_DRAIN * Math.min(settings.queueLimit(), 2 * inHalfAGrace()) - waiting();
+        return PART_DRAIN * Math.min(settings.queueLimitEntries(), 2 * inHalfAGrace()) - waiting();
     }
 
     private boolean mayWrite(Proxy proxy, double part) {
@@ -874,7 +885,7 @@
      */
     private void settle() {
         long patience = patience();
-        for (GroupTable table : tables) {
+        for (ShardTable table : tables) {
             if (!table.inFlight.isEmpty() && now - table.sentAt > patience) {
                 orders.log(
                         "table "
@@ -910,7 +921,7 @@
      * where a part's nodes are slow.
      */
     private void gatherCrowd() {
-        long lately = now - LEFT_GRACES * settings.drainGrace();
+        long lately = now - LEFT_GRACES * settings.drainTimeoutNanos();
         moved =
                 nodes.values().stream()
                         .anyMatch(n -> n.up > lately || !n.ready() && n.leftAt > lately);
@@ -943,7 +954,7 @@
      * takes no more.
      */
     private void gatherInLightGroups(List<Proxy> unbound, double mostLines, int parts) {
-        Set<ProxyGroup> light = new HashSet<>(groups);
+        Set<ProxyShard> light = new HashSet<>(groups);
         light.removeIf(
                 g -> !g.free() && (g.lines() > mostLines || leftNodes(g).findAny().isPresent()));
         long gathered =
@@ -963,7 +974,7 @@
      * within a grace.
      */
     private void releaseWhatCannotBeTold() {
-        Map<ProxyGroup, Long> left = new LinkedHashMap<>();
+        Map<ProxyShard, Long> left = new LinkedHashMap<>();
         groups.stream()
                 .filter(g -> !g.free() && !g.abandoned())
                 .forEach(g -> left.put(g, leftNodes(g).count()));
@@ -990,18 +1001,18 @@
         proxy.waitsSince = proxy.bound ? Math.max(told, proxy.waitsSince) : proxy.waitsSince;
         proxy.bound = false;
         proxy.owed = true;
-        proxy.move(groupToJoin(ProxyGroup::free));
+        proxy.move(groupToJoin(ProxyShard::free));
     }
 
     /**
      * Lines that the channel carries in half the time in which what left must be out of all tables.
      */
     private double inHalfAGrace() {
-        return settings.linesPerSecond() * settings.drainGrace() / 2 / SECOND;
+        return settings.entriesPerSecond() * settings.drainTimeoutNanos() / 2 / SECOND;
     }
 
     /** Lays a table anew that nobody is bound to, so that it costs nothing. */
-    private void layLight(GroupTable table) {
+    private void layLight(ShardTable table) {
         long parts = Math.max(1, Math.min(table.parts, table.committed.size() / LEAST_LIGHT));
         Set<NodeId> all = new TreeSet<>(table.laid.keySet());
         all.addAll(table.committed.keySet());
@@ -1010,10 +1021,10 @@
             double wanted = table.committed.getOrDefault(id, 0.0);
             double weight = place++ % parts == 0 ? wanted : 0;
             if (table.laid.getOrDefault(id, 0.0) != weight) {
-                orders.line(table.id, id, weight);
+                orders.setWeight(table.id, id, weight);
             }
-            GroupTable.put(table.laid, id, weight);
-            GroupTable.put(table.pending, id, weight == wanted ? 0 : wanted);
+            ShardTable.put(table.laid, id, weight);
+            ShardTable.put(table.pending, id, weight == wanted ? 0 : wanted);
         }
         table.counted = false;
     }
@@ -1030,15 +1041,18 @@
                         .thenComparing(p -> -p.rate)
                         .thenComparing(p -> p.id));
         double depth =
-                settings.linesPerSecond() * (BIND_DEPTH + settings.longestWay() / 2) / SECOND;
+                settings.entriesPerSecond()
+                        * (BIND_DEPTH + settings.maxPropagationDelayNanos() / 2)
+                        / SECOND;
         crowded |= tables.stream().anyMatch(t -> drained(t) > 0);
-        double part = Math.min(crowded ? PART_CROWDED : PART_WHOLE, depth / settings.queueLimit());
+        double part =
+                Math.min(crowded ? PART_CROWDED : PART_WHOLE, depth / settings.queueLimitEntries());
         tables.stream().filter(t -> crowd && t.group.free()).forEach(this::layLight);
         if (!owed.isEmpty()) {
             tables.stream().filter(t -> t.laid.isEmpty()).forEach(t -> send(t, Integer.MAX_VALUE));
         }
         for (Proxy proxy : owed) {
-            List<GroupTable> own =
+            List<ShardTable> own =
                     proxy.group.tables.stream()
                             .filter(t -> t.usedBy(proxy) && !t.laid.isEmpty())
                             .toList();
@@ -1049,7 +1063,7 @@
             if (!mayWrite(proxy, PART_WHOLE) || room < lines || own.isEmpty()) {
                 continue;
             }
-            own.forEach(table -> orders.bind(proxy.id, table.methods, table.id));
+            own.forEach(table -> orders.subscribe(proxy.id, table.methods, table.id));
             reach(proxy, lines);
             proxy.bind();
             proxy.owed = false;
@@ -1064,8 +1078,8 @@
      * channel to lines: guards against many small changes that fill the queue and use up messages;
      * single changes wait.
      */
-    private void deliver(ProxyGroup group) {
-        List<GroupTable> due =
+    private void deliver(ProxyShard group) {
+        List<ShardTable> due =
                 group.tables.stream()
                         .filter(t -> !t.pending.isEmpty() || !t.pendingLevels.isEmpty())
                         .toList();
@@ -1083,7 +1097,7 @@
                 || drain && removalsWait(group)) {
             return;
         }
-        for (GroupTable table : due) {
+        for (ShardTable table : due) {
             if ((crowd || !table.inFlight.isEmpty()) && !urgent(table)
                     || crowd && bound.isEmpty()) {
                 continue;
@@ -1104,16 +1118,18 @@
                                             (room(PART_DELIVERY) - kept) / users - head,
                                             Math.min(drained(table), before / users - head)));
             boolean wait =
-                    crowd || table.parts > 1 && waiting() > settings.linesPerSecond() + onTheWay();
-            double rest = Math.max(3 * headAndMark(), settings.linesPerSecond() / proxies.size());
+                    crowd
+                            || table.parts > 1
+                                    && waiting() > settings.entriesPerSecond() + onTheWay();
+            double rest = Math.max(3 * headAndMark(), settings.entriesPerSecond() / proxies.size());
             fit = (int) Math.min(fit, pressing(table) + (wait ? 0 : table.parts > 1 ? rest : fit));
             double worth =
                     Math.max(
-                            settings.linesPerMessage(),
+                            settings.messageOverheadEntries(),
                             ((room(PART_DELIVERY) + waiting()) / users - head) / 2);
             double least =
                     drained(table) > 0
-                            ? Math.min(drained(table), settings.linesPerMessage())
+                            ? Math.min(drained(table), settings.messageOverheadEntries())
                             : urgent(table) || waiting() == 0
                                     ? 0
                                     : Math.min(table.pending.size(), worth);
@@ -1130,11 +1146,11 @@
      * Heads may take four tenths of the channel if much has changed or cannot wait, else an eighth.
      * A removal waits a third of its grace at most.
      */
-    private long gap(double part, List<GroupTable> due, List<Proxy> bound) {
+    private long gap(double part, List<ShardTable> due, List<Proxy> bound) {
         boolean urgent = part > PART_DELIVERY;
         boolean much =
                 urgent || due.stream().mapToInt(t -> t.pending.size()).sum() > 1.5 * headAndMark();
-        double heads = headAndMark() * proxies.size() / settings.linesPerSecond() * SECOND;
+        double heads = headAndMark() * proxies.size() / settings.entriesPerSecond() * SECOND;
         long turns = (long) (heads / (much ? HEADS_MOST : HEADS_USUAL));
         if (part == PART_DRAIN) {
             turns = Math.max((long) (heads / HEADS_DRAIN), Math.min(turns, thirdOfGrace()));
@@ -1142,7 +1158,7 @@
         int most = bound.stream().mapToInt(this::messages).max().orElse(0);
         long messages =
                 4 * most > settings.messageLimit() && settings.messageLimit() > 0
-                        ? (long) (settings.messageSpan() / (part * settings.messageLimit()))
+                        ? (long) (settings.messageWindowNanos() / (part * settings.messageLimit()))
                         : 0;
         return Math.max(Math.max(urgent ? 0 : DELIVERY_GAP, turns), messages);
     }
@@ -1152,24 +1168,24 @@
      * weight (a restart under an old line), no ready node, a level that falls or is lifted
      * (refusals come back).
      */
-    private boolean urgent(GroupTable table) {
+    private boolean urgent(ShardTable table) {
         return pressing(table) > 0
                 || table.abrupt
                 || table.laid.keySet().stream().noneMatch(id -> node(id).ready());
     }
 
-    private int pressing(GroupTable table) {
+    private int pressing(ShardTable table) {
         count(table);
         return table.pressing;
     }
 
-    private int drained(GroupTable table) {
+    private int drained(ShardTable table) {
         count(table);
         return table.drained;
     }
 
     /** Asked for many times a round, by each group of all others. */
-    private void count(GroupTable table) {
+    private void count(ShardTable table) {
         if (!table.counted) {
             table.counted = true;
             table.drained =
@@ -1189,7 +1205,7 @@
      * guards against cold nodes that stay behind in a light table and get all of its proxies'
      * requests.
      */
-    private int replacements(GroupTable table) {
+    private int replacements(ShardTable table) {
         double laid =
                 table.laid.entrySet().stream()
                         .filter(line -> node(line.getKey()).ready())
@@ -1205,7 +1221,7 @@
         return table.linesToGain(least - laid);
     }
 
-    private boolean tooHigh(GroupTable table, NodeId id) {
+    private boolean tooHigh(ShardTable table, NodeId id) {
         return cold(node(id)) && table.laid.getOrDefault(id, 0.0) > 1.5 * table.pending.get(id);
     }
 
@@ -1213,7 +1229,7 @@
      * Sends levels and so many lines: nodes that left, cold ones held too high, then the largest
      * changes.
      */
-    private void send(GroupTable table, int most) {
+    private void send(ShardTable table, int most) {
         List<NodeId> changes = new ArrayList<>(table.pending.keySet());
         changes.sort(
                 Comparator.comparing((NodeId id) -> node(id).ready())
@@ -1227,13 +1243,14 @@
         int sent = changes.size() + table.pendingLevels.size();
         for (NodeId id : changes) {
             double weight = table.pending.remove(id);
-            orders.line(table.id, id, weight);
-            GroupTable.put(table.laid, id, weight);
+            orders.setWeight(table.id, id, weight);
+            ShardTable.put(table.laid, id, weight);
             node(id).removedAt = weight == 0 ? now : node(id).removedAt;
         }
         table.counted = false;
         changes.forEach(id -> shut(node(id)));
-        table.pendingLevels.forEach((method, level) -> orders.level(table.id, method, level));
+        table.pendingLevels.forEach(
+                (method, level) -> orders.setAdmissionLimit(table.id, method, level));
         table.pendingLevels.clear();
         table.abrupt = false;
         table.flightSequence = sequence + 1;
@@ -1243,8 +1260,9 @@
             table.inFlight.add(proxy.id);
         }
         double lines = table.inFlight.size() * (sent + headAndMark());
-        double use = Math.min(CHANNEL_USE, CHANNEL_PRICE / settings.orderPrice());
-        freeAt = Math.max(now, freeAt) + (long) (lines / settings.linesPerSecond() / use * SECOND);
+        double use = Math.min(CHANNEL_USE, CHANNEL_PRICE / settings.channelCost());
+        freeAt =
+                Math.max(now, freeAt) + (long) (lines / settings.entriesPerSecond() / use * SECOND);
     }
 
     /**
@@ -1256,7 +1274,7 @@
         boolean fits = !crowd && unbound().size() * (headAndMark() + 2) < roomForRemovals();
         if (node.withdrawn ? held : !held && !node.ready() && !unbound().isEmpty() && fits) {
             node.withdrawn = !held;
-            orders.withdraw(node.id, node.withdrawn);
+            orders.setExcluded(node.id, node.withdrawn);
             unbound().forEach(proxy -> reach(proxy, 1));
         }
     }
@@ -1276,7 +1294,7 @@
             return;
         }
         sequence++;
-        orders.mark((int) (sequence & 0xFFFF));
+        orders.requestAcknowledgement((int) (sequence & 0xFFFF));
         turn.forEach(
                 (id, lines) -> {
                     ledger.written(id, sequence, lines, now);
@@ -1295,7 +1313,7 @@
     private double reckonDemand(MethodId method) {
         double heard = 0, usual = 0, all = 0;
         for (Proxy proxy : proxies.values()) {
-            WindowRate rate = proxy.offered.get(method);
+            WindowedRate rate = proxy.offered.get(method);
             heard += rate == null ? 0 : rate.perSecond(now);
             usual += rate == null ? 0 : proxy.rate;
             all += proxy.rate;
@@ -1310,7 +1328,7 @@
         }
         nextLevel = now + LEVEL_EVERY;
         judgeLoad();
-        for (GroupTable table : tables) {
+        for (ShardTable table : tables) {
             for (MethodId method : table.methods) {
                 double share = shedding ? share(settings.methods().get(method.value())) : 1;
                 commitLevel(
@@ -1349,7 +1367,7 @@
         double able = able();
         double ratio = Double.isNaN(unit) ? 0 : offered / Math.max(able, 1e-9);
         boolean shed =
-                settings.throttle() != Settings.Throttle.NONE
+                settings.throttle() != PolicySettings.Throttle.NONE
                         && told
                         && ratio > (shedding ? SHED_UNTIL : SHED_FROM)
                         && !(busy() < (shedding ? SHED_IDLE : SHED_BUSY));
@@ -1367,13 +1385,13 @@
     /**
      * The share of a method that fits once all of higher criticality is let in; equals share alike.
      */
-    private double share(Settings.Method method) {
+    private double share(PolicySettings.Method method) {
         double left = LEVEL_LOAD * able();
         double wanted = 0;
         for (int m = 0; m < settings.methods().size(); m++) {
-            double criticality = settings.methods().get(m).criticality();
-            left -= criticality > method.criticality() ? demand(new MethodId(m)) : 0;
-            wanted += criticality == method.criticality() ? demand(new MethodId(m)) : 0;
+            double criticality = settings.methods().get(m).priorityWeight();
+            left -= criticality > method.priorityWeight() ? demand(new MethodId(m)) : 0;
+            wanted += criticality == method.priorityWeight() ? demand(new MethodId(m)) : 0;
         }
         return Math.max(0, Math.min(1, left / Math.max(wanted, 1e-9)));
     }
@@ -1382,7 +1400,7 @@
      * A level as the proxies count it: a share, or the rate at each that cuts the busiest first.
      */
     private double level(MethodId method, double share) {
-        if (settings.throttle() == Settings.Throttle.SHARE) {
+        if (settings.throttle() == PolicySettings.Throttle.SHARE) {
             return share;
         }
         double[] rates =
@@ -1394,7 +1412,7 @@
         return FairShare.limit(rates, share * Arrays.stream(rates).sum());
     }
 
-    private void commitLevel(GroupTable table, MethodId method, double level) {
+    private void commitLevel(ShardTable table, MethodId method, double level) {
         double old = table.levels.getOrDefault(method, Double.POSITIVE_INFINITY);
         if (Double.isInfinite(old) != Double.isInfinite(level)
                 || Math.abs(level - old) > LEVEL_BAND * old) {
--- a/src/main/java/rosespread/state/Node.java
+++ b/src/main/java/rosespread/policy/state/Node.java
@@ -1,12 +1,12 @@
-package rosespread.state;
+package rosespread.policy.state;
 
 import java.util.TreeMap;
-import rosespread.api.KindId;
+import rosespread.api.EventHandler;
+import rosespread.api.MachineTypeId;
 import rosespread.api.NodeId;
-import rosespread.api.Observer;
 import rosespread.api.ZoneId;
-import rosespread.measure.DecayingSum;
-import rosespread.measure.WindowRate;
+import rosespread.stats.DecayingSum;
+import rosespread.stats.WindowedRate;
 
 /** A node as the list and the reports tell of it. */
 public final class Node {
@@ -14,16 +14,16 @@
     public static final long NEVER = Long.MIN_VALUE / 2;
 
     public final NodeId id;
-    public KindId kind;
+    public MachineTypeId kind;
     public ZoneId zone;
     public double listed = 1;
     public long up = Long.MIN_VALUE;
     public double skill = 1;
-    public final TreeMap<ZoneId, WindowRate> answered = new TreeMap<>();
-    public final TreeMap<ZoneId, WindowRate> tried = new TreeMap<>();
-    public WindowRate load;
-    public WindowRate latency;
-    public WindowRate busy;
+    public final TreeMap<ZoneId, WindowedRate> answered = new TreeMap<>();
+    public final TreeMap<ZoneId, WindowedRate> tried = new TreeMap<>();
+    public WindowedRate load;
+    public WindowedRate latency;
+    public WindowedRate busy;
     public DecayingSum tries;
     public DecayingSum unanswered;
     public boolean sick;
@@ -34,7 +34,7 @@
     public long answeredAt = NEVER;
     public long removedAt = NEVER;
     public long leftAt = NEVER;
-    private Observer.NodeState state = Observer.NodeState.GONE;
+    private EventHandler.NodeState state = EventHandler.NodeState.GONE;
 
     /**
      * @param healthWindow nanoseconds over which evidence of health decays
@@ -45,12 +45,13 @@
     }
 
     public boolean ready() {
-        return state == Observer.NodeState.READY;
+        return state == EventHandler.NodeState.READY;
     }
 
     /** Takes the listed state; the time is kept at which it last ceased to be ready. */
-    public void become(Observer.NodeState next, long now) {
-        leftAt = next != Observer.NodeState.READY && (ready() || leftAt == NEVER) ? now : leftAt;
+    public void become(EventHandler.NodeState next, long now) {
+        leftAt =
+                next != EventHandler.NodeState.READY && (ready() || leftAt == NEVER) ? now : leftAt;
         state = next;
     }
 
@@ -61,9 +62,9 @@
         up = at;
         answered.clear();
         tried.clear();
-        load = new WindowRate();
-        latency = new WindowRate();
-        busy = new WindowRate();
+        load = new WindowedRate();
+        latency = new WindowedRate();
+        busy = new WindowedRate();
         tries = new DecayingSum(healthWindow);
         unanswered = new DecayingSum(healthWindow);
         sick = false;
--- a/src/main/java/rosespread/state/Proxy.java
+++ b/src/main/java/rosespread/policy/state/Proxy.java
@@ -1,20 +1,20 @@
-package rosespread.state;
+package rosespread.policy.state;
 
 import java.util.ArrayDeque;
 import java.util.TreeMap;
 import rosespread.api.MethodId;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
-import rosespread.measure.WindowRate;
+import rosespread.stats.WindowedRate;
 
 /** A joined proxy: whose tables it follows, what it was written and what it reports. */
 public final class Proxy {
     public final ProxyId id;
     public final ZoneId zone;
     public final double rate;
-    public final TreeMap<MethodId, WindowRate> offered = new TreeMap<>();
+    public final TreeMap<MethodId, WindowedRate> offered = new TreeMap<>();
     public final ArrayDeque<Long> written = new ArrayDeque<>();
-    public ProxyGroup group;
+    public ProxyShard group;
 
     /** Since when it may hold lines of nodes that left. */
     public long waitsSince;
@@ -24,9 +24,9 @@
     public long wholeSequence;
     public long wholeAt;
     public long answered;
-    private ProxyGroup followed;
+    private ProxyShard followed;
 
-    public Proxy(ProxyId id, ZoneId zone, double rate, ProxyGroup group, long now) {
+    public Proxy(ProxyId id, ZoneId zone, double rate, ProxyShard group, long now) {
         this.id = id;
         this.zone = zone;
         this.rate = rate;
@@ -34,13 +34,13 @@
         join(group);
     }
 
-    private void join(ProxyGroup next) {
+    private void join(ProxyShard next) {
         group = next;
         next.members.put(id, this);
     }
 
     /** Becomes a member of another group; it follows its old one's tables until it is bound. */
-    public void move(ProxyGroup next) {
+    public void move(ProxyShard next) {
         group.members.remove(id);
         join(next);
     }
@@ -56,7 +56,7 @@
         follow(group);
     }
 
-    private void follow(ProxyGroup next) {
+    private void follow(ProxyShard next) {
         if (followed != null) {
             followed.followers--;
         }
--- a/src/main/java/rosespread/state/ProxyGroup.java
+++ b/src/main/java/rosespread/policy/state/ProxyShard.java
@@ -1,11 +1,11 @@
-package rosespread.state;
+package rosespread.policy.state;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 import rosespread.api.MethodId;
+import rosespread.api.PolicySettings;
 import rosespread.api.ProxyId;
-import rosespread.api.Settings;
 import rosespread.api.TableId;
 import rosespread.api.ZoneId;
 
@@ -13,8 +13,8 @@
  * Proxies that share tables, and when a delivery left for them last. Proxies that were moved
  * elsewhere follow the group's tables until they are bound there.
  */
-public final class ProxyGroup {
-    public final List<GroupTable> tables = new ArrayList<>();
+public final class ProxyShard {
+    public final List<ShardTable> tables = new ArrayList<>();
     public final TreeMap<ProxyId, Proxy> members = new TreeMap<>();
     public long spokenAt = Node.NEVER;
     int followers;
@@ -25,24 +25,24 @@
      *
      * @param firstId of the tables, numbered from there on
      */
-    public ProxyGroup(Settings settings, int firstId) {
+    public ProxyShard(PolicySettings settings, int firstId) {
         for (int m = 0; m < settings.methods().size(); m++) {
-            Settings.Method method = settings.methods().get(m);
-            for (int zone = 0; zone < (method.ownZone() ? settings.zones() : 1); zone++) {
-                ZoneId home = method.ownZone() ? new ZoneId(zone) : null;
+            PolicySettings.Method method = settings.methods().get(m);
+            for (int zone = 0; zone < (method.localZoneOnly() ? settings.zones() : 1); zone++) {
+                ZoneId home = method.localZoneOnly() ? new ZoneId(zone) : null;
                 tableFor(method, home, firstId).methods.add(new MethodId(m));
             }
         }
     }
 
-    private GroupTable tableFor(Settings.Method method, ZoneId home, int firstId) {
+    private ShardTable tableFor(PolicySettings.Method method, ZoneId home, int firstId) {
         return tables.stream()
                 .filter(table -> table.serves(method, home))
                 .findFirst()
                 .orElseGet(
                         () -> {
-                            GroupTable table =
-                                    new GroupTable(
+                            ShardTable table =
+                                    new ShardTable(
                                             new TableId(firstId + tables.size()),
                                             this,
                                             method,
@@ -53,7 +53,7 @@
     }
 
     /** The levels of another group's like tables hold here too, and are pending. */
-    public void takeLevels(ProxyGroup other) {
+    public void takeLevels(ProxyShard other) {
         for (int i = 0; i < tables.size(); i++) {
             tables.get(i).levels.putAll(other.tables.get(i).levels);
             tables.get(i).pendingLevels.putAll(other.tables.get(i).levels);
--- a/src/main/java/rosespread/state/GroupTable.java
+++ b/src/main/java/rosespread/policy/state/ShardTable.java
@@ -1,4 +1,4 @@
-package rosespread.state;
+package rosespread.policy.state;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,8 +9,8 @@
 import java.util.TreeSet;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
+import rosespread.api.PolicySettings;
 import rosespread.api.ProxyId;
-import rosespread.api.Settings;
 import rosespread.api.TableId;
 import rosespread.api.ZoneId;
 
@@ -18,10 +18,10 @@
  * A group's table for methods open to the same nodes: what is committed, what was laid at the
  * proxies, and the one pending delivery between the two.
  */
-public final class GroupTable {
+public final class ShardTable {
     public final TableId id;
-    public final ProxyGroup group;
-    public final Settings.Method like;
+    public final ProxyShard group;
+    public final PolicySettings.Method like;
     public final ZoneId home;
     public final List<MethodId> methods = new ArrayList<>();
     public final Map<NodeId, Double> committed = new LinkedHashMap<>();
@@ -46,7 +46,7 @@
     /**
      * @param home the only zone of nodes and proxies, or null
      */
-    public GroupTable(TableId id, ProxyGroup group, Settings.Method like, ZoneId home) {
+    public ShardTable(TableId id, ProxyShard group, PolicySettings.Method like, ZoneId home) {
         this.id = id;
         this.group = group;
         this.like = like;
@@ -54,16 +54,17 @@
     }
 
     /** Whether a method is open to the same nodes. */
-    public boolean serves(Settings.Method method, ZoneId zone) {
-        return like.onlyKinds().equals(method.onlyKinds())
-                && like.onlyZones().equals(method.onlyZones())
+    public boolean serves(PolicySettings.Method method, ZoneId zone) {
+        return like.allowedMachineTypes().equals(method.allowedMachineTypes())
+                && like.allowedZones().equals(method.allowedZones())
                 && Objects.equals(home, zone);
     }
 
     /** Whether it may name the node. */
     public boolean open(Node node) {
-        return (like.onlyKinds().isEmpty() || like.onlyKinds().contains(node.kind))
-                && (like.onlyZones().isEmpty() || like.onlyZones().contains(node.zone))
+        return (like.allowedMachineTypes().isEmpty()
+                        || like.allowedMachineTypes().contains(node.kind))
+                && (like.allowedZones().isEmpty() || like.allowedZones().contains(node.zone))
                 && (home == null || home.equals(node.zone));
     }
 
--- a/src/main/java/rosespread/state/package-info.java
+++ b/src/main/java/rosespread/policy/state/package-info.java
@@ -1,4 +1,4 @@
 /**
  * What decisions know of nodes, proxies and tables. It holds no tuned values and decides nothing.
  */
-package rosespread.state;
+package rosespread.policy.state;
--- a/src/main/java/rosespread/rehearse/ConductorProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -1,4 +1,4 @@
-package rosespread.rehearse;
+package rosespread.scenario;
 
 import java.io.File;
 import java.io.IOException;
@@ -15,10 +15,10 @@
 import rosespread.http.HttpClient;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
-import rosespread.standin.Ports;
+import rosespread.testbed.Ports;
 
 /** A conductor as a process of its own, known only by its sockets and its process id. */
-final class ConductorProcess {
+final class ControllerProcess {
     private static final long CALL = 3_000_000_000L;
     private static final int STARTS_MOST = 200;
 
@@ -32,7 +32,7 @@
     private Process process;
     private Duration cpuBefore = Duration.ZERO;
 
-    ConductorProcess(
+    ControllerProcess(
             String name, Path folder, String mainClass, List<String> extra, HttpClient http)
             throws IOException {
         this.name = name;
@@ -97,7 +97,7 @@
 
     /** Waits until the control API answers and gives the settings. */
     void settings(String json) throws IOException {
-        HttpMessage.Answer got = onceUp("PUT", "/v1/settings", json);
+        HttpMessage.Response got = onceUp("PUT", "/v1/settings", json);
         if (got.status() != 200) {
             throw new IOException(
                     "conductor " + name + " did not take its settings: " + got.text());
@@ -105,11 +105,11 @@
     }
 
     /** Asks the control API as soon as it answers. */
-    HttpMessage.Answer askOnceUp(String path) throws IOException {
+    HttpMessage.Response askOnceUp(String path) throws IOException {
         return onceUp("GET", path, "");
     }
 
-    private HttpMessage.Answer onceUp(String verb, String path, String body) throws IOException {
+    private HttpMessage.Response onceUp(String verb, String path, String body) throws IOException {
         String failure = "";
         for (int i = 0; i < STARTS_MOST && process.isAlive(); i++) {
             try {
@@ -124,12 +124,12 @@
     }
 
     /** One call to the control API. */
-    HttpMessage.Answer ask(String verb, String path, String body, String... headers)
+    HttpMessage.Response ask(String verb, String path, String body, String... headers)
             throws IOException {
-        CompletableFuture<HttpMessage.Answer> answer = new CompletableFuture<>();
+        CompletableFuture<HttpMessage.Response> answer = new CompletableFuture<>();
         http.call(
                 control,
-                new HttpMessage.Call(
+                new HttpMessage.Request(
                         verb,
                         path,
                         HttpHeaders.of(headers).add("host", text(control)),
@@ -137,7 +137,7 @@
                 CALL,
                 new HttpClient.Taker() {
                     @Override
-                    public void answered(HttpMessage.Answer got) {
+                    public void answered(HttpMessage.Response got) {
                         answer.complete(got);
                     }
 
--- a/src/main/java/rosespread/rehearse/Trouble.java
+++ b/src/main/java/rosespread/scenario/Fault.java
@@ -1,4 +1,4 @@
-package rosespread.rehearse;
+package rosespread.scenario;
 
 import java.util.Arrays;
 import java.util.Locale;
@@ -8,7 +8,7 @@
  * strikes: a share of nodes or proxies, or all of a zone; a factor or span says how badly; {@code
  * which} names a conductor by place.
  */
-record Trouble(
+record Fault(
         long at,
         long lasts,
         Kind kind,
--- a/src/main/java/rosespread/rehearse/ScenarioException.java
+++ b/src/main/java/rosespread/scenario/ScenarioException.java
@@ -1,4 +1,4 @@
-package rosespread.rehearse;
+package rosespread.scenario;
 
 /**
  * A scenario that cannot be played; the message has a line for each fault with file, line and
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.IntFunction;
-import rosespread.api.KindId;
-import rosespread.api.Settings;
+import rosespread.api.MachineTypeId;
+import rosespread.api.PolicySettings;
 import rosespread.api.ZoneId;
 
 /**
  * What an operator sets, by name; times in nanoseconds. A part of it is the module's {@link
- * Settings}, the rest says where the server list is and how probes and the channel go.
+ * PolicySettings}, the rest says where the server list is and how probes and the channel go.
  *
  * @param peers control addresses of all conductors of the fleet, to learn of drains from
  * @param drainLeastShare the part of its listed size that a method must keep when operators drain
@@ -24,7 +24,7 @@
         List<Method> methods,
         Catalogue list,
         Probes probes,
-        Settings.Throttle levels,
+        PolicySettings.Throttle levels,
         Channel channel,
         long reportPeriod,
         long drainGrace,
@@ -74,8 +74,8 @@
     public record Cold(long time, double share, long window) {}
 
     /** What the decision module is told. */
-    public Settings module() {
-        return new Settings(
+    public PolicySettings module() {
+        return new PolicySettings(
                 methods.stream().map(this::method).toList(),
                 zones.size(),
                 false,
@@ -96,10 +96,10 @@
                 cold.window());
     }
 
-    private Settings.Method method(Method method) {
-        return new Settings.Method(
+    private PolicySettings.Method method(Method method) {
+        return new PolicySettings.Method(
                 method.criticality(),
-                places(method.onlyKinds(), kinds, KindId::new),
+                places(method.onlyKinds(), kinds, MachineTypeId::new),
                 places(method.onlyZones(), zones, ZoneId::new),
                 method.ownZone());
     }
--- a/src/main/java/rosespread/settings/SettingsException.java
+++ b/src/main/java/rosespread/settings/SettingsException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings that cannot be taken, with every field at fault. */
+/** PolicySettings that cannot be taken, with every field at fault. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import rosespread.api.Settings;
+import rosespread.api.PolicySettings;
 
 /** Reads and checks the settings' JSON; docs/conductor.md lists the fields. */
 public final class SettingsReader {
@@ -74,7 +74,7 @@
                 methods,
                 list,
                 probes,
-                Settings.Throttle.valueOf(levels.toUpperCase(Locale.ROOT)),
+                PolicySettings.Throttle.valueOf(levels.toUpperCase(Locale.ROOT)),
                 channel,
                 period,
                 grace,
--- a/src/main/java/rosespread/settings/Snapshot.java
+++ b/src/main/java/rosespread/settings/Snapshot.java
@@ -29,7 +29,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * Settings as they were applied.
+     * PolicySettings as they were applied.
      *
      * @param revision rises by one with each that is applied; @param by who applied it; @param call
      *     the id of the call that did
--- a/src/main/java/rosespread/measure/DecayingSum.java
+++ b/src/main/java/rosespread/stats/DecayingSum.java
@@ -1,4 +1,4 @@
-package rosespread.measure;
+package rosespread.stats;
 
 /** A sum that decays exponentially with time and is brought up to date when it is read. */
 public final class DecayingSum {
--- a/src/main/java/rosespread/measure/FairShare.java
+++ b/src/main/java/rosespread/stats/FairShare.java
@@ -1,4 +1,4 @@
-package rosespread.measure;
+package rosespread.stats;
 
 /** Max-min fair shares: small demands are met in full, the largest are cut to one limit. */
 public final class FairShare {
--- a/src/main/java/rosespread/measure/MessageLedger.java
+++ b/src/main/java/rosespread/stats/InFlightMessages.java
@@ -1,4 +1,4 @@
-package rosespread.measure;
+package rosespread.stats;
 
 import java.util.ArrayDeque;
 import java.util.Map;
@@ -9,7 +9,7 @@
  * The messages that proxies have not answered yet, with a running total of their lines, so that
  * asking how much may still wait in the channel costs nothing however many proxies there are.
  */
-public final class MessageLedger {
+public final class InFlightMessages {
     /** The bits of a sequence number that travel as the mark of a message. */
     private static final int MARK_BITS = 0xFFFF;
 
@@ -17,7 +17,7 @@
 
     private final Map<ProxyId, ArrayDeque<Message>> unanswered = new TreeMap<>();
     private int messages;
-    private double lines;
+    private double entries;
 
     /** A message of so many lines was written. */
     public void written(ProxyId proxy, long sequence, double itsLines, long now) {
@@ -25,7 +25,7 @@
                 .computeIfAbsent(proxy, first -> new ArrayDeque<>())
                 .addLast(new Message(sequence, itsLines, now));
         messages++;
-        lines += itsLines;
+        entries += itsLines;
     }
 
     /**
@@ -33,7 +33,7 @@
      *
      * @return the sequence number that the mark stands for, 0 if no unanswered message carries it
      */
-    public long answered(ProxyId proxy, int mark) {
+    public long acknowledged(ProxyId proxy, int mark) {
         ArrayDeque<Message> open = unanswered.getOrDefault(proxy, new ArrayDeque<>());
         for (Message message : open) {
             if ((message.sequence() & MARK_BITS) == mark) {
@@ -68,11 +68,11 @@
 
     private void subtract(Message message) {
         messages--;
-        lines = messages == 0 ? 0 : lines - message.lines();
+        entries = messages == 0 ? 0 : entries - message.lines();
     }
 
     /** The lines of all unanswered messages. */
-    public double lines() {
-        return lines;
+    public double entries() {
+        return entries;
     }
 }
--- a/src/main/java/rosespread/measure/WindowRate.java
+++ b/src/main/java/rosespread/stats/WindowedRate.java
@@ -1,10 +1,10 @@
-package rosespread.measure;
+package rosespread.stats;
 
 /**
- * Counts over the time that they cover, in a window that may change. Late or missing counts leave
- * the rate as it was.
+ * PlatformMetrics over the time that they cover, in a window that may change. Late or missing
+ * counts leave the rate as it was.
  */
-public final class WindowRate {
+public final class WindowedRate {
     /** With less time covered than this, in seconds, nothing can be said of a rate. */
     private static final double LEAST_COVERED = 0.05;
 
--- a/src/main/java/rosespread/measure/package-info.java
+++ b/src/main/java/rosespread/stats/package-info.java
@@ -1,2 +1,2 @@
 /** Data structures that the decisions keep their measurements in. They hold no tuned values. */
-package rosespread.measure;
+package rosespread.stats;
--- a/src/main/java/rosespread/store/Entry.java
+++ b/src/main/java/rosespread/store/LogEntry.java
@@ -4,27 +4,27 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 import rosespread.drain.Drain;
-import rosespread.table.Hold;
+import rosespread.table.PinState;
 import rosespread.table.TableVersion;
 
 /** What is kept as it happens, in the order in which it happened. */
-public sealed interface Entry {
+public sealed interface LogEntry {
     /** A version was committed. */
-    record Committed(TableVersion version) implements Entry {}
+    record Committed(TableVersion version) implements LogEntry {}
 
     /**
      * A table is held, goes back to a version ({@code to}, 0 if to none) by changing these lines,
      * or follows the module.
      */
-    record Holding(TableId table, Hold hold, long to, Map<NodeId, Double> pending)
-            implements Entry {}
+    record Holding(TableId table, PinState hold, long to, Map<NodeId, Double> pending)
+            implements LogEntry {}
 
     /** An operator's word on a node, given here or heard of. */
-    record Drained(Drain word) implements Entry {}
+    record Drained(Drain word) implements LogEntry {}
 
     /**
      * From here on tables are laid out another way: numbers go on, but holds and earlier versions
      * mean nothing any more. {@code layout} is a digest of what tables are laid out by.
      */
-    record LaidOut(long layout) implements Entry {}
+    record LaidOut(long layout) implements LogEntry {}
 }
--- a/src/main/java/rosespread/store/LineWriter.java
+++ b/src/main/java/rosespread/store/LogEntryWriter.java
@@ -11,14 +11,14 @@
 import java.util.zip.CRC32C;
 import rosespread.api.NodeId;
 import rosespread.drain.Drain;
-import rosespread.table.TableImage;
+import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 
 /**
  * Writes the lines of a table file; docs/versions.md gives their form. Each is a CRC32C in eight
  * hexadecimal digits, a space, an object of JSON and a newline; no newline occurs within.
  */
-final class LineWriter {
+final class LogEntryWriter {
     static final int FORMAT = 1;
     static final int CRC_DIGITS = 8;
 
@@ -28,7 +28,7 @@
         void to(JsonGenerator out) throws IOException;
     }
 
-    private LineWriter() {}
+    private LogEntryWriter() {}
 
     static byte[] head(long sequence, long layout) {
         return line(
@@ -44,23 +44,23 @@
         return line(sequence, out -> out.writeNumberField("tables", tables));
     }
 
-    static byte[] entry(long sequence, Entry entry) {
+    static byte[] entry(long sequence, LogEntry entry) {
         return line(
                 sequence,
                 out -> {
-                    if (entry instanceof Entry.Committed committed) {
+                    if (entry instanceof LogEntry.Committed committed) {
                         out.writeFieldName("version");
                         version(out, committed.version(), false);
-                    } else if (entry instanceof Entry.Holding held) {
+                    } else if (entry instanceof LogEntry.Holding held) {
                         out.writeObjectFieldStart("hold");
                         out.writeNumberField("table", held.table().value());
                         out.writeStringField("state", held.hold().name());
                         out.writeNumberField("to", held.to());
                         lines(out, "pending", held.pending());
                         out.writeEndObject();
-                    } else if (entry instanceof Entry.Drained drained) {
+                    } else if (entry instanceof LogEntry.Drained drained) {
                         drain(out, drained.word());
-                    } else if (entry instanceof Entry.LaidOut laid) {
+                    } else if (entry instanceof LogEntry.LaidOut laid) {
                         out.writeStringField("laidOut", Long.toHexString(laid.layout()));
                     }
                 });
@@ -83,7 +83,7 @@
     }
 
     /** Versions whose parent stands before them are written as what they changed. */
-    static byte[] table(long sequence, TableImage image) {
+    static byte[] table(long sequence, TableSnapshot image) {
         return line(
                 sequence,
                 out -> {
--- a/src/main/java/rosespread/store/Sink.java
+++ b/src/main/java/rosespread/store/LogOutput.java
@@ -8,7 +8,7 @@
 import java.nio.file.StandardOpenOption;
 
 /** Where bytes of a file go: the disk, or in tests one that fills up, stalls or breaks. */
-public interface Sink extends Closeable {
+public interface LogOutput extends Closeable {
     /** Writes all that remains. */
     void write(ByteBuffer bytes) throws IOException;
 
@@ -19,7 +19,7 @@
     @FunctionalInterface
     interface Disk {
         /** A new, empty file. */
-        Sink create(Path path) throws IOException;
+        LogOutput create(Path path) throws IOException;
     }
 
     Disk DISK =
@@ -30,7 +30,7 @@
                                 StandardOpenOption.CREATE,
                                 StandardOpenOption.WRITE,
                                 StandardOpenOption.TRUNCATE_EXISTING);
-                return new Sink() {
+                return new LogOutput() {
                     @Override
                     public void write(ByteBuffer bytes) throws IOException {
                         while (bytes.hasRemaining()) {
--- a/src/main/java/rosespread/store/Replay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -6,37 +6,37 @@
 import java.util.TreeMap;
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
-import rosespread.drain.Drains;
-import rosespread.table.History;
-import rosespread.table.Hold;
-import rosespread.table.TableImage;
+import rosespread.drain.DrainRegistry;
+import rosespread.table.PinState;
+import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
+import rosespread.table.VersionHistory;
 
 /**
  * Brings an image up to date with the entries after it, and checks that each fits the ones before.
  */
-public final class Replay {
+public final class LogReplay {
     private static final class Table {
-        History history;
-        Hold hold = Hold.NONE;
+        VersionHistory history;
+        PinState hold = PinState.NONE;
         long to;
         final TreeMap<NodeId, Double> pending = new TreeMap<>();
     }
 
     private final TreeMap<TableId, Table> tables = new TreeMap<>();
-    private final Drains drains = new Drains();
+    private final DrainRegistry drains = new DrainRegistry();
     private long layout;
 
     /** Begins with an image. */
-    public Replay(Image image) {
+    public LogReplay(StoreSnapshot image) {
         layout = image.layout();
         image.tables().forEach(this::begin);
-        image.drains().forEach(drains::take);
+        image.drains().forEach(drains::apply);
     }
 
-    void begin(TableImage image) {
+    void begin(TableSnapshot image) {
         Table table = new Table();
-        table.history = new History(image);
+        table.history = new VersionHistory(image);
         table.hold = image.hold();
         table.to = image.to();
         table.pending.putAll(image.pending());
@@ -48,8 +48,8 @@
     }
 
     /** Takes an entry that was made in this process. */
-    public void take(Entry entry) throws StoreException {
-        if (entry instanceof Entry.Committed c) {
+    public void take(LogEntry entry) throws StoreException {
+        if (entry instanceof LogEntry.Committed c) {
             TableVersion v = c.version();
             committed(
                     v.table(),
@@ -59,17 +59,17 @@
                     v.atMillis(),
                     v.changes(),
                     v.digest());
-        } else if (entry instanceof Entry.Holding h) {
+        } else if (entry instanceof LogEntry.Holding h) {
             hold(h);
-        } else if (entry instanceof Entry.Drained d) {
-            drains.take(d.word());
-        } else if (entry instanceof Entry.LaidOut l) {
+        } else if (entry instanceof LogEntry.Drained d) {
+            drains.apply(d.word());
+        } else if (entry instanceof LogEntry.LaidOut l) {
             layout = l.layout();
             tables.values()
                     .forEach(
                             table -> {
                                 table.history.forget();
-                                table.hold = Hold.NONE;
+                                table.hold = PinState.NONE;
                                 table.to = 0;
                                 table.pending.clear();
                             });
@@ -88,7 +88,7 @@
             throws StoreException {
         Table table = tables.computeIfAbsent(id, t -> new Table());
         if (table.history == null) {
-            table.history = new History(id, parent);
+            table.history = new VersionHistory(id, parent);
         }
         TableVersion before = table.history.current();
         if (before.number() != parent || number <= parent) {
@@ -120,7 +120,7 @@
         }
     }
 
-    private void hold(Entry.Holding held) throws StoreException {
+    private void hold(LogEntry.Holding held) throws StoreException {
         Table table = tables.get(held.table());
         if (table == null) {
             throw new StoreException(
@@ -135,9 +135,9 @@
         }
     }
 
-    public Image image() {
-        List<TableImage> all = new ArrayList<>();
+    public StoreSnapshot image() {
+        List<TableSnapshot> all = new ArrayList<>();
         tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
-        return new Image(layout, all, drains.all());
+        return new StoreSnapshot(layout, all, drains.all());
     }
 }
--- a/src/main/java/rosespread/store/TableFile.java
+++ b/src/main/java/rosespread/store/TableFile.java
@@ -18,8 +18,8 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 import rosespread.drain.Drain;
-import rosespread.table.Hold;
-import rosespread.table.TableImage;
+import rosespread.table.PinState;
+import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 
 /**
@@ -36,14 +36,14 @@
     /**
      * @param cut bytes at the end that were not whole; @param from where they began
      */
-    record Content(Image image, long sequence, long entries, long cut, long from) {}
+    record Content(StoreSnapshot image, long sequence, long entries, long cut, long from) {}
 
     private final Path path;
     private final byte[] bytes;
     private int at;
     private long sequence;
     private long entries;
-    private Replay replay;
+    private LogReplay replay;
 
     private TableFile(Path path, byte[] bytes) {
         this.path = path;
@@ -61,7 +61,7 @@
     }
 
     private Content read() throws IOException {
-        List<TableImage> tables = new ArrayList<>();
+        List<TableSnapshot> tables = new ArrayList<>();
         List<Drain> drains = new ArrayList<>();
         long layout = 0;
         boolean whole = false;
@@ -83,12 +83,12 @@
                 if (replay != null) {
                     entry(line);
                 } else if (line.has("format")) {
-                    if (line.path("format").asInt() != LineWriter.FORMAT) {
+                    if (line.path("format").asInt() != LogEntryWriter.FORMAT) {
                         throw damaged(
                                 "field format is "
                                         + line.path("format")
                                         + "; allowed: "
-                                        + LineWriter.FORMAT);
+                                        + LogEntryWriter.FORMAT);
                     }
                     layout = hex(line.path("layout"));
                 } else if (line.has("table")) {
@@ -96,7 +96,7 @@
                 } else if (line.has("drain")) {
                     drains.add(drain(line.path("drain")));
                 } else if (line.path("tables").asInt(-1) == tables.size()) {
-                    replay = new Replay(new Image(layout, tables, drains));
+                    replay = new LogReplay(new StoreSnapshot(layout, tables, drains));
                     whole = true;
                 } else {
                     throw damaged("the image ends after " + tables.size() + " tables with " + line);
@@ -124,15 +124,16 @@
 
     /** What is wrong with a line by its form; empty if nothing is. */
     private String fault(int from, int end) {
-        int json = from + LineWriter.CRC_DIGITS + 1;
+        int json = from + LogEntryWriter.CRC_DIGITS + 1;
         if (end >= bytes.length) {
             return "a line without its end";
         }
         if (json > end || bytes[json - 1] != ' ') {
             return "a line without a checksum";
         }
-        String told = new String(bytes, from, LineWriter.CRC_DIGITS, StandardCharsets.ISO_8859_1);
-        String is = LineWriter.crc(bytes, json, end - json);
+        String told =
+                new String(bytes, from, LogEntryWriter.CRC_DIGITS, StandardCharsets.ISO_8859_1);
+        String is = LogEntryWriter.crc(bytes, json, end - json);
         return told.equals(is) ? "" : "the checksum is " + is + ", written was " + printable(told);
     }
 
@@ -150,7 +151,7 @@
     }
 
     private JsonNode parse(int end) throws IOException {
-        int json = at + LineWriter.CRC_DIGITS + 1;
+        int json = at + LogEntryWriter.CRC_DIGITS + 1;
         try {
             JsonNode line = JSON.readTree(bytes, json, end - json);
             if (line != null && line.isObject()) {
@@ -188,21 +189,21 @@
         } else if (line.has("hold")) {
             JsonNode h = line.path("hold");
             replay.take(
-                    new Entry.Holding(
+                    new LogEntry.Holding(
                             id(h),
-                            Hold.valueOf(h.path("state").asText()),
+                            PinState.valueOf(h.path("state").asText()),
                             number(h, "to"),
                             lines(h.path("pending"))));
         } else if (line.has("drain")) {
-            replay.take(new Entry.Drained(drain(line.path("drain"))));
+            replay.take(new LogEntry.Drained(drain(line.path("drain"))));
         } else if (line.has("laidOut")) {
-            replay.take(new Entry.LaidOut(hex(line.path("laidOut"))));
+            replay.take(new LogEntry.LaidOut(hex(line.path("laidOut"))));
         } else {
             throw new StoreException("an entry of no known kind");
         }
     }
 
-    private TableImage table(JsonNode table) throws StoreException {
+    private TableSnapshot table(JsonNode table) throws StoreException {
         List<TableVersion> versions = new ArrayList<>();
         for (JsonNode v : table.path("versions")) {
             TableVersion version;
@@ -242,10 +243,10 @@
         }
         Set<Long> kept = new TreeSet<>();
         table.path("kept").forEach(number -> kept.add(number.asLong()));
-        return new TableImage(
+        return new TableSnapshot(
                 versions,
                 kept,
-                Hold.valueOf(table.path("hold").asText()),
+                PinState.valueOf(table.path("hold").asText()),
                 number(table, "to"),
                 lines(table.path("pending")));
     }
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -6,7 +6,7 @@
  */
 public interface TableLog {
     /** Takes an entry up; returns its sequence, which rises by one. */
-    long append(Entry entry);
+    long append(LogEntry entry);
 
     /** The sequence up to which all would outlive the process and the machine. */
     long durable();
@@ -15,7 +15,7 @@
     boolean wantsImage();
 
     /** An image of everything appended so far. */
-    void image(Image image);
+    void image(StoreSnapshot image);
 
     /** Why nothing is kept at the moment; empty if all is well. */
     String trouble();
@@ -27,7 +27,7 @@
     TableLog NONE =
             new TableLog() {
                 @Override
-                public long append(Entry entry) {
+                public long append(LogEntry entry) {
                     return 0;
                 }
 
@@ -42,7 +42,7 @@
                 }
 
                 @Override
-                public void image(Image image) {}
+                public void image(StoreSnapshot image) {}
 
                 @Override
                 public String trouble() {
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -21,7 +21,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.drain.Drain;
-import rosespread.table.TableImage;
+import rosespread.table.TableSnapshot;
 
 /**
  * Keeps versions and acts in one append-only file: an image of all tables, then entries. A thread
@@ -41,10 +41,10 @@
     private static final long RETRY_MILLIS = 1000;
     private static final long CLOSE_MILLIS = 2000;
 
-    private record Item(long sequence, Entry entry, Image image) {}
+    private record Item(long sequence, LogEntry entry, StoreSnapshot image) {}
 
     private final Path folder;
-    private final Sink.Disk disk;
+    private final LogOutput.Disk disk;
     private final LongSupplier wallMillis;
     private final Runnable written;
     private final long grown;
@@ -53,7 +53,7 @@
     private final Object told = new Object();
     private FileChannel lockFile;
     private FileLock lock;
-    private Sink sink;
+    private LogOutput sink;
     private long generation;
     private long imageBytes;
     private long retryAt;
@@ -76,14 +76,19 @@
     /**
      * @param written called on the store's thread after {@link #durable} has risen or trouble began
      */
-    public TableStore(Path folder, Sink.Disk disk, LongSupplier wallMillis, Runnable written) {
+    public TableStore(Path folder, LogOutput.Disk disk, LongSupplier wallMillis, Runnable written) {
         this(folder, disk, wallMillis, written, GROWN);
     }
 
     /**
      * @param grown bytes from which on a file is followed by a shorter one
      */
-    TableStore(Path folder, Sink.Disk disk, LongSupplier wallMillis, Runnable written, long grown) {
+    TableStore(
+            Path folder,
+            LogOutput.Disk disk,
+            LongSupplier wallMillis,
+            Runnable written,
+            long grown) {
         this.grown = grown;
         this.folder = folder;
         this.disk = disk;
@@ -98,10 +103,10 @@
      *
      * @throws IOException if the folder cannot be read or is another process's
      */
-    public Image open() throws IOException {
+    public StoreSnapshot open() throws IOException {
         Files.createDirectories(folder);
         lock();
-        Image image = Image.EMPTY;
+        StoreSnapshot image = StoreSnapshot.EMPTY;
         List<Path> files = files();
         for (int i = 0; i < files.size(); i++) {
             Path file = files.get(i);
@@ -157,7 +162,7 @@
         return name.matches() ? Long.parseLong(name.group(1)) : 0;
     }
 
-    private Image read(Path file) throws IOException {
+    private StoreSnapshot read(Path file) throws IOException {
         try {
             TableFile.Content content = TableFile.read(file);
             if (content.cut() > 0) {
@@ -181,12 +186,12 @@
                     "{}; set aside as {}; tables begin from the list and from what proxies hold",
                     e.getMessage(),
                     aside);
-            return Image.EMPTY;
+            return StoreSnapshot.EMPTY;
         }
     }
 
     @Override
-    public long append(Entry entry) {
+    public long append(LogEntry entry) {
         appended++;
         // What finds no room is in the next image, and so is all after it: the file has no gaps.
         if (!dropped && !queue.offer(new Item(appended, entry, null))) {
@@ -234,7 +239,7 @@
     }
 
     @Override
-    public void image(Image image) {
+    public void image(StoreSnapshot image) {
         wantsImage = false;
         if (queue.offer(new Item(appended, null, image))) {
             dropped = false;
@@ -292,7 +297,7 @@
                 durable = put;
                 any = false;
             } else if (!broken && item.sequence() > put) {
-                line(LineWriter.entry(item.sequence(), item.entry()));
+                line(LogEntryWriter.entry(item.sequence(), item.entry()));
                 put = item.sequence();
                 any = true;
             }
@@ -317,21 +322,21 @@
     }
 
     /** A new file that begins with an image; the one before goes once this one is in place. */
-    private void begin(Image image, long sequence) throws IOException {
+    private void begin(StoreSnapshot image, long sequence) throws IOException {
         Path next = path(generation + 1);
         Path beside = next.resolveSibling(next.getFileName() + ".next");
-        Sink fresh = disk.create(beside);
+        LogOutput fresh = disk.create(beside);
         long length = 0;
         try {
             List<byte[]> lines = new ArrayList<>();
-            lines.add(LineWriter.head(sequence, image.layout()));
-            for (TableImage table : image.tables()) {
-                lines.add(LineWriter.table(sequence, table));
+            lines.add(LogEntryWriter.head(sequence, image.layout()));
+            for (TableSnapshot table : image.tables()) {
+                lines.add(LogEntryWriter.table(sequence, table));
             }
             for (Drain word : image.drains()) {
-                lines.add(LineWriter.drain(sequence, word));
+                lines.add(LogEntryWriter.drain(sequence, word));
             }
-            lines.add(LineWriter.imageEnds(sequence, image.tables().size()));
+            lines.add(LogEntryWriter.imageEnds(sequence, image.tables().size()));
             for (byte[] line : lines) {
                 fresh.write(ByteBuffer.wrap(line));
                 length += line.length;
--- a/src/main/java/rosespread/table/Hold.java
+++ b/src/main/java/rosespread/table/PinState.java
@@ -1,7 +1,7 @@
 package rosespread.table;
 
 /** How a table's lines come about: from the module as they pass the gate, or held. */
-public enum Hold {
+public enum PinState {
     NONE,
     /** The last good lines stay until what the module wants passes. */
     REFUSED,
@@ -11,7 +11,7 @@
     RELEASING;
 
     /** What outlives the process: a refusal is judged anew after a start. */
-    public Hold lasting() {
+    public PinState lasting() {
         return this == REFUSED ? NONE : this;
     }
 }
--- a/src/main/java/rosespread/table/Digest.java
+++ b/src/main/java/rosespread/table/TableDigest.java
@@ -10,8 +10,8 @@
  * so a changed line costs two hashes whatever the table's size. It guards against loss and
  * mistakes, not against forgery.
  */
-public final class Digest {
-    private Digest() {}
+public final class TableDigest {
+    private TableDigest() {}
 
     public static long of(NodeId node, double weight) {
         return Hashing.xxh3_64()
--- a/src/main/java/rosespread/table/TableImage.java
+++ b/src/main/java/rosespread/table/TableSnapshot.java
@@ -13,14 +13,14 @@
  * @param to the version that a pinned table still goes back to, 0 if it has arrived
  * @param pending the lines that it still has to change for that, weight 0 for one that goes
  */
-public record TableImage(
+public record TableSnapshot(
         List<TableVersion> versions,
         Set<Long> kept,
-        Hold hold,
+        PinState hold,
         long to,
         Map<NodeId, Double> pending) {
     /** What an image holds must be what is out: a table that was never committed has none. */
-    public TableImage {
+    public TableSnapshot {
         if (versions.isEmpty()) {
             throw new IllegalArgumentException("no version");
         }
--- a/src/main/java/rosespread/table/TableVersion.java
+++ b/src/main/java/rosespread/table/TableVersion.java
@@ -17,7 +17,7 @@
  * @param parent the number of the version that it changed
  * @param atMillis wall clock of the commit
  * @param changes lines that differ from the parent's; weight 0 stands for a removed line
- * @param digest see {@link Digest}
+ * @param digest see {@link TableDigest}
  */
 public record TableVersion(
         TableId table,
@@ -73,11 +73,11 @@
             Double old = next.get(node);
             if (weight > 0 && (old == null || old != weight)) {
                 next = next.plus(node, weight);
-                sum += Digest.of(node, weight) - (old == null ? 0 : Digest.of(node, old));
+                sum += TableDigest.of(node, weight) - (old == null ? 0 : TableDigest.of(node, old));
                 truly.put(node, weight);
             } else if (weight == 0 && old != null) {
                 next = next.minus(node);
-                sum -= Digest.of(node, old);
+                sum -= TableDigest.of(node, old);
                 truly.put(node, 0.0);
             }
         }
--- a/src/main/java/rosespread/table/History.java
+++ b/src/main/java/rosespread/table/VersionHistory.java
@@ -16,7 +16,7 @@
  * A table's versions, newest last, bounded by count and age; kept ones stay. Levels go beside the
  * lines.
  */
-public final class History {
+public final class VersionHistory {
     private static final int MOST = 256;
     private static final long OLDEST_MILLIS = 24 * 3600 * 1000L;
 
@@ -28,12 +28,12 @@
     /**
      * @param floor the number after which numbers begin
      */
-    public History(TableId table, long floor) {
+    public VersionHistory(TableId table, long floor) {
         current = TableVersion.empty(table, floor);
     }
 
     /** A history as it was kept. */
-    public History(TableImage image) {
+    public VersionHistory(TableSnapshot image) {
         image.versions().forEach(version -> versions.put(version.number(), version));
         kept.addAll(image.kept());
         current = image.current();
@@ -82,11 +82,11 @@
     }
 
     /** What is kept on disk of it; nothing before the first commit. */
-    public Optional<TableImage> image(Hold hold, long to, Map<NodeId, Double> pending) {
+    public Optional<TableSnapshot> image(PinState hold, long to, Map<NodeId, Double> pending) {
         return versions.isEmpty()
                 ? Optional.empty()
                 : Optional.of(
-                        new TableImage(
+                        new TableSnapshot(
                                 versions(),
                                 new TreeSet<>(kept),
                                 hold.lasting(),
--- a/src/main/java/rosespread/standin/NodeStandin.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -17,7 +17,7 @@
  * A node whose work is timers: cores, a queue, a speed, a cold ramp, and falling over when it is
  * sent far more than it can do while cold. Lives on the loop's thread.
  */
-final class NodeStandin {
+final class FakeNode {
     private static final long UTILIZATION_EVERY = 500_000_000L;
     private static final double SECOND = 1e9;
 
@@ -28,12 +28,12 @@
     final String zone;
     final String kind;
     final InetSocketAddress address;
-    private final Loop loop;
-    private final Site site;
-    private final Site.Kind size;
+    private final TestLoop loop;
+    private final SiteDefinition site;
+    private final SiteDefinition.Kind size;
     private final Map<String, Long> zoneTokens;
     private final RandomGenerator random;
-    private final Record record;
+    private final TrafficRecorder record;
     private final Set<Job> running = new LinkedHashSet<>();
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final ArrayDeque<Sent> sent = new ArrayDeque<>();
@@ -55,14 +55,19 @@
     private record Sent(long at, double work, String proxy) {}
 
     private final class Job {
-        final Site.Method method;
+        final SiteDefinition.Method method;
         final long rpc;
         final double work;
         final String token;
         final HttpServer.Exchange exchange;
         ScheduledFuture<?> end;
 
-        Job(Site.Method method, long rpc, double work, String token, HttpServer.Exchange exchange) {
+        Job(
+                SiteDefinition.Method method,
+                long rpc,
+                double work,
+                String token,
+                HttpServer.Exchange exchange) {
             this.method = method;
             this.rpc = rpc;
             this.work = work;
@@ -71,16 +76,16 @@
         }
     }
 
-    NodeStandin(
+    FakeNode(
             String name,
             String zone,
             String kind,
             InetSocketAddress address,
-            Loop loop,
-            Site site,
+            TestLoop loop,
+            SiteDefinition site,
             Map<String, Long> zoneTokens,
             RandomGenerator random,
-            Record record) {
+            TrafficRecorder record) {
         this.name = name;
         this.zone = zone;
         this.kind = kind;
@@ -133,13 +138,13 @@
         return size.cores() * size.speed() * slowing * warmth();
     }
 
-    void take(HttpMessage.Call call, HttpServer.Exchange exchange) {
+    void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!up) {
             exchange.hangUp();
         } else if (call.path().equals("/health")) {
             if (!hung) {
                 exchange.answer(
-                        HttpMessage.Answer.of(
+                        HttpMessage.Response.of(
                                 random.nextDouble() < abortShare ? 500 : 200, "text/plain", ""));
             }
         } else {
@@ -147,15 +152,15 @@
         }
     }
 
-    private void rpc(HttpMessage.Call call, HttpServer.Exchange exchange) {
+    private void rpc(HttpMessage.Request call, HttpServer.Exchange exchange) {
         String methodName = call.path().substring(call.path().lastIndexOf('/') + 1);
-        Site.Method method =
+        SiteDefinition.Method method =
                 site.methods().stream()
                         .filter(m -> m.name().equals(methodName))
                         .findFirst()
                         .orElse(null);
         if (method == null || !method.open(kind)) {
-            exchange.answer(HttpMessage.Answer.of(404, "text/plain", "no such method here"));
+            exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such method here"));
             return;
         }
         double work = Long.parseLong(call.headers().first("x-work-nanos").orElse("0")) / SECOND;
@@ -167,7 +172,7 @@
         }
         if (random.nextDouble() < abortShare) {
             record.effect(loop.now(), name, number(call), method);
-            exchange.answer(HttpMessage.Answer.of(500, "text/plain", "aborted"));
+            exchange.answer(HttpMessage.Response.of(500, "text/plain", "aborted"));
             return;
         }
         Job job =
@@ -182,21 +187,21 @@
         } else if (queue.size() < site.queuePerCore() * size.cores()) {
             queue.addLast(job);
         } else {
-            exchange.answer(HttpMessage.Answer.of(503, "text/plain", "full; not begun"));
+            exchange.answer(HttpMessage.Response.of(503, "text/plain", "full; not begun"));
             return;
         }
         exchange.onClosed(() -> loop.run(() -> cancelled(job)));
     }
 
-    private static long number(HttpMessage.Call call) {
+    private static long number(HttpMessage.Request call) {
         return Long.parseLong(call.headers().first("x-rpc").orElse("0"));
     }
 
     /**
-     * Counts what a cold node is sent against a budget over the window; over it, the node falls and
-     * stays down.
+     * PlatformMetrics what a cold node is sent against a budget over the window; over it, the node
+     * falls and stays down.
      */
-    private void heat(double work, Site.Method method, String proxy) {
+    private void heat(double work, SiteDefinition.Method method, String proxy) {
         long now = loop.now();
         if (!coldTold) {
             coldTold = true;
@@ -240,7 +245,7 @@
                             free(job);
                             if (!hung && up) {
                                 job.exchange.answer(
-                                        new HttpMessage.Answer(
+                                        new HttpMessage.Response(
                                                 200,
                                                 HttpHeaders.of(
                                                         "endpoint-load-metrics",
--- a/src/main/java/rosespread/standin/ListStandin.java
+++ b/src/main/java/rosespread/testbed/FakeNodeList.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rosespread.api.Observer.NodeState;
+import rosespread.api.EventHandler.NodeState;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpLimits;
 import rosespread.http.HttpMessage;
@@ -21,7 +21,7 @@
  * are published late; on order it is silent, answers errors, or answers with an older list. Lives
  * on the loop's thread.
  */
-public final class ListStandin implements AutoCloseable {
+public final class FakeNodeList implements AutoCloseable {
     /** How it answers. */
     public enum Mode {
         USUAL,
@@ -36,7 +36,7 @@
     private record Entry(
             String zone, String kind, InetSocketAddress address, long started, boolean draining) {}
 
-    private record Published(long index, String body, Map<String, Record.Listed> nodes) {}
+    private record Published(long index, String body, Map<String, TrafficRecorder.Listed> nodes) {}
 
     private final class Waiting {
         final String agent;
@@ -50,8 +50,8 @@
     }
 
     private final ObjectMapper json = new ObjectMapper();
-    private final Loop loop;
-    private final Record record;
+    private final TestLoop loop;
+    private final TrafficRecorder record;
     private final HttpServer http;
     private final InetSocketAddress address;
     private final Map<String, Entry> entries = new TreeMap<>();
@@ -64,7 +64,7 @@
     /**
      * @param port where it listens; 0: any free one
      */
-    public ListStandin(Loop loop, int port, Record record) throws IOException {
+    public FakeNodeList(TestLoop loop, int port, TrafficRecorder record) throws IOException {
         this.loop = loop;
         this.record = record;
         this.http =
@@ -130,7 +130,7 @@
 
     private Published render() {
         ArrayNode all = json.createArrayNode();
-        Map<String, Record.Listed> nodes = new TreeMap<>();
+        Map<String, TrafficRecorder.Listed> nodes = new TreeMap<>();
         entries.forEach(
                 (name, entry) -> {
                     ObjectNode one = all.addObject();
@@ -156,7 +156,7 @@
                     }
                     nodes.put(
                             name,
-                            new Record.Listed(
+                            new TrafficRecorder.Listed(
                                     entry.draining() ? NodeState.DRAINING : NodeState.READY,
                                     entry.started(),
                                     entry.kind()));
@@ -164,12 +164,12 @@
         return new Published(++index, all.toString(), nodes);
     }
 
-    private void take(HttpMessage.Call call, HttpServer.Exchange exchange) {
+    private void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         String agent = call.headers().first("user-agent").orElse("").replace("rosespread/", "");
         if (!call.path().equals("/v1/health/service/nodes")) {
-            exchange.answer(HttpMessage.Answer.of(404, "text/plain", "no such service"));
+            exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such service"));
         } else if (mode == Mode.ERRORS) {
-            exchange.answer(HttpMessage.Answer.of(500, "text/plain", "No cluster leader"));
+            exchange.answer(HttpMessage.Response.of(500, "text/plain", "No cluster leader"));
         } else {
             Waiting one = new Waiting(agent, exchange);
             long known = parameter(call.target(), "index");
@@ -203,7 +203,7 @@
             record.told(loop.now(), one.agent, shown.nodes());
         }
         one.exchange.answer(
-                new HttpMessage.Answer(
+                new HttpMessage.Response(
                         200,
                         HttpHeaders.of(
                                 "content-type",
--- a/src/main/java/rosespread/standin/NodeFarm.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -12,19 +12,24 @@
 import rosespread.http.HttpServer;
 
 /** All stand-in nodes of a process behind one HTTP server, each on a port of its own. */
-public final class NodeFarm implements AutoCloseable {
+public final class FakeNodes implements AutoCloseable {
     private static final long FORGET_EVERY = 1_000_000_000L;
 
-    private final Loop loop;
-    private final Site site;
+    private final TestLoop loop;
+    private final SiteDefinition site;
     private final HttpServer http;
-    private final ListStandin list;
-    private final Map<Integer, NodeStandin> byPort = new java.util.concurrent.ConcurrentHashMap<>();
-    private final Map<String, NodeStandin> byName = new TreeMap<>();
+    private final FakeNodeList list;
+    private final Map<Integer, FakeNode> byPort = new java.util.concurrent.ConcurrentHashMap<>();
+    private final Map<String, FakeNode> byName = new TreeMap<>();
     private final Map<String, Map<String, Long>> tokens = new TreeMap<>();
 
-    /** Starts all nodes warm and lists them. Call on the loop's thread. */
-    public NodeFarm(Loop loop, Site site, ListStandin list, RandomGenerator random, Record record)
+    /** Starts all nodes warm and lists them. Request on the loop's thread. */
+    public FakeNodes(
+            TestLoop loop,
+            SiteDefinition site,
+            FakeNodeList list,
+            RandomGenerator random,
+            TrafficRecorder record)
             throws IOException {
         this.loop = loop;
         this.site = site;
@@ -34,7 +39,7 @@
                         2,
                         HttpLimits.USUAL,
                         (call, exchange) -> {
-                            NodeStandin node = byPort.get(exchange.port());
+                            FakeNode node = byPort.get(exchange.port());
                             loop.run(
                                     () -> {
                                         if (node == null) {
@@ -45,12 +50,12 @@
                                     });
                         });
         int number = 0;
-        for (Map.Entry<String, Site.Kind> kind : site.kinds().entrySet()) {
+        for (Map.Entry<String, SiteDefinition.Kind> kind : site.kinds().entrySet()) {
             for (int i = 0; i < kind.getValue().nodes(); i++) {
                 String zone = site.zones().get(number % site.zones().size());
                 InetSocketAddress address = http.listen(Ports.free());
-                NodeStandin node =
-                        new NodeStandin(
+                FakeNode node =
+                        new FakeNode(
                                 "node-" + number,
                                 zone,
                                 kind.getKey(),
@@ -72,7 +77,7 @@
     }
 
     private void forget() {
-        tokens.values().forEach(zone -> NodeStandin.forget(zone, loop.now()));
+        tokens.values().forEach(zone -> FakeNode.forget(zone, loop.now()));
         loop.after(FORGET_EVERY, this::forget);
     }
 
@@ -86,7 +91,7 @@
 
     /** The process dies and its port with it; the list learns of it later. */
     public void crash(String name) {
-        NodeStandin node = byName.get(name);
+        FakeNode node = byName.get(name);
         if (node.up) {
             node.stop();
             http.drop(node.address);
@@ -96,7 +101,7 @@
 
     /** Starts the process anew, cold, and lists it. */
     public void restart(String name) {
-        NodeStandin node = byName.get(name);
+        FakeNode node = byName.get(name);
         if (!node.up) {
             try {
                 http.listen(node.address);
--- a/src/main/java/rosespread/standin/ProxyFarm.java
+++ b/src/main/java/rosespread/testbed/FakeProxies.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -19,12 +19,12 @@
 import rosespread.channel.ChannelCodec;
 import rosespread.channel.Frame;
 import rosespread.channel.FrameReader;
+import rosespread.discovery.ListedNode;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpLimits;
-import rosespread.list.ListedNode;
 
 /** All stand-in proxies of a process, and the links over which conductors' messages reach them. */
-public final class ProxyFarm implements AutoCloseable {
+public final class FakeProxies implements AutoCloseable {
     /** A conductor that proxies can dial; no zone: any proxy's. */
     public record Target(String name, InetSocketAddress address, String zone) {}
 
@@ -32,7 +32,7 @@
     private static final double SECOND = 1e9;
     private static final String OWNER = "owner";
 
-    private record Owner(ProxyStandin proxy, long stream) {}
+    private record Owner(FakeProxy proxy, long stream) {}
 
     /**
      * A conductor's link: messages go through one after the other when it is slow, and reach a
@@ -44,16 +44,16 @@
         double lines;
     }
 
-    private final Loop loop;
-    private final Site site;
-    private final ListStandin list;
-    private final Record record;
+    private final TestLoop loop;
+    private final SiteDefinition site;
+    private final FakeNodeList list;
+    private final TrafficRecorder record;
     private final RandomGenerator random;
     private final boolean shares;
     private final List<Target> conductors;
     private final NioSocketConnector connector = new NioSocketConnector(2);
     private final HttpClient http = new HttpClient(2, HttpLimits.USUAL, CONNECT_MILLIS, 1);
-    private final Map<String, ProxyStandin> proxies = new TreeMap<>();
+    private final Map<String, FakeProxy> proxies = new TreeMap<>();
     private final Map<String, Link> links = new HashMap<>();
     private final Map<String, Long> lastDue = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> onTheWay = new HashMap<>();
@@ -65,15 +65,15 @@
      * @param rates the usual RPCs a second of each proxy; @param shares whether levels are shares,
      *     else rates
      */
-    public ProxyFarm(
-            Loop loop,
-            Site site,
-            ListStandin list,
+    public FakeProxies(
+            TestLoop loop,
+            SiteDefinition site,
+            FakeNodeList list,
             List<Target> conductors,
             double[] rates,
             boolean shares,
             RandomGenerator random,
-            Record record) {
+            TrafficRecorder record) {
         this.loop = loop;
         this.site = site;
         this.list = list;
@@ -96,7 +96,7 @@
             String name = String.format("proxy-%03d", i);
             proxies.put(
                     name,
-                    new ProxyStandin(
+                    new FakeProxy(
                             name,
                             site.zones().get(i % site.zones().size()),
                             rates[i],
@@ -120,12 +120,12 @@
         return proxies.values().stream().filter(p -> p.zone.equals(zone)).map(p -> p.name).toList();
     }
 
-    public ProxyStandin proxy(String name) {
+    public FakeProxy proxy(String name) {
         return proxies.get(name);
     }
 
     public boolean allBound() {
-        return proxies.values().stream().allMatch(ProxyStandin::bound);
+        return proxies.values().stream().allMatch(FakeProxy::bound);
     }
 
     public void crash(String name) {
@@ -181,7 +181,8 @@
         return names.getOrDefault(port, "port-" + port);
     }
 
-    Map<NodeId, ProxyTables.Place> standing(String zone, Site.Method method, RandomGenerator from) {
+    Map<NodeId, ProxyTables.Place> standing(
+            String zone, SiteDefinition.Method method, RandomGenerator from) {
         Map<String, InetSocketAddress> near = list.listed(zone);
         List<Map.Entry<String, InetSocketAddress>> all =
                 new ArrayList<>((near.size() >= 3 ? near : list.listed(null)).entrySet());
@@ -202,7 +203,7 @@
     }
 
     /** Dials a conductor of the proxy's zone if there is one, else any; another one at each try. */
-    String dial(ProxyStandin proxy, long stream) {
+    String dial(FakeProxy proxy, long stream) {
         List<Target> near = conductors.stream().filter(c -> proxy.zone.equals(c.zone())).toList();
         List<Target> among = !near.isEmpty() && random.nextInt(3) > 0 ? near : conductors;
         Target target = among.get(random.nextInt(among.size()));
@@ -221,11 +222,7 @@
 
     /** Brings a message over the conductor's link to the proxy. */
     void carry(
-            ProxyStandin proxy,
-            long stream,
-            String conductor,
-            Frame.Mark mark,
-            List<Frame> message) {
+            FakeProxy proxy, long stream, String conductor, Frame.Mark mark, List<Frame> message) {
         Link link = links.computeIfAbsent(conductor, c -> new Link());
         long now = loop.now();
         long leaves = now;
--- a/src/main/java/rosespread/standin/ProxyStandin.java
+++ b/src/main/java/rosespread/testbed/FakeProxy.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
 import rosespread.http.HttpMessage;
 
 /** A plain proxy: follows tables, judges no node, reports late. Lives on the loop's thread. */
-public final class ProxyStandin {
+public final class FakeProxy {
     /** How an RPC ended for the client. */
     public enum Result {
         OK,
@@ -37,11 +37,11 @@
 
     final String name;
     final String zone;
-    private final ProxyFarm farm;
-    private final Loop loop;
-    private final Site site;
+    private final FakeProxies farm;
+    private final TestLoop loop;
+    private final SiteDefinition site;
     private final RandomGenerator random;
-    private final Record record;
+    private final TrafficRecorder record;
     private ProxyTables tables;
     private final Map<NodeId, Met> met = new TreeMap<>();
     private final Map<NodeId, Integer> out = new HashMap<>();
@@ -73,15 +73,15 @@
         double utilization = Double.NaN;
     }
 
-    ProxyStandin(
+    FakeProxy(
             String name,
             String zone,
             double rate,
-            ProxyFarm farm,
-            Loop loop,
-            Site site,
+            FakeProxies farm,
+            TestLoop loop,
+            SiteDefinition site,
             RandomGenerator random,
-            Record record) {
+            TrafficRecorder record) {
         this.name = name;
         this.zone = zone;
         this.rate = rate;
@@ -100,7 +100,7 @@
         return joined && boundOnce;
     }
 
-    private MethodId method(Site.Method method) {
+    private MethodId method(SiteDefinition.Method method) {
         return new MethodId(site.methods().indexOf(method));
     }
 
@@ -117,7 +117,7 @@
         avoidUntil.clear();
         failuresInRow.clear();
         reportedAt = loop.now();
-        for (Site.Method method : site.methods()) {
+        for (SiteDefinition.Method method : site.methods()) {
             tables.standing(method(method), farm.standing(zone, method, random));
         }
         pickable.clear();
@@ -264,7 +264,7 @@
     }
 
     private void tellPickable() {
-        for (Site.Method method : site.methods()) {
+        for (SiteDefinition.Method method : site.methods()) {
             boolean any = tables.pickable(method(method));
             if (!Boolean.valueOf(any).equals(pickable.put(method(method), any))) {
                 record.pickable(loop.now(), name, method.name(), any);
@@ -313,7 +313,7 @@
     // ---- RPCs ----
 
     /** One try of a client; {@code until} is when the client gives it up. */
-    void rpc(Clients.Arrival rpc, long until, Consumer<Result> then) {
+    void rpc(OpenLoopClients.Arrival rpc, long until, Consumer<Result> then) {
         long now = loop.now();
         if (stalledUntil > now) {
             loop.after(stalledUntil - now, () -> rpc(rpc, until, then));
@@ -343,7 +343,7 @@
         long now = loop.now();
         double gained = (now - allowanceAt) / SECOND;
         allowanceAt = now;
-        for (Site.Method each : site.methods()) {
+        for (SiteDefinition.Method each : site.methods()) {
             Frame.Level of = tables.level(method(each));
             double perSecond = of == null || Double.isInfinite(of.admitted()) ? 0 : of.admitted();
             allowance.merge(
@@ -359,7 +359,7 @@
     }
 
     private void attempt(
-            Clients.Arrival rpc,
+            OpenLoopClients.Arrival rpc,
             MethodId method,
             long until,
             NodeId before,
@@ -393,11 +393,12 @@
                         String.valueOf(rpc.number()),
                         "x-work-nanos",
                         String.valueOf(rpc.work()));
-        if (rpc.method().effect() == Site.Effect.TOKENED) {
+        if (rpc.method().effect() == SiteDefinition.Effect.TOKENED) {
             headers.add("idempotency-key", "t" + rpc.number());
         }
-        HttpMessage.Call call =
-                new HttpMessage.Call("POST", "/rpc/" + rpc.method().name(), headers, new byte[0]);
+        HttpMessage.Request call =
+                new HttpMessage.Request(
+                        "POST", "/rpc/" + rpc.method().name(), headers, new byte[0]);
         Runnable[] cancel = new Runnable[1];
         cancel[0] =
                 farm.http()
@@ -407,7 +408,7 @@
                                 Math.max(1_000_000, until - now),
                                 new HttpClient.Taker() {
                                     @Override
-                                    public void answered(HttpMessage.Answer answer) {
+                                    public void answered(HttpMessage.Response answer) {
                                         loop.run(
                                                 () ->
                                                         ended(
@@ -434,7 +435,7 @@
                                                                 null));
                                     }
 
-                                    private void ended(Result result, HttpMessage.Answer answer) {
+                                    private void ended(Result result, HttpMessage.Response answer) {
                                         inHand.remove(cancel[0]);
                                         out.merge(id, -1, Integer::sum);
                                         if (up) {
@@ -470,7 +471,7 @@
                         || tries == Frame.Tries.AFTER_PROOF && proof);
     }
 
-    private void count(NodeId id, Result result, HttpMessage.Answer answer, long begun) {
+    private void count(NodeId id, Result result, HttpMessage.Response answer, long begun) {
         Met m = met.computeIfAbsent(id, n -> new Met());
         m.tries++;
         if (result == Result.OK) {
--- a/src/main/java/rosespread/standin/Clients.java
+++ b/src/main/java/rosespread/testbed/OpenLoopClients.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.util.List;
 import java.util.random.RandomGenerator;
@@ -7,7 +7,7 @@
  * Open-loop clients: RPCs come at the times drawn for them, whatever became of those before, and
  * latency counts from the time an RPC was due. A client repeats by itself what may be repeated.
  */
-public final class Clients {
+public final class OpenLoopClients {
     /**
      * One RPC, drawn ahead; {@code at} counts from the day's start and may lie before it, {@code
      * place} spreads over proxies.
@@ -15,7 +15,7 @@
     public record Arrival(
             long number,
             long at,
-            Site.Method method,
+            SiteDefinition.Method method,
             String zone,
             double place,
             String hot,
@@ -29,11 +29,11 @@
      * was due.
      */
     public interface Taker {
-        void ended(Arrival rpc, ProxyStandin.Result result, long latency, int tries);
+        void ended(Arrival rpc, FakeProxy.Result result, long latency, int tries);
     }
 
-    private final Loop loop;
-    private final ProxyFarm proxies;
+    private final TestLoop loop;
+    private final FakeProxies proxies;
     private final RandomGenerator random;
     private final Taker taker;
     private List<Arrival> day = List.of();
@@ -41,7 +41,8 @@
     private int next;
     private int open;
 
-    public Clients(Loop loop, ProxyFarm proxies, RandomGenerator random, Taker taker) {
+    public OpenLoopClients(
+            TestLoop loop, FakeProxies proxies, RandomGenerator random, Taker taker) {
         this.loop = loop;
         this.proxies = proxies;
         this.random = random;
@@ -76,17 +77,17 @@
      * The front layer spreads over the zone's proxies; it passes over dead ones once it has
      * noticed.
      */
-    private ProxyStandin proxy(Arrival rpc) {
+    private FakeProxy proxy(Arrival rpc) {
         if (rpc.hot() != null && proxies.proxy(rpc.hot()).up()) {
             return proxies.proxy(rpc.hot());
         }
         List<String> near = proxies.names(rpc.zone());
-        ProxyStandin first = proxies.proxy(near.get((int) (rpc.place() * near.size())));
+        FakeProxy first = proxies.proxy(near.get((int) (rpc.place() * near.size())));
         if (first.up() || random.nextInt(4) == 0) {
             return first;
         }
-        List<ProxyStandin> alive =
-                proxies.names().stream().map(proxies::proxy).filter(ProxyStandin::up).toList();
+        List<FakeProxy> alive =
+                proxies.names().stream().map(proxies::proxy).filter(FakeProxy::up).toList();
         return alive.isEmpty() ? first : alive.get(random.nextInt(alive.size()));
     }
 
@@ -101,10 +102,10 @@
                         result -> {
                             long now = loop.now();
                             boolean repeats =
-                                    rpc.method().effect() == Site.Effect.IDEMPOTENT
-                                            || result == ProxyStandin.Result.PUSHED_BACK
-                                            || result == ProxyStandin.Result.UNREACHABLE;
-                            if (result != ProxyStandin.Result.OK
+                                    rpc.method().effect() == SiteDefinition.Effect.IDEMPOTENT
+                                            || result == FakeProxy.Result.PUSHED_BACK
+                                            || result == FakeProxy.Result.UNREACHABLE;
+                            if (result != FakeProxy.Result.OK
                                     && repeats
                                     && tries <= rpc.retries()
                                     && now + rpc.retryWait() < deadline) {
--- a/src/main/java/rosespread/standin/Ports.java
+++ b/src/main/java/rosespread/testbed/Ports.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/rosespread/standin/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 import rosespread.channel.Frame;
-import rosespread.table.Digest;
+import rosespread.table.TableDigest;
 
 /** What a plain proxy holds: tables, levels and withdrawals, and how it picks a line. */
 final class ProxyTables {
@@ -156,7 +156,7 @@
     }
 
     /** A table of this stream, by the nodes' names. */
-    Record.Holds held(TableId id) {
+    TrafficRecorder.Holds held(TableId id) {
         Map<String, Double> lines = new TreeMap<>();
         ofStream.get(id)
                 .rows
@@ -167,14 +167,14 @@
                                                 ? places.get(node).name()
                                                 : Long.toHexString(node.value()),
                                         row.weight));
-        return new Record.Holds(
+        return new TrafficRecorder.Holds(
                 id.value(), ofStream.get(id).version, digest(ofStream.get(id)), lines);
     }
 
     private static long digest(Table table) {
         long sum = 0;
         for (Map.Entry<NodeId, Row> line : table.rows.entrySet()) {
-            sum += Digest.of(line.getKey(), line.getValue().weight);
+            sum += TableDigest.of(line.getKey(), line.getValue().weight);
         }
         return sum;
     }
@@ -196,7 +196,11 @@
     }
 
     /** Picks a line that is not withdrawn, nor among the avoided as long as there are others. */
-    NodeId pick(MethodId method, Site.Pick way, Set<NodeId> avoided, Map<NodeId, Integer> out) {
+    NodeId pick(
+            MethodId method,
+            SiteDefinition.Pick way,
+            Set<NodeId> avoided,
+            Map<NodeId, Integer> out) {
         Table table = byMethod.get(method);
         if (table == null) {
             return null;
--- a/src/main/java/rosespread/standin/Site.java
+++ b/src/main/java/rosespread/testbed/SiteDefinition.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.util.List;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * What the stand-ins are like; times in nanoseconds. Nothing of it is told to the conductor by this
  * way.
  */
-public record Site(
+public record SiteDefinition(
         List<String> zones,
         Map<String, Kind> kinds,
         List<Method> methods,
--- a/src/main/java/rosespread/standin/Loop.java
+++ b/src/main/java/rosespread/testbed/TestLoop.java
@@ -1,4 +1,4 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
@@ -6,7 +6,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The one thread on which all stand-ins of a process live, and its clock. */
-public final class Loop implements AutoCloseable {
+public final class TestLoop implements AutoCloseable {
     private final ScheduledThreadPoolExecutor thread =
             new ScheduledThreadPoolExecutor(
                     1,
@@ -16,7 +16,7 @@
                         return made;
                     });
 
-    public Loop() {
+    public TestLoop() {
         thread.setRemoveOnCancelPolicy(true);
     }
 
@@ -34,7 +34,7 @@
                     try {
                         task.run();
                     } catch (RuntimeException e) {
-                        LoggerFactory.getLogger(Loop.class).error("a stand-in failed", e);
+                        LoggerFactory.getLogger(TestLoop.class).error("a stand-in failed", e);
                     }
                 },
                 Math.max(0, nanos),
