--- a/src/main/java/rosespread/standin/Record.java
+++ b/src/main/java/rosespread/testbed/TrafficRecorder.java
@@ -1,14 +1,14 @@
-package rosespread.standin;
+package rosespread.testbed;
 
 import java.util.Map;
-import rosespread.api.Observer.NodeState;
+import rosespread.api.EventHandler.NodeState;
 import rosespread.channel.Frame;
 
 /**
  * What the stand-ins' ends of the sockets see, told as it happens and in order of time, on the
  * loop's thread. Times in nanoseconds.
  */
-public interface Record {
+public interface TrafficRecorder {
     /** How a node is listed. */
     record Listed(NodeState state, long startedMillis, String kind) {}
 
@@ -39,12 +39,14 @@
     /** Whether the proxy has a line to pick for a method, from now on. */
     default void pickable(long at, String proxy, String method, boolean any) {}
 
-    default void tried(long at, String proxy, String node, long rpc, Site.Method method) {}
+    default void tried(
+            long at, String proxy, String node, long rpc, SiteDefinition.Method method) {}
 
     /** A try had no good answer. */
-    default void tryFailed(long at, String proxy, String node, long rpc, Site.Method method) {}
+    default void tryFailed(
+            long at, String proxy, String node, long rpc, SiteDefinition.Method method) {}
 
-    default void effect(long at, String node, long rpc, Site.Method method) {}
+    default void effect(long at, String node, long rpc, SiteDefinition.Method method) {}
 
     /** A node has begun to warm up. */
     default void coldStart(long at, String node) {}
--- a/src/main/java/rosespread/release/Room.java
+++ b/src/main/java/rosespread/validation/ChannelCapacity.java
@@ -1,18 +1,18 @@
-package rosespread.release;
+package rosespread.validation;
 
 /**
  * Decides how much may leave that the module did not order: the way back to a version, what a
  * refusal leaves out, and tables sent whole to proxies that could not follow. The module keeps the
  * rest of the queue and of the messages; a node that leaves may use more, as it may not wait.
  */
-public final class Room {
+public final class ChannelCapacity {
     private static final double QUEUE = 0.5;
     private static final double QUEUE_DRAIN = 0.9;
     private static final double MESSAGES = 0.7;
     private static final double MESSAGES_DRAIN = 0.9;
     private static final long ANSWER_SLACK = 300_000_000L;
 
-    private Room() {}
+    private ChannelCapacity() {}
 
     /**
      * Lines that may go to each of so many proxies now.
--- a/src/main/java/rosespread/release/Patience.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -1,4 +1,4 @@
-package rosespread.release;
+package rosespread.validation;
 
 /**
  * Decides how long a message waits until what it tells is kept on disk. A proxy should hear of
@@ -7,7 +7,7 @@
  * each waiting anew. What was forgotten then is made up for as proxies rejoin and tell which
  * versions they hold.
  */
-public final class Patience {
+public final class DurabilityTimeout {
     /** A part of the drain grace; the rest is the message's way. */
     private static final double PART = 0.1;
 
@@ -18,7 +18,7 @@
     /**
      * @param grace in nanoseconds
      */
-    public Patience(long grace) {
+    public DurabilityTimeout(long grace) {
         this.most = (long) (PART * grace);
     }
 
--- a/src/main/java/rosespread/release/Gate.java
+++ b/src/main/java/rosespread/validation/TableChangeValidator.java
@@ -1,4 +1,4 @@
-package rosespread.release;
+package rosespread.validation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,8 +6,8 @@
 import java.util.Objects;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import rosespread.api.EventHandler.NodeState;
 import rosespread.api.NodeId;
-import rosespread.api.Observer.NodeState;
 
 /**
  * Decides which lines of a table go out: between what the module wants and what proxies were last
@@ -16,7 +16,7 @@
  * would be left without a node gets all that can serve. docs/versions.md says how each check could
  * do harm and when it steps aside.
  */
-public class Gate {
+public class TableChangeValidator {
     /** Why lines are refused. */
     public enum Reason {
         BAD_WEIGHT,
@@ -35,7 +35,7 @@
      * @param warmth the part of its size that it can be held to have by now, 1 once warm; @param
      *     open to the table
      */
-    public record Fact(NodeState state, double warmth, boolean open) {
+    public record NodeFact(NodeState state, double warmth, boolean open) {
         /** Whether lines may go there. */
         public boolean able() {
             return state == NodeState.READY && open;
@@ -57,12 +57,13 @@
      *     meant
      * @param carried lines that the channel can carry to one proxy of this table within the grace
      */
-    public record Scene(Map<NodeId, Fact> nodes, long version, boolean causeSeen, double carried) {}
+    public record ValidationContext(
+            Map<NodeId, NodeFact> nodes, long version, boolean causeSeen, double carried) {}
 
     /**
      * @param lines what goes out now; @param refusals empty if that is what was wanted
      */
-    public record Verdict(Map<NodeId, Double> lines, List<Refusal> refusals) {}
+    public record ValidationResult(Map<NodeId, Double> lines, List<Refusal> refusals) {}
 
     /** A cold node may have this multiple of its warmth against the mean of warm nodes. */
     private static final double COLD_MOST = 4;
@@ -92,7 +93,7 @@
             known = false;
         }
 
-        private void count(NodeId node, double weight, Fact fact, int sign) {
+        private void count(NodeId node, double weight, NodeFact fact, int sign) {
             sum += sign * weight;
             if (fact != null && fact.able() && weight > 0) {
                 able += sign;
@@ -108,7 +109,7 @@
             }
         }
 
-        private void count(Map<NodeId, Double> lines, Scene scene) {
+        private void count(Map<NodeId, Double> lines, ValidationContext scene) {
             sum = 0;
             warmSum = 0;
             warm = 0;
@@ -120,10 +121,11 @@
             known = true;
         }
 
-        private void change(Map<NodeId, Double> out, Map<NodeId, Double> changed, Scene scene) {
+        private void change(
+                Map<NodeId, Double> out, Map<NodeId, Double> changed, ValidationContext scene) {
             changed.forEach(
                     (node, weight) -> {
-                        Fact fact = scene.nodes().get(node);
+                        NodeFact fact = scene.nodes().get(node);
                         Double old = out.get(node);
                         if (old != null) {
                             count(node, old, fact, -1);
@@ -135,7 +137,8 @@
             changes++;
         }
 
-        private Standing after(Map<NodeId, Double> out, Map<NodeId, Double> changed, Scene scene) {
+        private Standing after(
+                Map<NodeId, Double> out, Map<NodeId, Double> changed, ValidationContext scene) {
             Standing next = new Standing();
             next.sum = sum;
             next.warmSum = warmSum;
@@ -157,16 +160,16 @@
      * @param changed every line in which wanted lines differ from those that are out, and maybe
      *     others
      */
-    public Verdict judge(
+    public ValidationResult validate(
             Standing standing,
             Map<NodeId, Double> out,
             Map<NodeId, Double> wanted,
             Map<NodeId, Double> changed,
-            Scene scene) {
+            ValidationContext scene) {
         if (!standing.known
                 || standing.version != scene.version()
                 || standing.changes >= CHANGES_MOST) {
-            Verdict verdict = judge(out, wanted, scene);
+            ValidationResult verdict = validate(out, wanted, scene);
             if (verdict.refusals().isEmpty()) {
                 standing.count(wanted, scene);
             } else {
@@ -206,14 +209,14 @@
         }
         if (!good) {
             // The whole table is looked at for reasons and figures: a refusal is rare.
-            Verdict verdict = judge(out, wanted, scene);
+            ValidationResult verdict = validate(out, wanted, scene);
             if (!verdict.refusals().isEmpty()) {
                 standing.forget();
                 return verdict;
             }
         }
         standing.change(out, changed, scene);
-        return new Verdict(wanted, List.of());
+        return new ValidationResult(wanted, List.of());
     }
 
     /**
@@ -236,7 +239,7 @@
     }
 
     /** Why a line may not go out; null if it may. */
-    private static Reason fault(double weight, Fact fact, double warmMean) {
+    private static Reason fault(double weight, NodeFact fact, double warmMean) {
         return !Double.isFinite(weight) || weight < 0
                 ? Reason.BAD_WEIGHT
                 : fact == null
@@ -249,12 +252,14 @@
     }
 
     /** Judges wanted lines against those that are out. */
-    public Verdict judge(Map<NodeId, Double> out, Map<NodeId, Double> wanted, Scene scene) {
+    public ValidationResult validate(
+            Map<NodeId, Double> out, Map<NodeId, Double> wanted, ValidationContext scene) {
         List<Refusal> refusals = check(out, wanted, scene);
-        return new Verdict(refusals.isEmpty() ? wanted : kept(out, scene), refusals);
+        return new ValidationResult(refusals.isEmpty() ? wanted : kept(out, scene), refusals);
     }
 
-    private List<Refusal> check(Map<NodeId, Double> out, Map<NodeId, Double> wanted, Scene scene) {
+    private List<Refusal> check(
+            Map<NodeId, Double> out, Map<NodeId, Double> wanted, ValidationContext scene) {
         List<Refusal> refusals = new ArrayList<>();
         Map<Reason, List<NodeId>> faults = new TreeMap<>();
         double warmMean = warmMean(wanted, scene);
@@ -307,23 +312,23 @@
     }
 
     /** Whether most of what is out can stay: else a large move is what the list asks for. */
-    private static boolean stays(Map<NodeId, Double> out, Scene scene) {
+    private static boolean stays(Map<NodeId, Double> out, ValidationContext scene) {
         double all = 0;
         double able = 0;
         for (Map.Entry<NodeId, Double> line : out.entrySet()) {
-            Fact fact = scene.nodes().get(line.getKey());
+            NodeFact fact = scene.nodes().get(line.getKey());
             all += line.getValue();
             able += fact != null && fact.able() ? line.getValue() : 0;
         }
         return able > all / 2;
     }
 
-    private static double warmMean(Map<NodeId, Double> lines, Scene scene) {
+    private static double warmMean(Map<NodeId, Double> lines, ValidationContext scene) {
         double mean =
                 lines.entrySet().stream()
                         .filter(
                                 line -> {
-                                    Fact fact = scene.nodes().get(line.getKey());
+                                    NodeFact fact = scene.nodes().get(line.getKey());
                                     return fact != null
                                             && fact.able()
                                             && fact.warmth() >= 1
@@ -371,12 +376,12 @@
      * node that was warm and has started since. If nothing is left, all that can serve take the
      * place: guards against a version that names only nodes that are gone.
      */
-    public Map<NodeId, Double> kept(Map<NodeId, Double> lines, Scene scene) {
+    public Map<NodeId, Double> kept(Map<NodeId, Double> lines, ValidationContext scene) {
         Map<NodeId, Double> left = new TreeMap<>();
         double warmMean = warmMean(lines, scene);
         lines.forEach(
                 (node, weight) -> {
-                    Fact fact = scene.nodes().get(node);
+                    NodeFact fact = scene.nodes().get(node);
                     if (fact != null && fact.able() && Double.isFinite(weight) && weight > 0) {
                         left.put(
                                 node,
@@ -403,13 +408,15 @@
      * approached.
      */
     public Map<NodeId, Double> towards(
-            Map<NodeId, Double> out, Map<NodeId, Double> wanted, Scene scene) {
+            Map<NodeId, Double> out, Map<NodeId, Double> wanted, ValidationContext scene) {
         Map<NodeId, Double> from = kept(out, scene);
-        // Steps are what keeps the move small, so size and count of it are no faults here.
+        // SimulatorActionWriter are what keeps the move small, so size and count of it are no
+        // faults here.
         if (!check(
                         out,
                         wanted,
-                        new Scene(scene.nodes(), scene.version(), true, Double.POSITIVE_INFINITY))
+                        new ValidationContext(
+                                scene.nodes(), scene.version(), true, Double.POSITIVE_INFINITY))
                 .isEmpty()) {
             return from;
         }
