--- a/src/main/java/rosespread/adapter/SimulatedController.java
+++ b/src/main/java/rosespread/adapter/SimulatedController.java
@@ -20,38 +20,38 @@
 /** One conductor of the process: turns its events into calls on its own decision module. */
 final class SimulatedController {
     private final int id;
-    private final RoutingPolicy brain;
+    private final RoutingPolicy policy;
     private final NameRegistry names;
-    private final List<Consumer<EventHandler>> calls = new ArrayList<>();
+    private final List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
 
     SimulatedController(int id, ConfigObject launch) throws ConfigException {
         this.id = id;
         ConfigObject info = launch.object("info");
         this.names = new NameRegistry(info);
-        this.brain =
+        this.policy =
                 new RoutingPolicy(
-                        names.settings(info), new SplittableRandom(launch.whole("nonce64")));
+                        names.settings(info), new SplittableRandom(launch.longValue("nonce64")));
     }
 
     /** Decodes one event; one of an unknown name is passed over. */
-    void take(ConfigObject event) throws ConfigException {
+    void handleEvent(ConfigObject event) throws ConfigException {
         switch (event.text("msg")) {
-            case "Topology" -> takeList(event);
+            case "Topology" -> handleNodeList(event);
             case "Attached" -> {
                 ProxyId proxy = proxy(event);
                 ZoneId zone = names.zone(event.text("zone"));
                 double rate = event.number("w", 0);
-                calls.add(observer -> observer.proxyJoined(proxy, zone, rate));
+                pendingEvents.add(observer -> observer.proxyJoined(proxy, zone, rate));
             }
             case "Unsubscribed" -> {
                 ProxyId proxy = proxy(event);
-                calls.add(observer -> observer.proxyLeft(proxy));
+                pendingEvents.add(observer -> observer.proxyLeft(proxy));
             }
             case "Installed" -> {
                 ProxyId proxy = proxy(event);
                 int mark = event.integer("rev");
-                long took = event.nanos("costTime", 0);
-                calls.add(observer -> observer.acknowledged(proxy, mark, took));
+                long took = event.secondsAsNanos("costTime", 0);
+                pendingEvents.add(observer -> observer.acknowledged(proxy, mark, took));
             }
             case "Digest" -> {
                 NodeId node = node(event);
@@ -60,9 +60,9 @@
                 int unanswered = event.integer("unanswered", 0);
                 double seconds = event.number("costTime", 0);
                 double latency = tries > unanswered && seconds > 0 ? seconds : Double.NaN;
-                long covers = event.nanos("covers");
+                long covers = event.secondsAsNanos("covers");
                 double utilization = names.utilization(event);
-                calls.add(
+                pendingEvents.add(
                         observer ->
                                 observer.loadReported(
                                         node,
@@ -77,43 +77,46 @@
                 ProxyId proxy = proxy(event);
                 MethodId method = names.method(event.text("category"));
                 int count = event.integer("count");
-                long covers = event.nanos("covers");
-                calls.add(observer -> observer.demandReported(proxy, method, count, covers));
+                long covers = event.secondsAsNanos("covers");
+                pendingEvents.add(
+                        observer -> observer.demandReported(proxy, method, count, covers));
             }
             case "PingResult" -> {
                 NodeId node = node(event);
-                EventHandler.HealthCheckResult verdict = WireNames.verdict(event.text("verdict"));
-                calls.add(observer -> observer.healthChecked(node, verdict));
+                EventHandler.HealthCheckResult verdict =
+                        WireNames.healthCheckResult(event.text("verdict"));
+                pendingEvents.add(observer -> observer.healthChecked(node, verdict));
             }
-            case "Wakeup" -> calls.add(EventHandler::timerFired);
+            case "Wakeup" -> pendingEvents.add(EventHandler::timerFired);
             default -> {}
         }
     }
 
-    private void takeList(ConfigObject event) throws ConfigException {
-        EventHandler.NodeListKind kind = WireNames.listKind(event.text("kind"));
-        calls.add(observer -> observer.listStarted(kind));
+    private void handleNodeList(ConfigObject event) throws ConfigException {
+        EventHandler.NodeListKind kind = WireNames.nodeListKind(event.text("kind"));
+        pendingEvents.add(observer -> observer.listStarted(kind));
         for (ConfigObject entry : event.objects("elements")) {
             NodeId node = node(entry);
-            EventHandler.NodeState state = WireNames.state(entry.text("lifecycle"));
-            var machine = names.kind(entry.text("kind", ""));
+            EventHandler.NodeState state = WireNames.nodeState(entry.text("lifecycle"));
+            var machine = names.machineType(entry.text("kind", ""));
             ZoneId zone = names.zone(entry.text("zone", ""));
             double weight = entry.number("w", 1);
             double up = entry.number("cameUp", 0);
             long started = up == 0 ? Long.MIN_VALUE : Math.round(up * 1e9);
-            calls.add(observer -> observer.nodeListed(node, machine, zone, weight, state, started));
+            pendingEvents.add(
+                    observer -> observer.nodeListed(node, machine, zone, weight, state, started));
         }
-        calls.add(EventHandler::listCompleted);
+        pendingEvents.add(EventHandler::listCompleted);
     }
 
     /**
      * Plays the round; what the module throws goes out as the wire's fault and ends the day there.
      */
-    void round(long now, JsonGenerator reply) throws IOException {
-        List<Consumer<EventHandler>> round = List.copyOf(calls);
-        calls.clear();
+    void runRound(long now, JsonGenerator reply) throws IOException {
+        List<Consumer<EventHandler>> round = List.copyOf(pendingEvents);
+        pendingEvents.clear();
         try {
-            brain.round(
+            policy.round(
                     now,
                     observer -> round.forEach(call -> call.accept(observer)),
                     new SimulatorActionWriter(id, reply));
@@ -121,7 +124,7 @@
             throw e.getCause();
         } catch (RuntimeException e) {
             StackTraceElement[] at = e.getStackTrace();
-            SimulatorActionWriter.fault(id, reply, e + (at.length > 0 ? " at " + at[0] : ""));
+            SimulatorActionWriter.writeFault(id, reply, e + (at.length > 0 ? " at " + at[0] : ""));
         }
     }
 
@@ -130,6 +133,6 @@
     }
 
     private static NodeId node(ConfigObject event) throws ConfigException {
-        return new NodeId(event.whole("node"));
+        return new NodeId(event.longValue("node"));
     }
 }
--- a/src/main/java/rosespread/adapter/SimulatorActionWriter.java
+++ b/src/main/java/rosespread/adapter/SimulatorActionWriter.java
@@ -12,11 +12,11 @@
 
 /** Writes a conductor's orders as the wire's actions. */
 final class SimulatorActionWriter implements PolicyActions {
-    private final int conductor;
+    private final int controllerId;
     private final JsonGenerator reply;
 
     SimulatorActionWriter(int conductor, JsonGenerator reply) {
-        this.conductor = conductor;
+        this.controllerId = conductor;
         this.reply = reply;
     }
 
@@ -24,11 +24,11 @@
         void write() throws IOException;
     }
 
-    private void step(String name, Body body) {
+    private void writeAction(String name, Body body) {
         try {
             reply.writeStartObject();
             reply.writeStringField("msg", name);
-            reply.writeNumberField("conductorId", conductor);
+            reply.writeNumberField("conductorId", controllerId);
             body.write();
             reply.writeEndObject();
         } catch (IOException e) {
@@ -36,14 +36,14 @@
         }
     }
 
-    static void fault(int conductor, JsonGenerator reply, String text) {
+    static void writeFault(int conductor, JsonGenerator reply, String text) {
         new SimulatorActionWriter(conductor, reply)
-                .step("Fault", () -> reply.writeStringField("reasonText", text));
+                .writeAction("Fault", () -> reply.writeStringField("reasonText", text));
     }
 
     @Override
     public void setWeight(TableId table, NodeId node, double weight) {
-        step(
+        writeAction(
                 "Assign",
                 () -> {
                     reply.writeNumberField("tbl", table.value());
@@ -54,18 +54,18 @@
 
     @Override
     public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
-        step(
+        writeAction(
                 "Point",
                 () -> {
                     reply.writeNumberField("clientLb", proxy.value());
-                    reply.writeNumberField("classBits", bits(methods));
+                    reply.writeNumberField("classBits", methodBits(methods));
                     reply.writeNumberField("tbl", table.value());
                 });
     }
 
     @Override
     public void setExcluded(NodeId node, boolean out) {
-        step(
+        writeAction(
                 "Cordon",
                 () -> {
                     reply.writeBooleanField("active", out);
@@ -75,12 +75,12 @@
 
     @Override
     public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-        step(
+        writeAction(
                 "Admit",
                 () -> {
                     reply.writeNumberField(
-                            "letIn", Math.min(admitted, NameRegistry.UNBOUNDED_LEVEL));
-                    reply.writeNumberField("secondTry", NameRegistry.RETRY_AFTER_PROOF);
+                            "letIn", Math.min(admitted, NameRegistry.UNBOUNDED_ADMISSION_LIMIT));
+                    reply.writeNumberField("secondTry", NameRegistry.RETRY_ONLY_IF_NOT_EXECUTED);
                     reply.writeNumberField("tbl", table.value());
                     reply.writeNumberField("classBits", 1L << method.value());
                 });
@@ -88,7 +88,7 @@
 
     @Override
     public void requestAcknowledgement(int mark) {
-        step(
+        writeAction(
                 "Mark",
                 () -> {
                     reply.writeNumberField("rev", mark);
@@ -98,17 +98,17 @@
 
     @Override
     public void checkHealth(NodeId node) {
-        step("Ping", () -> reply.writeNumberField("node", node.value()));
+        writeAction("Ping", () -> reply.writeNumberField("node", node.value()));
     }
 
     @Override
     public void watchNodes() {
-        step("StreamChanges", () -> reply.writeBooleanField("active", true));
+        writeAction("StreamChanges", () -> reply.writeBooleanField("active", true));
     }
 
     @Override
     public void startTimer(long nanos) {
-        step(
+        writeAction(
                 "Arm",
                 () -> {
                     reply.writeNumberField("delay", nanos / 1e9);
@@ -118,10 +118,10 @@
 
     @Override
     public void log(String line) {
-        step("Log", () -> reply.writeStringField("reasonText", line));
+        writeAction("Log", () -> reply.writeStringField("reasonText", line));
     }
 
-    private static long bits(Iterable<MethodId> methods) {
+    private static long methodBits(Iterable<MethodId> methods) {
         long bits = 0;
         for (MethodId method : methods) {
             bits |= 1L << method.value();
--- a/src/main/java/rosespread/adapter/SimulatorAdapter.java
+++ b/src/main/java/rosespread/adapter/SimulatorAdapter.java
@@ -24,7 +24,7 @@
     private final JsonFactory json = new JsonFactory();
     private final BufferedReader in;
     private final OutputStream out;
-    private final Map<Integer, SimulatedController> conductors = new TreeMap<>();
+    private final Map<Integer, SimulatedController> controllers = new TreeMap<>();
 
     public SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
@@ -32,35 +32,36 @@
     }
 
     /** Answers batches until the input ends. */
-    public void run() throws IOException, WireException {
+    public void run() throws IOException, MalformedBatchException {
         long number = 0;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             number++;
             try {
-                answer(line).writeTo(out);
+                reply(line).writeTo(out);
                 out.flush();
             } catch (JsonProcessingException e) {
-                throw new WireException(
+                throw new MalformedBatchException(
                         "line " + number + " is not a batch: " + e.getOriginalMessage());
             } catch (ConfigException e) {
-                throw new WireException("line " + number + " is not a batch: " + e.getMessage());
+                throw new MalformedBatchException(
+                        "line " + number + " is not a batch: " + e.getMessage());
             }
         }
     }
 
-    private ByteArrayOutputStream answer(String line) throws IOException, ConfigException {
+    private ByteArrayOutputStream reply(String line) throws IOException, ConfigException {
         ConfigObject batch = ConfigObject.of("the line", parse(line));
-        long now = batch.nanos("simTime");
+        long now = batch.secondsAsNanos("simTime");
         Map<Integer, SimulatedController> concerned = new TreeMap<>();
         for (ConfigObject event : batch.requiredObjects("msgs")) {
-            take(event, concerned);
+            dispatch(event, concerned);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator reply = json.createGenerator(bytes)) {
             reply.writeStartObject();
             reply.writeArrayFieldStart("steps");
             for (SimulatedController conductor : concerned.values()) {
-                conductor.round(now, reply);
+                conductor.runRound(now, reply);
             }
             reply.writeEndArray();
             reply.writeEndObject();
@@ -83,23 +84,23 @@
      * An event of a conductor that has not been launched is passed over: nobody is there to hear
      * it.
      */
-    private void take(ConfigObject event, Map<Integer, SimulatedController> concerned)
+    private void dispatch(ConfigObject event, Map<Integer, SimulatedController> concerned)
             throws ConfigException {
         int id = event.integer("conductorId");
         switch (event.text("msg")) {
             case "Launch" -> {
                 SimulatedController launched = new SimulatedController(id, event);
-                conductors.put(id, launched);
+                controllers.put(id, launched);
                 concerned.put(id, launched);
             }
             case "Detach" -> {
-                conductors.remove(id);
+                controllers.remove(id);
                 concerned.remove(id);
             }
             default -> {
-                SimulatedController conductor = conductors.get(id);
+                SimulatedController conductor = controllers.get(id);
                 if (conductor != null) {
-                    conductor.take(event);
+                    conductor.handleEvent(event);
                     concerned.put(id, conductor);
                 }
             }
--- a/src/main/java/rosespread/adapter/WireNames.java
+++ b/src/main/java/rosespread/adapter/WireNames.java
@@ -7,7 +7,7 @@
 final class WireNames {
     private WireNames() {}
 
-    static EventHandler.HealthCheckResult verdict(String name) {
+    static EventHandler.HealthCheckResult healthCheckResult(String name) {
         return switch (name) {
             case "delivered" -> EventHandler.HealthCheckResult.PASSED;
             case "shed" -> EventHandler.HealthCheckResult.REJECTED;
@@ -17,7 +17,7 @@
         };
     }
 
-    static EventHandler.NodeListKind listKind(String name) throws ConfigException {
+    static EventHandler.NodeListKind nodeListKind(String name) throws ConfigException {
         return switch (name) {
             case "Partial" -> EventHandler.NodeListKind.INCREMENTAL;
             case "Complete" -> EventHandler.NodeListKind.FULL;
@@ -27,7 +27,7 @@
         };
     }
 
-    static EventHandler.NodeState state(String name) throws ConfigException {
+    static EventHandler.NodeState nodeState(String name) throws ConfigException {
         return switch (name) {
             case "ready" -> EventHandler.NodeState.READY;
             case "draining" -> EventHandler.NodeState.DRAINING;
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -4,8 +4,8 @@
 import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import rosespread.adapter.MalformedBatchException;
 import rosespread.adapter.SimulatorAdapter;
-import rosespread.adapter.WireException;
 
 /** The program: one subcommand a job. */
 @Command(
@@ -74,7 +74,7 @@
         try {
             new SimulatorAdapter(System.in, System.out).run();
             return 0;
-        } catch (WireException | IOException e) {
+        } catch (MalformedBatchException | IOException e) {
             System.err.println("rosespread adapter: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/rosespread/config/ConfigObject.java
+++ b/src/main/java/rosespread/config/ConfigObject.java
@@ -14,11 +14,11 @@
 public final class ConfigObject {
     private static final double SECOND = 1e9;
 
-    private final String what;
+    private final String path;
     private final Map<?, ?> values;
 
     private ConfigObject(String what, Map<?, ?> values) {
-        this.what = what;
+        this.path = what;
         this.values = values;
     }
 
@@ -66,7 +66,7 @@
     }
 
     public ConfigObject object(String key) throws ConfigException {
-        return of(what + "." + key, need(key));
+        return of(path + "." + key, required(key));
     }
 
     public List<?> array(String key) throws ConfigException {
@@ -76,39 +76,39 @@
         if (values.get(key) instanceof List<?> list) {
             return list;
         }
-        throw new ConfigException(what + "." + key + " is not an array");
+        throw new ConfigException(path + "." + key + " is not an array");
     }
 
     public List<ConfigObject> objects(String key) throws ConfigException {
         List<ConfigObject> all = new ArrayList<>();
         for (Object value : array(key)) {
-            all.add(of(what + "." + key + " entry", value));
+            all.add(of(path + "." + key + " entry", value));
         }
         return all;
     }
 
     public List<ConfigObject> requiredObjects(String key) throws ConfigException {
-        need(key);
+        required(key);
         return objects(key);
     }
 
     public String text(String key) throws ConfigException {
-        if (need(key) instanceof String text) {
+        if (required(key) instanceof String text) {
             return text;
         }
-        throw new ConfigException(what + "." + key + " is not a string");
+        throw new ConfigException(path + "." + key + " is not a string");
     }
 
     public String text(String key, String absent) throws ConfigException {
         return has(key) ? text(key) : absent;
     }
 
-    public boolean flag(String key) throws ConfigException {
-        return has(key) && flagOf(need(key), key);
+    public boolean booleanValue(String key) throws ConfigException {
+        return has(key) && flagOf(required(key), key);
     }
 
     /** The flag at a place of an array; false beyond its end. */
-    boolean flagAt(String key, int place) throws ConfigException {
+    boolean booleanAt(String key, int place) throws ConfigException {
         List<?> all = array(key);
         return place < all.size() && flagOf(all.get(place), key);
     }
@@ -117,14 +117,14 @@
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw new ConfigException(what + "." + key + " is not true or false");
+        throw new ConfigException(path + "." + key + " is not true or false");
     }
 
     public double number(String key) throws ConfigException {
-        if (need(key) instanceof Number number) {
+        if (required(key) instanceof Number number) {
             return number.doubleValue();
         }
-        throw new ConfigException(what + "." + key + " is not a number");
+        throw new ConfigException(path + "." + key + " is not a number");
     }
 
     public double number(String key, double absent) throws ConfigException {
@@ -132,32 +132,32 @@
     }
 
     public int integer(String key) throws ConfigException {
-        return (int) whole(key);
+        return (int) longValue(key);
     }
 
     public int integer(String key, int absent) throws ConfigException {
         return has(key) ? integer(key) : absent;
     }
 
-    public long whole(String key) throws ConfigException {
-        if (need(key) instanceof Number number) {
+    public long longValue(String key) throws ConfigException {
+        if (required(key) instanceof Number number) {
             return number.longValue();
         }
-        throw new ConfigException(what + "." + key + " is not a number");
+        throw new ConfigException(path + "." + key + " is not a number");
     }
 
-    public long nanos(String key) throws ConfigException {
+    public long secondsAsNanos(String key) throws ConfigException {
         return Math.round(number(key) * SECOND);
     }
 
-    public long nanos(String key, long absent) throws ConfigException {
-        return has(key) ? nanos(key) : absent;
+    public long secondsAsNanos(String key, long absent) throws ConfigException {
+        return has(key) ? secondsAsNanos(key) : absent;
     }
 
-    private Object need(String key) throws ConfigException {
+    private Object required(String key) throws ConfigException {
         Object value = values.get(key);
         if (value == null) {
-            throw new ConfigException(what + " lacks \"" + key + "\"");
+            throw new ConfigException(path + " lacks \"" + key + "\"");
         }
         return value;
     }
--- a/src/main/java/rosespread/config/NameRegistry.java
+++ b/src/main/java/rosespread/config/NameRegistry.java
@@ -16,16 +16,16 @@
 /** The names that one conductor's settings give, and the settings themselves; names end here. */
 public final class NameRegistry {
     /** Stands for a level without bound, far above what a proxy can meet. */
-    public static final double UNBOUNDED_LEVEL = 1e6;
+    public static final double UNBOUNDED_ADMISSION_LIMIT = 1e6;
 
     /** How a further try is told that comes only after proof that the first never ran. */
-    public static final int RETRY_AFTER_PROOF = 1;
+    public static final int RETRY_ONLY_IF_NOT_EXECUTED = 1;
 
     private final Map<String, Integer> zones = new TreeMap<>();
-    private final Map<String, Integer> kinds = new TreeMap<>();
+    private final Map<String, Integer> machineTypes = new TreeMap<>();
     private final Map<String, Integer> methods = new TreeMap<>();
     private final List<String> methodNames = new ArrayList<>();
-    private final int namedZones;
+    private final int configuredZones;
     private final int utilization;
 
     public NameRegistry(ConfigObject info) throws ConfigException {
@@ -33,13 +33,13 @@
             zones.putIfAbsent(String.valueOf(zone), zones.size());
         }
         for (Object kind : info.array("kinds")) {
-            kinds.putIfAbsent(String.valueOf(kind), kinds.size());
+            machineTypes.putIfAbsent(String.valueOf(kind), machineTypes.size());
         }
         for (ConfigObject method : info.requiredObjects("profiles")) {
             methods.put(method.text("name"), methods.size());
             methodNames.add(method.text("name"));
         }
-        namedZones = zones.size();
+        configuredZones = zones.size();
         utilization =
                 info.has("report")
                         ? info.object("report").array("columns").indexOf("utilization")
@@ -52,9 +52,9 @@
         return new ZoneId(zones.get(name));
     }
 
-    public synchronized MachineTypeId kind(String name) {
-        kinds.putIfAbsent(name, kinds.size());
-        return new MachineTypeId(kinds.get(name));
+    public synchronized MachineTypeId machineType(String name) {
+        machineTypes.putIfAbsent(name, machineTypes.size());
+        return new MachineTypeId(machineTypes.get(name));
     }
 
     public MethodId method(String name) throws ConfigException {
@@ -66,8 +66,8 @@
     }
 
     /** Whether the settings name this zone, unlike one that only a list brought. */
-    public synchronized boolean namesZone(String name) {
-        return zones.containsKey(name) && zones.get(name) < namedZones;
+    public synchronized boolean isConfiguredZone(String name) {
+        return zones.containsKey(name) && zones.get(name) < configuredZones;
     }
 
     public Optional<MethodId> findMethod(String name) {
@@ -93,34 +93,34 @@
         ConfigObject limits = info.object("policyLimits");
         List<PolicySettings.Method> decoded = new ArrayList<>();
         for (ConfigObject method : info.requiredObjects("profiles")) {
-            decoded.add(method(method, domain.flagAt("zoneBound", decoded.size())));
+            decoded.add(method(method, domain.booleanAt("zoneBound", decoded.size())));
         }
         return new PolicySettings(
                 List.copyOf(decoded),
                 zones.size(),
                 domain.integer("shards", 0) > 0,
                 info.text("membershipMode", "automatic").equals("subscribe"),
-                limits.flag("probes"),
+                limits.booleanValue("probes"),
                 throttle(domain.text("throttleBy", "off")),
                 domain.number("channelRate"),
                 domain.number("overhead"),
                 domain.number("queueCap"),
                 domain.number("costPerLine", 0),
                 domain.integer("pushesAllowed", 0),
-                domain.nanos("countedOver", 0),
-                domain.nanos("pushDelayMax", 0),
-                domain.nanos("reportEvery"),
-                rules.nanos("stopSendingWithin"),
-                rules.nanos("cold"),
+                domain.secondsAsNanos("countedOver", 0),
+                domain.secondsAsNanos("pushDelayMax", 0),
+                domain.secondsAsNanos("reportEvery"),
+                rules.secondsAsNanos("stopSendingWithin"),
+                rules.secondsAsNanos("cold"),
                 rules.number("coldShare"),
-                rules.nanos("overloadFor"));
+                rules.secondsAsNanos("overloadFor"));
     }
 
     private PolicySettings.Method method(ConfigObject method, boolean ownZone)
             throws ConfigException {
         return new PolicySettings.Method(
                 method.number("importance"),
-                places(method, "onlyKinds", name -> kind(name).value(), MachineTypeId::new),
+                places(method, "onlyKinds", name -> machineType(name).value(), MachineTypeId::new),
                 places(method, "onlyZones", name -> zone(name).value(), ZoneId::new),
                 ownZone);
     }
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -48,7 +48,7 @@
     public static final Planning MODULE =
             (settings, seed) -> {
                 RoutingPolicy brain =
-                        new RoutingPolicy(settings.module(), new SplittableRandom(seed));
+                        new RoutingPolicy(settings.policySettings(), new SplittableRandom(seed));
                 return brain::round;
             };
 
@@ -223,7 +223,7 @@
                     core.apply(now, settings);
                     peers.follow(settings.peers());
                     if (!at.onDemand()) {
-                        list.follow();
+                        list.start();
                     }
                     taken.complete(null);
                 });
@@ -364,14 +364,14 @@
         }
     }
 
-    private final class ListEars implements NodeListClient.Follower {
+    private final class ListEars implements NodeListClient.Listener {
         @Override
-        public void whole(List<ListedNode> nodes) {
+        public void nodeListReceived(List<ListedNode> nodes) {
             inbox.put(now -> core.list(now, nodes));
         }
 
         @Override
-        public void unavailable(String why) {
+        public void nodeListUnavailable(String why) {
             inbox.put(now -> core.listUnavailable(now, why));
         }
     }
@@ -391,7 +391,7 @@
 
         @Override
         public void watchNodes() {
-            list.follow();
+            list.start();
         }
     }
 }
--- a/src/main/java/rosespread/eventloop/EventLoop.java
+++ b/src/main/java/rosespread/eventloop/EventLoop.java
@@ -12,22 +12,22 @@
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    private static final long LEAST_SLEEP = 200_000L;
-    private static final long LONGEST_SLEEP = 20_000_000L;
-    private static final int EVENTS_A_TURN = 4096;
+    private static final long MIN_WAIT_NANOS = 200_000L;
+    private static final long MAX_WAIT_NANOS = 20_000_000L;
+    private static final int MAX_EVENTS_PER_ITERATION = 4096;
 
     /** Turns that only failed for so long, and so often, will not come right again. */
-    private static final long FAILING_MOST = 10_000_000_000L;
+    private static final long MAX_FAILING_NANOS = 10_000_000_000L;
 
-    private static final int FAILURES_MOST = 10;
+    private static final int MAX_CONSECUTIVE_FAILURES = 10;
 
-    private final EventQueue inbox;
-    private final LongUnaryOperator turn;
+    private final EventQueue queue;
+    private final LongUnaryOperator round;
     private final LongSupplier clock;
-    private final Runnable lost;
+    private final Runnable onUnexpectedExit;
     private volatile boolean stopping;
-    private int failures;
-    private long failingSince;
+    private int consecutiveFailures;
+    private long failingSinceNanos;
 
     /**
      * @param turn what is done at a time of {@link System#nanoTime()}; returns when to come back
@@ -38,42 +38,44 @@
     }
 
     EventLoop(EventQueue inbox, LongUnaryOperator turn, Runnable lost, LongSupplier clock) {
-        this.inbox = inbox;
-        this.turn = turn;
-        this.lost = lost;
+        this.queue = inbox;
+        this.round = turn;
+        this.onUnexpectedExit = lost;
         this.clock = clock;
     }
 
     @Override
     public void run() {
         try {
-            decide();
+            runUntilStopped();
         } finally {
             if (!stopping) {
-                lost.run();
+                onUnexpectedExit.run();
             }
         }
     }
 
-    private void decide() {
-        while (!stopping && !failing()) {
+    private void runUntilStopped() {
+        while (!stopping && !hasFailedForGood()) {
             long now = clock.getAsLong();
-            EventQueue.Event event = inbox.poll();
+            EventQueue.Event event = queue.poll();
             for (int i = 0; event != null; i++) {
-                guarded(event, now);
-                event = i < EVENTS_A_TURN ? inbox.poll() : null;
+                runGuarded(event, now);
+                event = i < MAX_EVENTS_PER_ITERATION ? queue.poll() : null;
             }
             long[] next = {now};
-            boolean well = guarded(time -> next[0] = turn.applyAsLong(time), now);
-            failingSince = failures == 0 ? now : failingSince;
-            failures = well ? 0 : failures + 1;
-            inbox.await(
-                    Math.min(LONGEST_SLEEP, Math.max(LEAST_SLEEP, next[0] - clock.getAsLong())));
+            boolean well = runGuarded(time -> next[0] = round.applyAsLong(time), now);
+            failingSinceNanos = consecutiveFailures == 0 ? now : failingSinceNanos;
+            consecutiveFailures = well ? 0 : consecutiveFailures + 1;
+            queue.await(
+                    Math.min(
+                            MAX_WAIT_NANOS, Math.max(MIN_WAIT_NANOS, next[0] - clock.getAsLong())));
         }
     }
 
-    private boolean failing() {
-        return failures > FAILURES_MOST && clock.getAsLong() - failingSince > FAILING_MOST;
+    private boolean hasFailedForGood() {
+        return consecutiveFailures > MAX_CONSECUTIVE_FAILURES
+                && clock.getAsLong() - failingSinceNanos > MAX_FAILING_NANOS;
     }
 
     public void stop() {
@@ -85,7 +87,7 @@
      * holds for an Error too, such as a heap that was full for a moment; the thread would end
      * without a word.
      */
-    private static boolean guarded(EventQueue.Event event, long now) {
+    private static boolean runGuarded(EventQueue.Event event, long now) {
         try {
             event.handle(now);
             return true;
--- a/src/main/java/rosespread/eventloop/EventQueue.java
+++ b/src/main/java/rosespread/eventloop/EventQueue.java
@@ -16,37 +16,37 @@
         void handle(long now);
     }
 
-    private static final int ROOM = 1 << 16;
-    private static final long PAUSE = 100_000L;
+    private static final int CAPACITY = 1 << 16;
+    private static final long OFFER_RETRY_NANOS = 100_000L;
 
-    private final MpscArrayQueue<Event> queue = new MpscArrayQueue<>(ROOM);
-    private final LongAdder dropped = new LongAdder();
-    private volatile Thread reader;
-    private volatile boolean sleeping;
+    private final MpscArrayQueue<Event> queue = new MpscArrayQueue<>(CAPACITY);
+    private final LongAdder droppedReports = new LongAdder();
+    private volatile Thread consumer;
+    private volatile boolean consumerWaiting;
     private volatile boolean closed;
 
     public void put(Event event) {
         while (!closed && !queue.offer(event)) {
-            LockSupport.parkNanos(PAUSE);
+            LockSupport.parkNanos(OFFER_RETRY_NANOS);
         }
-        wake();
+        wakeConsumer();
     }
 
     public void putReport(Event event) {
-        if (!queue.offerIfBelowThreshold(event, ROOM / 2)) {
-            dropped.increment();
+        if (!queue.offerIfBelowThreshold(event, CAPACITY / 2)) {
+            droppedReports.increment();
         }
-        wake();
+        wakeConsumer();
     }
 
-    private void wake() {
-        if (sleeping) {
-            LockSupport.unpark(reader);
+    private void wakeConsumer() {
+        if (consumerWaiting) {
+            LockSupport.unpark(consumer);
         }
     }
 
     public long droppedReports() {
-        return dropped.sum();
+        return droppedReports.sum();
     }
 
     /** Nothing is taken any more; those who wait for room go on. */
@@ -60,11 +60,11 @@
 
     /** Waits on the decision thread until something comes or the time is over. */
     void await(long nanos) {
-        reader = Thread.currentThread();
-        sleeping = true;
+        consumer = Thread.currentThread();
+        consumerWaiting = true;
         if (queue.isEmpty() && nanos > 0) {
             LockSupport.parkNanos(nanos);
         }
-        sleeping = false;
+        consumerWaiting = false;
     }
 }
--- a/src/main/java/rosespread/eventloop/RoundScheduler.java
+++ b/src/main/java/rosespread/eventloop/RoundScheduler.java
@@ -22,36 +22,36 @@
     /**
      * RoundScheduler come at most this often, so that answers that arrive together are one round.
      */
-    private static final long GAP = 10_000_000L;
+    private static final long MIN_ROUND_INTERVAL_NANOS = 10_000_000L;
 
     /** Keeps a fault that comes back from spinning. */
-    private static final long FAULT_PAUSE = 1_000_000_000L;
+    private static final long FAILURE_BACKOFF_NANOS = 1_000_000_000L;
 
-    private List<Consumer<EventHandler>> calls = new ArrayList<>();
-    private long scheduleAt = Long.MAX_VALUE;
-    private long last = Long.MIN_VALUE / 2;
-    private long heldUntil = Long.MIN_VALUE;
-    private Throwable fault;
+    private List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
+    private long scheduledNanos = Long.MAX_VALUE;
+    private long lastRoundNanos = Long.MIN_VALUE / 2;
+    private long backoffUntilNanos = Long.MIN_VALUE;
+    private Throwable unreportedFailure;
     private long roundsRun;
-    private long nanos;
-    private long worst;
+    private long totalRoundNanos;
+    private long maxRoundNanos;
     private long failures;
 
     /** Something came in for the next round. */
     public void add(Consumer<EventHandler> call) {
-        calls.add(call);
+        pendingEvents.add(call);
     }
 
     /** The module wants a round then, or earlier if it said so before. */
     public void scheduleAt(long at) {
-        scheduleAt = Math.min(scheduleAt, at);
+        scheduledNanos = Math.min(scheduledNanos, at);
     }
 
     /** A new module begins: what came for the old one is not for it, but a first round is. */
     public void restart() {
-        calls = new ArrayList<>();
-        scheduleAt = Long.MAX_VALUE;
-        calls.add(observer -> {});
+        pendingEvents = new ArrayList<>();
+        scheduledNanos = Long.MAX_VALUE;
+        pendingEvents.add(observer -> {});
     }
 
     /**
@@ -59,51 +59,53 @@
      * known.
      */
     public long runDue(long now, RoundHandler player) {
-        if (fault != null && now >= heldUntil) {
-            heldUntil = now + FAULT_PAUSE;
-            beginAnew(player);
+        if (unreportedFailure != null && now >= backoffUntilNanos) {
+            backoffUntilNanos = now + FAILURE_BACKOFF_NANOS;
+            reportFailure(player);
         }
-        if (now >= scheduleAt) {
-            scheduleAt = Long.MAX_VALUE;
-            calls.add(EventHandler::timerFired);
+        if (now >= scheduledNanos) {
+            scheduledNanos = Long.MAX_VALUE;
+            pendingEvents.add(EventHandler::timerFired);
         }
-        if (calls.isEmpty()) {
-            return scheduleAt;
+        if (pendingEvents.isEmpty()) {
+            return scheduledNanos;
         }
-        long at = Math.max(last + GAP, heldUntil);
+        long at = Math.max(lastRoundNanos + MIN_ROUND_INTERVAL_NANOS, backoffUntilNanos);
         if (now < at) {
-            return Math.min(scheduleAt, at);
+            return Math.min(scheduledNanos, at);
         }
-        play(now, player);
-        return calls.isEmpty() ? scheduleAt : Math.min(scheduleAt, heldUntil);
+        runRound(now, player);
+        return pendingEvents.isEmpty()
+                ? scheduledNanos
+                : Math.min(scheduledNanos, backoffUntilNanos);
     }
 
     /**
      * Until it has begun without a throw of its own: guards against no module at all, and no round
      * ever.
      */
-    private void beginAnew(RoundHandler player) {
-        player.roundFailed(fault);
-        fault = null;
+    private void reportFailure(RoundHandler player) {
+        player.roundFailed(unreportedFailure);
+        unreportedFailure = null;
     }
 
-    private void play(long now, RoundHandler player) {
-        List<Consumer<EventHandler>> told = calls;
-        calls = new ArrayList<>();
-        last = now;
+    private void runRound(long now, RoundHandler player) {
+        List<Consumer<EventHandler>> told = pendingEvents;
+        pendingEvents = new ArrayList<>();
+        lastRoundNanos = now;
         long began = System.nanoTime();
         try {
             player.runRound(observer -> told.forEach(call -> call.accept(observer)));
         } catch (RuntimeException | Error e) {
             failures++;
-            fault = e;
-            heldUntil = now + FAULT_PAUSE;
-            beginAnew(player);
+            unreportedFailure = e;
+            backoffUntilNanos = now + FAILURE_BACKOFF_NANOS;
+            reportFailure(player);
         }
         long took = System.nanoTime() - began;
         roundsRun++;
-        nanos += took;
-        worst = Math.max(worst, took);
+        totalRoundNanos += took;
+        maxRoundNanos = Math.max(maxRoundNanos, took);
     }
 
     public long roundsRun() {
@@ -112,11 +114,11 @@
 
     /** The mean time of a round, 0 before any. */
     public double meanNanos() {
-        return roundsRun == 0 ? 0 : (double) nanos / roundsRun;
+        return roundsRun == 0 ? 0 : (double) totalRoundNanos / roundsRun;
     }
 
     public long maxNanos() {
-        return worst;
+        return maxRoundNanos;
     }
 
     public long failures() {
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -128,7 +128,7 @@
 
         private ZoneId zone() throws MalformedMessageException {
             String zone = text("locality");
-            if (!names.namesZone(zone)) {
+            if (!names.isConfiguredZone(zone)) {
                 throw new MalformedMessageException(
                         Reason.UNKNOWN, "no zone \"" + shown(zone) + "\"");
             }
--- a/src/main/java/rosespread/platform/PartWriter.java
+++ b/src/main/java/rosespread/platform/PartWriter.java
@@ -63,8 +63,11 @@
                             .collect(Collectors.joining(",")));
         }
         if (!Double.isNaN(part.level())) {
-            add(words, "level", figure(Math.min(part.level(), NameRegistry.UNBOUNDED_LEVEL)));
-            add(words, "retry", Integer.toString(NameRegistry.RETRY_AFTER_PROOF));
+            add(
+                    words,
+                    "level",
+                    figure(Math.min(part.level(), NameRegistry.UNBOUNDED_ADMISSION_LIMIT)));
+            add(words, "retry", Integer.toString(NameRegistry.RETRY_ONLY_IF_NOT_EXECUTED));
         }
         addNodes(words, "out", part.out());
         addNodes(words, "back", part.back());
--- a/src/main/java/rosespread/platform/PlatformState.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -185,7 +185,7 @@
                             observer ->
                                     observer.nodeListed(
                                             id,
-                                            config.names().kind(target.kind()),
+                                            config.names().machineType(target.kind()),
                                             config.names().zone(target.zone()),
                                             target.weight(),
                                             target.state(),
--- a/src/main/java/rosespread/platform/StreamServer.java
+++ b/src/main/java/rosespread/platform/StreamServer.java
@@ -41,7 +41,7 @@
     private static final long UNREAD_MOST = 128L << 10;
 
     private static final long FULL_PAUSE = 2_000_000L;
-    private static final byte[] ALIVE = RespWriter.bytes(List.of("hb_ok"));
+    private static final byte[] ALIVE = RespWriter.encode(List.of("hb_ok"));
 
     private final Acceptor acceptor = new Acceptor();
     private final EventQueue inbox;
@@ -248,7 +248,7 @@
         private void joined(PeerConnection peer, PeerConnection.Role role) {
             peer.role = role;
             known(peer);
-            RespCodec.limit(peer.session, JOINED);
+            RespCodec.setLimits(peer.session, JOINED);
         }
 
         /**
@@ -260,7 +260,7 @@
             counts.rejected.increment();
             peer.role = PeerConnection.Role.REJECTED;
             peer.session.suspendRead();
-            peer.write(RespWriter.bytes(List.of("reject", "reason", why)));
+            peer.write(RespWriter.encode(List.of("reject", "reason", why)));
             peer.session.closeOnFlush();
         }
 
--- a/src/main/java/rosespread/platform/TargetList.java
+++ b/src/main/java/rosespread/platform/TargetList.java
@@ -24,7 +24,7 @@
     }
 
     static TargetList read(ConfigObject list) throws ConfigException {
-        long version = list.whole("version");
+        long version = list.longValue("version");
         List<Target> targets = new ArrayList<>();
         List<ConfigObject> entries = list.requiredObjects("servers");
         if (entries.size() > MOST) {
@@ -37,7 +37,7 @@
                 throw new ConfigException("entry " + i + " of servers: " + e.getMessage());
             }
         }
-        return new TargetList(version, list.flag("full"), List.copyOf(targets));
+        return new TargetList(version, list.booleanValue("full"), List.copyOf(targets));
     }
 
     private static Target target(ConfigObject entry) throws ConfigException {
--- a/src/main/java/rosespread/resp/RespCodec.java
+++ b/src/main/java/rosespread/resp/RespCodec.java
@@ -30,8 +30,8 @@
     }
 
     /** Gives a session other bounds, from its next byte on. */
-    public static void limit(IoSession session, RespLimits next) {
-        ((Decoder) session.getAttribute(DECODER)).parser.limit(next);
+    public static void setLimits(IoSession session, RespLimits next) {
+        ((Decoder) session.getAttribute(DECODER)).parser.setLimits(next);
     }
 
     @Override
@@ -57,7 +57,7 @@
     private static final class Decoder extends ProtocolDecoderAdapter {
         private final Queue<List<String>> parsed = new ArrayDeque<>();
         private final RespParser parser;
-        private boolean broken;
+        private boolean failed;
 
         Decoder(RespLimits limits) {
             parser = new RespParser(limits, parsed::add);
@@ -66,14 +66,14 @@
         @Override
         public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out)
                 throws RespException {
-            if (broken) {
+            if (failed) {
                 in.skip(in.remaining());
                 return;
             }
             try {
                 parser.feed(in.buf());
             } catch (RespException e) {
-                broken = true;
+                failed = true;
                 throw e;
             } finally {
                 for (List<String> one = parsed.poll(); one != null; one = parsed.poll()) {
--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -13,7 +13,7 @@
  * command. Memory is taken as bytes come, never by what a length promises.
  */
 public final class RespParser {
-    private enum Place {
+    private enum State {
         ARRAY,
         COUNT,
         BULK,
@@ -24,133 +24,134 @@
     }
 
     /** No number within the bounds has more digits. */
-    private static final int DIGITS = 9;
+    private static final int MAX_DIGITS = 9;
 
-    private final Consumer<List<String>> out;
+    private final Consumer<List<String>> messageConsumer;
     private RespLimits limits;
-    private Place place = Place.ARRAY;
+    private State state = State.ARRAY;
     private long offset;
-    private long begun;
+    private long messageStart;
     private int number;
     private int digits;
-    private boolean sawReturn;
-    private int strings;
-    private int left;
+    private boolean carriageReturnSeen;
+    private int expectedStrings;
+    private int remainingBytes;
     private List<String> message = new ArrayList<>();
-    private ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
+    private ByteArrayOutputStream string = new ByteArrayOutputStream(32);
 
     public RespParser(RespLimits limits, Consumer<List<String>> out) {
         this.limits = limits;
-        this.out = out;
+        this.messageConsumer = out;
     }
 
     /** Other bounds from now on, such as once a peer has said who it is. */
-    public void limit(RespLimits next) {
+    public void setLimits(RespLimits next) {
         limits = next;
     }
 
     /** Takes all bytes of the buffer. After an error nothing more may be fed. */
     public void feed(ByteBuffer in) throws RespException {
         while (in.hasRemaining()) {
-            if (place == Place.BYTES) {
+            if (state == State.BYTES) {
                 takeBytes(in);
             } else {
-                take(in.get());
+                takeByte(in.get());
                 offset++;
             }
         }
     }
 
-    private void take(byte b) throws RespException {
-        switch (place) {
+    private void takeByte(byte b) throws RespException {
+        switch (state) {
             case ARRAY -> {
-                begun = offset;
-                begin(b, '*', Place.COUNT);
+                messageStart = offset;
+                startLength(b, '*', State.COUNT);
             }
-            case BULK -> begin(b, '$', Place.LENGTH);
-            case COUNT, LENGTH -> takeNumber(b);
+            case BULK -> startLength(b, '$', State.LENGTH);
+            case COUNT, LENGTH -> takeLengthByte(b);
             case RETURN -> {
-                need(b, '\r');
-                place = Place.FEED;
+                expect(b, '\r');
+                state = State.FEED;
             }
             case FEED -> {
-                need(b, '\n');
-                stringEnds();
+                expect(b, '\n');
+                stringComplete();
             }
-            default -> throw new IllegalStateException(place.name());
+            default -> throw new IllegalStateException(state.name());
         }
     }
 
-    private void begin(byte b, char mark, Place next) throws RespException {
-        need(b, mark);
+    private void startLength(byte b, char mark, State next) throws RespException {
+        expect(b, mark);
         number = 0;
         digits = 0;
-        sawReturn = false;
-        place = next;
+        carriageReturnSeen = false;
+        state = next;
     }
 
-    private void need(byte b, char wanted) throws RespException {
+    private void expect(byte b, char wanted) throws RespException {
         if (b != wanted) {
             String name = wanted == '\r' ? "CR" : wanted == '\n' ? "LF" : "'" + wanted + "'";
             throw new RespException(offset, name + " expected, not byte " + (b & 0xFF));
         }
     }
 
-    private void takeNumber(byte b) throws RespException {
-        if (sawReturn) {
-            need(b, '\n');
-            numberEnds();
+    private void takeLengthByte(byte b) throws RespException {
+        if (carriageReturnSeen) {
+            expect(b, '\n');
+            lengthComplete();
         } else if (b == '\r' && digits > 0) {
-            sawReturn = true;
-        } else if (b >= '0' && b <= '9' && digits < DIGITS) {
+            carriageReturnSeen = true;
+        } else if (b >= '0' && b <= '9' && digits < MAX_DIGITS) {
             number = number * 10 + (b - '0');
             digits++;
         } else {
-            throw new RespException(offset, "not a length of at most " + DIGITS + " digits");
+            throw new RespException(offset, "not a length of at most " + MAX_DIGITS + " digits");
         }
     }
 
-    private void numberEnds() throws RespException {
-        if (place == Place.COUNT) {
-            if (number < 1 || number > limits.strings()) {
-                throw new RespException(offset, number + " strings, not 1 to " + limits.strings());
+    private void lengthComplete() throws RespException {
+        if (state == State.COUNT) {
+            if (number < 1 || number > limits.maxStrings()) {
+                throw new RespException(
+                        offset, number + " strings, not 1 to " + limits.maxStrings());
             }
-            strings = number;
-            place = Place.BULK;
+            expectedStrings = number;
+            state = State.BULK;
             return;
         }
-        if (offset - begun + number > limits.bytes()) {
-            throw new RespException(offset, "message over " + limits.bytes() + " bytes");
+        if (offset - messageStart + number > limits.maxBytes()) {
+            throw new RespException(offset, "message over " + limits.maxBytes() + " bytes");
         }
-        left = number;
-        place = left == 0 ? Place.RETURN : Place.BYTES;
+        remainingBytes = number;
+        state = remainingBytes == 0 ? State.RETURN : State.BYTES;
     }
 
     private void takeBytes(ByteBuffer in) {
-        int count = Math.min(left, in.remaining());
+        int count = Math.min(remainingBytes, in.remaining());
         byte[] part = new byte[count];
         in.get(part);
-        bytes.writeBytes(part);
+        string.writeBytes(part);
         offset += count;
-        left -= count;
-        if (left == 0) {
-            place = Place.RETURN;
+        remainingBytes -= count;
+        if (remainingBytes == 0) {
+            state = State.RETURN;
         }
     }
 
-    private void stringEnds() {
-        message.add(bytes.toString(StandardCharsets.UTF_8));
-        if (bytes.size() > 1024) {
-            bytes = new ByteArrayOutputStream(32);
+    private void stringComplete() {
+        message.add(string.toString(StandardCharsets.UTF_8));
+        if (string.size() > 1024) {
+            string = new ByteArrayOutputStream(32);
         } else {
-            bytes.reset();
+            string.reset();
         }
-        place = Place.BULK;
-        if (message.size() == strings) {
+        state = State.BULK;
+        if (message.size() == expectedStrings) {
             List<String> whole = message;
             message = new ArrayList<>();
-            place = Place.ARRAY;
-            out.accept(whole);
+            state = State.ARRAY;
+            messageConsumer.accept(whole);
         }
     }
 }
--- a/src/main/java/rosespread/resp/RespWriter.java
+++ b/src/main/java/rosespread/resp/RespWriter.java
@@ -8,7 +8,7 @@
 public final class RespWriter {
     private RespWriter() {}
 
-    public static byte[] bytes(List<String> message) {
+    public static byte[] encode(List<String> message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(128);
         write(message, out);
         return out.toByteArray();
@@ -16,17 +16,17 @@
 
     /** Adds one message to what is there. */
     public static void write(List<String> message, ByteArrayOutputStream out) {
-        head('*', message.size(), out);
+        writeHeader('*', message.size(), out);
         for (String text : message) {
             byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-            head('$', bytes.length, out);
+            writeHeader('$', bytes.length, out);
             out.writeBytes(bytes);
             out.write('\r');
             out.write('\n');
         }
     }
 
-    private static void head(char mark, int number, ByteArrayOutputStream out) {
+    private static void writeHeader(char mark, int number, ByteArrayOutputStream out) {
         out.write(mark);
         out.writeBytes(Integer.toString(number).getBytes(StandardCharsets.US_ASCII));
         out.write('\r');
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -23,18 +23,18 @@
         List<String> kinds,
         List<Method> methods,
         Catalogue list,
-        Probes probes,
-        PolicySettings.Throttle levels,
+        HealthChecks probes,
+        PolicySettings.Throttle throttle,
         Channel channel,
         long reportPeriod,
         long drainGrace,
         double drainLeastShare,
         List<InetSocketAddress> peers,
-        Cold cold) {
+        WarmUp cold) {
 
     public record Method(
             String name,
-            double criticality,
+            double priorityWeight,
             List<String> onlyKinds,
             List<String> onlyZones,
             boolean ownZone) {}
@@ -54,14 +54,14 @@
             long silentAfter,
             long backwardsAfter) {}
 
-    public record Probes(boolean allowed, String path, long timeout) {}
+    public record HealthChecks(boolean allowed, String path, long timeout) {}
 
     /** The pace and limits of the channel; a message limit of 0 is none. */
     public record Channel(
             double linesPerSecond,
             double linesPerMessage,
             double queueLimit,
-            double orderPrice,
+            double channelCost,
             int messageLimit,
             long messageSpan,
             long longestWay,
@@ -71,21 +71,21 @@
      * How nodes warm up: how long at most, from what share of their size, and over what window they
      * fall.
      */
-    public record Cold(long time, double share, long window) {}
+    public record WarmUp(long time, double share, long windowNanos) {}
 
     /** What the decision module is told. */
-    public PolicySettings module() {
+    public PolicySettings policySettings() {
         return new PolicySettings(
                 methods.stream().map(this::method).toList(),
                 zones.size(),
                 false,
                 list.onDemand(),
                 probes.allowed(),
-                levels,
+                throttle,
                 channel.linesPerSecond(),
                 channel.linesPerMessage(),
                 channel.queueLimit(),
-                channel.orderPrice(),
+                channel.channelCost(),
                 channel.messageLimit(),
                 channel.messageSpan(),
                 channel.longestWay(),
@@ -93,12 +93,12 @@
                 drainGrace,
                 cold.time(),
                 cold.share(),
-                cold.window());
+                cold.windowNanos());
     }
 
     private PolicySettings.Method method(Method method) {
         return new PolicySettings.Method(
-                method.criticality(),
+                method.priorityWeight(),
                 places(method.onlyKinds(), kinds, MachineTypeId::new),
                 places(method.onlyZones(), zones, ZoneId::new),
                 method.ownZone());
--- a/src/test/java/rosespread/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorAdapterTest.java
@@ -37,7 +37,7 @@
                 + LIST.replace("CID", String.valueOf(conductor));
     }
 
-    private static String run(String input) throws IOException, WireException {
+    private static String run(String input) throws IOException, MalformedBatchException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out)
                 .run();
@@ -88,7 +88,8 @@
                 "{\"simTime\":1,\"msgs\":[{\"msg\":\"x\"}]}  | lacks \"conductorId\""
             })
     void aLineThatIsNotABatchIsToldPlainly(String line, String complaint) {
-        WireException told = assertThrows(WireException.class, () -> run(batch() + line + "\n"));
+        MalformedBatchException told =
+                assertThrows(MalformedBatchException.class, () -> run(batch() + line + "\n"));
         assertTrue(told.getMessage().contains(complaint), told.getMessage());
     }
 
@@ -96,7 +97,8 @@
     @CsvSource({"channelRate", "queueCap", "coldShare", "importance", "profiles", "contract"})
     void settingsThatLackSomethingNeededAreToldPlainly(String key) {
         String info = INFO.replace("'" + key + "'", "'other'");
-        WireException told = assertThrows(WireException.class, () -> run(batch(launch(0, info))));
+        MalformedBatchException told =
+                assertThrows(MalformedBatchException.class, () -> run(batch(launch(0, info))));
         assertTrue(told.getMessage().contains("lacks \"" + key + "\""), told.getMessage());
     }
 }
--- a/src/test/java/rosespread/adapter/SimulatorWireTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorWireTest.java
@@ -41,7 +41,7 @@
 
     private final List<String> batches = new ArrayList<>();
 
-    private static String run(String input) throws IOException, WireException {
+    private static String run(String input) throws IOException, MalformedBatchException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out)
                 .run();
@@ -52,7 +52,7 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator reply = new JsonFactory().createGenerator(bytes)) {
             orders.accept(new SimulatorActionWriter(3, reply));
-            SimulatorActionWriter.fault(3, reply, "why");
+            SimulatorActionWriter.writeFault(3, reply, "why");
         }
         return bytes.toString(StandardCharsets.UTF_8).replace('"', '\'').replace("} {", "}\n{")
                 + "\n";
@@ -99,17 +99,17 @@
         List<String> told = new ArrayList<>();
         for (String word :
                 List.of("delivered", "shed", "expired", "dial_failed", "dropped", "else")) {
-            told.add(String.valueOf(WireNames.verdict(word).ordinal()));
+            told.add(String.valueOf(WireNames.healthCheckResult(word).ordinal()));
         }
         for (String word : List.of("Partial", "Complete", "Persisted", "Error")) {
-            told.add(String.valueOf(WireNames.listKind(word).ordinal()));
+            told.add(String.valueOf(WireNames.nodeListKind(word).ordinal()));
         }
         for (String word : List.of("ready", "draining", "gone")) {
-            told.add(String.valueOf(WireNames.state(word).ordinal()));
+            told.add(String.valueOf(WireNames.nodeState(word).ordinal()));
         }
         assertEquals("0 2 3 4 4 1 2 1 0 3 0 1 2", String.join(" ", told));
-        assertThrows(ConfigException.class, () -> WireNames.listKind("partial"));
-        assertThrows(ConfigException.class, () -> WireNames.state("Ready"));
+        assertThrows(ConfigException.class, () -> WireNames.nodeListKind("partial"));
+        assertThrows(ConfigException.class, () -> WireNames.nodeState("Ready"));
     }
 
     private void batch(double time, String... events) {
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void repliesToAFixedSession() throws IOException, WireException {
+    void repliesToAFixedSession() throws IOException, MalformedBatchException {
         session();
         String replies = run(String.join("", batches));
         for (String action : List.of("Assign", "Point", "Mark", "Ping", "StreamChanges", "Arm")) {
--- a/src/test/java/rosespread/platform/FakePeer.java
+++ b/src/test/java/rosespread/platform/FakePeer.java
@@ -43,7 +43,7 @@
     }
 
     void say(String words) throws IOException {
-        raw(RespWriter.bytes(List.of(words.split(" "))));
+        raw(RespWriter.encode(List.of(words.split(" "))));
     }
 
     void raw(byte[] bytes) throws IOException {
--- a/src/test/java/rosespread/resp/RespParserTest.java
+++ b/src/test/java/rosespread/resp/RespParserTest.java
@@ -39,7 +39,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         messages.removeIf(
                 m ->
-                        RespWriter.bytes(m).length > LIMITS.bytes()
+                        RespWriter.encode(m).length > LIMITS.maxBytes()
                                 || !m.stream()
                                         .allMatch(StandardCharsets.UTF_8.newEncoder()::canEncode));
         messages.forEach(message -> RespWriter.write(message, out));
