--- a/src/main/java/rosespread/eventloop/EventLoop.java
+++ b/src/main/java/rosespread/eventloop/EventLoop.java
@@ -6,19 +6,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The body of a decision thread: takes what the inbox holds, then one turn, then waits. One event
- * or turn that goes wrong does not end it, an Error among them; turns that do nothing but fail do,
- * as a conductor that can't decide must not look alive while its other threads go on answering.
+ * The body of the event loop's thread: drains the queue, runs what is due, waits, and begins again.
+ * Everything an event or a round touches is owned by this thread.
+ *
+ * <p>An event or round that throws is logged and does not end the loop, not even by an {@link
+ * Error} such as a heap that was full for a moment. Rounds that do nothing but fail do end it,
+ * after {@link #MAX_FAILING_NANOS} and more than {@link #MAX_CONSECUTIVE_FAILURES} of them: a
+ * controller that cannot decide must not look alive while its I/O threads go on answering.
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+
+    /** Keeps a round that is always due from taking a whole core. */
     private static final long MIN_WAIT_NANOS = 200_000L;
+
+    /** Bounds the delay of what was scheduled without a wake-up. */
     private static final long MAX_WAIT_NANOS = 20_000_000L;
-    private static final int MAX_EVENTS_PER_ITERATION = 4096;
 
-    /** Turns that only failed for so long, and so often, will not come right again. */
-    private static final long MAX_FAILING_NANOS = 10_000_000_000L;
+    /** Rounds run between so many events, even under a load that never lets the queue run empty. */
+    private static final int MAX_EVENTS_PER_ITERATION = 4097;
 
+    private static final long MAX_FAILING_NANOS = 10_000_000_000L;
     private static final int MAX_CONSECUTIVE_FAILURES = 10;
 
     private final EventQueue queue;
@@ -30,20 +38,30 @@
     private long failingSinceNanos;
 
     /**
-     * @param turn what is done at a time of {@link System#nanoTime()}; returns when to come back
-     * @param lost called once, on this thread, if it ends though nobody stopped it
+     * An event loop on the clock of {@link System#nanoTime()}.
+     *
+     * @param queue the events; this loop is its only consumer
+     * @param round runs what is due at the time it is given, and returns when to be called again;
+     *     both are times of {@link System#nanoTime()}
+     * @param onUnexpectedExit called once, on the loop's thread, if the loop ends without {@link
+     *     #stop}
      */
-    public EventLoop(EventQueue inbox, LongUnaryOperator turn, Runnable lost) {
-        this(inbox, turn, lost, System::nanoTime);
+    public EventLoop(EventQueue queue, LongUnaryOperator round, Runnable onUnexpectedExit) {
+        this(queue, round, onUnexpectedExit, System::nanoTime);
     }
 
-    EventLoop(EventQueue inbox, LongUnaryOperator turn, Runnable lost, LongSupplier clock) {
-        this.queue = inbox;
-        this.round = turn;
-        this.onUnexpectedExit = lost;
+    EventLoop(
+            EventQueue queue,
+            LongUnaryOperator round,
+            Runnable onUnexpectedExit,
+            LongSupplier clock) {
+        this.queue = queue;
+        this.round = round;
+        this.onUnexpectedExit = onUnexpectedExit;
         this.clock = clock;
     }
 
+    /** Runs on the calling thread until {@link #stop}, or until rounds have failed for good. */
     @Override
     public void run() {
         try {
@@ -58,18 +76,10 @@
     private void runUntilStopped() {
         while (!stopping && !hasFailedForGood()) {
             long now = clock.getAsLong();
-            EventQueue.Event event = queue.poll();
-            for (int i = 0; event != null; i++) {
-                runGuarded(event, now);
-                event = i < MAX_EVENTS_PER_ITERATION ? queue.poll() : null;
-            }
-            long[] next = {now};
-            boolean well = runGuarded(time -> next[0] = round.applyAsLong(time), now);
-            failingSinceNanos = consecutiveFailures == 0 ? now : failingSinceNanos;
-            consecutiveFailures = well ? 0 : consecutiveFailures + 1;
-            queue.await(
-                    Math.min(
-                            MAX_WAIT_NANOS, Math.max(MIN_WAIT_NANOS, next[0] - clock.getAsLong())));
+            handleEvents(now);
+            long nextNanos = runRound(now);
+            long waitNanos = nextNanos - clock.getAsLong();
+            queue.await(Math.min(MAX_WAIT_NANOS, Math.max(MIN_WAIT_NANOS, waitNanos)));
         }
     }
 
@@ -78,22 +88,42 @@
                 && clock.getAsLong() - failingSinceNanos > MAX_FAILING_NANOS;
     }
 
-    public void stop() {
-        stopping = true;
+    private void handleEvents(long now) {
+        for (int handled = 0; handled < MAX_EVENTS_PER_ITERATION; handled++) {
+            EventQueue.Event event = queue.poll();
+            if (event == null) {
+                return;
+            }
+            handleEvent(event, now);
+        }
     }
 
-    /**
-     * One event that goes wrong must not end the only thread that decides: the rest go on. That
-     * holds for an Error too, such as a heap that was full for a moment; the thread would end
-     * without a word.
-     */
-    private static boolean runGuarded(EventQueue.Event event, long now) {
+    private static void handleEvent(EventQueue.Event event, long now) {
         try {
             event.handle(now);
-            return true;
         } catch (RuntimeException | Error e) {
-            LOG.error("an event could not be taken up", e);
-            return false;
+            LOG.error("event handler failed", e);
         }
     }
+
+    /** Returns when to come back; at once if the round failed. */
+    private long runRound(long now) {
+        try {
+            long nextNanos = round.applyAsLong(now);
+            consecutiveFailures = 0;
+            return nextNanos;
+        } catch (RuntimeException | Error e) {
+            LOG.error("round failed", e);
+            if (consecutiveFailures == 0) {
+                failingSinceNanos = now;
+            }
+            consecutiveFailures++;
+            return now;
+        }
+    }
+
+    /** Ends the loop after its current iteration; may be called from any thread. */
+    public void stop() {
+        stopping = true;
+    }
 }
--- a/src/main/java/rosespread/eventloop/RoundScheduler.java
+++ b/src/main/java/rosespread/eventloop/RoundScheduler.java
@@ -7,61 +7,81 @@
 import rosespread.api.EventSource;
 
 /**
- * Keeps a module's rounds for one decision thread: what came in since the last, when it wants to be
- * woken, the least gap between two, and a pause after it threw. Times in nanoseconds.
+ * Decides when the policy runs a round, and gathers the events for it. Rounds keep a minimum
+ * interval, so that events which arrive together are one round; after a round that threw, a backoff
+ * passes before the next.
+ *
+ * <p>Owned by the event loop's thread; not thread-safe. All times are nanoseconds of {@link
+ * System#nanoTime()}.
  */
 public final class RoundScheduler {
-    /** What a round is played with. */
+    /** Runs rounds, and replaces the policy after one that failed. */
     public interface RoundHandler {
-        void runRound(EventSource feed);
-
-        /** The module threw and has lost its place; what begins it anew tells it all it needs. */
-        void roundFailed(Throwable fault);
+        /**
+         * Runs one round with the events since the last one. What it throws, an {@link Error}
+         * included, is a failed round.
+         */
+        void runRound(EventSource events);
+
+        /**
+         * Called after a round that threw: the policy's state cannot be trusted, so a new policy is
+         * to be made, told all that it needs, and {@link RoundScheduler#restart} called. If this
+         * throws as well, it is called again after the backoff, and no round runs before.
+         *
+         * @param failure what the round threw
+         */
+        void roundFailed(Throwable failure);
     }
 
-    /**
-     * RoundScheduler come at most this often, so that answers that arrive together are one round.
-     */
     private static final long MIN_ROUND_INTERVAL_NANOS = 10_000_000L;
 
-    /** Keeps a fault that comes back from spinning. */
+    /** Keeps a failure that recurs at once from taking a whole core. */
     private static final long FAILURE_BACKOFF_NANOS = 1_000_000_000L;
 
     private List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
     private long scheduledNanos = Long.MAX_VALUE;
     private long lastRoundNanos = Long.MIN_VALUE / 2;
     private long backoffUntilNanos = Long.MIN_VALUE;
+
+    /** What the last round threw, until {@link RoundHandler#roundFailed} has returned. */
     private Throwable unreportedFailure;
+
     private long roundsRun;
     private long totalRoundNanos;
     private long maxRoundNanos;
     private long failures;
 
-    /** Something came in for the next round. */
-    public void add(Consumer<EventHandler> call) {
-        pendingEvents.add(call);
+    /** Adds an event for the next round, which is then due as soon as the interval allows. */
+    public void add(Consumer<EventHandler> event) {
+        pendingEvents.add(event);
     }
 
-    /** The module wants a round then, or earlier if it said so before. */
-    public void scheduleAt(long at) {
-        scheduledNanos = Math.min(scheduledNanos, at);
+    /** Schedules a timer event for this time; an earlier one that is scheduled already stays. */
+    public void scheduleAt(long nanos) {
+        scheduledNanos = Math.min(scheduledNanos, nanos);
     }
 
-    /** A new module begins: what came for the old one is not for it, but a first round is. */
+    /**
+     * Drops all events and the timer, which were meant for a former policy, and makes a first round
+     * due for the new one.
+     */
     public void restart() {
         pendingEvents = new ArrayList<>();
         scheduledNanos = Long.MAX_VALUE;
-        pendingEvents.add(observer -> {});
+        pendingEvents.add(handler -> {});
     }
 
     /**
-     * Plays a round if one is due; returns when to come back, {@link Long#MAX_VALUE} if nothing is
-     * known.
+     * Runs a round if one is due.
+     *
+     * @param now the current time
+     * @return when to call again, or {@link Long#MAX_VALUE} if nothing is scheduled
+     * @throws RuntimeException or an {@link Error}, if {@link RoundHandler#roundFailed} throws it
      */
-    public long runDue(long now, RoundHandler player) {
+    public long runDue(long now, RoundHandler handler) {
         if (unreportedFailure != null && now >= backoffUntilNanos) {
             backoffUntilNanos = now + FAILURE_BACKOFF_NANOS;
-            reportFailure(player);
+            reportFailure(handler);
         }
         if (now >= scheduledNanos) {
             scheduledNanos = Long.MAX_VALUE;
@@ -70,57 +90,62 @@
         if (pendingEvents.isEmpty()) {
             return scheduledNanos;
         }
-        long at = Math.max(lastRoundNanos + MIN_ROUND_INTERVAL_NANOS, backoffUntilNanos);
-        if (now < at) {
-            return Math.min(scheduledNanos, at);
+        long earliestNanos = Math.max(lastRoundNanos + MIN_ROUND_INTERVAL_NANOS, backoffUntilNanos);
+        if (now < earliestNanos) {
+            return Math.min(scheduledNanos, earliestNanos);
         }
-        runRound(now, player);
+        runRound(now, handler);
         return pendingEvents.isEmpty()
                 ? scheduledNanos
                 : Math.min(scheduledNanos, backoffUntilNanos);
     }
 
-    /**
-     * Until it has begun without a throw of its own: guards against no module at all, and no round
-     * ever.
-     */
-    private void reportFailure(RoundHandler player) {
-        player.roundFailed(unreportedFailure);
-        unreportedFailure = null;
-    }
-
-    private void runRound(long now, RoundHandler player) {
-        List<Consumer<EventHandler>> told = pendingEvents;
+    private void runRound(long now, RoundHandler handler) {
+        List<Consumer<EventHandler>> events = pendingEvents;
         pendingEvents = new ArrayList<>();
         lastRoundNanos = now;
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
-            player.runRound(observer -> told.forEach(call -> call.accept(observer)));
+            handler.runRound(receiver -> events.forEach(event -> event.accept(receiver)));
         } catch (RuntimeException | Error e) {
             failures++;
             unreportedFailure = e;
             backoffUntilNanos = now + FAILURE_BACKOFF_NANOS;
-            reportFailure(player);
+            reportFailure(handler);
         }
-        long took = System.nanoTime() - began;
+        recordDuration(System.nanoTime() - startNanos);
+    }
+
+    /**
+     * The failure is forgotten only once the handler has returned, so that none goes unreported.
+     */
+    private void reportFailure(RoundHandler handler) {
+        handler.roundFailed(unreportedFailure);
+        unreportedFailure = null;
+    }
+
+    private void recordDuration(long durationNanos) {
         roundsRun++;
-        totalRoundNanos += took;
-        maxRoundNanos = Math.max(maxRoundNanos, took);
+        totalRoundNanos += durationNanos;
+        maxRoundNanos = Math.max(maxRoundNanos, durationNanos);
     }
 
+    /** The number of rounds run, failed ones included. */
     public long roundsRun() {
         return roundsRun;
     }
 
-    /** The mean time of a round, 0 before any. */
+    /** The mean duration of a round in nanoseconds; 0 before the first. */
     public double meanNanos() {
         return roundsRun == 0 ? 0 : (double) totalRoundNanos / roundsRun;
     }
 
+    /** The longest duration of a round in nanoseconds; 0 before the first. */
     public long maxNanos() {
         return maxRoundNanos;
     }
 
+    /** The number of rounds that threw. */
     public long failures() {
         return failures;
     }
--- a/src/test/java/rosespread/eventloop/EventLoopTest.java
+++ b/src/test/java/rosespread/eventloop/EventLoopTest.java
@@ -5,60 +5,65 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.LongUnaryOperator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 class EventLoopTest {
-    private static final long SECOND = 1_000_000_000L;
-    private final EventQueue inbox = new EventQueue();
-    private final AtomicInteger turns = new AtomicInteger();
-    private final AtomicInteger lost = new AtomicInteger();
+    private static final long SECOND_NANOS = 1_000_000_000L;
+    private final EventQueue queue = new EventQueue();
+    private final AtomicInteger rounds = new AtomicInteger();
+    private final AtomicInteger unexpectedExits = new AtomicInteger();
 
-    /** Each look at the clock is half a second later. */
+    /** Each reading of the clock is half a second later. */
     private final AtomicLong clock = new AtomicLong();
 
-    private EventLoop loop(java.util.function.LongUnaryOperator turn) {
-        return new EventLoop(inbox, turn, lost::incrementAndGet, () -> clock.addAndGet(SECOND / 2));
+    private EventLoop loop;
+
+    private EventLoop newLoop(LongUnaryOperator round) {
+        return new EventLoop(
+                queue,
+                round,
+                unexpectedExits::incrementAndGet,
+                () -> clock.addAndGet(SECOND_NANOS / 2));
     }
 
     @Test
     @Timeout(20)
-    void anErrorInAnEventOrATurnDoesNotEndIt() {
-        EventLoop[] loop = new EventLoop[1];
-        loop[0] =
-                loop(
+    void errorInAnEventOrARoundDoesNotEndTheLoop() {
+        loop =
+                newLoop(
                         now -> {
-                            if (turns.incrementAndGet() == 1) {
+                            if (rounds.incrementAndGet() == 1) {
                                 throw new OutOfMemoryError("on purpose");
                             }
-                            if (turns.get() == 3) {
-                                loop[0].stop();
+                            if (rounds.get() == 3) {
+                                loop.stop();
                             }
                             return now;
                         });
-        inbox.put(
+        queue.put(
                 now -> {
                     throw new NoClassDefFoundError("on purpose");
                 });
-        loop[0].run();
-        assertEquals(3, turns.get());
-        assertEquals(0, lost.get());
+        loop.run();
+        assertEquals(3, rounds.get());
+        assertEquals(0, unexpectedExits.get());
     }
 
     @Test
     @Timeout(20)
-    void turnsThatOnlyFailEndItAndItSaysSo() {
-        EventLoop[] loop = new EventLoop[1];
-        loop[0] =
-                loop(
+    void roundsThatOnlyFailEndTheLoopAndReportItsExit() {
+        loop =
+                newLoop(
                         now -> {
-                            if (turns.incrementAndGet() == 1000) {
-                                loop[0].stop();
+                            if (rounds.incrementAndGet() == 1000) {
+                                loop.stop();
                             }
                             throw new IllegalStateException("on purpose");
                         });
-        loop[0].run();
-        assertTrue(turns.get() > 10 && turns.get() < 1000, turns + " turns");
-        assertEquals(1, lost.get());
+        loop.run();
+        assertTrue(rounds.get() > 10 && rounds.get() < 1000, rounds + " rounds");
+        assertEquals(1, unexpectedExits.get());
     }
 }
--- a/src/test/java/rosespread/eventloop/RoundSchedulerTest.java
+++ b/src/test/java/rosespread/eventloop/RoundSchedulerTest.java
@@ -9,76 +9,83 @@
 import rosespread.api.EventSource;
 
 class RoundSchedulerTest {
-    private static final long MILLI = 1_000_000L;
-    private final RoundScheduler rounds = new RoundScheduler();
-    private final List<String> seen = new ArrayList<>();
-    private boolean faulty;
-    private boolean lost;
-    private final RoundScheduler.RoundHandler player =
-            new RoundScheduler.RoundHandler() {
-                @Override
-                public void runRound(EventSource feed) {
-                    seen.add("round");
-                    if (faulty) {
-                        throw new StackOverflowError("on purpose");
-                    }
-                }
+    private static final long MILLI_NANOS = 1_000_000L;
+    private final RoundScheduler scheduler = new RoundScheduler();
+    private final RecordingHandler handler = new RecordingHandler();
 
-                @Override
-                public void roundFailed(Throwable fault) {
-                    seen.add("faulted");
-                    if (lost) {
-                        throw new IllegalStateException("can't begin either");
-                    }
-                    rounds.restart();
-                }
-            };
+    /** Records the calls it takes, and throws from those that it is told to fail. */
+    private final class RecordingHandler implements RoundScheduler.RoundHandler {
+        private final List<String> calls = new ArrayList<>();
+        private boolean roundFails;
+        private boolean restartFails;
+
+        @Override
+        public void runRound(EventSource events) {
+            calls.add("round");
+            if (roundFails) {
+                throw new StackOverflowError("on purpose");
+            }
+        }
+
+        @Override
+        public void roundFailed(Throwable failure) {
+            calls.add("failed");
+            if (restartFails) {
+                throw new IllegalStateException("can't restart either");
+            }
+            scheduler.restart();
+        }
+    }
+
+    private long runAtMillis(long millis) {
+        return scheduler.runDue(millis * MILLI_NANOS, handler);
+    }
 
     @Test
-    void whatComesTogetherIsOneRoundAndTheNextWaitsForTheGap() {
-        rounds.add(observer -> {});
-        rounds.add(observer -> {});
-        assertEquals(Long.MAX_VALUE, rounds.runDue(1000 * MILLI, player));
-        rounds.add(observer -> {});
-        assertEquals(1010 * MILLI, rounds.runDue(1001 * MILLI, player));
-        rounds.runDue(1010 * MILLI, player);
-        assertEquals(List.of("round", "round"), seen);
+    void eventsTogetherAreOneRoundAndTheNextKeepsTheInterval() {
+        scheduler.add(event -> {});
+        scheduler.add(event -> {});
+        assertEquals(Long.MAX_VALUE, runAtMillis(1000));
+        scheduler.add(event -> {});
+        assertEquals(1010 * MILLI_NANOS, runAtMillis(1001));
+        runAtMillis(1010);
+        assertEquals(List.of("round", "round"), handler.calls);
     }
 
     @Test
-    void theEarliestWakeUpCounts() {
-        rounds.scheduleAt(1500 * MILLI);
-        rounds.scheduleAt(1200 * MILLI);
-        assertEquals(1200 * MILLI, rounds.runDue(1000 * MILLI, player));
-        rounds.runDue(1200 * MILLI, player);
-        assertEquals(List.of("round"), seen);
+    void earliestScheduledTimeCounts() {
+        scheduler.scheduleAt(1500 * MILLI_NANOS);
+        scheduler.scheduleAt(1200 * MILLI_NANOS);
+        assertEquals(1200 * MILLI_NANOS, runAtMillis(1000));
+        runAtMillis(1200);
+        assertEquals(List.of("round"), handler.calls);
     }
 
     @Test
-    void aModuleThatThrowsBeginsAnewAfterAPause() {
-        faulty = true;
-        rounds.add(observer -> {});
-        assertEquals(2000 * MILLI, rounds.runDue(1000 * MILLI, player));
-        faulty = false;
-        rounds.runDue(1999 * MILLI, player);
-        assertEquals(List.of("round", "faulted"), seen);
-        rounds.runDue(2000 * MILLI, player);
-        assertEquals(List.of("round", "faulted", "round"), seen);
-        assertEquals(1, rounds.failures());
+    void failedRoundIsFollowedByARestartAfterTheBackoff() {
+        handler.roundFails = true;
+        scheduler.add(event -> {});
+        assertEquals(2000 * MILLI_NANOS, runAtMillis(1000));
+        handler.roundFails = false;
+        runAtMillis(1999);
+        assertEquals(List.of("round", "failed"), handler.calls);
+        runAtMillis(2000);
+        assertEquals(List.of("round", "failed", "round"), handler.calls);
+        assertEquals(1, scheduler.failures());
     }
 
     @Test
-    void aModuleThatCannotBeginAnewIsBegunAgainLater() {
-        faulty = true;
-        lost = true;
-        rounds.add(observer -> {});
-        assertThrows(IllegalStateException.class, () -> rounds.runDue(1000 * MILLI, player));
-        rounds.runDue(1500 * MILLI, player);
-        assertEquals(List.of("round", "faulted"), seen);
-        faulty = false;
-        lost = false;
-        rounds.runDue(2000 * MILLI, player);
-        rounds.runDue(3000 * MILLI, player);
-        assertEquals(List.of("round", "faulted", "faulted", "round"), seen);
+    void failedRestartIsTriedAgainAfterTheBackoff() {
+        handler.roundFails = true;
+        handler.restartFails = true;
+        scheduler.add(event -> {});
+        assertThrows(IllegalStateException.class, () -> runAtMillis(1000));
+        runAtMillis(1500);
+        assertEquals(List.of("round", "failed"), handler.calls);
+        handler.roundFails = false;
+        handler.restartFails = false;
+        runAtMillis(2000);
+        runAtMillis(3000);
+        assertEquals(List.of("round", "failed", "failed", "round"), handler.calls);
     }
 }
