--- a/src/main/java/rosespread/resp/RespCodec.java
+++ b/src/main/java/rosespread/resp/RespCodec.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Queue;
 import org.apache.mina.core.buffer.IoBuffer;
+import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.filter.codec.ProtocolCodecFactory;
 import org.apache.mina.filter.codec.ProtocolDecoder;
@@ -14,44 +15,51 @@
 import org.apache.mina.filter.codec.ProtocolEncoderOutput;
 
 /**
- * The parser as a codec of MINA: messages come in as lists of strings and leave as bytes already
- * written. The session keeps its decoder; after an error it takes nothing more.
+ * The codec of RESP2 for MINA. Received messages are passed on as {@code List<String>}; messages to
+ * be sent come as {@code byte[]}, encoded already by {@link RespWriter}.
+ *
+ * <p>The stream may be cut at any byte. Messages before a malformed one are still passed on; then
+ * the decoder throws {@link RespException} once and discards all that follows. Each session has its
+ * own decoder, used on its I/O thread only.
  */
 public final class RespCodec implements ProtocolCodecFactory {
-    private static final String DECODER = "resp decoder";
+    private static final AttributeKey DECODER = new AttributeKey(RespCodec.class, "decoder");
 
     private final RespLimits limits;
 
-    /**
-     * @param limits the bounds that a session begins with
-     */
+    /** A codec whose sessions start with these limits. */
     public RespCodec(RespLimits limits) {
         this.limits = limits;
     }
 
-    /** Gives a session other bounds, from its next byte on. */
-    public static void setLimits(IoSession session, RespLimits next) {
-        ((Decoder) session.getAttribute(DECODER)).parser.setLimits(next);
+    /**
+     * Gives a session other limits, from the next bytes on. To be called on the session's I/O
+     * thread, after the first byte was received.
+     */
+    public static void setLimits(IoSession session, RespLimits limits) {
+        ((Decoder) session.getAttribute(DECODER)).parser.setLimits(limits);
     }
 
     @Override
     public ProtocolEncoder getEncoder(IoSession session) {
-        return new ProtocolEncoderAdapter() {
-            @Override
-            public void encode(IoSession s, Object message, ProtocolEncoderOutput out) {
-                out.write(IoBuffer.wrap((byte[]) message));
-            }
-        };
+        return new Encoder();
     }
 
     @Override
     public ProtocolDecoder getDecoder(IoSession session) {
-        Object kept = session.getAttribute(DECODER);
-        if (kept == null) {
-            kept = new Decoder(limits);
-            session.setAttribute(DECODER, kept);
+        Decoder decoder = (Decoder) session.getAttribute(DECODER);
+        if (decoder == null) {
+            decoder = new Decoder(limits);
+            session.setAttribute(DECODER, decoder);
+        }
+        return decoder;
+    }
+
+    private static final class Encoder extends ProtocolEncoderAdapter {
+        @Override
+        public void encode(IoSession session, Object message, ProtocolEncoderOutput out) {
+            out.write(IoBuffer.wrap((byte[]) message));
         }
-        return (ProtocolDecoder) kept;
     }
 
     private static final class Decoder extends ProtocolDecoderAdapter {
@@ -76,9 +84,15 @@
                 failed = true;
                 throw e;
             } finally {
-                for (List<String> one = parsed.poll(); one != null; one = parsed.poll()) {
-                    out.write(one);
-                }
+                passOn(out);
+            }
+        }
+
+        private void passOn(ProtocolDecoderOutput out) {
+            List<String> message = parsed.poll();
+            while (message != null) {
+                out.write(message);
+                message = parsed.poll();
             }
         }
     }
--- a/src/main/java/rosespread/resp/RespLimits.java
+++ b/src/main/java/rosespread/resp/RespLimits.java
@@ -1,4 +1,9 @@
 package rosespread.resp;
 
-/** Bounds on one message: its bytes in all, framing among them, and how many strings it has. */
+/**
+ * Limits on one message; a message over either is an error.
+ *
+ * @param maxBytes its size on the wire, framing included
+ * @param maxStrings the number of its strings
+ */
 public record RespLimits(int maxBytes, int maxStrings) {}
--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -8,52 +8,75 @@
 import java.util.function.Consumer;
 
 /**
- * Parses a stream of RESP2 arrays of bulk strings (the Redis serialization protocol, version 2)
- * that may be cut at every byte. It takes nothing else of RESP: no null, no nested array, no inline
- * command. Memory is taken as bytes come, never by what a length promises.
+ * An incremental parser of RESP2 arrays of bulk strings. The stream may be cut at any byte.
+ *
+ * <p>Nothing else of RESP is accepted: no null, no empty or nested array, no other type, no inline
+ * command. Memory grows with the bytes received, never by a length that was only announced.
+ *
+ * <p>Not thread-safe; belongs to the I/O thread of its session.
  */
 public final class RespParser {
+    /** What the next byte belongs to. */
     private enum State {
-        ARRAY,
-        COUNT,
-        BULK,
-        LENGTH,
-        BYTES,
-        RETURN,
-        FEED
+        ARRAY_TYPE,
+        ARRAY_LENGTH,
+        STRING_TYPE,
+        STRING_LENGTH,
+        STRING_BYTES,
+        STRING_CR,
+        STRING_LF
     }
 
-    /** No number within the bounds has more digits. */
+    /** No length within any limits has more digits, and none of so many overflows an int. */
     private static final int MAX_DIGITS = 9;
 
+    private static final int INITIAL_STRING_CAPACITY = 32;
+
+    /** A buffer that a longer string made grow is not kept for the next one. */
+    private static final int MAX_KEPT_STRING_BYTES = 1024;
+
     private final Consumer<List<String>> messageConsumer;
     private RespLimits limits;
-    private State state = State.ARRAY;
+    private State state = State.ARRAY_TYPE;
+
+    /** The offset in the stream of the byte that is taken next. */
     private long offset;
-    private long messageStart;
-    private int number;
-    private int digits;
-    private boolean carriageReturnSeen;
+
+    private long messageOffset;
+    private int length;
+    private int lengthDigits;
+    private boolean lengthCrSeen;
     private int expectedStrings;
     private int remainingBytes;
     private List<String> message = new ArrayList<>();
-    private ByteArrayOutputStream string = new ByteArrayOutputStream(32);
+    private ByteArrayOutputStream string = new ByteArrayOutputStream(INITIAL_STRING_CAPACITY);
 
-    public RespParser(RespLimits limits, Consumer<List<String>> out) {
+    /**
+     * A parser at the start of a stream.
+     *
+     * @param limits the limits of a message until {@link #setLimits} gives others
+     * @param messageConsumer called with each complete message, on the thread of {@link #feed}
+     */
+    public RespParser(RespLimits limits, Consumer<List<String>> messageConsumer) {
         this.limits = limits;
-        this.messageConsumer = out;
+        this.messageConsumer = messageConsumer;
     }
 
-    /** Other bounds from now on, such as once a peer has said who it is. */
-    public void setLimits(RespLimits next) {
-        limits = next;
+    /** Changes the limits from the next byte on, such as once a peer has identified itself. */
+    public void setLimits(RespLimits limits) {
+        this.limits = limits;
     }
 
-    /** Takes all bytes of the buffer. After an error nothing more may be fed. */
+    /**
+     * Parses all bytes that remain in the buffer.
+     *
+     * @throws RespException if they are malformed or a message passes its limits; nothing more may
+     *     be fed after that
+     */
     public void feed(ByteBuffer in) throws RespException {
         while (in.hasRemaining()) {
-            if (state == State.BYTES) {
-                takeBytes(in);
+            if (state == State.STRING_BYTES) {
+                takeStringBytes(in);
             } else {
                 takeByte(in.get());
                 offset++;
@@ -63,71 +86,85 @@
 
     private void takeByte(byte b) throws RespException {
         switch (state) {
-            case ARRAY -> {
-                messageStart = offset;
-                startLength(b, '*', State.COUNT);
+            case ARRAY_TYPE -> {
+                messageOffset = offset;
+                takeType(b, '*', State.ARRAY_LENGTH);
             }
-            case BULK -> startLength(b, '$', State.LENGTH);
-            case COUNT, LENGTH -> takeLengthByte(b);
-            case RETURN -> {
+            case STRING_TYPE -> takeType(b, '$', State.STRING_LENGTH);
+            case ARRAY_LENGTH, STRING_LENGTH -> takeLengthByte(b);
+            case STRING_CR -> {
                 expect(b, '\r');
-                state = State.FEED;
+                state = State.STRING_LF;
             }
-            case FEED -> {
+            case STRING_LF -> {
                 expect(b, '\n');
-                stringComplete();
+                finishString();
             }
             default -> throw new IllegalStateException(state.name());
         }
     }
 
-    private void startLength(byte b, char mark, State next) throws RespException {
-        expect(b, mark);
-        number = 0;
-        digits = 0;
-        carriageReturnSeen = false;
+    private void takeType(byte b, char type, State next) throws RespException {
+        expect(b, type);
+        length = 0;
+        lengthDigits = 0;
+        lengthCrSeen = false;
         state = next;
     }
 
-    private void expect(byte b, char wanted) throws RespException {
-        if (b != wanted) {
-            String name = wanted == '\r' ? "CR" : wanted == '\n' ? "LF" : "'" + wanted + "'";
-            throw new RespException(offset, name + " expected, not byte " + (b & 0xFF));
+    private void expect(byte b, char expected) throws RespException {
+        if (b != expected) {
+            throw new RespException(offset, name(expected) + " expected, not byte " + (b & 0xFF));
         }
     }
 
+    private static String name(char expected) {
+        return switch (expected) {
+            case '\r' -> "CR";
+            case '\n' -> "LF";
+            default -> "'" + expected + "'";
+        };
+    }
+
     private void takeLengthByte(byte b) throws RespException {
-        if (carriageReturnSeen) {
+        if (lengthCrSeen) {
             expect(b, '\n');
-            lengthComplete();
-        } else if (b == '\r' && digits > 0) {
-            carriageReturnSeen = true;
-        } else if (b >= '0' && b <= '9' && digits < MAX_DIGITS) {
-            number = number * 10 + (b - '0');
-            digits++;
+            finishLength();
+        } else if (b == '\r' && lengthDigits > 0) {
+            lengthCrSeen = true;
+        } else if (b >= '0' && b <= '9' && lengthDigits < MAX_DIGITS) {
+            length = length * 10 + (b - '0');
+            lengthDigits++;
         } else {
             throw new RespException(offset, "not a length of at most " + MAX_DIGITS + " digits");
         }
     }
 
-    private void lengthComplete() throws RespException {
-        if (state == State.COUNT) {
-            if (number < 1 || number > limits.maxStrings()) {
-                throw new RespException(
-                        offset, number + " strings, not 1 to " + limits.maxStrings());
-            }
-            expectedStrings = number;
-            state = State.BULK;
-            return;
+    private void finishLength() throws RespException {
+        if (state == State.ARRAY_LENGTH) {
+            finishArrayLength();
+        } else {
+            finishStringLength();
+        }
+    }
+
+    private void finishArrayLength() throws RespException {
+        if (length < 1 || length > limits.maxStrings()) {
+            throw new RespException(offset, length + " strings, not 1 to " + limits.maxStrings());
         }
-        if (offset - messageStart + number > limits.maxBytes()) {
+        expectedStrings = length;
+        state = State.STRING_TYPE;
+    }
+
+    private void finishStringLength() throws RespException {
+        if (offset - messageOffset + length > limits.maxBytes()) {
             throw new RespException(offset, "message over " + limits.maxBytes() + " bytes");
         }
-        remainingBytes = number;
-        state = remainingBytes == 0 ? State.RETURN : State.BYTES;
+        remainingBytes = length;
+        state = remainingBytes == 0 ? State.STRING_CR : State.STRING_BYTES;
     }
 
-    private void takeBytes(ByteBuffer in) {
+    private void takeStringBytes(ByteBuffer in) {
         int count = Math.min(remainingBytes, in.remaining());
         byte[] part = new byte[count];
         in.get(part);
@@ -135,23 +172,27 @@
         offset += count;
         remainingBytes -= count;
         if (remainingBytes == 0) {
-            state = State.RETURN;
+            state = State.STRING_CR;
         }
     }
 
-    private void stringComplete() {
+    private void finishString() {
         message.add(string.toString(StandardCharsets.UTF_8));
-        if (string.size() > 1024) {
-            string = new ByteArrayOutputStream(32);
+        if (string.size() > MAX_KEPT_STRING_BYTES) {
+            string = new ByteArrayOutputStream(INITIAL_STRING_CAPACITY);
         } else {
             string.reset();
         }
-        state = State.BULK;
+        state = State.STRING_TYPE;
         if (message.size() == expectedStrings) {
-            List<String> whole = message;
-            message = new ArrayList<>();
-            state = State.ARRAY;
-            messageConsumer.accept(whole);
+            finishMessage();
         }
     }
+
+    private void finishMessage() {
+        List<String> complete = message;
+        message = new ArrayList<>();
+        state = State.ARRAY_TYPE;
+        messageConsumer.accept(complete);
+    }
 }
--- a/src/main/java/rosespread/resp/RespWriter.java
+++ b/src/main/java/rosespread/resp/RespWriter.java
@@ -4,31 +4,37 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes RESP2 arrays of bulk strings. */
+/** Writes messages as RESP2 arrays of bulk strings in UTF-8. */
 public final class RespWriter {
+    private static final int INITIAL_CAPACITY = 128;
+
     private RespWriter() {}
 
+    /** The bytes of one message. */
     public static byte[] encode(List<String> message) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(128);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_CAPACITY);
         write(message, out);
         return out.toByteArray();
     }
 
-    /** Adds one message to what is there. */
+    /** Appends one message to what {@code out} holds. */
     public static void write(List<String> message, ByteArrayOutputStream out) {
         writeHeader('*', message.size(), out);
-        for (String text : message) {
-            byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        for (String string : message) {
+            byte[] bytes = string.getBytes(StandardCharsets.UTF_8);
             writeHeader('$', bytes.length, out);
             out.writeBytes(bytes);
-            out.write('\r');
-            out.write('\n');
+            writeLineEnd(out);
         }
     }
 
-    private static void writeHeader(char mark, int number, ByteArrayOutputStream out) {
-        out.write(mark);
-        out.writeBytes(Integer.toString(number).getBytes(StandardCharsets.US_ASCII));
+    private static void writeHeader(char type, int length, ByteArrayOutputStream out) {
+        out.write(type);
+        out.writeBytes(Integer.toString(length).getBytes(StandardCharsets.US_ASCII));
+        writeLineEnd(out);
+    }
+
+    private static void writeLineEnd(ByteArrayOutputStream out) {
         out.write('\r');
         out.write('\n');
     }
--- a/src/test/java/rosespread/resp/RespParserTest.java
+++ b/src/test/java/rosespread/resp/RespParserTest.java
@@ -19,20 +19,20 @@
 class RespParserTest {
     private static final RespLimits LIMITS = new RespLimits(4096, 16);
 
-    private static List<List<String>> read(byte[] bytes, Random cuts) throws RespException {
-        List<List<String>> read = new ArrayList<>();
-        RespParser parser = new RespParser(LIMITS, read::add);
+    private static List<List<String>> parse(byte[] bytes, Random cuts) throws RespException {
+        List<List<String>> parsed = new ArrayList<>();
+        RespParser parser = new RespParser(LIMITS, parsed::add);
         for (int at = 0; at < bytes.length; ) {
             int part =
                     cuts == null ? bytes.length : Math.min(bytes.length - at, 1 + cuts.nextInt(5));
             parser.feed(ByteBuffer.wrap(bytes, at, part));
             at += part;
         }
-        return read;
+        return parsed;
     }
 
     @Property(seed = "1", tries = 300)
-    void whatWasWrittenIsReadHoweverItIsCut(
+    void writtenMessagesAreParsedAlikeAtAnyCut(
             @ForAll @Size(min = 1, max = 6) List<@Size(min = 1, max = 16) List<String>> messages,
             @ForAll long cuts)
             throws RespException {
@@ -43,12 +43,12 @@
                                 || !m.stream()
                                         .allMatch(StandardCharsets.UTF_8.newEncoder()::canEncode));
         messages.forEach(message -> RespWriter.write(message, out));
-        assertEquals(messages, read(out.toByteArray(), new Random(cuts)));
+        assertEquals(messages, parse(out.toByteArray(), new Random(cuts)));
     }
 
     @Property(seed = "2", tries = 2000)
-    void spoiltBytesEndInMessagesOrOneErrorTheSameHoweverCut(@ForAll long where) {
-        Random random = new Random(where);
+    void corruptedBytesGiveTheSameOutcomeAtAnyCut(@ForAll long seed) {
+        Random random = new Random(seed);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         RespWriter.write(List.of("attach", "node", "17"), out);
         RespWriter.write(List.of("hb"), out);
@@ -60,12 +60,12 @@
                                     ? random.nextInt(256)
                                     : "*$0129\r\n".charAt(random.nextInt(8)));
         }
-        assertEquals(outcome(bytes, null), outcome(bytes, new Random(where)));
+        assertEquals(outcome(bytes, null), outcome(bytes, new Random(seed)));
     }
 
     private static String outcome(byte[] bytes, Random cuts) {
         try {
-            return read(bytes, cuts).toString();
+            return parse(bytes, cuts).toString();
         } catch (RespException e) {
             return e.getMessage();
         }
@@ -86,13 +86,15 @@
                 "*2~$4000~                 | ",
                 "*1~$~                     | not a length of at most 9 digits (byte 5)"
             })
-    void whatCannotBeReadIsNamedWithItsPlace(String text, String told) throws RespException {
+    void malformedBytesAreReportedWithTheirOffset(String text, String expected)
+            throws RespException {
         byte[] bytes = text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII);
-        if (told == null) {
-            assertTrue(read(bytes, null).isEmpty());
+        if (expected == null) {
+            assertTrue(parse(bytes, null).isEmpty());
         } else {
             assertEquals(
-                    told, assertThrows(RespException.class, () -> read(bytes, null)).getMessage());
+                    expected,
+                    assertThrows(RespException.class, () -> parse(bytes, null)).getMessage());
         }
     }
 }
