--- a/src/main/java/rosespread/adapter/SimulatedController.java
+++ b/src/main/java/rosespread/adapter/SimulatedController.java
@@ -15,6 +15,7 @@
 import rosespread.config.ConfigException;
 import rosespread.config.ConfigObject;
 import rosespread.config.NameRegistry;
+import rosespread.config.PolicySettingsReader;
 import rosespread.policy.RoutingPolicy;
 
 /** One conductor of the process: turns its events into calls on its own decision module. */
@@ -30,7 +31,8 @@
         this.names = new NameRegistry(info);
         this.policy =
                 new RoutingPolicy(
-                        names.settings(info), new SplittableRandom(launch.longValue("nonce64")));
+                        new PolicySettingsReader(names).read(info),
+                        new SplittableRandom(launch.longValue("nonce64")));
     }
 
     /** Decodes one event; one of an unknown name is passed over. */
