--- a/src/main/java/rosespread/discovery/CatalogReader.java
+++ b/src/main/java/rosespread/discovery/CatalogReader.java
@@ -5,28 +5,54 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 import java.util.TreeSet;
 import rosespread.api.EventHandler.NodeState;
 
 /**
- * Reads an answer of Consul's {@code /v1/health/service/NAME}. Zone, kind and start come from
- * {@code Meta} (zone, kind, started as epoch milliseconds) or else from tags "zone=…", "kind=…",
- * "started=…"; maintenance of the service or its machine is a drain, any other critical check means
- * that no process runs.
+ * Reads the response body of Consul's {@code /v1/health/service/NAME}.
+ *
+ * <p>Zone, machine type and start come from {@code Service.Meta} (zone, kind, started as
+ * milliseconds since the epoch) or else from tags "zone=…", "kind=…", "started=…". Maintenance of
+ * the service or its machine means that the node drains; any other critical check means that no
+ * process runs. Fields that are not known are passed over.
  */
 final class CatalogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST = 100_000;
+    private static final int MAX_ENTRIES = 100_000;
+    private static final int MAX_HOST_LENGTH = 255;
+    private static final int MAX_PORT = 65_535;
+    private static final double DEFAULT_WEIGHT = 1;
 
     private CatalogReader() {}
 
     /**
-     * @throws NodeListException if the body is not such an answer; names entry and field
+     * The nodes in the order of the response.
+     *
+     * @throws NodeListException if the body is not such a response
      */
     static List<ListedNode> read(String body) throws NodeListException {
-        JsonNode all;
+        JsonNode entries = parse(body);
+        if (entries == null || !entries.isArray() || entries.size() > MAX_ENTRIES) {
+            throw new NodeListException("not an array of at most " + MAX_ENTRIES + " entries");
+        }
+        List<ListedNode> nodes = new ArrayList<>(entries.size());
+        Set<Long> ids = new TreeSet<>();
+        for (int i = 0; i < entries.size(); i++) {
+            String path = "[" + i + "]";
+            ListedNode node = node(entries.get(i), path);
+            if (!ids.add(node.id().value())) {
+                throw new NodeListException(
+                        path + ".Service.ID " + node.name() + " is listed twice");
+            }
+            nodes.add(node);
+        }
+        return nodes;
+    }
+
+    private static JsonNode parse(String body) throws NodeListException {
         try {
-            all = JSON.readTree(body);
+            return JSON.readTree(body);
         } catch (JsonProcessingException e) {
             throw new NodeListException(
                     "not JSON at line "
@@ -34,55 +60,19 @@
                             + ", column "
                             + e.getLocation().getColumnNr());
         }
-        if (all == null || !all.isArray() || all.size() > MOST) {
-            throw new NodeListException("not an array of at most " + MOST + " entries");
-        }
-        List<ListedNode> nodes = new ArrayList<>(all.size());
-        TreeSet<Long> seen = new TreeSet<>();
-        for (int i = 0; i < all.size(); i++) {
-            ListedNode node = node(all.get(i), "[" + i + "]");
-            if (!seen.add(node.id().value())) {
-                throw new NodeListException(
-                        "[" + i + "].Service.ID " + node.name() + " is listed twice");
-            }
-            nodes.add(node);
-        }
-        return nodes;
     }
 
-    private static ListedNode node(JsonNode entry, String at) throws NodeListException {
+    private static ListedNode node(JsonNode entry, String path) throws NodeListException {
         JsonNode service = entry.path("Service");
         String name = service.path("ID").asText();
-        String host = service.path("Address").asText();
-        if (host.isEmpty()) {
-            host = entry.path("Node").path("Address").asText();
-        }
+        String host = host(entry);
         int port = service.path("Port").asInt();
-        if (name.isEmpty() || host.isEmpty() || host.length() > 255 || port < 1 || port > 65_535) {
+        if (name.isEmpty() || !isUsable(host, port)) {
             throw new NodeListException(
-                    at + ".Service lacks ID, Address or a Port from 1 to 65535");
+                    path + ".Service lacks ID, Address or a Port from 1 to 65535");
         }
-        boolean draining = false;
-        boolean critical = false;
-        boolean warning = false;
-        for (JsonNode check : entry.path("Checks")) {
-            String id = check.path("CheckID").asText();
-            String status = check.path("Status").asText();
-            boolean maintenance =
-                    id.equals("_node_maintenance") || id.startsWith("_service_maintenance");
-            draining |= maintenance && status.equals("critical") || status.equals("maintenance");
-            critical |= !maintenance && status.equals("critical");
-            warning |= status.equals("warning");
-        }
-        double weight = service.path("Weights").path(warning ? "Warning" : "Passing").asDouble(1);
-        long started;
-        try {
-            started = Long.parseLong(label(service, "started", "0"));
-        } catch (NumberFormatException e) {
-            throw new NodeListException(at + ".Service.Meta.started is not a whole number");
-        }
-        NodeState state =
-                critical ? NodeState.GONE : draining ? NodeState.DRAINING : NodeState.READY;
+        HealthStatus status = HealthStatus.of(entry.path("Checks"));
+        long startedMillis = startedMillis(service, path);
         return new ListedNode(
                 ListedNode.id(name, host, port),
                 name,
@@ -90,11 +80,35 @@
                 port,
                 label(service, "zone", ""),
                 label(service, "kind", ""),
-                weight,
-                state,
-                started);
+                weight(service, status),
+                status.nodeState(),
+                startedMillis);
     }
 
+    private static boolean isUsable(String host, int port) {
+        return !host.isEmpty() && host.length() <= MAX_HOST_LENGTH && port >= 1 && port <= MAX_PORT;
+    }
+
+    /** The service's own address, or that of its machine if it has none. */
+    private static String host(JsonNode entry) {
+        String host = entry.path("Service").path("Address").asText();
+        return host.isEmpty() ? entry.path("Node").path("Address").asText() : host;
+    }
+
+    private static double weight(JsonNode service, HealthStatus status) {
+        String field = status.warning() ? "Warning" : "Passing";
+        return service.path("Weights").path(field).asDouble(DEFAULT_WEIGHT);
+    }
+
+    private static long startedMillis(JsonNode service, String path) throws NodeListException {
+        try {
+            return Long.parseLong(label(service, "started", "0"));
+        } catch (NumberFormatException e) {
+            throw new NodeListException(path + ".Service.Meta.started is not a whole number");
+        }
+    }
+
+    /** A value of {@code Meta}, or else of a tag "name=value". */
     private static String label(JsonNode service, String name, String absent) {
         JsonNode meta = service.path("Meta").path(name);
         if (!meta.isMissingNode()) {
@@ -107,4 +121,34 @@
         }
         return absent;
     }
+
+    /** What the checks of one service and its machine come to. */
+    private record HealthStatus(boolean maintenance, boolean critical, boolean warning) {
+        static HealthStatus of(JsonNode checks) {
+            boolean maintenance = false;
+            boolean critical = false;
+            boolean warning = false;
+            for (JsonNode check : checks) {
+                boolean ofMaintenance = isMaintenance(check.path("CheckID").asText());
+                String status = check.path("Status").asText();
+                boolean isCritical = status.equals("critical");
+                maintenance |= ofMaintenance && isCritical || status.equals("maintenance");
+                critical |= !ofMaintenance && isCritical;
+                warning |= status.equals("warning");
+            }
+            return new HealthStatus(maintenance, critical, warning);
+        }
+
+        private static boolean isMaintenance(String checkId) {
+            return checkId.equals("_node_maintenance")
+                    || checkId.startsWith("_service_maintenance");
+        }
+
+        NodeState nodeState() {
+            if (critical) {
+                return NodeState.GONE;
+            }
+            return maintenance ? NodeState.DRAINING : NodeState.READY;
+        }
+    }
 }
--- a/src/main/java/rosespread/discovery/HealthChecker.java
+++ b/src/main/java/rosespread/discovery/HealthChecker.java
@@ -8,51 +8,74 @@
 import rosespread.http.HttpMessage;
 
 /**
- * HealthChecks a node by one GET; 429 and 503 are a push-back, other statuses from 400 on an abort.
+ * Checks the health of a node by one GET request. Statuses below 400 pass; 429 and 503 are a
+ * rejection, by which the node is alive; all others are a failure.
+ *
+ * <p>Thread-safe, and without state of its own.
  */
 public final class HealthChecker {
+    private static final int FIRST_ERROR_STATUS = 400;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
     private final HttpClient http;
     private final String path;
-    private final long timeout;
+    private final long timeoutNanos;
 
-    public HealthChecker(HttpClient http, String path, long timeout) {
+    /**
+     * A health checker.
+     *
+     * @param path the path that nodes answer health checks at
+     * @param timeoutNanos how long a response may take, in nanoseconds
+     */
+    public HealthChecker(HttpClient http, String path, long timeoutNanos) {
         this.http = http;
         this.path = path;
-        this.timeout = timeout;
+        this.timeoutNanos = timeoutNanos;
     }
 
-    public void check(InetSocketAddress node, Consumer<HealthCheckResult> then) {
-        HttpMessage.Request call =
-                new HttpMessage.Request(
-                        "GET",
-                        path,
-                        HttpHeaders.of("host", node.getHostString() + ":" + node.getPort()),
-                        new byte[0]);
+    /**
+     * Starts one health check.
+     *
+     * @param resultConsumer called once with the result, on an I/O or timer thread; must not block
+     */
+    public void check(InetSocketAddress node, Consumer<HealthCheckResult> resultConsumer) {
         http.call(
                 node,
-                call,
-                timeout,
+                request(node),
+                timeoutNanos,
                 new HttpClient.Taker() {
                     @Override
-                    public void answered(HttpMessage.Response answer) {
-                        int status = answer.status();
-                        then.accept(
-                                status < 400
-                                        ? HealthCheckResult.PASSED
-                                        : status == 429 || status == 503
-                                                ? HealthCheckResult.REJECTED
-                                                : HealthCheckResult.FAILED);
+                    public void answered(HttpMessage.Response response) {
+                        resultConsumer.accept(resultOf(response.status()));
                     }
 
                     @Override
                     public void failed(HttpClient.Failure failure, String detail) {
-                        then.accept(
-                                switch (failure) {
-                                    case TIMED_OUT -> HealthCheckResult.TIMED_OUT;
-                                    case MALFORMED -> HealthCheckResult.FAILED;
-                                    default -> HealthCheckResult.UNREACHABLE;
-                                });
+                        resultConsumer.accept(resultOf(failure));
                     }
                 });
     }
+
+    private HttpMessage.Request request(InetSocketAddress node) {
+        String host = node.getHostString() + ":" + node.getPort();
+        return new HttpMessage.Request("GET", path, HttpHeaders.of("host", host), new byte[0]);
+    }
+
+    private static HealthCheckResult resultOf(int status) {
+        if (status < FIRST_ERROR_STATUS) {
+            return HealthCheckResult.PASSED;
+        }
+        return status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE
+                ? HealthCheckResult.REJECTED
+                : HealthCheckResult.FAILED;
+    }
+
+    private static HealthCheckResult resultOf(HttpClient.Failure failure) {
+        return switch (failure) {
+            case TIMED_OUT -> HealthCheckResult.TIMED_OUT;
+            case MALFORMED -> HealthCheckResult.FAILED;
+            default -> HealthCheckResult.UNREACHABLE;
+        };
+    }
 }
--- a/src/main/java/rosespread/discovery/ListedNode.java
+++ b/src/main/java/rosespread/discovery/ListedNode.java
@@ -7,10 +7,18 @@
 import rosespread.api.NodeId;
 
 /**
- * A node as the list has it. Its id is a hash of the service's id and address: the same for every
- * conductor and over restarts of its process, without any shared numbering.
+ * A node as the node list describes it.
  *
- * @param startedMillis wall clock of the last start, 0 if long ago or not told
+ * @param id a hash of name and address, see {@link #id}
+ * @param name the id of the service in the catalogue
+ * @param host the host name or address that it serves at
+ * @param port the port that it serves at
+ * @param zone its zone; empty if not stated
+ * @param kind its machine type; empty if not stated
+ * @param weight the weight that the list gives it, 1 if not stated
+ * @param state whether it serves, drains or is gone
+ * @param startedMillis the wall clock time of its last start in milliseconds since the epoch; 0 if
+ *     not stated
  */
 public record ListedNode(
         NodeId id,
@@ -23,31 +31,29 @@
         NodeState state,
         long startedMillis) {
 
+    /**
+     * The id of a node: a hash of its name and address, so that all controllers give a node the
+     * same id, also after its restarts, without numbering nodes together.
+     */
     public static NodeId id(String name, String host, int port) {
         return new NodeId(Hashing.wyhashFinal4().hashCharsToLong(name + "@" + host + ":" + port));
     }
 
-    /** What the list calls a node; its id in hexadecimal digits if the list never told of it. */
+    /** The name of a node, or its id in hexadecimal digits if it is not among these. */
     public static String name(Map<NodeId, ListedNode> nodes, NodeId id) {
         return nodes.containsKey(id) ? nodes.get(id).name : Long.toHexString(id.value());
     }
 
-    /** The same node as the list would tell of it while it drains, if it is ready now. */
+    /** The same node as draining if it is ready, else this one. */
     public ListedNode draining() {
-        return state != NodeState.READY
-                ? this
-                : new ListedNode(
-                        id,
-                        name,
-                        host,
-                        port,
-                        zone,
-                        kind,
-                        weight,
-                        NodeState.DRAINING,
-                        startedMillis);
+        if (state != NodeState.READY) {
+            return this;
+        }
+        return new ListedNode(
+                id, name, host, port, zone, kind, weight, NodeState.DRAINING, startedMillis);
     }
 
+    /** The address that it serves at; a host name is resolved by this call, which may block. */
     public InetSocketAddress address() {
         return new InetSocketAddress(host, port);
     }
--- a/src/main/java/rosespread/discovery/NodeListException.java
+++ b/src/main/java/rosespread/discovery/NodeListException.java
@@ -1,6 +1,6 @@
 package rosespread.discovery;
 
-/** An answer that is not the list's. */
+/** A response is not a list of nodes; the message names the entry and field, or line and column. */
 final class NodeListException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/rosespread/discovery/HealthCheckerTest.java
+++ b/src/test/java/rosespread/discovery/HealthCheckerTest.java
@@ -20,7 +20,7 @@
 class HealthCheckerTest {
     private static final InetSocketAddress ANY =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    private static final long TIMEOUT = 150_000_000L;
+    private static final long TIMEOUT_NANOS = 150_000_000L;
 
     /** A node that answers after the deadline has timed out, and its late answer is nobody's. */
     @ParameterizedTest
@@ -35,9 +35,9 @@
         "closes,UNREACHABLE",
         "down,UNREACHABLE"
     })
-    void tellsOneVerdict(String node, HealthCheckResult verdict) throws IOException {
+    void eachOutcomeHasOneResult(String node, HealthCheckResult expected) throws IOException {
         List<HttpServer.Exchange> late = new CopyOnWriteArrayList<>();
-        List<HealthCheckResult> told = new CopyOnWriteArrayList<>();
+        List<HealthCheckResult> results = new CopyOnWriteArrayList<>();
         try (HttpServer server =
                         new HttpServer(
                                 1,
@@ -61,14 +61,14 @@
                     at = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
                 }
             }
-            HealthChecker prober = new HealthChecker(http, "/health", TIMEOUT);
-            prober.check(at, told::add);
-            await().until(() -> told.size() == 1);
+            HealthChecker checker = new HealthChecker(http, "/health", TIMEOUT_NANOS);
+            checker.check(at, results::add);
+            await().until(() -> results.size() == 1);
             late.forEach(
                     exchange -> exchange.answer(HttpMessage.Response.of(200, "text/plain", "")));
-            prober.check(at, told::add);
-            await().until(() -> told.size() == 2);
-            assertEquals(List.of(verdict, verdict), told);
+            checker.check(at, results::add);
+            await().until(() -> results.size() == 2);
+            assertEquals(List.of(expected, expected), results);
         }
     }
 }
--- a/src/test/java/rosespread/discovery/NodeListClientTest.java
+++ b/src/test/java/rosespread/discovery/NodeListClientTest.java
@@ -2,12 +2,12 @@
 
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -19,7 +19,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rosespread.api.EventHandler.NodeState;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpLimits;
@@ -27,8 +26,8 @@
 import rosespread.http.HttpServer;
 
 class NodeListClientTest {
-    private static final long MILLI = 1_000_000L;
-    private final List<String> heard = new CopyOnWriteArrayList<>();
+    private static final long MILLI_NANOS = 1_000_000L;
+    private final List<String> received = new CopyOnWriteArrayList<>();
     private final List<String> targets = new CopyOnWriteArrayList<>();
     private final AtomicLong clock = new AtomicLong();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
@@ -44,7 +43,7 @@
         timer.shutdownNow();
     }
 
-    private void follow(BiConsumer<Integer, HttpServer.Exchange> answers) throws IOException {
+    private void start(BiConsumer<Integer, HttpServer.Exchange> answers) throws IOException {
         server =
                 new HttpServer(
                         1,
@@ -61,9 +60,9 @@
                         at,
                         "nodes",
                         "test",
-                        5000 * MILLI,
-                        150 * MILLI,
-                        1000 * MILLI,
+                        5000 * MILLI_NANOS,
+                        150 * MILLI_NANOS,
+                        1000 * MILLI_NANOS,
                         false,
                         timer,
                         clock::get,
@@ -71,7 +70,7 @@
                         new NodeListClient.Listener() {
                             @Override
                             public void nodeListReceived(List<ListedNode> nodes) {
-                                heard.add(
+                                received.add(
                                         nodes.stream()
                                                 .map(n -> n.name() + " " + n.state())
                                                 .toList()
@@ -79,41 +78,32 @@
                             }
 
                             @Override
-                            public void nodeListUnavailable(String why) {
-                                heard.add("unavailable: " + why);
+                            public void nodeListUnavailable(String reason) {
+                                received.add("unavailable: " + reason);
                             }
                         });
         client.start();
     }
 
-    private static String entry(String name, String checks) {
-        return "{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\""
-                + name
-                + "\",\"Port\":80,"
-                + "\"Tags\":[\"zone=a\"],\"Meta\":{\"kind\":\"k\",\"started\":\"77\"}},\"Checks\":["
-                + checks
-                + "]}";
-    }
-
     private static void answer(
             HttpServer.Exchange exchange, int status, String index, String body) {
         exchange.answer(
                 new HttpMessage.Response(
                         status,
                         HttpHeaders.of("x-consul-index", index),
-                        body.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+                        body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void asksBlockingFromTheIndexItHas() throws IOException {
-        follow(
+    void queriesBlockFromTheKnownIndex() throws IOException {
+        start(
                 (n, exchange) -> {
                     if (n < 3) {
                         answer(
                                 exchange,
                                 200,
                                 String.valueOf(10 + n),
-                                "[" + entry("x" + n, "") + "]");
+                                "[" + CatalogFixture.entry("x" + n, "") + "]");
                     }
                 });
         await().until(() -> targets.size() == 3);
@@ -123,25 +113,25 @@
                         "/v1/health/service/nodes?index=11&wait=5000ms",
                         "/v1/health/service/nodes?index=12&wait=5000ms"),
                 targets);
-        assertEquals(List.of("[x1 READY]", "[x2 READY]"), heard);
+        assertEquals(List.of("[x1 READY]", "[x2 READY]"), received);
     }
 
     @Test
-    void believesAnOlderListOnlyOnceItHasGoneOnForLong() throws IOException {
-        follow(
+    void olderListIsAcceptedOnlyAfterTheGraceTime() throws IOException {
+        start(
                 (n, exchange) ->
                         answer(
                                 exchange,
                                 200,
                                 n == 1 ? "50" : "20",
-                                "[" + entry(n == 1 ? "new" : "old", "") + "]"));
-        await().until(() -> heard.size() >= 3);
-        assertEquals("[new READY]", heard.get(0));
+                                "[" + CatalogFixture.entry(n == 1 ? "new" : "old", "") + "]"));
+        await().until(() -> received.size() >= 3);
+        assertEquals("[new READY]", received.get(0));
         assertTrue(
-                heard.stream().skip(1).allMatch(h -> h.contains("index 20 is older than 50")),
-                heard.toString());
-        clock.addAndGet(1001 * MILLI);
-        await().until(() -> heard.contains("[old READY]"));
+                received.stream().skip(1).allMatch(h -> h.contains("index 20 is older than 50")),
+                received.toString());
+        clock.addAndGet(1001 * MILLI_NANOS);
+        await().until(() -> received.contains("[old READY]"));
     }
 
     @ParameterizedTest
@@ -155,58 +145,33 @@
                 "200|5|[{]|not JSON at line 1",
                 "200|5|[{}]|[0].Service lacks"
             })
-    void keepsTheLastListWhenAnAnswerErrs(int status, String index, String body, String words)
-            throws IOException {
-        follow(
+    void malformedResponseIsUnavailableAndTheLastListStays(
+            int status, String index, String body, String reason) throws IOException {
+        start(
                 (n, exchange) ->
                         answer(
                                 exchange,
                                 n == 2 ? status : 200,
                                 n == 2 ? index == null ? "" : index : String.valueOf(n),
-                                n == 2 ? body : "[" + entry("x", "") + "]"));
-        await().until(() -> heard.size() >= 3);
-        assertEquals("[x READY]", heard.get(0));
+                                n == 2 ? body : "[" + CatalogFixture.entry("x", "") + "]"));
+        await().until(() -> received.size() >= 3);
+        assertEquals("[x READY]", received.get(0));
         assertTrue(
-                heard.get(1).startsWith("unavailable: ") && heard.get(1).contains(words),
-                heard.get(1));
-        assertEquals("[x READY]", heard.get(2));
+                received.get(1).startsWith("unavailable: ") && received.get(1).contains(reason),
+                received.get(1));
+        assertEquals("[x READY]", received.get(2));
     }
 
     @Test
-    void tellsThatASilentListIsUnavailableAndAsksAgain() throws IOException {
-        follow(
+    void silentServerIsUnavailableAndQueriedAgain() throws IOException {
+        start(
                 (n, exchange) -> {
                     if (n == 2) {
                         answer(exchange, 200, "7", "[]");
                     }
                 });
-        await().until(() -> heard.size() >= 2);
-        assertTrue(heard.get(0).contains("no answer within 150 ms"), heard.get(0));
-        assertEquals("[]", heard.get(1));
-    }
-
-    @ParameterizedTest
-    @CsvSource(
-            delimiter = '|',
-            value = {
-                "|READY",
-                "{\"CheckID\":\"c\",\"Status\":\"passing\"}|READY",
-                "{\"CheckID\":\"c\",\"Status\":\"warning\"}|READY",
-                "{\"CheckID\":\"c\",\"Status\":\"critical\"}|GONE",
-                "{\"CheckID\":\"_service_maintenance:x\",\"Status\":\"critical\"}|DRAINING",
-                "{\"CheckID\":\"_node_maintenance\",\"Status\":\"critical\"}|DRAINING"
-            })
-    void readsTheStateFromChecks(String checks, NodeState state) throws Exception {
-        server = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {});
-        client =
-                new NodeListClient(
-                        http, null, "", "", 0, 0, 0, true, timer, clock::get, null, null);
-        ListedNode node =
-                CatalogReader.read("[" + entry("x", checks == null ? "" : checks) + "]").get(0);
-        assertEquals(state, node.state());
-        assertEquals("a k 77", node.zone() + " " + node.kind() + " " + node.startedMillis());
-        assertThrows(
-                NodeListException.class,
-                () -> CatalogReader.read("[" + entry("x", "") + "," + entry("x", "") + "]"));
+        await().until(() -> received.size() >= 2);
+        assertTrue(received.get(0).contains("no answer within 150 ms"), received.get(0));
+        assertEquals("[]", received.get(1));
     }
 }
--- a/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
+++ b/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
@@ -13,16 +13,16 @@
 import rosespread.http.HttpLimits;
 import rosespread.http.RecordingServer;
 
-/** The exact requests of the Consul list client and of the health prober. */
+/** The exact requests of the Consul list client and of the health checker. */
 class OutgoingRequestsTest {
-    private static final long MILLI = 1_000_000L;
+    private static final long MILLI_NANOS = 1_000_000L;
     private static final String FIRST =
             "GET /v1/health/service/nodes HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n"
                     + "user-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
     private static final String BLOCKING =
             "GET /v1/health/service/nodes?index=42&wait=5000ms HTTP/1.1\r\n"
                     + "host: 127.0.0.1:PORT\r\nuser-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
-    private static final String PROBE =
+    private static final String HEALTH_CHECK =
             "GET /health HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n" + "content-length: 0\r\n\r\n";
 
     private static NodeListClient client(
@@ -32,9 +32,9 @@
                 server.address(),
                 "nodes",
                 "agent-7",
-                5000 * MILLI,
-                2000 * MILLI,
-                1000 * MILLI,
+                5000 * MILLI_NANOS,
+                2000 * MILLI_NANOS,
+                1000 * MILLI_NANOS,
                 false,
                 timer,
                 System::nanoTime,
@@ -44,7 +44,7 @@
                     public void nodeListReceived(List<ListedNode> nodes) {}
 
                     @Override
-                    public void nodeListUnavailable(String why) {}
+                    public void nodeListUnavailable(String reason) {}
                 });
     }
 
@@ -64,12 +64,13 @@
     }
 
     @Test
-    void probeRequestIsUnchanged() throws IOException {
+    void healthCheckRequestIsUnchanged() throws IOException {
         try (RecordingServer server = new RecordingServer(RecordingServer.json("", "{}"));
                 HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 5)) {
-            new HealthChecker(http, "/health", 2000 * MILLI).check(server.address(), verdict -> {});
+            new HealthChecker(http, "/health", 2000 * MILLI_NANOS)
+                    .check(server.address(), result -> {});
             await().until(() -> !server.requests().isEmpty());
-            assertEquals(PROBE, server.requests().get(0));
+            assertEquals(HEALTH_CHECK, server.requests().get(0));
         }
     }
 }
