--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -10,12 +10,24 @@
 import rosespread.api.ZoneId;
 
 /**
- * What an operator sets, by name; times in nanoseconds. A part of it is the module's {@link
- * PolicySettings}, the rest says where the server list is and how probes and the channel go.
+ * The settings that an operator applies, by names; durations are in nanoseconds. A part of them
+ * becomes the policy's {@link PolicySettings}; the rest configures discovery, health checks, the
+ * channel to the proxies, and drains.
  *
- * @param peers control addresses of all conductors of the fleet, to learn of drains from
- * @param drainLeastShare the part of its listed size that a method must keep when operators drain
- *     nodes
+ * @param seed the seed of the policy's random numbers
+ * @param zones the names of the zones
+ * @param kinds the names of the machine types
+ * @param methods the methods that the fleet serves
+ * @param list where the node list comes from
+ * @param probes how health checks are made
+ * @param throttle what admission limits are counted in, if proxies enforce them
+ * @param channel rates and limits of the channel to the proxies
+ * @param reportPeriod how often proxies and nodes report, in nanoseconds
+ * @param drainGrace within what time traffic must have left a draining node, in nanoseconds
+ * @param drainLeastShare the ratio of its listed capacity that a method must keep while operators
+ *     drain nodes
+ * @param peers the control API's addresses of all controllers of the fleet, to learn drains from
+ * @param cold how nodes warm up
  */
 public record FleetSettings(
         long seed,
@@ -32,6 +44,14 @@
         List<InetSocketAddress> peers,
         WarmUp cold) {
 
+    /**
+     * A method.
+     *
+     * @param priorityWeight what one of its RPCs is worth when load must be shed
+     * @param onlyKinds the machine types that may serve it; empty if all may
+     * @param onlyZones the zones that may serve it; empty if all may
+     * @param ownZone whether RPCs must stay in the zone of their proxy
+     */
     public record Method(
             String name,
             double priorityWeight,
@@ -40,10 +60,14 @@
             boolean ownZone) {}
 
     /**
-     * Where the list is; {@code block} is how long one query may block, {@code silentAfter} how
-     * much longer an answer may take before the list counts as unavailable, {@code backwardsAfter}
-     * how long answers must stay older than what is known until they are taken as a list that has
-     * begun anew.
+     * The service in Consul's health catalogue that lists the nodes.
+     *
+     * @param onDemand whether a failed query is repeated only when the policy asks for it
+     * @param block how long one query may block for a change, in nanoseconds
+     * @param silentAfter how long a response may take beyond that until the list counts as
+     *     unavailable, in nanoseconds
+     * @param backwardsAfter how long responses must be older than the known list until they are
+     *     taken as a catalogue that was set up anew, in nanoseconds
      */
     public record Catalogue(
             String host,
@@ -54,9 +78,28 @@
             long silentAfter,
             long backwardsAfter) {}
 
+    /**
+     * Health checks of nodes.
+     *
+     * @param allowed whether the policy may make any
+     * @param path the path that nodes answer them at
+     * @param timeout how long a response may take, in nanoseconds
+     */
     public record HealthChecks(boolean allowed, String path, long timeout) {}
 
-    /** The pace and limits of the channel; a message limit of 0 is none. */
+    /**
+     * Rates and limits of the channel to the proxies.
+     *
+     * @param linesPerSecond how many weight entries a second the channel carries
+     * @param linesPerMessage what a message costs beside its entries, in entries
+     * @param queueLimit how many entries may be queued in it
+     * @param channelCost what the channel's usual rate costs, as a ratio of all service
+     * @param messageLimit how many messages a proxy may be sent within {@code messageSpan}; 0 for
+     *     no limit
+     * @param messageSpan the window of the message limit, in nanoseconds
+     * @param longestWay the longest way of a message to its proxy, in nanoseconds
+     * @param keepAlive the interval of keep-alives, in nanoseconds
+     */
     public record Channel(
             double linesPerSecond,
             double linesPerMessage,
@@ -68,15 +111,18 @@
             long keepAlive) {}
 
     /**
-     * How nodes warm up: how long at most, from what share of their size, and over what window they
-     * fall.
+     * How nodes warm up after their start.
+     *
+     * @param time how long it takes at most, in nanoseconds
+     * @param share the ratio of its capacity that a node starts with
+     * @param windowNanos how long a node that is sent too much holds out until it falls over
      */
     public record WarmUp(long time, double share, long windowNanos) {}
 
-    /** What the decision module is told. */
+    /** The part that the policy is given, with names as ids: their positions in these lists. */
     public PolicySettings policySettings() {
         return new PolicySettings(
-                methods.stream().map(this::method).toList(),
+                methods.stream().map(this::policyMethod).toList(),
                 zones.size(),
                 false,
                 list.onDemand(),
@@ -96,20 +142,23 @@
                 cold.windowNanos());
     }
 
-    private PolicySettings.Method method(Method method) {
+    private PolicySettings.Method policyMethod(Method method) {
         return new PolicySettings.Method(
                 method.priorityWeight(),
-                places(method.onlyKinds(), kinds, MachineTypeId::new),
-                places(method.onlyZones(), zones, ZoneId::new),
+                ids(method.onlyKinds(), kinds, MachineTypeId::new),
+                ids(method.onlyZones(), zones, ZoneId::new),
                 method.ownZone());
     }
 
-    private static <T> Set<T> places(List<String> names, List<String> among, IntFunction<T> id) {
-        Set<T> places = new TreeSet<>();
-        names.forEach(name -> places.add(id.apply(among.indexOf(name))));
-        return places;
+    private static <T> Set<T> ids(List<String> names, List<String> all, IntFunction<T> newId) {
+        Set<T> ids = new TreeSet<>();
+        for (String name : names) {
+            ids.add(newId.apply(all.indexOf(name)));
+        }
+        return ids;
     }
 
+    /** The names of the methods, by id. */
     public List<String> methodNames() {
         return methods.stream().map(Method::name).toList();
     }
--- a/src/main/java/rosespread/settings/JsonFields.java
+++ b/src/main/java/rosespread/settings/JsonFields.java
@@ -8,82 +8,102 @@
 import java.util.TreeSet;
 
 /**
- * An object of JSON or YAML read field by field; what is at fault is noted and reading goes on, so
- * that all faults are told at once. Values stand in for faulty fields until {@link #end} throws.
+ * Reads an object of JSON or YAML field by field. An invalid field is recorded and reading goes on
+ * with a value in its place, so that {@link #end} can report all of them at once; nothing that was
+ * read may be used before that has returned.
+ *
+ * <p>Not thread-safe.
  */
 public final class JsonFields {
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final int SHOWN = 80;
+    private static final int MAX_SHOWN_CHARS = 80;
+    private static final String NAME_PATTERN = "\\S{1,64}";
+
+    /** The path of a whole document in errors. */
+    static final String WHOLE = "(whole)";
 
     private final String path;
     private final JsonNode node;
-    private final List<SettingsException.InvalidField> faults;
+
+    /** Shared by a document's objects. */
+    private final List<SettingsException.InvalidField> invalidFields;
+
+    /** The names asked for so far. */
     private final Set<String> known = new TreeSet<>();
 
-    public JsonFields(JsonNode node) {
-        this("", node, new ArrayList<>());
+    /** The fields of a whole document. */
+    public JsonFields(JsonNode document) {
+        this("", document, new ArrayList<>());
     }
 
-    private JsonFields(String path, JsonNode node, List<SettingsException.InvalidField> faults) {
+    private JsonFields(
+            String path, JsonNode node, List<SettingsException.InvalidField> invalidFields) {
         this.path = path;
         this.node = node;
-        this.faults = faults;
+        this.invalidFields = invalidFields;
         if (!node.isObject() && !node.isMissingNode()) {
-            faults.add(
-                    new SettingsException.InvalidField(
-                            path.isEmpty() ? "(whole)" : path, shown(node), "an object"));
+            addInvalid(path.isEmpty() ? WHOLE : path, node, "an object");
         }
     }
 
-    /** Notes the fields that nobody asked for. */
+    /** Records the fields of this object that were never asked for; called once all were. */
     public void closed() {
         node.fieldNames()
                 .forEachRemaining(
                         name -> {
                             if (!known.contains(name)) {
-                                faults.add(
-                                        new SettingsException.InvalidField(
-                                                at(name),
-                                                shown(node.get(name)),
-                                                "no such field; known are "
-                                                        + String.join(", ", known)));
+                                recordUnknown(name);
                             }
                         });
     }
 
+    private void recordUnknown(String name) {
+        String allowed = "no such field; known are " + String.join(", ", known);
+        addInvalid(pathOf(name), node.get(name), allowed);
+    }
+
+    /**
+     * Ends the reading of the document; called on the document's own fields, after all else.
+     *
+     * @throws SettingsException if any field of the document is invalid or unknown
+     */
     public void end() throws SettingsException {
         closed();
-        if (!faults.isEmpty()) {
-            throw new SettingsException(faults);
+        if (!invalidFields.isEmpty()) {
+            throw new SettingsException(invalidFields);
         }
     }
 
+    /** Whether the field is there, be it null. */
     public boolean has(String name) {
         known.add(name);
         return node.has(name);
     }
 
+    /** The object in a field; its own fields are read as missing if the field is. */
     public JsonFields object(String name) {
         known.add(name);
-        return new JsonFields(
-                at(name), node.has(name) ? node.get(name) : MissingNode.getInstance(), faults);
+        JsonNode value = node.has(name) ? node.get(name) : MissingNode.getInstance();
+        return new JsonFields(pathOf(name), value, invalidFields);
     }
 
-    /** The objects of an array; {@code most} bounds them. */
+    /**
+     * The objects of an array of {@code least} to {@code most}; if 0 will do, it may be missing.
+     */
     public List<JsonFields> objects(String name, int least, int most) {
-        List<JsonFields> all = new ArrayList<>();
+        List<JsonFields> objects = new ArrayList<>();
         JsonNode array = array(name, least, most);
         for (int i = 0; i < array.size(); i++) {
-            all.add(new JsonFields(at(name) + "[" + i + "]", array.get(i), faults));
+            objects.add(new JsonFields(pathOf(name, i), array.get(i), invalidFields));
         }
-        return all;
+        return objects;
     }
 
-    /** The fields of an object whose names are free. */
+    /** The names of all fields, for objects whose field names are free. */
     public List<String> names() {
-        List<String> all = new ArrayList<>();
-        node.fieldNames().forEachRemaining(all::add);
-        return all;
+        List<String> names = new ArrayList<>();
+        node.fieldNames().forEachRemaining(names::add);
+        return names;
     }
 
     private JsonNode array(String name, int least, int most) {
@@ -99,32 +119,47 @@
         return array;
     }
 
-    /** Texts of up to 64 characters, all different; from {@code among} unless that is null. */
+    /**
+     * The strings of an array of {@code least} to {@code most}: names of 1 to 64 characters without
+     * spaces, each once.
+     *
+     * @param among the names that are valid; null if all are
+     */
     public List<String> texts(String name, int least, int most, List<String> among) {
-        List<String> all = new ArrayList<>();
+        List<String> texts = new ArrayList<>();
         JsonNode array = array(name, least, most);
         for (int i = 0; i < array.size(); i++) {
             JsonNode entry = array.get(i);
-            boolean well =
-                    entry.isTextual()
-                            && entry.asText().matches("\\S{1,64}")
-                            && !all.contains(entry.asText())
-                            && (among == null || among.contains(entry.asText()));
-            if (well) {
-                all.add(entry.asText());
+            if (isNewName(entry, texts, among)) {
+                texts.add(entry.asText());
             } else {
-                faults.add(
-                        new SettingsException.InvalidField(
-                                at(name) + "[" + i + "]",
-                                shown(entry),
-                                among == null
-                                        ? "1 to 64 characters without spaces, each once"
-                                        : "each once, one of " + String.join(", ", among)));
+                addInvalid(pathOf(name, i), entry, allowedNames(among));
             }
         }
-        return all;
+        return texts;
+    }
+
+    private static boolean isNewName(JsonNode entry, List<String> earlier, List<String> among) {
+        String text = entry.asText();
+        return entry.isTextual()
+                && text.matches(NAME_PATTERN)
+                && !earlier.contains(text)
+                && (among == null || among.contains(text));
     }
 
+    private static String allowedNames(List<String> among) {
+        return among == null
+                ? "1 to 64 characters without spaces, each once"
+                : "each once, one of " + String.join(", ", among);
+    }
+
+    /**
+     * The string in a field.
+     *
+     * @param absent the value if the field is missing; null if it must be there
+     * @param pattern the regular expression that the whole string must match
+     * @param allowed the pattern in words
+     */
     public String text(String name, String absent, String pattern, String allowed) {
         known.add(name);
         JsonNode value = node.path(name);
@@ -138,6 +173,7 @@
         return value.asText();
     }
 
+    /** The truth value in a field, or {@code absent} if the field is missing. */
     public boolean flag(String name, boolean absent) {
         known.add(name);
         JsonNode value = node.path(name);
@@ -147,6 +183,11 @@
         return value.asBoolean(absent);
     }
 
+    /**
+     * The number in a field, from {@code least} to {@code most}.
+     *
+     * @param absent the value if the field is missing; NaN if it must be there
+     */
     public double number(String name, double absent, double least, double most) {
         known.add(name);
         JsonNode value = node.path(name);
@@ -160,38 +201,55 @@
         return value.asDouble();
     }
 
+    /**
+     * The whole number in a field, from {@code least} to {@code most}.
+     *
+     * @param absent the value if the field is missing; under {@code least} if it must be there
+     */
     public long whole(String name, long absent, long least, long most) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && absent >= least) {
             return absent;
         }
-        if (!value.isIntegralNumber()
-                || !value.canConvertToLong()
-                || value.asLong() < least
-                || value.asLong() > most) {
+        boolean isLong = value.isIntegralNumber() && value.canConvertToLong();
+        if (!isLong || value.asLong() < least || value.asLong() > most) {
             fault(name, "a whole number from " + least + " to " + most);
             return least;
         }
         return value.asLong();
     }
 
-    /** Milliseconds in the text, nanoseconds in the result. */
+    /**
+     * The duration in a field that holds milliseconds, in nanoseconds.
+     *
+     * @param absent the milliseconds if the field is missing; NaN if it must be there
+     * @param least the fewest milliseconds allowed
+     * @param most the most milliseconds allowed
+     */
     public long millis(String name, double absent, double least, double most) {
         return Math.round(number(name, absent, least, most) * NANOS_PER_MILLI);
     }
 
+    /** Records a field as invalid. */
     public void fault(String name, String allowed) {
-        JsonNode value = node.path(name);
-        faults.add(new SettingsException.InvalidField(at(name), shown(value), allowed));
+        addInvalid(pathOf(name), node.path(name), allowed);
     }
 
-    private String at(String name) {
+    private void addInvalid(String fieldPath, JsonNode found, String allowed) {
+        invalidFields.add(new SettingsException.InvalidField(fieldPath, shown(found), allowed));
+    }
+
+    private String pathOf(String name) {
         return path.isEmpty() ? name : path + "." + name;
     }
 
+    private String pathOf(String name, int index) {
+        return pathOf(name) + "[" + index + "]";
+    }
+
     private static String shown(JsonNode value) {
         String text = value.isMissingNode() ? "missing" : value.toString();
-        return text.length() > SHOWN ? text.substring(0, SHOWN) + "..." : text;
+        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
 }
--- a/src/main/java/rosespread/settings/SettingsException.java
+++ b/src/main/java/rosespread/settings/SettingsException.java
@@ -3,23 +3,31 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** PolicySettings that cannot be taken, with every field at fault. */
+/** Settings cannot be applied; carries every invalid field. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** A field by its path, the value found there as JSON, and what would be allowed. */
-    public record InvalidField(String field, String found, String allowed) {}
+    /**
+     * One invalid field.
+     *
+     * @param field its path, such as {@code methods[1].name}; {@code (whole)} for the document
+     * @param found what was found there, as JSON, shortened if long
+     * @param allowed what would be valid, for an operator to read
+     */
+    public record InvalidField(String field, String found, String allowed) {
+        private String describe() {
+            return field + " is " + found + "; allowed: " + allowed;
+        }
+    }
 
     private final transient List<InvalidField> invalidFields;
 
-    SettingsException(List<InvalidField> faults) {
-        super(
-                faults.stream()
-                        .map(f -> f.field() + " is " + f.found() + "; allowed: " + f.allowed())
-                        .collect(Collectors.joining("; ")));
-        this.invalidFields = List.copyOf(faults);
+    SettingsException(List<InvalidField> invalidFields) {
+        super(invalidFields.stream().map(InvalidField::describe).collect(Collectors.joining("; ")));
+        this.invalidFields = List.copyOf(invalidFields);
     }
 
+    /** The invalid fields in the order in which they were read; never empty. */
     public List<InvalidField> invalidFields() {
         return invalidFields;
     }
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -1,5 +1,6 @@
 package rosespread.settings;
 
+import com.fasterxml.jackson.core.JsonLocation;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -9,163 +10,210 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import rosespread.api.PolicySettings;
 
-/** Reads and checks the settings' JSON; docs/conductor.md lists the fields. */
+/**
+ * Reads and checks operators' settings; docs/conductor.md lists the fields. The bounds are wide:
+ * they catch slips, such as seconds where milliseconds are meant, not poor choices.
+ */
 public final class SettingsReader {
     private static final ObjectMapper JSON =
             JsonMapper.builder()
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .build();
-    private static final double DAY = 86_400_000;
+
+    /** Stands for "must be there" in numbers. */
+    private static final double REQUIRED = Double.NaN;
+
+    private static final double MINUTE_MILLIS = 60_000;
+    private static final double TEN_MINUTES_MILLIS = 600_000;
+    private static final double DAY_MILLIS = 86_400_000;
+    private static final int MAX_NAMES = 64;
+    private static final int MAX_METHODS = 32;
+    private static final int MAX_PEERS = 64;
+    private static final int MAX_PORT = 65_535;
 
     private SettingsReader() {}
 
     /**
-     * @throws SettingsException with every field at fault, or with line and column if it is not
-     *     JSON
+     * Reads settings from JSON.
+     *
+     * @throws SettingsException with every invalid field, or with line and column if the text is
+     *     not JSON
      */
     public static FleetSettings read(String text) throws SettingsException {
         try {
             return read(JSON.readTree(text));
         } catch (JsonProcessingException e) {
-            String place =
-                    e.getLocation() == null
-                            ? ""
-                            : "line "
-                                    + e.getLocation().getLineNr()
-                                    + ", column "
-                                    + e.getLocation().getColumnNr();
             throw new SettingsException(
                     List.of(
                             new SettingsException.InvalidField(
-                                    "(whole)", place, "JSON: " + e.getOriginalMessage())));
+                                    JsonFields.WHOLE,
+                                    describe(e.getLocation()),
+                                    "JSON: " + e.getOriginalMessage())));
         }
     }
 
+    private static String describe(JsonLocation location) {
+        return location == null
+                ? ""
+                : "line " + location.getLineNr() + ", column " + location.getColumnNr();
+    }
+
+    /**
+     * Reads settings from a JSON tree.
+     *
+     * @throws SettingsException with every invalid field
+     */
     public static FleetSettings read(JsonNode json) throws SettingsException {
-        JsonFields all = new JsonFields(json);
-        long seed = all.whole("seed", 1, 0, Long.MAX_VALUE);
-        List<String> zones = all.texts("zones", 1, 64, null);
-        List<String> kinds = all.texts("kinds", 1, 64, null);
-        List<FleetSettings.Method> methods = methods(all, kinds, zones);
-        FleetSettings.Catalogue list = list(all.object("list"));
-        FleetSettings.HealthChecks probes = probes(all.object("probes"));
-        String levels = all.text("levels", "none", "share|rate|none", "share, rate or none");
-        FleetSettings.Channel channel = channel(all.object("channel"));
-        long period = all.millis("reportPeriodMs", Double.NaN, 10, 60_000);
-        long grace = all.millis("drainGraceMs", Double.NaN, 100, DAY);
-        double leastShare = all.number("drainLeastShare", 0.5, 0, 1);
-        List<InetSocketAddress> peers = peers(all);
-        JsonFields cold = all.object("cold");
-        FleetSettings.WarmUp warming =
-                new FleetSettings.WarmUp(
-                        cold.millis("timeMs", Double.NaN, 0, DAY),
-                        cold.number("share", Double.NaN, 0.01, 1),
-                        cold.millis("windowMs", Double.NaN, 0, DAY));
-        cold.closed();
-        all.end();
+        JsonFields fields = new JsonFields(json);
+        FleetSettings settings = settings(fields);
+        fields.end();
+        return settings;
+    }
+
+    /** Invalid fields are reported in the order in which they are read here. */
+    private static FleetSettings settings(JsonFields fields) {
+        long seed = fields.whole("seed", 1, 0, Long.MAX_VALUE);
+        List<String> zones = fields.texts("zones", 1, MAX_NAMES, null);
+        List<String> machineTypes = fields.texts("kinds", 1, MAX_NAMES, null);
+        List<FleetSettings.Method> methods = methods(fields, machineTypes, zones);
+        FleetSettings.Catalogue discovery = discovery(fields.object("list"));
+        FleetSettings.HealthChecks healthChecks = healthChecks(fields.object("probes"));
+        PolicySettings.Throttle throttle = throttle(fields);
+        FleetSettings.Channel channel = channel(fields.object("channel"));
+        long reportPeriodNanos = fields.millis("reportPeriodMs", REQUIRED, 10, MINUTE_MILLIS);
+        long drainTimeoutNanos = fields.millis("drainGraceMs", REQUIRED, 100, DAY_MILLIS);
+        double minCapacityRatio = fields.number("drainLeastShare", 0.5, 0, 1);
+        List<InetSocketAddress> peers = peers(fields);
+        FleetSettings.WarmUp warmUp = warmUp(fields.object("cold"));
         return new FleetSettings(
                 seed,
                 zones,
-                kinds,
+                machineTypes,
                 methods,
-                list,
-                probes,
-                PolicySettings.Throttle.valueOf(levels.toUpperCase(Locale.ROOT)),
+                discovery,
+                healthChecks,
+                throttle,
                 channel,
-                period,
-                grace,
-                leastShare,
+                reportPeriodNanos,
+                drainTimeoutNanos,
+                minCapacityRatio,
                 peers,
-                warming);
+                warmUp);
     }
 
     private static List<FleetSettings.Method> methods(
-            JsonFields all, List<String> kinds, List<String> zones) {
+            JsonFields fields, List<String> machineTypes, List<String> zones) {
         List<FleetSettings.Method> methods = new ArrayList<>();
-        for (JsonFields method : all.objects("methods", 1, 32)) {
-            String name =
-                    method.text("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
-            if (methods.stream().anyMatch(m -> m.name().equals(name))) {
-                method.fault("name", "a name that no other method has");
-            }
-            methods.add(
-                    new FleetSettings.Method(
-                            name,
-                            method.number("criticality", Double.NaN, 0, 1e9),
-                            method.texts("onlyKinds", 0, 64, kinds),
-                            method.texts("onlyZones", 0, 64, zones),
-                            method.flag("ownZone", false)));
-            method.closed();
+        for (JsonFields method : fields.objects("methods", 1, MAX_METHODS)) {
+            methods.add(method(method, methods, machineTypes, zones));
         }
         return methods;
     }
 
-    private static List<InetSocketAddress> peers(JsonFields all) {
-        List<InetSocketAddress> peers = new ArrayList<>();
-        for (String text : all.texts("peers", 0, 64, null)) {
-            int colon = text.lastIndexOf(':');
-            if (colon < 1
-                    || !text.substring(colon + 1).matches("[0-9]{1,5}")
-                    || Integer.parseInt(text.substring(colon + 1)) > 65_535) {
-                all.fault("peers", "addresses as HOST:PORT");
-            } else {
-                peers.add(
-                        new InetSocketAddress(
-                                text.substring(0, colon),
-                                Integer.parseInt(text.substring(colon + 1))));
-            }
+    private static FleetSettings.Method method(
+            JsonFields fields,
+            List<FleetSettings.Method> earlier,
+            List<String> machineTypes,
+            List<String> zones) {
+        String name = fields.text("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
+        if (earlier.stream().anyMatch(method -> method.name().equals(name))) {
+            fields.fault("name", "a name that no other method has");
         }
-        return peers;
+        FleetSettings.Method method =
+                new FleetSettings.Method(
+                        name,
+                        fields.number("criticality", REQUIRED, 0, 1e9),
+                        fields.texts("onlyKinds", 0, MAX_NAMES, machineTypes),
+                        fields.texts("onlyZones", 0, MAX_NAMES, zones),
+                        fields.flag("ownZone", false));
+        fields.closed();
+        return method;
     }
 
-    private static FleetSettings.Catalogue list(JsonFields list) {
-        FleetSettings.Catalogue read =
+    private static FleetSettings.Catalogue discovery(JsonFields fields) {
+        FleetSettings.Catalogue discovery =
                 new FleetSettings.Catalogue(
-                        list.text(
+                        fields.text(
                                 "host",
                                 "127.0.0.1",
                                 "[0-9A-Za-z.:-]{1,255}",
                                 "a host name or address"),
-                        (int) list.whole("port", -1, 1, 65_535),
-                        list.text("service", null, "[0-9A-Za-z._-]{1,64}", "a service's name"),
-                        list.flag("onDemand", false),
-                        list.millis("waitMs", 10_000, 100, 600_000),
-                        list.millis("silentAfterMs", 2_000, 50, 600_000),
-                        list.millis("backwardsAfterMs", 30_000, 0, DAY));
-        list.closed();
-        return read;
+                        (int) fields.whole("port", -1, 1, MAX_PORT),
+                        fields.text("service", null, "[0-9A-Za-z._-]{1,64}", "a service's name"),
+                        fields.flag("onDemand", false),
+                        fields.millis("waitMs", 10_000, 100, TEN_MINUTES_MILLIS),
+                        fields.millis("silentAfterMs", 2_000, 50, TEN_MINUTES_MILLIS),
+                        fields.millis("backwardsAfterMs", 30_000, 0, DAY_MILLIS));
+        fields.closed();
+        return discovery;
     }
 
-    private static FleetSettings.HealthChecks probes(JsonFields probes) {
-        FleetSettings.HealthChecks read =
+    private static FleetSettings.HealthChecks healthChecks(JsonFields fields) {
+        FleetSettings.HealthChecks healthChecks =
                 new FleetSettings.HealthChecks(
-                        probes.flag("allowed", false),
-                        probes.text(
+                        fields.flag("allowed", false),
+                        fields.text(
                                 "path",
                                 "/health",
                                 "/[\\x21-\\x7e]{0,255}",
                                 "a path that begins with /"),
-                        probes.millis("timeoutMs", 500, 10, 60_000));
-        probes.closed();
-        return read;
+                        fields.millis("timeoutMs", 500, 10, MINUTE_MILLIS));
+        fields.closed();
+        return healthChecks;
     }
 
-    private static FleetSettings.Channel channel(JsonFields channel) {
-        FleetSettings.Channel read =
+    private static PolicySettings.Throttle throttle(JsonFields fields) {
+        String name = fields.text("levels", "none", "share|rate|none", "share, rate or none");
+        return switch (name) {
+            case "share" -> PolicySettings.Throttle.SHARE;
+            case "rate" -> PolicySettings.Throttle.RATE;
+            default -> PolicySettings.Throttle.NONE;
+        };
+    }
+
+    private static FleetSettings.Channel channel(JsonFields fields) {
+        FleetSettings.Channel channel =
                 new FleetSettings.Channel(
-                        channel.number("linesPerSecond", Double.NaN, 1, 1e9),
-                        channel.number("linesPerMessage", Double.NaN, 0, 1e6),
-                        channel.number("queueLimit", Double.NaN, 1, 1e9),
-                        channel.number("orderPrice", 0, 0, 100),
-                        (int) channel.whole("messageLimit", 0, 0, 1_000_000),
-                        channel.millis("messageSpanMs", 10_000, 1, DAY),
-                        channel.millis("longestWayMs", 0, 0, DAY),
-                        channel.millis("keepAliveMs", 500, 20, 60_000));
-        channel.closed();
-        return read;
+                        fields.number("linesPerSecond", REQUIRED, 1, 1e9),
+                        fields.number("linesPerMessage", REQUIRED, 0, 1e6),
+                        fields.number("queueLimit", REQUIRED, 1, 1e9),
+                        fields.number("orderPrice", 0, 0, 100),
+                        (int) fields.whole("messageLimit", 0, 0, 1_000_000),
+                        fields.millis("messageSpanMs", 10_000, 1, DAY_MILLIS),
+                        fields.millis("longestWayMs", 0, 0, DAY_MILLIS),
+                        fields.millis("keepAliveMs", 500, 20, MINUTE_MILLIS));
+        fields.closed();
+        return channel;
+    }
+
+    private static List<InetSocketAddress> peers(JsonFields fields) {
+        List<InetSocketAddress> peers = new ArrayList<>();
+        for (String text : fields.texts("peers", 0, MAX_PEERS, null)) {
+            int colon = text.lastIndexOf(':');
+            if (colon < 1 || !isPort(text.substring(colon + 1))) {
+                fields.fault("peers", "addresses as HOST:PORT");
+            } else {
+                int port = Integer.parseInt(text.substring(colon + 1));
+                peers.add(new InetSocketAddress(text.substring(0, colon), port));
+            }
+        }
+        return peers;
+    }
+
+    private static boolean isPort(String text) {
+        return text.matches("[0-9]{1,5}") && Integer.parseInt(text) <= MAX_PORT;
+    }
+
+    private static FleetSettings.WarmUp warmUp(JsonFields fields) {
+        FleetSettings.WarmUp warmUp =
+                new FleetSettings.WarmUp(
+                        fields.millis("timeMs", REQUIRED, 0, DAY_MILLIS),
+                        fields.number("share", REQUIRED, 0.01, 1),
+                        fields.millis("windowMs", REQUIRED, 0, DAY_MILLIS));
+        fields.closed();
+        return warmUp;
     }
 }
--- a/src/main/java/rosespread/settings/Snapshot.java
+++ b/src/main/java/rosespread/settings/Snapshot.java
@@ -16,35 +16,46 @@
 import java.util.Optional;
 
 /**
- * The settings as they were last applied, in one file. It is written beside and moved into place,
- * so that it is always whole; a digest over the settings tells damage. A damaged file is never
- * overwritten: it is set aside.
+ * The file {@code settings.json} that keeps the settings in force over restarts.
+ *
+ * <p>It is written beside and moved into place, and forced to disk, so that after a crash it holds
+ * either the former settings or the new ones. A digest detects damage. A damaged file is never
+ * overwritten: the next save sets it aside.
+ *
+ * <p>Not thread-safe; both methods block on the disk.
  */
 public final class Snapshot {
     private static final int FORMAT = 2;
 
-    /** Before settings had a revision; its digest is over the settings alone. */
-    private static final int WITHOUT_REVISION = 1;
+    /** The format before settings had a revision; its digest is over the settings alone. */
+    private static final int FORMAT_WITHOUT_REVISION = 1;
 
+    private static final String DIGEST = "digest";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     /**
-     * PolicySettings as they were applied.
+     * Settings as they were applied.
      *
-     * @param revision rises by one with each that is applied; @param by who applied it; @param call
-     *     the id of the call that did
+     * @param text the settings as JSON
+     * @param revision rises by one with each that is applied
+     * @param by the operator who applied them
+     * @param call the id of the request that applied them
+     * @param atMillis the wall clock time of that in milliseconds since the epoch
      */
     public record Saved(String text, long revision, String by, String call, long atMillis) {}
 
     private final Path file;
+
+    /** Whether the file that stands there could not be loaded, and must be set aside. */
     private boolean damaged;
 
+    /** The file in this folder, which need not exist yet. */
     public Snapshot(Path folder) {
         this.file = folder.resolve("settings.json");
     }
 
     /**
-     * The settings as saved, if there are any.
+     * The settings saved last, or empty if none were.
      *
      * @throws IOException if the file cannot be read or is damaged; the message names the file and
      *     the place
@@ -54,98 +65,119 @@
             return Optional.empty();
         }
         damaged = true;
-        byte[] bytes = Files.readAllBytes(file);
-        JsonNode saved;
+        JsonNode content = parse(Files.readAllBytes(file));
+        int format = checkedFormat(content);
+        String settings = content.path("settings").toString();
+        checkDigest(content, format, settings);
+        damaged = false;
+        return Optional.of(
+                new Saved(
+                        settings,
+                        content.path("revision").asLong(),
+                        content.path("by").asText(),
+                        content.path("call").asText(),
+                        content.path("savedAtMillis").asLong()));
+    }
+
+    private JsonNode parse(byte[] bytes) throws IOException {
         try {
-            saved = JSON.readTree(bytes);
+            return JSON.readTree(bytes);
         } catch (JsonProcessingException e) {
-            throw new IOException(
-                    file
-                            + ": damaged at byte "
-                            + (e.getLocation() == null ? 0 : e.getLocation().getByteOffset())
-                            + " of "
-                            + bytes.length
-                            + ": "
-                            + e.getOriginalMessage(),
-                    e);
+            long offset = e.getLocation() == null ? 0 : e.getLocation().getByteOffset();
+            String where = "damaged at byte " + offset + " of " + bytes.length;
+            throw new IOException(file + ": " + where + ": " + e.getOriginalMessage(), e);
         }
-        int format = saved == null ? 0 : saved.path("format").asInt();
-        if (saved == null || !saved.isObject() || format != FORMAT && format != WITHOUT_REVISION) {
-            throw new IOException(
-                    file
-                            + ": field format is "
-                            + (saved == null ? "missing" : saved.path("format"))
-                            + "; allowed: "
-                            + FORMAT);
+    }
+
+    private int checkedFormat(JsonNode content) throws IOException {
+        int format = content == null ? 0 : content.path("format").asInt();
+        boolean known = format == FORMAT || format == FORMAT_WITHOUT_REVISION;
+        if (content == null || !content.isObject() || !known) {
+            Object found = content == null ? "missing" : content.path("format");
+            throw new IOException(file + ": field format is " + found + "; allowed: " + FORMAT);
         }
-        String text = saved.path("settings").toString();
-        String told = saved.path("digest").asText();
-        String is = digest(format == FORMAT ? withoutDigest((ObjectNode) saved) : text);
-        if (!told.equals(is)) {
+        return format;
+    }
+
+    private void checkDigest(JsonNode content, int format, String settings) throws IOException {
+        String stored = content.path(DIGEST).asText();
+        String actual = digest(format == FORMAT ? withoutDigest((ObjectNode) content) : settings);
+        if (!stored.equals(actual)) {
             throw new IOException(
                     file
                             + ": field digest is \""
-                            + told
+                            + stored
                             + "\"; what is in the file has \""
-                            + is
+                            + actual
                             + "\"");
         }
-        damaged = false;
-        return Optional.of(
-                new Saved(
-                        text,
-                        saved.path("revision").asLong(),
-                        saved.path("by").asText(),
-                        saved.path("call").asText(),
-                        saved.path("savedAtMillis").asLong()));
     }
 
-    /** Saves; returns where a damaged file that stood in the way was set aside. */
+    /**
+     * Saves settings; they are on disk when this returns.
+     *
+     * @return where a damaged file that stood in the way was moved, if there was one
+     * @throws IOException if they could not be saved, or are not JSON
+     */
     public Optional<Path> save(Saved settings) throws IOException {
-        JsonNode parsed = JSON.readTree(settings.text());
-        long wallMillis = settings.atMillis();
-        ObjectNode saved = JSON.createObjectNode();
-        saved.put("format", FORMAT);
-        saved.put("savedAtMillis", wallMillis);
-        saved.put("revision", settings.revision())
-                .put("by", settings.by())
-                .put("call", settings.call());
-        saved.set("settings", parsed);
-        saved.put("digest", digest(saved.toString()));
+        byte[] content =
+                JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(contentOf(settings));
         Files.createDirectories(file.getParent());
-        Optional<Path> aside = Optional.empty();
-        if (damaged && Files.exists(file)) {
-            aside =
-                    Optional.of(
-                            Files.move(
-                                    file,
-                                    file.resolveSibling("settings.json.damaged-" + wallMillis)));
-        }
+        Optional<Path> aside = setDamagedFileAside(settings.atMillis());
         Path next = file.resolveSibling("settings.json.next");
+        writeDurably(next, content);
+        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        forceFolder();
+        damaged = false;
+        return aside;
+    }
+
+    /** The order of the fields is part of the stored form, as the digest covers it. */
+    private static ObjectNode contentOf(Saved settings) throws JsonProcessingException {
+        ObjectNode content = JSON.createObjectNode();
+        content.put("format", FORMAT);
+        content.put("savedAtMillis", settings.atMillis());
+        content.put("revision", settings.revision());
+        content.put("by", settings.by());
+        content.put("call", settings.call());
+        content.set("settings", JSON.readTree(settings.text()));
+        content.put(DIGEST, digest(content.toString()));
+        return content;
+    }
+
+    private Optional<Path> setDamagedFileAside(long wallMillis) throws IOException {
+        if (!damaged || !Files.exists(file)) {
+            return Optional.empty();
+        }
+        Path aside = file.resolveSibling("settings.json.damaged-" + wallMillis);
+        return Optional.of(Files.move(file, aside));
+    }
+
+    private static void writeDurably(Path path, byte[] content) throws IOException {
         try (FileChannel out =
                 FileChannel.open(
-                        next,
+                        path,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            ByteBuffer bytes =
-                    ByteBuffer.wrap(JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(saved));
+            ByteBuffer bytes = ByteBuffer.wrap(content);
             while (bytes.hasRemaining()) {
                 out.write(bytes);
             }
             out.force(true);
         }
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    }
+
+    /** Makes the move itself durable. */
+    private void forceFolder() throws IOException {
         try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
             folder.force(true);
         }
-        damaged = false;
-        return aside;
     }
 
-    private static String withoutDigest(ObjectNode saved) {
-        ObjectNode rest = saved.deepCopy();
-        rest.remove("digest");
+    private static String withoutDigest(ObjectNode content) {
+        ObjectNode rest = content.deepCopy();
+        rest.remove(DIGEST);
         return rest.toString();
     }
 
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -4,12 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -24,7 +19,7 @@
              "cold":{"timeMs":16000,"share":0.2,"windowMs":1500}}""";
 
     @Test
-    void readsWhatTheModuleIsTold() throws SettingsException {
+    void policySettingsAreReadInNanoseconds() throws SettingsException {
         FleetSettings settings = SettingsReader.read(GOOD);
         assertEquals(2_000_000_000L, settings.policySettings().drainTimeoutNanos());
         assertEquals(2, settings.policySettings().zones());
@@ -50,55 +45,25 @@
                 "\"drainGraceMs\":2000|\"drainGraceMs\":2000,\"drainGraceMs\":1|(whole)|line 5",
                 "\"zones\"|zones|(whole)|line 1, column"
             })
-    void namesFieldValueAndWhatIsAllowed(String from, String to, String field, String value) {
-        SettingsException e =
+    void invalidFieldIsReportedWithWhatIsAllowed(
+            String from, String to, String field, String value) {
+        SettingsException error =
                 assertThrows(
                         SettingsException.class, () -> SettingsReader.read(GOOD.replace(from, to)));
         assertTrue(
-                e.invalidFields().stream()
+                error.invalidFields().stream()
                         .anyMatch(
                                 f ->
                                         f.field().equals(field)
                                                 && f.found().startsWith(value)
                                                 && !f.allowed().isEmpty()),
-                e.getMessage());
+                error.getMessage());
     }
 
     @Test
-    void tellsAllFaultsAtOnce() {
-        SettingsException e =
+    void allInvalidFieldsAreReportedAtOnce() {
+        SettingsException error =
                 assertThrows(SettingsException.class, () -> SettingsReader.read("{}"));
-        assertTrue(e.invalidFields().size() > 8, e.getMessage());
-    }
-
-    @Test
-    void refusesASnapshotDamagedAtAnyByteAndSetsItAside(@TempDir Path folder) throws IOException {
-        Snapshot snapshot = new Snapshot(folder);
-        assertEquals(Optional.empty(), snapshot.load());
-        snapshot.save(new Snapshot.Saved(GOOD, 3, "o", "c", 1));
-        Path file = folder.resolve("settings.json");
-        byte[] good = Files.readAllBytes(file);
-        Snapshot.Saved saved = new Snapshot(folder).load().orElseThrow();
-        assertEquals(3, saved.revision());
-        for (int at = 0; at < good.length; at++) {
-            byte[] cut = java.util.Arrays.copyOf(good, at);
-            byte[] flipped = good.clone();
-            flipped[at] ^= 1;
-            for (byte[] damaged : java.util.List.of(cut, flipped)) {
-                Files.write(file, damaged);
-                try {
-                    // A flip may fall on what does not matter: a space.
-                    assertEquals(Optional.of(saved), new Snapshot(folder).load(), "byte " + at);
-                } catch (IOException e) {
-                    assertTrue(e.getMessage().contains("settings.json"), e.getMessage());
-                }
-            }
-        }
-        Files.write(file, new byte[] {'{'});
-        Snapshot after = new Snapshot(folder);
-        assertThrows(IOException.class, after::load);
-        Path aside = after.save(saved).orElseThrow();
-        assertEquals("{", Files.readString(aside));
-        assertEquals(saved, new Snapshot(folder).load().orElseThrow());
+        assertTrue(error.invalidFields().size() > 8, error.getMessage());
     }
 }
