--- a/src/main/java/rosespread/adapter/MalformedBatchException.java
+++ b/src/main/java/rosespread/adapter/MalformedBatchException.java
@@ -1,10 +1,18 @@
 package rosespread.adapter;
 
-/** What came in is not the wire; the message is one plain line for the reader of standard error. */
+/** A line of input is not a batch; the message is one line for the reader of standard error. */
 public final class MalformedBatchException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedBatchException(String message) {
-        super(message);
+    private final long lineNumber;
+
+    MalformedBatchException(long lineNumber, String detail) {
+        super("line " + lineNumber + " is not a batch: " + detail);
+        this.lineNumber = lineNumber;
+    }
+
+    /** The number of the line, from 1. */
+    public long lineNumber() {
+        return lineNumber;
     }
 }
--- a/src/main/java/rosespread/adapter/SimulatedController.java
+++ b/src/main/java/rosespread/adapter/SimulatedController.java
@@ -8,133 +8,72 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import rosespread.api.EventHandler;
-import rosespread.api.MethodId;
-import rosespread.api.NodeId;
-import rosespread.api.ProxyId;
-import rosespread.api.ZoneId;
 import rosespread.config.ConfigException;
 import rosespread.config.ConfigObject;
 import rosespread.config.NameRegistry;
 import rosespread.config.PolicySettingsReader;
 import rosespread.policy.RoutingPolicy;
 
-/** One conductor of the process: turns its events into calls on its own decision module. */
+/**
+ * One of the simulator's controllers in this process: its policy, and the events that wait for its
+ * next round.
+ */
 final class SimulatedController {
     private final int id;
     private final RoutingPolicy policy;
-    private final NameRegistry names;
-    private final List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
+    private final SimulatorEventReader reader;
+    private List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
 
+    /**
+     * A controller as its launch event describes it.
+     *
+     * @throws ConfigException if a field is missing or has a wrong type
+     */
     SimulatedController(int id, ConfigObject launch) throws ConfigException {
+        ConfigObject settings = launch.object("info");
+        NameRegistry names = new NameRegistry(settings);
         this.id = id;
-        ConfigObject info = launch.object("info");
-        this.names = new NameRegistry(info);
+        this.reader = new SimulatorEventReader(names);
         this.policy =
                 new RoutingPolicy(
-                        new PolicySettingsReader(names).read(info),
+                        new PolicySettingsReader(names).read(settings),
                         new SplittableRandom(launch.longValue("nonce64")));
     }
 
-    /** Decodes one event; one of an unknown name is passed over. */
+    /**
+     * Takes an event for the next round; one of an unknown name is passed over.
+     *
+     * @throws ConfigException if the event is malformed
+     */
     void handleEvent(ConfigObject event) throws ConfigException {
-        switch (event.text("msg")) {
-            case "Topology" -> handleNodeList(event);
-            case "Attached" -> {
-                ProxyId proxy = proxy(event);
-                ZoneId zone = names.zone(event.text("zone"));
-                double rate = event.number("w", 0);
-                pendingEvents.add(observer -> observer.proxyJoined(proxy, zone, rate));
-            }
-            case "Unsubscribed" -> {
-                ProxyId proxy = proxy(event);
-                pendingEvents.add(observer -> observer.proxyLeft(proxy));
-            }
-            case "Installed" -> {
-                ProxyId proxy = proxy(event);
-                int mark = event.integer("rev");
-                long took = event.secondsAsNanos("costTime", 0);
-                pendingEvents.add(observer -> observer.acknowledged(proxy, mark, took));
-            }
-            case "Digest" -> {
-                NodeId node = node(event);
-                ZoneId zone = names.zone(event.text("zone"));
-                int tries = event.integer("count");
-                int unanswered = event.integer("unanswered", 0);
-                double seconds = event.number("costTime", 0);
-                double latency = tries > unanswered && seconds > 0 ? seconds : Double.NaN;
-                long covers = event.secondsAsNanos("covers");
-                double utilization = names.utilization(event);
-                pendingEvents.add(
-                        observer ->
-                                observer.loadReported(
-                                        node,
-                                        zone,
-                                        tries,
-                                        unanswered,
-                                        latency,
-                                        covers,
-                                        utilization));
-            }
-            case "OfferedLoad" -> {
-                ProxyId proxy = proxy(event);
-                MethodId method = names.method(event.text("category"));
-                int count = event.integer("count");
-                long covers = event.secondsAsNanos("covers");
-                pendingEvents.add(
-                        observer -> observer.demandReported(proxy, method, count, covers));
-            }
-            case "PingResult" -> {
-                NodeId node = node(event);
-                EventHandler.HealthCheckResult verdict =
-                        WireNames.healthCheckResult(event.text("verdict"));
-                pendingEvents.add(observer -> observer.healthChecked(node, verdict));
-            }
-            case "Wakeup" -> pendingEvents.add(EventHandler::timerFired);
-            default -> {}
-        }
-    }
-
-    private void handleNodeList(ConfigObject event) throws ConfigException {
-        EventHandler.NodeListKind kind = WireNames.nodeListKind(event.text("kind"));
-        pendingEvents.add(observer -> observer.listStarted(kind));
-        for (ConfigObject entry : event.objects("elements")) {
-            NodeId node = node(entry);
-            EventHandler.NodeState state = WireNames.nodeState(entry.text("lifecycle"));
-            var machine = names.machineType(entry.text("kind", ""));
-            ZoneId zone = names.zone(entry.text("zone", ""));
-            double weight = entry.number("w", 1);
-            double up = entry.number("cameUp", 0);
-            long started = up == 0 ? Long.MIN_VALUE : Math.round(up * 1e9);
-            pendingEvents.add(
-                    observer -> observer.nodeListed(node, machine, zone, weight, state, started));
-        }
-        pendingEvents.add(EventHandler::listCompleted);
+        reader.read(event, pendingEvents);
     }
 
     /**
-     * Plays the round; what the module throws goes out as the wire's fault and ends the day there.
+     * Runs a round with the events since the last one, and writes its actions. If the policy
+     * throws, a fault action is written after those it had made; the simulator ends the run at
+     * that.
+     *
+     * @param now the simulator's time in nanoseconds
+     * @throws IOException if the reply cannot be written
      */
     void runRound(long now, JsonGenerator reply) throws IOException {
-        List<Consumer<EventHandler>> round = List.copyOf(pendingEvents);
-        pendingEvents.clear();
+        List<Consumer<EventHandler>> events = pendingEvents;
+        pendingEvents = new ArrayList<>();
         try {
             policy.round(
                     now,
-                    observer -> round.forEach(call -> call.accept(observer)),
+                    handler -> events.forEach(event -> event.accept(handler)),
                     new SimulatorActionWriter(id, reply));
         } catch (UncheckedIOException e) {
             throw e.getCause();
         } catch (RuntimeException e) {
-            StackTraceElement[] at = e.getStackTrace();
-            SimulatorActionWriter.writeFault(id, reply, e + (at.length > 0 ? " at " + at[0] : ""));
+            SimulatorActionWriter.writeFault(id, reply, describe(e));
         }
     }
 
-    private static ProxyId proxy(ConfigObject event) throws ConfigException {
-        return new ProxyId(event.integer("clientLb"));
-    }
-
-    private static NodeId node(ConfigObject event) throws ConfigException {
-        return new NodeId(event.longValue("node"));
+    private static String describe(RuntimeException failure) {
+        StackTraceElement[] frames = failure.getStackTrace();
+        return failure + (frames.length > 0 ? " at " + frames[0] : "");
     }
 }
--- a/src/main/java/rosespread/adapter/SimulatorActionWriter.java
+++ b/src/main/java/rosespread/adapter/SimulatorActionWriter.java
@@ -10,35 +10,44 @@
 import rosespread.api.TableId;
 import rosespread.config.NameRegistry;
 
-/** Writes a conductor's orders as the wire's actions. */
+/**
+ * Writes a controller's actions to the reply, in the order in which the policy makes them. The
+ * order of an action's fields is part of the wire.
+ *
+ * <p>An I/O error of the reply leaves each method as {@link UncheckedIOException}.
+ */
 final class SimulatorActionWriter implements PolicyActions {
+    private static final double NANOS_PER_SECOND = 1e9;
+
     private final int controllerId;
     private final JsonGenerator reply;
 
-    SimulatorActionWriter(int conductor, JsonGenerator reply) {
-        this.controllerId = conductor;
+    SimulatorActionWriter(int controllerId, JsonGenerator reply) {
+        this.controllerId = controllerId;
         this.reply = reply;
     }
 
-    private interface Body {
+    /** Writes an action's own fields. */
+    private interface Fields {
         void write() throws IOException;
     }
 
-    private void writeAction(String name, Body body) {
+    private void writeAction(String name, Fields fields) {
         try {
             reply.writeStartObject();
-            reply.writeStringField("msg", name);
-            reply.writeNumberField("conductorId", controllerId);
-            body.write();
+            reply.writeStringField(WireNames.MESSAGE, name);
+            reply.writeNumberField(WireNames.CONTROLLER, controllerId);
+            fields.write();
             reply.writeEndObject();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    static void writeFault(int conductor, JsonGenerator reply, String text) {
-        new SimulatorActionWriter(conductor, reply)
-                .writeAction("Fault", () -> reply.writeStringField("reasonText", text));
+    /** Writes that the controller's policy has failed. */
+    static void writeFault(int controllerId, JsonGenerator reply, String text) {
+        new SimulatorActionWriter(controllerId, reply)
+                .writeAction("Fault", () -> reply.writeStringField(WireNames.TEXT, text));
     }
 
     @Override
@@ -46,9 +55,9 @@
         writeAction(
                 "Assign",
                 () -> {
-                    reply.writeNumberField("tbl", table.value());
-                    reply.writeNumberField("w", weight);
-                    reply.writeNumberField("node", node.value());
+                    reply.writeNumberField(WireNames.TABLE, table.value());
+                    reply.writeNumberField(WireNames.WEIGHT, weight);
+                    reply.writeNumberField(WireNames.NODE, node.value());
                 });
     }
 
@@ -57,53 +66,53 @@
         writeAction(
                 "Point",
                 () -> {
-                    reply.writeNumberField("clientLb", proxy.value());
-                    reply.writeNumberField("classBits", methodBits(methods));
-                    reply.writeNumberField("tbl", table.value());
+                    reply.writeNumberField(WireNames.PROXY, proxy.value());
+                    reply.writeNumberField(WireNames.METHOD_BITS, methodBits(methods));
+                    reply.writeNumberField(WireNames.TABLE, table.value());
                 });
     }
 
     @Override
-    public void setExcluded(NodeId node, boolean out) {
+    public void setExcluded(NodeId node, boolean excluded) {
         writeAction(
                 "Cordon",
                 () -> {
-                    reply.writeBooleanField("active", out);
-                    reply.writeNumberField("node", node.value());
+                    reply.writeBooleanField(WireNames.ACTIVE, excluded);
+                    reply.writeNumberField(WireNames.NODE, node.value());
                 });
     }
 
     @Override
-    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
+    public void setAdmissionLimit(TableId table, MethodId method, double limit) {
         writeAction(
                 "Admit",
                 () -> {
                     reply.writeNumberField(
-                            "letIn", Math.min(admitted, NameRegistry.UNBOUNDED_ADMISSION_LIMIT));
+                            "letIn", Math.min(limit, NameRegistry.UNBOUNDED_ADMISSION_LIMIT));
                     reply.writeNumberField("secondTry", NameRegistry.RETRY_ONLY_IF_NOT_EXECUTED);
-                    reply.writeNumberField("tbl", table.value());
-                    reply.writeNumberField("classBits", 1L << method.value());
+                    reply.writeNumberField(WireNames.TABLE, table.value());
+                    reply.writeNumberField(WireNames.METHOD_BITS, methodBit(method));
                 });
     }
 
     @Override
-    public void requestAcknowledgement(int mark) {
+    public void requestAcknowledgement(int number) {
         writeAction(
                 "Mark",
                 () -> {
-                    reply.writeNumberField("rev", mark);
-                    reply.writeBooleanField("active", false);
+                    reply.writeNumberField(WireNames.REVISION, number);
+                    reply.writeBooleanField(WireNames.ACTIVE, false);
                 });
     }
 
     @Override
     public void checkHealth(NodeId node) {
-        writeAction("Ping", () -> reply.writeNumberField("node", node.value()));
+        writeAction("Ping", () -> reply.writeNumberField(WireNames.NODE, node.value()));
     }
 
     @Override
     public void watchNodes() {
-        writeAction("StreamChanges", () -> reply.writeBooleanField("active", true));
+        writeAction("StreamChanges", () -> reply.writeBooleanField(WireNames.ACTIVE, true));
     }
 
     @Override
@@ -111,21 +120,25 @@
         writeAction(
                 "Arm",
                 () -> {
-                    reply.writeNumberField("delay", nanos / 1e9);
+                    reply.writeNumberField("delay", nanos / NANOS_PER_SECOND);
                     reply.writeStringField("ctx", "round");
                 });
     }
 
     @Override
     public void log(String line) {
-        writeAction("Log", () -> reply.writeStringField("reasonText", line));
+        writeAction("Log", () -> reply.writeStringField(WireNames.TEXT, line));
     }
 
     private static long methodBits(Iterable<MethodId> methods) {
         long bits = 0;
         for (MethodId method : methods) {
-            bits |= 1L << method.value();
+            bits |= methodBit(method);
         }
         return bits;
     }
+
+    private static long methodBit(MethodId method) {
+        return 1L << method.value();
+    }
 }
--- a/src/test/java/rosespread/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorAdapterTest.java
@@ -1,6 +1,7 @@
 package rosespread.adapter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -28,13 +29,13 @@
         return ("{'simTime':1.5,'msgs':[" + String.join(",", events) + "]}\n").replace('\'', '"');
     }
 
-    private static String launch(int conductor, String info) {
+    private static String launch(int controller, String info) {
         return "{'msg':'Launch','conductorId':"
-                + conductor
+                + controller
                 + ",'nonce64':5,'info':"
                 + info
                 + "},"
-                + LIST.replace("CID", String.valueOf(conductor));
+                + LIST.replace("CID", String.valueOf(controller));
     }
 
     private static String run(String input) throws IOException, MalformedBatchException {
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void eachBatchGetsOneReplyAndAMethodsOwnKindsItsTable() throws Exception {
+    void eachBatchGetsOneReplyAndARestrictedMethodItsTable() throws Exception {
         String join =
                 "{'msg':'Attached','conductorId':0,'clientLb':3,'zone':'a','w':6.5,'active':true}";
         String[] replies = run(batch() + batch(launch(0, INFO)) + batch(join)).split("\n");
@@ -57,18 +58,18 @@
         assertTrue(
                 replies[1].contains("\"node\":4000000000")
                         || replies[2].contains("\"node\":4000000000"));
-        assertTrue(!(replies[1] + replies[2]).contains("\"node\":7}"));
+        assertFalse((replies[1] + replies[2]).contains("\"node\":7}"));
     }
 
     @Test
-    void unknownEventsAndConductorsNotLaunchedArePassedOver() throws Exception {
+    void unknownEventsAndControllersNotLaunchedArePassedOver() throws Exception {
         String odd = "{'msg':'Novelty','conductorId':0,'x':[1,{'y':null}]}";
         assertEquals("{\"steps\":[]}\n", run(batch(odd)));
         assertEquals(2, run(batch(launch(0, INFO)) + batch(odd)).split("\n").length);
     }
 
     @Test
-    void instancesInOneProcessActAsAlone() throws Exception {
+    void controllersInOneProcessAreIndependent() throws Exception {
         String alone = run(batch(launch(1, INFO)));
         String both = run(batch(launch(0, INFO), launch(1, INFO)));
         String own = alone.substring(alone.indexOf('[') + 1, alone.lastIndexOf(']'));
@@ -87,18 +88,18 @@
                 "{\"simTime\":1,\"msgs\":[]} trailing        | line 2 is not a batch",
                 "{\"simTime\":1,\"msgs\":[{\"msg\":\"x\"}]}  | lacks \"conductorId\""
             })
-    void aLineThatIsNotABatchIsToldPlainly(String line, String complaint) {
-        MalformedBatchException told =
+    void lineThatIsNotABatchIsReported(String line, String expected) {
+        MalformedBatchException error =
                 assertThrows(MalformedBatchException.class, () -> run(batch() + line + "\n"));
-        assertTrue(told.getMessage().contains(complaint), told.getMessage());
+        assertTrue(error.getMessage().contains(expected), error.getMessage());
     }
 
     @ParameterizedTest
     @CsvSource({"channelRate", "queueCap", "coldShare", "importance", "profiles", "contract"})
-    void settingsThatLackSomethingNeededAreToldPlainly(String key) {
+    void missingSettingIsReported(String key) {
         String info = INFO.replace("'" + key + "'", "'other'");
-        MalformedBatchException told =
+        MalformedBatchException error =
                 assertThrows(MalformedBatchException.class, () -> run(batch(launch(0, info))));
-        assertTrue(told.getMessage().contains("lacks \"" + key + "\""), told.getMessage());
+        assertTrue(error.getMessage().contains("lacks \"" + key + "\""), error.getMessage());
     }
 }
