--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -8,149 +8,191 @@
 import java.util.function.Consumer;
 
 /**
- * Parses a stream of RESP2 arrays of bulk strings (the Redis serialization protocol, version 2)
- * that may be cut at every byte. It takes nothing else of RESP: no null, no nested array, no inline
- * command. Memory is taken as bytes come, never by what a length promises.
+ * An incremental parser of RESP2 arrays of bulk strings. The stream may be cut at any byte.
+ *
+ * <p>Nothing else of RESP is accepted: no null, no empty or nested array, no other type, no inline
+ * command. Memory grows with the bytes received, never by a length that was only announced.
+ *
+ * <p>Not thread-safe; belongs to the I/O thread of its session.
  */
 public final class RespParser {
-    private enum Place {
-        ARRAY,
-        COUNT,
-        BULK,
-        LENGTH,
-        BYTES,
-        RETURN,
-        FEED
+    /** What the next byte belongs to. */
+    private enum State {
+        ARRAY_TYPE,
+        ARRAY_LENGTH,
+        STRING_TYPE,
+        STRING_LENGTH,
+        STRING_BYTES,
+        STRING_CR,
+        STRING_LF
     }
 
-    /** No number within the bounds has more digits. */
-    private static final int DIGITS = 9;
+    /** No length within any limits has more digits, and none of so many overflows an int. */
+    private static final int MAX_DIGITS = 9;
 
-    private final Consumer<List<String>> out;
+    private static final int INITIAL_STRING_CAPACITY = 32;
+
+    /** A buffer that a longer string made grow is not kept for the next one. */
+    private static final int MAX_KEPT_STRING_BYTES = 1024;
+
+    private final Consumer<List<String>> messageConsumer;
     private RespLimits limits;
-    private Place place = Place.ARRAY;
+    private State state = State.ARRAY_TYPE;
+
+    /** The offset in the stream of the byte that is taken next. */
     private long offset;
-    private long begun;
-    private int number;
-    private int digits;
-    private boolean sawReturn;
-    private int strings;
-    private int left;
+
+    private long messageOffset;
+    private int length;
+    private int lengthDigits;
+    private boolean lengthCrSeen;
+    private int expectedStrings;
+    private int remainingBytes;
     private List<String> message = new ArrayList<>();
-    private ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
+    private ByteArrayOutputStream string = new ByteArrayOutputStream(INITIAL_STRING_CAPACITY);
 
-    public RespParser(RespLimits limits, Consumer<List<String>> out) {
+    /**
+     * A parser at the start of a stream.
+     *
+     * @param limits the limits of a message until {@link #setLimits} gives others
+     * @param messageConsumer called with each complete message, on the thread of {@link #feed}
+     */
+    public RespParser(RespLimits limits, Consumer<List<String>> messageConsumer) {
         this.limits = limits;
-        this.out = out;
+        this.messageConsumer = messageConsumer;
     }
 
-    /** Other bounds from now on, such as once a peer has said who it is. */
-    public void limit(RespLimits next) {
-        limits = next;
+    /** Changes the limits from the next byte on, such as once a peer has identified itself. */
+    public void setLimits(RespLimits limits) {
+        this.limits = limits;
     }
 
-    /** Takes all bytes of the buffer. After an error nothing more may be fed. */
+    /**
+     * Parses all bytes that remain in the buffer.
+     *
+     * @throws RespException if they are malformed or a message passes its limits; nothing more may
+     *     be fed after that
+     */
     public void feed(ByteBuffer in) throws RespException {
         while (in.hasRemaining()) {
-            if (place == Place.BYTES) {
-                takeBytes(in);
+            if (state == State.STRING_BYTES) {
+                takeStringBytes(in);
             } else {
-                take(in.get());
+                takeByte(in.get());
                 offset++;
             }
         }
     }
 
-    private void take(byte b) throws RespException {
-        switch (place) {
-            case ARRAY -> {
-                begun = offset;
-                begin(b, '*', Place.COUNT);
+    private void takeByte(byte b) throws RespException {
+        switch (state) {
+            case ARRAY_TYPE -> {
+                messageOffset = offset;
+                takeType(b, '*', State.ARRAY_LENGTH);
             }
-            case BULK -> begin(b, '$', Place.LENGTH);
-            case COUNT, LENGTH -> takeNumber(b);
-            case RETURN -> {
-                need(b, '\r');
-                place = Place.FEED;
+            case STRING_TYPE -> takeType(b, '$', State.STRING_LENGTH);
+            case ARRAY_LENGTH, STRING_LENGTH -> takeLengthByte(b);
+            case STRING_CR -> {
+                expect(b, '\r');
+                state = State.STRING_LF;
             }
-            case FEED -> {
-                need(b, '\n');
-                stringEnds();
+            case STRING_LF -> {
+                expect(b, '\n');
+                finishString();
             }
-            default -> throw new IllegalStateException(place.name());
+            default -> throw new IllegalStateException(state.name());
         }
     }
 
-    private void begin(byte b, char mark, Place next) throws RespException {
-        need(b, mark);
-        number = 0;
-        digits = 0;
-        sawReturn = false;
-        place = next;
+    private void takeType(byte b, char type, State next) throws RespException {
+        expect(b, type);
+        length = 0;
+        lengthDigits = 0;
+        lengthCrSeen = false;
+        state = next;
     }
 
-    private void need(byte b, char wanted) throws RespException {
-        if (b != wanted) {
-            String name = wanted == '\r' ? "CR" : wanted == '\n' ? "LF" : "'" + wanted + "'";
-            throw new RespException(offset, name + " expected, not byte " + (b & 0xFF));
+    private void expect(byte b, char expected) throws RespException {
+        if (b != expected) {
+            throw new RespException(offset, name(expected) + " expected, not byte " + (b & 0xFF));
         }
     }
 
-    private void takeNumber(byte b) throws RespException {
-        if (sawReturn) {
-            need(b, '\n');
-            numberEnds();
-        } else if (b == '\r' && digits > 0) {
-            sawReturn = true;
-        } else if (b >= '0' && b <= '9' && digits < DIGITS) {
-            number = number * 10 + (b - '0');
-            digits++;
+    private static String name(char expected) {
+        return switch (expected) {
+            case '\r' -> "CR";
+            case '\n' -> "LF";
+            default -> "'" + expected + "'";
+        };
+    }
+
+    private void takeLengthByte(byte b) throws RespException {
+        if (lengthCrSeen) {
+            expect(b, '\n');
+            finishLength();
+        } else if (b == '\r' && lengthDigits > 0) {
+            lengthCrSeen = true;
+        } else if (b >= '0' && b <= '9' && lengthDigits < MAX_DIGITS) {
+            length = length * 10 + (b - '0');
+            lengthDigits++;
         } else {
-            throw new RespException(offset, "not a length of at most " + DIGITS + " digits");
+            throw new RespException(offset, "not a length of at most " + MAX_DIGITS + " digits");
         }
     }
 
-    private void numberEnds() throws RespException {
-        if (place == Place.COUNT) {
-            if (number < 1 || number > limits.strings()) {
-                throw new RespException(offset, number + " strings, not 1 to " + limits.strings());
-            }
-            strings = number;
-            place = Place.BULK;
-            return;
+    private void finishLength() throws RespException {
+        if (state == State.ARRAY_LENGTH) {
+            finishArrayLength();
+        } else {
+            finishStringLength();
+        }
+    }
+
+    private void finishArrayLength() throws RespException {
+        if (length < 1 || length > limits.maxStrings()) {
+            throw new RespException(offset, length + " strings, not 1 to " + limits.maxStrings());
         }
-        if (offset - begun + number > limits.bytes()) {
-            throw new RespException(offset, "message over " + limits.bytes() + " bytes");
+        expectedStrings = length;
+        state = State.STRING_TYPE;
+    }
+
+    private void finishStringLength() throws RespException {
+        if (offset - messageOffset + length > limits.maxBytes()) {
+            throw new RespException(offset, "message over " + limits.maxBytes() + " bytes");
         }
-        left = number;
-        place = left == 0 ? Place.RETURN : Place.BYTES;
+        remainingBytes = length;
+        state = remainingBytes == 0 ? State.STRING_CR : State.STRING_BYTES;
     }
 
-    private void takeBytes(ByteBuffer in) {
-        int count = Math.min(left, in.remaining());
+    private void takeStringBytes(ByteBuffer in) {
+        int count = Math.min(remainingBytes, in.remaining());
         byte[] part = new byte[count];
         in.get(part);
-        bytes.writeBytes(part);
+        string.writeBytes(part);
         offset += count;
-        left -= count;
-        if (left == 0) {
-            place = Place.RETURN;
+        remainingBytes -= count;
+        if (remainingBytes == 0) {
+            state = State.STRING_CR;
         }
     }
 
-    private void stringEnds() {
-        message.add(bytes.toString(StandardCharsets.UTF_8));
-        if (bytes.size() > 1024) {
-            bytes = new ByteArrayOutputStream(32);
+    private void finishString() {
+        message.add(string.toString(StandardCharsets.UTF_8));
+        if (string.size() > MAX_KEPT_STRING_BYTES) {
+            string = new ByteArrayOutputStream(INITIAL_STRING_CAPACITY);
         } else {
-            bytes.reset();
+            string.reset();
         }
-        place = Place.BULK;
-        if (message.size() == strings) {
-            List<String> whole = message;
-            message = new ArrayList<>();
-            place = Place.ARRAY;
-            out.accept(whole);
+        state = State.STRING_TYPE;
+        if (message.size() == expectedStrings) {
+            finishMessage();
         }
     }
+
+    private void finishMessage() {
+        List<String> complete = message;
+        message = new ArrayList<>();
+        state = State.ARRAY_TYPE;
+        messageConsumer.accept(complete);
+    }
 }
