--- a/src/main/java/rosespread/platform/Addresses.java
+++ b/src/main/java/rosespread/platform/AddressParser.java
@@ -4,8 +4,8 @@
 import rosespread.config.ConfigException;
 
 /** Addresses as the platform writes them; always figures, as there are no names to look up. */
-final class Addresses {
-    private Addresses() {}
+final class AddressParser {
+    private AddressParser() {}
 
     static InetSocketAddress read(String field, String text) throws ConfigException {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/rosespread/platform/ChannelFit.java
+++ b/src/main/java/rosespread/platform/ChannelCapacityCheck.java
@@ -10,10 +10,10 @@
  * well it is decided: a channel too slow for the number of proxies, a queue without room, or too
  * few messages.
  */
-final class ChannelFit {
+final class ChannelCapacityCheck {
     private static final double NANOS = 1e9;
 
-    private ChannelFit() {}
+    private ChannelCapacityCheck() {}
 
     /**
      * One sentence for each thing that does not fit while all of these proxies are at one
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -17,10 +17,10 @@
  */
 final class DiscoveryWatch implements AutoCloseable {
     /** Called on I/O and timer threads; must not block. */
-    interface Ears {
-        void list(TargetList list);
+    interface Listener {
+        void listReceived(NodeList list);
 
-        void unavailable(String why);
+        void listUnavailable(String why);
     }
 
     /**
@@ -46,7 +46,7 @@
     private final HttpClient http;
     private final ScheduledExecutorService timer;
     private final RandomGenerator random;
-    private final Ears ears;
+    private final Listener ears;
     private InetSocketAddress at;
     private long version = -1;
 
@@ -62,7 +62,10 @@
     private Call open;
 
     DiscoveryWatch(
-            HttpClient http, ScheduledExecutorService timer, RandomGenerator random, Ears ears) {
+            HttpClient http,
+            ScheduledExecutorService timer,
+            RandomGenerator random,
+            Listener ears) {
         this.http = http;
         this.timer = timer;
         this.random = random;
@@ -120,7 +123,7 @@
                 return;
             }
             try {
-                take(this, TargetList.parse(answer.body()));
+                take(this, NodeList.parse(answer.body()));
             } catch (ConfigException | RuntimeException | StackOverflowError e) {
                 // Whatever an answer does to its reader, the next call is made: else nobody would
                 // ask again.
@@ -143,7 +146,7 @@
      * than the list held is not taken, as it would undo what was told since: an agent that was
      * moved to may be behind.
      */
-    private synchronized void take(Call call, TargetList list) {
+    private synchronized void take(Call call, NodeList list) {
         if (call != open || closed) {
             return;
         }
@@ -159,7 +162,7 @@
         taken = list.version();
         version = taken;
         ask();
-        ears.list(list);
+        ears.listReceived(list);
     }
 
     private boolean begunAnew() {
@@ -175,7 +178,7 @@
         open = null;
         long pause = Math.min(MOST_PAUSE, FIRST_PAUSE << Math.min(failures, MOST_DOUBLINGS));
         failures++;
-        ears.unavailable(why);
+        ears.listUnavailable(why);
         InetSocketAddress asked = at;
         timer.schedule(
                 () -> again(asked), pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
--- a/src/main/java/rosespread/platform/Json.java
+++ b/src/main/java/rosespread/platform/JsonReader.java
@@ -8,10 +8,10 @@
 import rosespread.config.ConfigObject;
 
 /** One JSON object from bytes. */
-final class Json {
+final class JsonReader {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Json() {}
+    private JsonReader() {}
 
     /**
      * @throws ConfigException naming line and column, if the bytes are not one object
--- a/src/main/java/rosespread/platform/LoadReportStatistics.java
+++ b/src/main/java/rosespread/platform/LoadReportStatistics.java
@@ -27,27 +27,27 @@
 
     private final Map<NodeId, At> nodes = new TreeMap<>();
 
-    void sums(NodeId node, Message.Sums sums) {
+    void sums(NodeId node, Message.LoadReport sums) {
         At at = nodes.computeIfAbsent(node, fresh -> new At());
-        at.tries += sums.tries();
-        at.unanswered += sums.unanswered();
+        at.tries += sums.attempts();
+        at.unanswered += sums.failures();
         at.latency +=
-                Double.isNaN(sums.latency())
+                Double.isNaN(sums.latencySeconds())
                         ? 0
-                        : sums.latency() * (sums.tries() - sums.unanswered());
+                        : sums.latencySeconds() * (sums.attempts() - sums.failures());
         at.busy = Double.isNaN(sums.utilization()) ? at.busy : sums.utilization();
         reports++;
-        tries += sums.tries();
-        unanswered += sums.unanswered();
+        tries += sums.attempts();
+        unanswered += sums.failures();
         if (!Double.isNaN(sums.utilization())) {
             busy += sums.utilization();
             busyReports++;
         }
     }
 
-    void offered(Message.Offered told) {
+    void offered(Message.DemandReport told) {
         reports++;
-        offered += told.count();
+        offered += told.requests();
     }
 
     /** One node's figures: tries, how many of them unanswered, mean milliseconds, busy share. */
--- a/src/main/java/rosespread/platform/Message.java
+++ b/src/main/java/rosespread/platform/Message.java
@@ -10,27 +10,29 @@
     record Heartbeat() implements Message {}
 
     /** A collector of a zone's reports says who it is. */
-    record Collector(ZoneId zone) implements Message {}
+    record CollectorJoin(ZoneId zone) implements Message {}
 
     /**
      * A proxy joins; {@code rate} is its usual RPCs a second, {@code fresh} that it holds no order.
      */
-    record Join(ProxyId proxy, ZoneId zone, double rate, boolean fresh) implements Message {}
+    record ProxyJoin(ProxyId proxy, ZoneId zone, double requestsPerSecond, boolean holdsNoTables)
+            implements Message {}
 
-    record Done(ProxyId proxy, int ticket, long took) implements Message {}
+    record Acknowledgement(ProxyId proxy, int token, long latencyNanos) implements Message {}
 
     /**
      * What a zone's proxies met at a node; latency in seconds, NaN if none, as with utilization.
      */
-    record Sums(
+    record LoadReport(
             String node,
             ZoneId zone,
-            int tries,
-            int unanswered,
-            double latency,
-            long covers,
+            int attempts,
+            int failures,
+            double latencySeconds,
+            long periodNanos,
             double utilization)
             implements Message {}
 
-    record Offered(ProxyId proxy, MethodId method, int count, long covers) implements Message {}
+    record DemandReport(ProxyId proxy, MethodId method, int requests, long periodNanos)
+            implements Message {}
 }
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -47,12 +47,12 @@
         }
         Words in = new Words(words);
         return switch (kind) {
-            case "telemetry" -> new Message.Collector(in.zone());
+            case "telemetry" -> new Message.CollectorJoin(in.zone());
             case "attach" ->
-                    new Message.Join(
+                    new Message.ProxyJoin(
                             in.proxy(), in.zone(), in.number("w", 0, MOST_RATE), in.flag("cold"));
             case "done" ->
-                    new Message.Done(
+                    new Message.Acknowledgement(
                             in.proxy(),
                             in.whole("nonce", 0, 65_535),
                             Math.round(in.number("latency", 0, MOST_MILLIS) * NANOS));
@@ -164,7 +164,7 @@
                             ? number("rtt", 0, MOST_MILLIS)
                             : 0;
             double latency = tries > unanswered && millis > 0 ? millis / 1e3 : Double.NaN;
-            return new Message.Sums(
+            return new Message.LoadReport(
                     node, zone, tries, unanswered, latency, covers(), utilization());
         }
 
@@ -202,7 +202,7 @@
                                                     "no method \"" + shown(route) + "\""));
             int count = whole("total", 0, MOST_COUNT);
             whole("errors", 0, MOST_COUNT);
-            return new Message.Offered(proxy, method, count, covers());
+            return new Message.DemandReport(proxy, method, count, covers());
         }
     }
 }
--- a/src/main/java/rosespread/platform/Target.java
+++ b/src/main/java/rosespread/platform/NodeEntry.java
@@ -8,7 +8,7 @@
  *
  * @param startedMillis wall clock of its last start, 0 if long ago
  */
-record Target(
+record NodeEntry(
         String name,
         InetSocketAddress address,
         String zone,
--- a/src/main/java/rosespread/platform/TargetList.java
+++ b/src/main/java/rosespread/platform/NodeList.java
@@ -10,7 +10,7 @@
 /**
  * One answer of discovery: the whole list, or the entries that changed since an earlier version.
  */
-record TargetList(long version, boolean full, List<Target> targets) {
+record NodeList(long version, boolean full, List<NodeEntry> nodes) {
     private static final int MOST = 100_000;
 
     /** The last wall time in milliseconds that nanoseconds can still tell, in the year 2255. */
@@ -19,13 +19,13 @@
     /**
      * @throws ConfigException if it is no such answer; names line and column, or entry and field
      */
-    static TargetList parse(byte[] body) throws ConfigException {
-        return read(Json.object("the answer", body));
+    static NodeList parse(byte[] body) throws ConfigException {
+        return read(JsonReader.object("the answer", body));
     }
 
-    static TargetList read(ConfigObject list) throws ConfigException {
+    static NodeList read(ConfigObject list) throws ConfigException {
         long version = list.whole("version");
-        List<Target> targets = new ArrayList<>();
+        List<NodeEntry> targets = new ArrayList<>();
         List<ConfigObject> entries = list.requiredObjects("servers");
         if (entries.size() > MOST) {
             throw new ConfigException("servers has over " + MOST + " entries");
@@ -37,10 +37,10 @@
                 throw new ConfigException("entry " + i + " of servers: " + e.getMessage());
             }
         }
-        return new TargetList(version, list.flag("full"), List.copyOf(targets));
+        return new NodeList(version, list.flag("full"), List.copyOf(targets));
     }
 
-    private static Target target(ConfigObject entry) throws ConfigException {
+    private static NodeEntry target(ConfigObject entry) throws ConfigException {
         String name = entry.text("id");
         if (name.isEmpty() || name.length() > 255 || name.matches(".*[,:+\\s].*")) {
             throw new ConfigException("id \"" + name + "\" can't be written in an order");
@@ -62,8 +62,8 @@
         InetSocketAddress address =
                 state == NodeState.GONE && !entry.has("addr")
                         ? null
-                        : Addresses.read("addr", entry.text("addr"));
-        return new Target(
+                        : AddressParser.read("addr", entry.text("addr"));
+        return new NodeEntry(
                 name,
                 address,
                 entry.text("zone", ""),
--- a/src/main/java/rosespread/platform/NodeNames.java
+++ b/src/main/java/rosespread/platform/NodeNameRegistry.java
@@ -9,12 +9,12 @@
  * The platform's names of nodes and the module's ids of them, in the order in which they were first
  * heard. Used from the decision thread only.
  */
-final class NodeNames {
+final class NodeNameRegistry {
     private final Map<String, NodeId> ids = new HashMap<>();
     private final Map<NodeId, String> names = new HashMap<>();
     private long last;
 
-    NodeId give(String name) {
+    NodeId register(String name) {
         return ids.computeIfAbsent(
                 name,
                 fresh -> {
@@ -31,7 +31,7 @@
     /**
      * @throws IllegalStateException if no list ever named it: such an order would cost the stream
      */
-    String name(NodeId id) {
+    String nameOf(NodeId id) {
         String name = names.get(id);
         if (name == null) {
             throw new IllegalStateException("no node " + id.value() + " was ever listed");
--- a/src/main/java/rosespread/platform/PeerConnection.java
+++ b/src/main/java/rosespread/platform/PeerConnection.java
@@ -5,7 +5,7 @@
 import rosespread.api.ZoneId;
 
 /** One connection and who is at its other end. Written by its I/O thread only. */
-final class PeerConnection implements Wire {
+final class PeerConnection implements ProxyConnection {
     enum Role {
         STRANGER,
         COLLECTOR,
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public long unwritten() {
+    public long writeBufferBytes() {
         return session.getScheduledWriteBytes();
     }
 
--- a/src/main/java/rosespread/platform/PlatformConfig.java
+++ b/src/main/java/rosespread/platform/PlatformConfig.java
@@ -16,8 +16,8 @@
         InetSocketAddress listen,
         InetSocketAddress discovery,
         long seed,
-        int sockets,
-        TargetList known,
+        int maxSockets,
+        NodeList knownNodes,
         NameRegistry names,
         PolicySettings settings,
         int proxies) {
@@ -42,7 +42,7 @@
         } catch (IOException e) {
             throw new ConfigException("ROUTER_CONFIG can't be read: " + e);
         }
-        return read(Json.object("the configuration", bytes), environment);
+        return read(JsonReader.object("the configuration", bytes), environment);
     }
 
     static PlatformConfig read(ConfigObject all, Map<String, String> environment)
@@ -54,10 +54,10 @@
             throw new ConfigException("settings.domain.agents is not 1 to 65536");
         }
         int sockets = all.has("limits") ? all.object("limits").integer("sockets", 1024) : 1024;
-        TargetList known =
+        NodeList known =
                 all.has("known")
-                        ? TargetList.read(all.object("known"))
-                        : new TargetList(0, true, java.util.List.of());
+                        ? NodeList.read(all.object("known"))
+                        : new NodeList(0, true, java.util.List.of());
         return new PlatformConfig(
                 all.text("name", environment.getOrDefault("ROUTER_NAME", "conductor")),
                 address(all, "listen", environment.get("ROUTER_LISTEN")),
@@ -72,7 +72,8 @@
 
     private static InetSocketAddress address(ConfigObject all, String field, String absent)
             throws ConfigException {
-        return Addresses.read(field, absent == null ? all.text(field) : all.text(field, absent));
+        return AddressParser.read(
+                field, absent == null ? all.text(field) : all.text(field, absent));
     }
 
     private static long seed(String text) throws ConfigException {
--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -86,7 +86,7 @@
 
     /** Runs until the process is told to end; returns its exit code if it can't begin. */
     public static int serve(Map<String, String> environment) {
-        return serve(environment, Signals::handle);
+        return serve(environment, SignalHandlers::handle);
     }
 
     /**
@@ -129,12 +129,12 @@
     }
 
     private static int most(PlatformConfig config) {
-        return Math.max(1, config.sockets() - KEPT_BACK);
+        return Math.max(1, config.maxSockets() - KEPT_BACK);
     }
 
     private void start() throws IOException {
         Thread decisions =
-                new Thread(new EventLoop(inbox, core::turn, this::undecided), "decisions");
+                new Thread(new EventLoop(inbox, core::runDue, this::undecided), "decisions");
         decisions.setDaemon(true);
         decisions.start();
         watch.follow(config.discovery());
@@ -145,11 +145,11 @@
                 config.name(),
                 bound,
                 config.discovery(),
-                config.known().targets().size(),
-                config.sockets(),
+                config.knownNodes().nodes().size(),
+                config.maxSockets(),
                 config.proxies(),
                 config.settings());
-        ChannelFit.warnings(config.settings(), config.proxies()).forEach(LOG::warn);
+        ChannelCapacityCheck.warnings(config.settings(), config.proxies()).forEach(LOG::warn);
     }
 
     /**
@@ -158,7 +158,7 @@
      */
     private void sweep() {
         try {
-            server.sweep(System.nanoTime());
+            server.closeOverdue(System.nanoTime());
         } catch (RuntimeException | Error e) {
             LOG.error("strangers could not be looked through", e);
         }
@@ -209,37 +209,39 @@
             watch.follow(next.discovery());
         }
         LOG.info("the new configuration was read");
-        server.mostOpen(most(next));
+        server.setMaxConnections(most(next));
         if (!next.settings().equals(config.settings()) || !next.listen().equals(config.listen())) {
             LOG.warn("settings or the address to listen on changed: taken at the next start");
         }
         config = next;
     }
 
-    private final class ListEars implements DiscoveryWatch.Ears {
+    private final class ListEars implements DiscoveryWatch.Listener {
         @Override
-        public void list(TargetList list) {
-            inbox.put(now -> core.list(now, list));
+        public void listReceived(NodeList list) {
+            inbox.put(now -> core.nodeListReceived(now, list));
         }
 
         @Override
-        public void unavailable(String why) {
+        public void listUnavailable(String why) {
             LOG.warn("discovery: {}", why);
-            inbox.put(now -> core.listUnavailable());
+            inbox.put(now -> core.nodeListUnavailable());
             timer.execute(PlatformController.this::look);
         }
     }
 
-    private final class Outside implements PlatformState.World {
+    private final class Outside implements PlatformState.HealthCheckSender {
         @Override
-        public void probe(NodeId node, Target target) {
-            prober.check(target.address(), verdict -> inbox.put(now -> core.probed(node, verdict)));
+        public void checkHealth(NodeId node, NodeEntry target) {
+            prober.check(
+                    target.address(),
+                    verdict -> inbox.put(now -> core.healthChecked(node, verdict)));
         }
 
         @Override
         public String seen() {
             return "open "
-                    + server.open()
+                    + server.openConnections()
                     + " opened "
                     + counts.opened.sum()
                     + " rejected "
@@ -253,7 +255,7 @@
                     + " not accepted "
                     + counts.notAccepted.sum()
                     + " unread "
-                    + server.unwritten()
+                    + server.maxWriteBufferBytes()
                     + " resident "
                     + resident()
                     + " KB descriptors "
--- a/src/main/java/rosespread/platform/PlatformState.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -23,8 +23,8 @@
  */
 final class PlatformState {
     /** What it needs of the outside. */
-    interface World {
-        void probe(NodeId node, Target target);
+    interface HealthCheckSender {
+        void checkHealth(NodeId node, NodeEntry target);
 
         /** What one second showed at the sockets and of the process. */
         String seen();
@@ -40,14 +40,14 @@
     private static final int TICKETS = 1 << 16;
 
     private final PlatformConfig config;
-    private final World world;
+    private final HealthCheckSender world;
     private final PlatformMetrics counts;
     private final long wallOffset;
     private final RoundScheduler rounds = new RoundScheduler();
     private final RoundScheduler.RoundHandler player = new Playing();
-    private final NodeNames nodes = new NodeNames();
-    private final PartWriter writer;
-    private final Map<NodeId, Target> listed = new TreeMap<>();
+    private final NodeNameRegistry nodes = new NodeNameRegistry();
+    private final UpdateEncoder writer;
+    private final Map<NodeId, NodeEntry> listed = new TreeMap<>();
     private final TreeSet<NodeId> restless = new TreeSet<>();
     private final Map<ProxyId, Stream> streams = new TreeMap<>();
     private final Map<ZoneId, Long> reports = new TreeMap<>();
@@ -63,11 +63,11 @@
     private final LoadReportStatistics heard = new LoadReportStatistics();
 
     private static final class Stream {
-        final Wire wire;
-        final Message.Join join;
+        final ProxyConnection wire;
+        final Message.ProxyJoin join;
         final Map<Integer, Mark> marks = new LinkedHashMap<>();
 
-        Stream(Wire wire, Message.Join join) {
+        Stream(ProxyConnection wire, Message.ProxyJoin join) {
             this.wire = wire;
             this.join = join;
         }
@@ -80,13 +80,17 @@
      * @param wallOffset what is added to nanoseconds of the wall clock to have the module's time;
      *     fixed, so that a start always comes out the same
      */
-    PlatformState(PlatformConfig config, World world, PlatformMetrics counts, long wallOffset) {
+    PlatformState(
+            PlatformConfig config,
+            HealthCheckSender world,
+            PlatformMetrics counts,
+            long wallOffset) {
         this.config = config;
         this.world = world;
         this.counts = counts;
         this.wallOffset = wallOffset;
-        this.writer = new PartWriter(config.names(), nodes);
-        list(EventHandler.NodeListKind.CACHED, config.known());
+        this.writer = new UpdateEncoder(config.names(), nodes);
+        nodeListReceived(EventHandler.NodeListKind.CACHED, config.knownNodes());
         begin();
     }
 
@@ -109,30 +113,30 @@
      * A whole list without a node while nodes are held is not believed: it would take all lines
      * away on the word of one answer. What is held stays, and changes since that version count.
      */
-    void list(long time, TargetList list) {
+    void nodeListReceived(long time, NodeList list) {
         now = time;
-        if (list.full() && list.targets().isEmpty() && !listed.isEmpty()) {
+        if (list.full() && list.nodes().isEmpty() && !listed.isEmpty()) {
             LOG.warn(
                     "discovery: whole list version {} names no node: the {} held stay",
                     list.version(),
                     listed.size());
-            listUnavailable();
+            nodeListUnavailable();
             return;
         }
-        list(
+        nodeListReceived(
                 list.full()
                         ? EventHandler.NodeListKind.FULL
                         : EventHandler.NodeListKind.INCREMENTAL,
                 list);
     }
 
-    private void list(EventHandler.NodeListKind kind, TargetList list) {
+    private void nodeListReceived(EventHandler.NodeListKind kind, NodeList list) {
         boolean whole = kind != EventHandler.NodeListKind.INCREMENTAL;
-        if (!whole && list.targets().isEmpty()) {
+        if (!whole && list.nodes().isEmpty()) {
             return;
         }
-        Map<NodeId, Target> told = new TreeMap<>();
-        list.targets().forEach(target -> told.put(nodes.give(target.name()), target));
+        Map<NodeId, NodeEntry> told = new TreeMap<>();
+        list.nodes().forEach(target -> told.put(nodes.register(target.name()), target));
         told.forEach(
                 (id, target) -> {
                     if (mayBeShutOut(target, listed.get(id))) {
@@ -168,12 +172,12 @@
      * listed. That it is young says nothing: a release brings new nodes under new names, and a line
      * of a message for each of them at each proxy would fill the channel for nothing.
      */
-    private static boolean mayBeShutOut(Target target, Target before) {
+    private static boolean mayBeShutOut(NodeEntry target, NodeEntry before) {
         return target.state() != EventHandler.NodeState.READY
                 || before != null && before.startedMillis() != target.startedMillis();
     }
 
-    private void tellList(EventHandler.NodeListKind kind, Map<NodeId, Target> told) {
+    private void tellList(EventHandler.NodeListKind kind, Map<NodeId, NodeEntry> told) {
         rounds.add(observer -> observer.listStarted(kind));
         told.forEach(
                 (id, target) -> {
@@ -195,21 +199,21 @@
     }
 
     /** The module is told only where the settings say that it asks for the list. */
-    void listUnavailable() {
+    void nodeListUnavailable() {
         if (config.settings().listOnDemand()) {
             rounds.add(observer -> observer.listStarted(EventHandler.NodeListKind.UNAVAILABLE));
             rounds.add(EventHandler::listCompleted);
         }
     }
 
-    void probed(NodeId node, EventHandler.HealthCheckResult verdict) {
+    void healthChecked(NodeId node, EventHandler.HealthCheckResult verdict) {
         rounds.add(observer -> observer.healthChecked(node, verdict));
     }
 
     // ---- streams ----
 
     /** A new stream of a proxy replaces the old one, whose own end may come later or never. */
-    void joined(long time, Wire wire, Message.Join join) {
+    void proxyJoined(long time, ProxyConnection wire, Message.ProxyJoin join) {
         now = time;
         Stream old = streams.put(join.proxy(), new Stream(wire, join));
         if (old != null) {
@@ -219,46 +223,49 @@
         LOG.info(
                 "proxy {} joined{}{}",
                 join.proxy().value(),
-                join.fresh() ? ", fresh" : "",
+                join.holdsNoTables() ? ", fresh" : "",
                 old == null ? "" : ", in place of its old stream");
     }
 
-    private void tellJoin(Message.Join join) {
-        orders.joined(join.proxy());
-        rounds.add(observer -> observer.proxyJoined(join.proxy(), join.zone(), join.rate()));
+    private void tellJoin(Message.ProxyJoin join) {
+        orders.proxyJoined(join.proxy());
+        rounds.add(
+                observer ->
+                        observer.proxyJoined(join.proxy(), join.zone(), join.requestsPerSecond()));
     }
 
     /**
      * Only the stream that stands ends; the late end of one that was replaced takes nothing with
      * it.
      */
-    void closed(long time, Wire wire, ProxyId proxy) {
+    void connectionClosed(long time, ProxyConnection wire, ProxyId proxy) {
         now = time;
         Stream stream = streams.get(proxy);
         if (stream != null && stream.wire == wire) {
             streams.remove(proxy);
-            orders.left(proxy);
+            orders.proxyLeft(proxy);
             rounds.add(observer -> observer.proxyLeft(proxy));
             LOG.info("proxy {} left", proxy.value());
         }
     }
 
     /** PlatformMetrics only on the stream that carried the mark. */
-    void done(long time, Wire wire, Message.Done done) {
+    void acknowledged(long time, ProxyConnection wire, Message.Acknowledgement done) {
         now = time;
         Stream stream = streams.get(done.proxy());
         Mark mark =
-                stream == null || stream.wire != wire ? null : stream.marks.remove(done.ticket());
+                stream == null || stream.wire != wire ? null : stream.marks.remove(done.token());
         if (mark == null) {
             strayAnswers++;
             return;
         }
-        rounds.add(observer -> observer.acknowledged(done.proxy(), mark.mark(), done.took()));
+        rounds.add(
+                observer -> observer.acknowledged(done.proxy(), mark.mark(), done.latencyNanos()));
     }
 
     // ---- reports ----
 
-    void sums(long time, Message.Sums sums) {
+    void loadReported(long time, Message.LoadReport sums) {
         now = time;
         NodeId node = nodes.find(sums.node()).orElse(null);
         if (node == null) {
@@ -272,14 +279,14 @@
                         observer.loadReported(
                                 node,
                                 sums.zone(),
-                                sums.tries(),
-                                sums.unanswered(),
-                                sums.latency(),
-                                sums.covers(),
+                                sums.attempts(),
+                                sums.failures(),
+                                sums.latencySeconds(),
+                                sums.periodNanos(),
                                 sums.utilization()));
     }
 
-    void offered(long time, Message.Offered offered) {
+    void demandReported(long time, Message.DemandReport offered) {
         now = time;
         heard.offered(offered);
         rounds.add(
@@ -287,14 +294,14 @@
                         observer.demandReported(
                                 offered.proxy(),
                                 offered.method(),
-                                offered.count(),
-                                offered.covers()));
+                                offered.requests(),
+                                offered.periodNanos()));
     }
 
     // ---- rounds ----
 
     /** Plays a round if one is due; returns when to come back. */
-    long turn(long time) {
+    long runDue(long time) {
         now = time;
         if (now - seenAt >= SECOND) {
             seenAt = now;
@@ -306,7 +313,7 @@
                                         target.name(),
                                         target.kind(),
                                         target.state(),
-                                        orders.weight(id),
+                                        orders.weightOf(id),
                                         heard.read(id)));
             }
             LOG.info("{}", seen());
@@ -327,9 +334,9 @@
         return "joined "
                 + streams.size()
                 + " bound "
-                + orders.bound()
+                + orders.subscribedProxies()
                 + " withdrawn "
-                + orders.withdrawn()
+                + orders.excludedNodes()
                 + " listed "
                 + listed.size()
                 + " rounds "
@@ -361,9 +368,9 @@
         @Override
         public void runRound(EventSource feed) {
             brain.round(now, feed, orders);
-            Map<List<Part>, byte[]> written = new LinkedHashMap<>();
+            Map<List<UpdatePart>, byte[]> written = new LinkedHashMap<>();
             ticket = (ticket + 1) % TICKETS;
-            orders.close((proxy, parts, mark) -> send(proxy, parts, mark, written));
+            orders.finishRound((proxy, parts, mark) -> send(proxy, parts, mark, written));
         }
 
         @Override
@@ -378,11 +385,15 @@
      * goes out under a ticket of our own, one a round: an answer that is late, or from before the
      * module began anew, fits none.
      */
-    private void send(ProxyId proxy, List<Part> parts, int mark, Map<List<Part>, byte[]> written) {
+    private void send(
+            ProxyId proxy,
+            List<UpdatePart> parts,
+            int mark,
+            Map<List<UpdatePart>, byte[]> written) {
         Stream stream = streams.get(proxy);
         byte[] message =
-                written.computeIfAbsent(parts, p -> writer.bytes(p, mark < 0 ? -1 : ticket));
-        if (stream.wire.unwritten() > UNWRITTEN_MOST) {
+                written.computeIfAbsent(parts, p -> writer.encode(p, mark < 0 ? -1 : ticket));
+        if (stream.wire.writeBufferBytes() > UNWRITTEN_MOST) {
             LOG.warn("proxy {} takes nothing: its stream is ended", proxy.value());
             stream.wire.close();
             return;
@@ -398,21 +409,21 @@
         stream.wire.write(message);
     }
 
-    private final class Asking implements PlatformUpdateWriter.Besides {
+    private final class Asking implements PlatformUpdateWriter.PolicyRequests {
         @Override
-        public void probe(NodeId node) {
-            Target target = listed.get(node);
+        public void checkHealth(NodeId node) {
+            NodeEntry target = listed.get(node);
             if (target != null) {
-                world.probe(node, target);
+                world.checkHealth(node, target);
             }
         }
 
         /** Discovery is followed from the start on, so there is nothing to begin. */
         @Override
-        public void followList() {}
+        public void watchNodes() {}
 
         @Override
-        public void wakeAfter(long nanos) {
+        public void startTimer(long nanos) {
             rounds.scheduleAt(now + nanos);
         }
 
@@ -428,7 +439,7 @@
         boolean node =
                 words.length == 3 && words[0].equals("node") && words[1].matches("[0-9]{1,18}");
         return node
-                ? "node " + nodes.name(new NodeId(Long.parseLong(words[1]))) + " " + words[2]
+                ? "node " + nodes.nameOf(new NodeId(Long.parseLong(words[1]))) + " " + words[2]
                 : line;
     }
 }
--- a/src/main/java/rosespread/platform/PlatformUpdateWriter.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -21,20 +21,20 @@
  */
 final class PlatformUpdateWriter implements PolicyActions {
     /** What the module asks for besides messages. */
-    interface Besides {
-        void probe(NodeId node);
+    interface PolicyRequests {
+        void checkHealth(NodeId node);
 
-        void followList();
+        void watchNodes();
 
-        void wakeAfter(long nanos);
+        void startTimer(long nanos);
 
         void log(String line);
     }
 
     /** Takes a proxy's message of the round; {@code mark} is negative if none was ordered. */
     @FunctionalInterface
-    interface Sink {
-        void message(ProxyId proxy, List<Part> parts, int mark);
+    interface UpdateSink {
+        void send(ProxyId proxy, List<UpdatePart> parts, int mark);
     }
 
     private static final class Table {
@@ -58,11 +58,11 @@
 
     private final int methods;
     private final Predicate<NodeId> restless;
-    private final Besides besides;
+    private final PolicyRequests besides;
     private final Map<TableId, Table> tables = new TreeMap<>();
     private final Map<ProxyId, Held> proxies = new TreeMap<>();
     private final Map<NodeId, Boolean> shut = new LinkedHashMap<>();
-    private final TreeSet<NodeId> withdrawn = new TreeSet<>();
+    private final TreeSet<NodeId> excludedNodes = new TreeSet<>();
     private int mark = -1;
 
     /**
@@ -70,27 +70,27 @@
      * @param restless whether a node ever left or started anew, so that some conductor may have
      *     shut it out
      */
-    PlatformUpdateWriter(int methods, Predicate<NodeId> restless, Besides besides) {
+    PlatformUpdateWriter(int methods, Predicate<NodeId> restless, PolicyRequests besides) {
         this.methods = methods;
         this.restless = restless;
         this.besides = besides;
     }
 
     /** A stream begins: whatever the proxy holds, it is bound to no table here. */
-    void joined(ProxyId proxy) {
+    void proxyJoined(ProxyId proxy) {
         proxies.put(proxy, new Held());
     }
 
-    void left(ProxyId proxy) {
+    void proxyLeft(ProxyId proxy) {
         proxies.remove(proxy);
     }
 
-    int bound() {
+    int subscribedProxies() {
         return (int) proxies.values().stream().filter(held -> !held.bound.isEmpty()).count();
     }
 
     /** A node's weight in the first table that names it, 0 if none does. */
-    double weight(NodeId node) {
+    double weightOf(NodeId node) {
         return tables.values().stream()
                 .filter(table -> table.lines.containsKey(node))
                 .mapToDouble(table -> table.lines.get(node))
@@ -98,8 +98,8 @@
                 .orElse(0);
     }
 
-    int withdrawn() {
-        return withdrawn.size();
+    int excludedNodes() {
+        return excludedNodes.size();
     }
 
     @Override
@@ -132,9 +132,9 @@
     public void setExcluded(NodeId node, boolean out) {
         shut.put(node, out);
         if (out) {
-            withdrawn.add(node);
+            excludedNodes.add(node);
         } else {
-            withdrawn.remove(node);
+            excludedNodes.remove(node);
         }
     }
 
@@ -152,17 +152,17 @@
 
     @Override
     public void checkHealth(NodeId node) {
-        besides.probe(node);
+        besides.checkHealth(node);
     }
 
     @Override
     public void watchNodes() {
-        besides.followList();
+        besides.watchNodes();
     }
 
     @Override
     public void startTimer(long nanos) {
-        besides.wakeAfter(nanos);
+        besides.startTimer(nanos);
     }
 
     @Override
@@ -177,11 +177,11 @@
     /**
      * Ends the round: hands out each proxy's message, and forgets what was particular to the round.
      */
-    void close(Sink sink) {
-        Map<List<MethodId>, Map<TableId, List<Part>>> changes = new LinkedHashMap<>();
+    void finishRound(UpdateSink sink) {
+        Map<List<MethodId>, Map<TableId, List<UpdatePart>>> changes = new LinkedHashMap<>();
         proxies.forEach(
                 (proxy, held) -> {
-                    List<Part> parts = new ArrayList<>();
+                    List<UpdatePart> parts = new ArrayList<>();
                     held.bound.forEach(
                             (id, bound) -> {
                                 if (held.whole.contains(id)) {
@@ -193,13 +193,13 @@
                                                             id, t -> changed(table(id), bound)));
                                 }
                             });
-                    Part shutting = shutting(held);
+                    UpdatePart shutting = shutting(held);
                     if (shutting != null) {
                         parts.add(shutting);
                     }
                     held.whole.clear();
                     if (!parts.isEmpty()) {
-                        sink.message(proxy, parts, mark);
+                        sink.send(proxy, parts, mark);
                     }
                 });
         tables.values()
@@ -212,11 +212,11 @@
         mark = -1;
     }
 
-    private List<Part> whole(Table table, List<MethodId> bound) {
+    private List<UpdatePart> whole(Table table, List<MethodId> bound) {
         return parts(true, table.lines, table.levels, bound);
     }
 
-    private List<Part> changed(Table table, List<MethodId> bound) {
+    private List<UpdatePart> changed(Table table, List<MethodId> bound) {
         return parts(false, table.changed, table.changedLevels, bound);
     }
 
@@ -224,7 +224,7 @@
      * Lines first; a level that all share goes with them, others follow, as a whole table forgets
      * levels.
      */
-    private List<Part> parts(
+    private List<UpdatePart> parts(
             boolean whole,
             Map<NodeId, Double> lines,
             Map<MethodId, Double> levels,
@@ -236,12 +236,12 @@
                 byLevel.computeIfAbsent(level, l -> new ArrayList<>()).add(method);
             }
         }
-        List<Part> parts = new ArrayList<>();
+        List<UpdatePart> parts = new ArrayList<>();
         boolean shared =
                 byLevel.size() == 1 && byLevel.values().iterator().next().size() == bound.size();
         if (whole || !lines.isEmpty() || shared) {
             parts.add(
-                    new Part(
+                    new UpdatePart(
                             named(bound),
                             whole,
                             new TreeMap<>(lines),
@@ -253,7 +253,7 @@
             byLevel.forEach(
                     (level, of) ->
                             parts.add(
-                                    new Part(
+                                    new UpdatePart(
                                             named(of), false, Map.of(), level, List.of(),
                                             List.of())));
         }
@@ -271,7 +271,7 @@
      * the node by now: a proxy brings what another conductor shut out there, which can only be
      * nodes that left or started anew.
      */
-    private Part shutting(Held held) {
+    private UpdatePart shutting(Held held) {
         List<NodeId> out = new ArrayList<>();
         List<NodeId> back = new ArrayList<>();
         shut.forEach(
@@ -295,7 +295,7 @@
                             : table.changed.keySet()) {
                 boolean maybe =
                         held.out.contains(node) || restless.test(node) && !held.in.contains(node);
-                if (table.lines.containsKey(node) && maybe && !withdrawn.contains(node)) {
+                if (table.lines.containsKey(node) && maybe && !excludedNodes.contains(node)) {
                     back.add(node);
                     held.out.remove(node);
                     held.in.add(node);
@@ -304,7 +304,7 @@
         }
         return out.isEmpty() && back.isEmpty()
                 ? null
-                : Part.shut(List.copyOf(out), List.copyOf(back));
+                : UpdatePart.ofExclusions(List.copyOf(out), List.copyOf(back));
     }
 
     private boolean names(Held held, NodeId node) {
--- a/src/main/java/rosespread/platform/Wire.java
+++ b/src/main/java/rosespread/platform/ProxyConnection.java
@@ -1,11 +1,11 @@
 package rosespread.platform;
 
 /** A proxy's stream as the decision thread sees it; nothing here blocks. */
-interface Wire {
+interface ProxyConnection {
     void write(byte[] message);
 
     /** Bytes that the peer has not taken yet. */
-    long unwritten();
+    long writeBufferBytes();
 
     void close();
 }
--- a/src/main/java/rosespread/platform/Signals.java
+++ b/src/main/java/rosespread/platform/SignalHandlers.java
@@ -7,8 +7,8 @@
  * Takes signals. The JDK's only way is sun.misc.Signal, which the compiler warns of wherever it is
  * named; it is reached by reflection here, so that warnings stay errors everywhere.
  */
-final class Signals {
-    private Signals() {}
+final class SignalHandlers {
+    private SignalHandlers() {}
 
     /**
      * Runs {@code then} on a thread of its own at each signal of this name, such as HUP. False if
@@ -20,7 +20,7 @@
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object taker =
                     Proxy.newProxyInstance(
-                            Signals.class.getClassLoader(),
+                            SignalHandlers.class.getClassLoader(),
                             new Class<?>[] {handler},
                             (self, method, arguments) ->
                                     switch (method.getName()) {
--- a/src/main/java/rosespread/platform/StreamServer.java
+++ b/src/main/java/rosespread/platform/StreamServer.java
@@ -48,7 +48,7 @@
     private final PlatformState core;
     private final MessageReader reader;
     private final PlatformMetrics counts;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openConnections = new AtomicInteger();
     private final Set<PeerConnection> strangers = new LinkedHashSet<>();
     private volatile int most;
 
@@ -80,16 +80,16 @@
         return acceptor.getLocalAddress();
     }
 
-    void mostOpen(int next) {
+    void setMaxConnections(int next) {
         most = next;
     }
 
-    int open() {
-        return open.get();
+    int openConnections() {
+        return openConnections.get();
     }
 
     /** The most that one connection has not taken yet, in bytes. */
-    long unwritten() {
+    long maxWriteBufferBytes() {
         return acceptor.getManagedSessions().values().stream()
                 .mapToLong(IoSession::getScheduledWriteBytes)
                 .max()
@@ -97,7 +97,7 @@
     }
 
     /** Closes those that had their time to join. */
-    void sweep(long now) {
+    void closeOverdue(long now) {
         List<PeerConnection> late = new ArrayList<>();
         synchronized (strangers) {
             for (Iterator<PeerConnection> all = strangers.iterator(); all.hasNext(); ) {
@@ -152,17 +152,17 @@
         @Override
         protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
                 throws Exception {
-            if (open.get() >= most) {
+            if (openConnections.get() >= most) {
                 evictOldest();
                 LockSupport.parkNanos(FULL_PAUSE);
-                if (open.get() >= most) {
+                if (openConnections.get() >= most) {
                     return null;
                 }
             }
             NioSession session = taken(processor, handle);
             if (session != null) {
-                open.incrementAndGet();
-                session.getCloseFuture().addListener(future -> open.decrementAndGet());
+                openConnections.incrementAndGet();
+                session.getCloseFuture().addListener(future -> openConnections.decrementAndGet());
             }
             return session;
         }
@@ -216,29 +216,30 @@
 
         private void take(PeerConnection peer, Message message) throws MalformedMessageException {
             if (message instanceof Message.Heartbeat) {
-                if (peer.unwritten() > UNREAD_MOST) {
+                if (peer.writeBufferBytes() > UNREAD_MOST) {
                     peer.close();
                 } else {
                     peer.write(ALIVE);
                 }
-            } else if (message instanceof Message.Collector collector
+            } else if (message instanceof Message.CollectorJoin collector
                     && peer.role == PeerConnection.Role.STRANGER) {
                 peer.zone = collector.zone();
                 joined(peer, PeerConnection.Role.COLLECTOR);
-            } else if (message instanceof Message.Join join
+            } else if (message instanceof Message.ProxyJoin join
                     && peer.role == PeerConnection.Role.STRANGER) {
                 peer.proxy = join.proxy();
                 joined(peer, PeerConnection.Role.PROXY);
-                inbox.put(now -> core.joined(now, peer, join));
-            } else if (message instanceof Message.Done done && done.proxy().equals(peer.proxy)) {
-                inbox.put(now -> core.done(now, peer, done));
-            } else if (message instanceof Message.Offered offered
+                inbox.put(now -> core.proxyJoined(now, peer, join));
+            } else if (message instanceof Message.Acknowledgement done
+                    && done.proxy().equals(peer.proxy)) {
+                inbox.put(now -> core.acknowledged(now, peer, done));
+            } else if (message instanceof Message.DemandReport offered
                     && (peer.role == PeerConnection.Role.COLLECTOR
                             || offered.proxy().equals(peer.proxy))) {
-                inbox.putReport(now -> core.offered(now, offered));
-            } else if (message instanceof Message.Sums sums
+                inbox.putReport(now -> core.demandReported(now, offered));
+            } else if (message instanceof Message.LoadReport sums
                     && peer.role == PeerConnection.Role.COLLECTOR) {
-                inbox.putReport(now -> core.sums(now, sums));
+                inbox.putReport(now -> core.loadReported(now, sums));
             } else {
                 throw new MalformedMessageException(
                         MalformedMessageException.Reason.PLACE, "this has no place here");
@@ -269,7 +270,7 @@
             PeerConnection peer = (PeerConnection) session.getAttribute(PEER);
             known(peer);
             if (peer.role == PeerConnection.Role.PROXY) {
-                inbox.put(now -> core.closed(now, peer, peer.proxy));
+                inbox.put(now -> core.connectionClosed(now, peer, peer.proxy));
             }
         }
 
--- a/src/main/java/rosespread/platform/PartWriter.java
+++ b/src/main/java/rosespread/platform/UpdateEncoder.java
@@ -12,16 +12,16 @@
 import rosespread.resp.RespWriter;
 
 /** Writes a message's parts in the platform's words. */
-final class PartWriter {
+final class UpdateEncoder {
     /** A message has at most so many parts. */
     static final int MOST_PARTS = 64;
 
     private static final MathContext FIGURES = new MathContext(6);
 
     private final NameRegistry names;
-    private final NodeNames nodes;
+    private final NodeNameRegistry nodes;
 
-    PartWriter(NameRegistry names, NodeNames nodes) {
+    UpdateEncoder(NameRegistry names, NodeNameRegistry nodes) {
         this.names = names;
         this.nodes = nodes;
     }
@@ -32,17 +32,17 @@
      *
      * @throws IllegalStateException at what a proxy can't use, as that would cost its stream
      */
-    byte[] bytes(List<Part> parts, int ticket) {
+    byte[] encode(List<UpdatePart> parts, int ticket) {
         check(parts.size() <= MOST_PARTS && !parts.isEmpty(), parts.size() + " parts");
         ByteArrayOutputStream out = new ByteArrayOutputStream(512);
         for (int i = 0; i < parts.size(); i++) {
             boolean last = i == parts.size() - 1;
-            RespWriter.write(words(parts.get(i), last ? ticket : -1, !last), out);
+            RespWriter.write(toWords(parts.get(i), last ? ticket : -1, !last), out);
         }
         return out.toByteArray();
     }
 
-    List<String> words(Part part, int ticket, boolean more) {
+    List<String> toWords(UpdatePart part, int ticket, boolean more) {
         List<String> words = new ArrayList<>();
         words.add("assign");
         if (!part.methods().isEmpty()) {
@@ -51,23 +51,30 @@
                     "classes",
                     part.methods().stream().map(this::method).collect(Collectors.joining("+")));
         }
-        if (part.whole()) {
+        if (part.full()) {
             add(words, "whole", "1");
         }
-        if (!part.lines().isEmpty()) {
+        if (!part.weights().isEmpty()) {
             add(
                     words,
                     "lines",
-                    part.lines().entrySet().stream()
-                            .map(line -> nodes.name(line.getKey()) + ":" + figure(line.getValue()))
+                    part.weights().entrySet().stream()
+                            .map(
+                                    line ->
+                                            nodes.nameOf(line.getKey())
+                                                    + ":"
+                                                    + figure(line.getValue()))
                             .collect(Collectors.joining(",")));
         }
-        if (!Double.isNaN(part.level())) {
-            add(words, "level", figure(Math.min(part.level(), NameRegistry.UNBOUNDED_LEVEL)));
+        if (!Double.isNaN(part.admissionLimit())) {
+            add(
+                    words,
+                    "level",
+                    figure(Math.min(part.admissionLimit(), NameRegistry.UNBOUNDED_LEVEL)));
             add(words, "retry", Integer.toString(NameRegistry.RETRY_AFTER_PROOF));
         }
-        addNodes(words, "out", part.out());
-        addNodes(words, "back", part.back());
+        addNodes(words, "out", part.excluded());
+        addNodes(words, "back", part.readmitted());
         if (ticket >= 0) {
             add(words, "ticket", Integer.toString(ticket));
         }
@@ -84,7 +91,7 @@
 
     private void addNodes(List<String> words, String name, List<NodeId> which) {
         if (!which.isEmpty()) {
-            add(words, name, which.stream().map(nodes::name).collect(Collectors.joining(",")));
+            add(words, name, which.stream().map(nodes::nameOf).collect(Collectors.joining(",")));
         }
     }
 
--- a/src/main/java/rosespread/platform/Part.java
+++ b/src/main/java/rosespread/platform/UpdatePart.java
@@ -12,15 +12,15 @@
  * @param whole whether the lines are the whole table, which forgets levels
  * @param level how much is let in; NaN: not told, infinite: all
  */
-record Part(
+record UpdatePart(
         List<MethodId> methods,
-        boolean whole,
-        Map<NodeId, Double> lines,
-        double level,
-        List<NodeId> out,
-        List<NodeId> back) {
+        boolean full,
+        Map<NodeId, Double> weights,
+        double admissionLimit,
+        List<NodeId> excluded,
+        List<NodeId> readmitted) {
     /** What shuts nodes out of everything that a proxy holds, or lets them back. */
-    static Part shut(List<NodeId> out, List<NodeId> back) {
-        return new Part(List.of(), false, Map.of(), Double.NaN, out, back);
+    static UpdatePart ofExclusions(List<NodeId> out, List<NodeId> back) {
+        return new UpdatePart(List.of(), false, Map.of(), Double.NaN, out, back);
     }
 }
--- a/src/test/java/rosespread/platform/ChannelFitTest.java
+++ b/src/test/java/rosespread/platform/ChannelCapacityCheckTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import rosespread.api.PolicySettings;
 
-class ChannelFitTest {
+class ChannelCapacityCheckTest {
     private static final long GRACE = 2 * FleetModel.SECOND;
 
     private static PolicySettings settings(double linesPerSecond, double queue, int messages) {
@@ -15,8 +15,8 @@
 
     @Test
     void aChannelThatReachesAllWithinTheGraceIsNoTrouble() {
-        assertEquals(List.of(), ChannelFit.warnings(settings(1600, 13400, 0), 400));
-        assertEquals(List.of(), ChannelFit.warnings(settings(1600, 13400, 30), 400));
+        assertEquals(List.of(), ChannelCapacityCheck.warnings(settings(1600, 13400, 0), 400));
+        assertEquals(List.of(), ChannelCapacityCheck.warnings(settings(1600, 13400, 30), 400));
     }
 
     @Test
@@ -25,7 +25,7 @@
                 List.of(
                         "to take one node out at 600 proxies takes the channel 2.3 s, the drain grace is"
                                 + " 2.0 s: drains can't be kept if all proxies come here"),
-                ChannelFit.warnings(settings(1600, 13400, 0), 600));
+                ChannelCapacityCheck.warnings(settings(1600, 13400, 0), 600));
     }
 
     @Test
@@ -34,8 +34,8 @@
                 List.of(
                         "the channel's queue takes 4 lines, the shortest message has 5: nothing can be"
                                 + " told"),
-                ChannelFit.warnings(settings(1600, 4, 0), 400));
-        assertEquals(List.of(), ChannelFit.warnings(settings(1600, 5, 0), 400));
+                ChannelCapacityCheck.warnings(settings(1600, 4, 0), 400));
+        assertEquals(List.of(), ChannelCapacityCheck.warnings(settings(1600, 5, 0), 400));
     }
 
     @Test
@@ -44,7 +44,7 @@
                 List.of(
                         "a proxy may be written to once in 2.5 s, the drain grace is 2.0 s: drains can't"
                                 + " be kept"),
-                ChannelFit.warnings(settings(1600, 13400, 4), 400));
-        assertEquals(List.of(), ChannelFit.warnings(settings(1600, 13400, 5), 400));
+                ChannelCapacityCheck.warnings(settings(1600, 13400, 4), 400));
+        assertEquals(List.of(), ChannelCapacityCheck.warnings(settings(1600, 13400, 5), 400));
     }
 }
--- a/src/test/java/rosespread/platform/DiscoveryRequestTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryRequestTest.java
@@ -26,12 +26,12 @@
                 http,
                 timer,
                 new SplittableRandom(1),
-                new DiscoveryWatch.Ears() {
+                new DiscoveryWatch.Listener() {
                     @Override
-                    public void list(TargetList list) {}
+                    public void listReceived(NodeList list) {}
 
                     @Override
-                    public void unavailable(String why) {}
+                    public void listUnavailable(String why) {}
                 });
     }
 
@@ -43,7 +43,7 @@
                                 RecordingServer.json(
                                         "",
                                         "{\"version\":7,\"full\":true,\"servers\":["
-                                                + Sample.node("s-1", "SERVING")
+                                                + PlatformFixture.node("s-1", "SERVING")
                                                 + "]}"));
                 HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 1);
                 DiscoveryWatch watch = watch(http, timer)) {
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -27,14 +27,14 @@
                     http,
                     timer,
                     new SplittableRandom(1),
-                    new DiscoveryWatch.Ears() {
+                    new DiscoveryWatch.Listener() {
                         @Override
-                        public void list(TargetList list) {
+                        public void listReceived(NodeList list) {
                             heard.add((list.full() ? "whole " : "changes ") + list.version());
                         }
 
                         @Override
-                        public void unavailable(String why) {
+                        public void listUnavailable(String why) {
                             heard.add("unavailable: " + why);
                         }
                     });
@@ -48,15 +48,16 @@
 
     @Test
     void firstTheWholeListThenTheWatchGoesOn() throws IOException {
-        try (FakeDiscovery discovery = new FakeDiscovery(Sample.node("s-1", "SERVING"))) {
-            watch.follow(discovery.at());
+        try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
+            watch.follow(discovery.socketAddress());
             await().until(discovery::watched);
-            discovery.change(Sample.node("s-1", "DRAINING"));
+            discovery.change(PlatformFixture.node("s-1", "DRAINING"));
             await().until(
                             () ->
-                                    discovery.asked.stream().anyMatch(t -> t.contains("?since=2&"))
+                                    discovery.requests.stream()
+                                                    .anyMatch(t -> t.contains("?since=2&"))
                                             && heard.contains("changes 2"));
-            assertEquals("/api/targets", discovery.asked.get(0));
+            assertEquals("/api/targets", discovery.requests.get(0));
             assertEquals(List.of("whole 1", "changes 2"), heard);
         }
     }
@@ -64,9 +65,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"{\"version\":2,\"full\":tr", "[]", "{\"version\":2,\"servers\":[{}]}"})
     void whatIsNoListIsAskedForAgain(String cut) throws IOException {
-        try (FakeDiscovery discovery = new FakeDiscovery(Sample.node("s-1", "SERVING"))) {
-            discovery.nextIs(cut);
-            watch.follow(discovery.at());
+        try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
+            discovery.answerNext(cut);
+            watch.follow(discovery.socketAddress());
             await().until(() -> heard.contains("whole 1"));
             assertTrue(heard.get(0).startsWith("unavailable: "), heard.toString());
         }
@@ -82,9 +83,9 @@
      */
     @Test
     void aVersionThatWentBackIsNotBelievedToBeAChange() throws IOException {
-        try (FakeDiscovery discovery = new FakeDiscovery(Sample.node("s-1", "SERVING"))) {
-            discovery.nextIs("{\"version\":9,\"full\":true,\"servers\":[]}");
-            watch.follow(discovery.at());
+        try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
+            discovery.answerNext("{\"version\":9,\"full\":true,\"servers\":[]}");
+            watch.follow(discovery.socketAddress());
             await().until(() -> heard.contains("whole 1"));
             assertEquals(List.of("whole 9", "whole 1"), lists());
             assertEquals("unavailable: version 1 is older than 9, which is held", heard.get(1));
@@ -94,18 +95,18 @@
     /** The agent that was moved to answers first from before what the old one told already. */
     @Test
     void anOlderWholeListAfterAMoveUndoesNothing() throws IOException {
-        try (FakeDiscovery old = new FakeDiscovery(Sample.node("s-1", "SERVING"));
-                FakeDiscovery next = new FakeDiscovery(Sample.node("s-1", "SERVING"))) {
-            watch.follow(old.at());
+        try (FakeDiscovery old = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
+                FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
+            watch.follow(old.socketAddress());
             await().until(old::watched);
-            old.change(Sample.node("s-1", "DRAINING"));
-            next.change(Sample.node("s-1", "DRAINING"));
+            old.change(PlatformFixture.node("s-1", "DRAINING"));
+            next.change(PlatformFixture.node("s-1", "DRAINING"));
             await().until(() -> heard.contains("changes 2"));
-            next.nextIs(
+            next.answerNext(
                     "{\"version\":1,\"full\":true,\"servers\":["
-                            + Sample.node("s-1", "SERVING")
+                            + PlatformFixture.node("s-1", "SERVING")
                             + "]}");
-            watch.follow(next.at());
+            watch.follow(next.socketAddress());
             await().until(() -> next.watched() && heard.contains("whole 2"));
             assertEquals(List.of("whole 1", "changes 2", "whole 2"), lists());
         }
@@ -130,14 +131,14 @@
 
     @Test
     void anotherAddressIsFollowedAtOnceAndTheOldCallIsNotHeard() throws IOException {
-        try (FakeDiscovery old = new FakeDiscovery(Sample.node("s-1", "SERVING"));
-                FakeDiscovery next = new FakeDiscovery(Sample.node("s-2", "SERVING"))) {
-            watch.follow(old.at());
+        try (FakeDiscovery old = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
+                FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-2", "SERVING"))) {
+            watch.follow(old.socketAddress());
             await().until(old::watched);
-            watch.follow(next.at());
+            watch.follow(next.socketAddress());
             await().until(next::watched);
-            old.change(Sample.node("s-1", "DRAINING"));
-            next.change(Sample.node("s-2", "DRAINING"));
+            old.change(PlatformFixture.node("s-1", "DRAINING"));
+            next.change(PlatformFixture.node("s-2", "DRAINING"));
             await().until(() -> heard.contains("changes 2"));
             assertEquals(List.of("whole 1", "whole 1", "changes 2"), heard);
         }
--- a/src/test/java/rosespread/platform/FakeDiscovery.java
+++ b/src/test/java/rosespread/platform/FakeDiscovery.java
@@ -15,7 +15,7 @@
 
 /** Discovery as the platform has it: a whole list, and a watch that waits for the next change. */
 final class FakeDiscovery implements AutoCloseable {
-    final List<String> asked = new CopyOnWriteArrayList<>();
+    final List<String> requests = new CopyOnWriteArrayList<>();
     private final List<HttpServer.Exchange> waiting = new ArrayList<>();
     private final List<String> nodes = new ArrayList<>();
     private final HttpServer server;
@@ -34,17 +34,17 @@
         return "127.0.0.1:" + address.getPort();
     }
 
-    InetSocketAddress at() {
+    InetSocketAddress socketAddress() {
         return address;
     }
 
     /** The next answer is this text, whatever was asked. */
-    synchronized void nextIs(String text) {
+    synchronized void answerNext(String text) {
         cut = text;
     }
 
     private synchronized void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
-        asked.add(call.target());
+        requests.add(call.target());
         if (!cut.isEmpty()) {
             exchange.answer(HttpMessage.Response.json(200, cut));
             cut = "";
--- a/src/test/java/rosespread/platform/FakePeer.java
+++ b/src/test/java/rosespread/platform/FakePeer.java
@@ -18,7 +18,7 @@
 /** One connection to the conductor: all that it brings is kept. */
 final class FakePeer {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
-    final List<List<String>> heard = new CopyOnWriteArrayList<>();
+    final List<List<String>> received = new CopyOnWriteArrayList<>();
     final Socket socket;
     volatile boolean ended;
 
@@ -30,23 +30,23 @@
     }
 
     private void read() {
-        RespParser parser = new RespParser(new RespLimits(1 << 20, 256), heard::add);
+        RespParser parser = new RespParser(new RespLimits(1 << 20, 256), received::add);
         byte[] bytes = new byte[4096];
         try (InputStream in = socket.getInputStream()) {
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 parser.feed(ByteBuffer.wrap(bytes, 0, count));
             }
         } catch (IOException | RespException e) {
-            heard.add(List.of("broken", String.valueOf(e)));
+            received.add(List.of("broken", String.valueOf(e)));
         }
         ended = true;
     }
 
-    void say(String words) throws IOException {
-        raw(RespWriter.bytes(List.of(words.split(" "))));
+    void send(String words) throws IOException {
+        sendBytes(RespWriter.bytes(List.of(words.split(" "))));
     }
 
-    void raw(byte[] bytes) throws IOException {
+    void sendBytes(byte[] bytes) throws IOException {
         try {
             socket.getOutputStream().write(bytes);
         } catch (SocketException e) {
@@ -55,17 +55,17 @@
     }
 
     /** The first message with all these words in a row, once it is there. */
-    List<String> hears(String words) {
+    List<String> awaitMessage(String words) {
         await().atMost(PATIENCE)
-                .until(() -> heard.stream().anyMatch(m -> joined(m).contains(words)));
-        return heard.stream().filter(m -> joined(m).contains(words)).findFirst().orElseThrow();
+                .until(() -> received.stream().anyMatch(m -> joined(m).contains(words)));
+        return received.stream().filter(m -> joined(m).contains(words)).findFirst().orElseThrow();
     }
 
     private static String joined(List<String> words) {
         return String.join(" ", words);
     }
 
-    int ticket(List<String> message) {
+    int tokenOf(List<String> message) {
         return Integer.parseInt(message.get(message.indexOf("ticket") + 1));
     }
 }
--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -115,16 +115,16 @@
             return joinedAt != Long.MIN_VALUE;
         }
 
-        void apply(Part part, int methods) {
+        void apply(UpdatePart part, int methods) {
             for (int m = 0; m < methods; m++) {
                 MethodId method = new MethodId(m);
                 if (part.methods().isEmpty() || part.methods().contains(method)) {
                     Map<NodeId, Double> table =
                             tables.computeIfAbsent(method, any -> new HashMap<>());
-                    if (part.whole()) {
+                    if (part.full()) {
                         table.clear();
                     }
-                    part.lines()
+                    part.weights()
                             .forEach(
                                     (node, weight) ->
                                             table.compute(
@@ -132,8 +132,8 @@
                                                     (same, old) -> weight > 0 ? weight : null));
                 }
             }
-            shutOut.addAll(part.out());
-            shutOut.removeAll(part.back());
+            shutOut.addAll(part.excluded());
+            shutOut.removeAll(part.readmitted());
         }
 
         /**
@@ -166,10 +166,15 @@
     }
 
     private record InChannel(
-            FarProxy proxy, long joinedAt, List<Part> parts, int mark, double lines, long at) {}
+            FarProxy proxy,
+            long joinedAt,
+            List<UpdatePart> parts,
+            int mark,
+            double lines,
+            long at) {}
 
     private record Answer(
-            FarProxy proxy, long joinedAt, List<Part> parts, int mark, long at, long took) {}
+            FarProxy proxy, long joinedAt, List<UpdatePart> parts, int mark, long at, long took) {}
 
     final Findings findings = new Findings();
     private final PolicySettings settings;
@@ -316,7 +321,7 @@
         }
         proxy.joinedAt = now;
         proxy.written.clear();
-        orders.joined(new ProxyId(number));
+        orders.proxyJoined(new ProxyId(number));
         double rate = loadPerProxy * (0.5 + random.nextDouble());
         proxy.rate = rate;
         events.add(
@@ -332,7 +337,7 @@
             proxy.joinedAt = Long.MIN_VALUE;
             channel.removeIf(message -> message.proxy() == proxy);
             waiting = channel.stream().mapToDouble(InChannel::lines).sum();
-            orders.left(new ProxyId(number));
+            orders.proxyLeft(new ProxyId(number));
             events.add(o -> o.proxyLeft(new ProxyId(number)));
         }
     }
@@ -360,7 +365,7 @@
     }
 
     int bound() {
-        return orders.bound();
+        return orders.subscribedProxies();
     }
 
     void run(double seconds) {
@@ -390,7 +395,7 @@
         events.clear();
         long began = System.nanoTime();
         brain.round(now, observer -> told.forEach(event -> event.accept(observer)), counting);
-        orders.close(this::send);
+        orders.finishRound(this::send);
         long took = System.nanoTime() - began;
         findings.rounds++;
         findings.roundNanos += took;
@@ -398,16 +403,16 @@
         findings.mostWaiting = Math.max(findings.mostWaiting, waiting);
     }
 
-    private void send(ProxyId id, List<Part> parts, int mark) {
+    private void send(ProxyId id, List<UpdatePart> parts, int mark) {
         FarProxy proxy = proxies.get(id.value());
         double lines = settings.messageOverheadEntries() + (mark >= 0 ? 1 : 0);
-        for (Part part : parts) {
+        for (UpdatePart part : parts) {
             lines +=
-                    (part.whole() ? 1 : 0)
-                            + part.lines().size()
-                            + part.out().size()
-                            + part.back().size()
-                            + (Double.isNaN(part.level()) ? 0 : 1);
+                    (part.full() ? 1 : 0)
+                            + part.weights().size()
+                            + part.excluded().size()
+                            + part.readmitted().size()
+                            + (Double.isNaN(part.admissionLimit()) ? 0 : 1);
         }
         waiting += lines;
         channel.addLast(new InChannel(proxy, proxy.joinedAt, parts, mark, lines, now));
@@ -564,15 +569,15 @@
         findings.worstLateNanos = Math.max(findings.worstLateNanos, over);
     }
 
-    private final class Besides implements PlatformUpdateWriter.Besides {
+    private final class Besides implements PlatformUpdateWriter.PolicyRequests {
         @Override
-        public void probe(NodeId node) {}
+        public void checkHealth(NodeId node) {}
 
         @Override
-        public void followList() {}
+        public void watchNodes() {}
 
         @Override
-        public void wakeAfter(long nanos) {
+        public void startTimer(long nanos) {
             wakeAt = Math.min(wakeAt, now + nanos);
         }
 
--- a/src/test/java/rosespread/platform/MessageReaderTest.java
+++ b/src/test/java/rosespread/platform/MessageReaderTest.java
@@ -9,7 +9,7 @@
 import rosespread.platform.MalformedMessageException.Reason;
 
 class MessageReaderTest {
-    private final MessageReader reader = new MessageReader(Sample.config().names(), 20);
+    private final MessageReader reader = new MessageReader(PlatformFixture.config().names(), 20);
 
     private Message read(String words) throws MalformedMessageException {
         return reader.read(List.of(words.split(" ")));
@@ -20,21 +20,21 @@
             delimiter = '|',
             value = {
                 "hb | Heartbeat[]",
-                "telemetry locality b | Collector[zone=ZoneId[value=1]]",
+                "telemetry locality b | CollectorJoin[zone=ZoneId[value=1]]",
                 "attach node 17 locality a w 21.5 cold 1"
-                        + " | Join[proxy=ProxyId[value=17], zone=ZoneId[value=0], rate=21.5, fresh=true]",
+                        + " | ProxyJoin[proxy=ProxyId[value=17], zone=ZoneId[value=0], requestsPerSecond=21.5, holdsNoTables=true]",
                 "done node 17 nonce 905 latency 310.4"
-                        + " | Done[proxy=ProxyId[value=17], ticket=905, took=310400000]",
+                        + " | Acknowledgement[proxy=ProxyId[value=17], token=905, latencyNanos=310400000]",
                 "client_stats node 17 route order total 19 errors 0 interval 1000.0 later 1"
-                        + " | Offered[proxy=ProxyId[value=17], method=MethodId[value=1], count=19, covers=1000000000]",
+                        + " | DemandReport[proxy=ProxyId[value=17], method=MethodId[value=1], requests=19, periodNanos=1000000000]",
                 "upstream_stats locality a endpoint s-1 total 212 errors 3 rtt 41.7 interval 500 metrics"
-                        + " inflight:7,util:0.61 | Sums[node=s-1, zone=ZoneId[value=0], tries=212, unanswered=3,"
-                        + " latency=0.0417, covers=500000000, utilization=0.61]",
+                        + " inflight:7,util:0.61 | LoadReport[node=s-1, zone=ZoneId[value=0], attempts=212, failures=3,"
+                        + " latencySeconds=0.0417, periodNanos=500000000, utilization=0.61]",
                 "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 9 interval 500 metrics"
-                        + " outstanding:7.0,recent_ms:31.5,utilization:0.25 | Sums[node=s-1, zone=ZoneId[value=0],"
-                        + " tries=2, unanswered=0, latency=0.009, covers=500000000, utilization=0.25]",
-                "upstream_stats locality a endpoint s-1 total 3 errors 3 interval 500 | Sums[node=s-1,"
-                        + " zone=ZoneId[value=0], tries=3, unanswered=3, latency=NaN, covers=500000000,"
+                        + " outstanding:7.0,recent_ms:31.5,utilization:0.25 | LoadReport[node=s-1, zone=ZoneId[value=0],"
+                        + " attempts=2, failures=0, latencySeconds=0.009, periodNanos=500000000, utilization=0.25]",
+                "upstream_stats locality a endpoint s-1 total 3 errors 3 interval 500 | LoadReport[node=s-1,"
+                        + " zone=ZoneId[value=0], attempts=3, failures=3, latencySeconds=NaN, periodNanos=500000000,"
                         + " utilization=NaN]"
             })
     void goodMessages(String words, String told) throws MalformedMessageException {
--- a/src/test/java/rosespread/platform/PlatformConfigTest.java
+++ b/src/test/java/rosespread/platform/PlatformConfigTest.java
@@ -14,13 +14,13 @@
 class PlatformConfigTest {
     @Test
     void whatIsNeededIsRead() {
-        PlatformConfig config = Sample.config();
+        PlatformConfig config = PlatformFixture.config();
         assertEquals("n1", config.name());
         assertEquals(20, config.proxies());
-        assertEquals(256, config.sockets());
+        assertEquals(256, config.maxSockets());
         assertEquals(Long.parseUnsignedLong("8c1f30d27a5be964", 16), config.seed());
         assertEquals(2, config.settings().methods().size());
-        assertEquals("s-1", config.known().targets().get(0).name());
+        assertEquals("s-1", config.knownNodes().nodes().get(0).name());
     }
 
     @ParameterizedTest
@@ -42,10 +42,12 @@
                 "\"limits\":{ | \"limits\":[ | is not JSON at line 2"
             })
     void aFaultNamesItsField(String good, String bad, String told) {
-        String text = Sample.config("127.0.0.1:1", "127.0.0.1:2");
+        String text = PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2");
         assertTrue(text.contains(good));
         String message =
-                assertThrows(ConfigException.class, () -> Sample.parse(text.replace(good, bad)))
+                assertThrows(
+                                ConfigException.class,
+                                () -> PlatformFixture.parse(text.replace(good, bad)))
                         .getMessage();
         assertTrue(message.contains(told), message);
     }
@@ -54,12 +56,12 @@
     void everyCutOfAListIsAnError() throws ConfigException {
         String text =
                 "{\"version\":3,\"full\":false,\"servers\":["
-                        + Sample.node("s-2", "DELETED")
+                        + PlatformFixture.node("s-2", "DELETED")
                         + "]}";
-        assertEquals(1, TargetList.parse(text.getBytes(StandardCharsets.UTF_8)).targets().size());
+        assertEquals(1, NodeList.parse(text.getBytes(StandardCharsets.UTF_8)).nodes().size());
         for (int cut = 0; cut < text.length(); cut++) {
             byte[] part = text.substring(0, cut).getBytes(StandardCharsets.UTF_8);
-            assertThrows(ConfigException.class, () -> TargetList.parse(part));
+            assertThrows(ConfigException.class, () -> NodeList.parse(part));
         }
     }
 
--- a/src/test/java/rosespread/platform/PlatformControllerTest.java
+++ b/src/test/java/rosespread/platform/PlatformControllerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals and configurations that cross the start, or never come. */
+/** SignalHandlers and configurations that cross the start, or never come. */
 class PlatformControllerTest {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
     @TempDir private Path folder;
@@ -41,7 +41,8 @@
         try (ServerSocket free = new ServerSocket(0)) {
             Files.writeString(
                     folder.resolve(file),
-                    Sample.config("127.0.0.1:" + free.getLocalPort(), discovery.address()));
+                    PlatformFixture.config(
+                            "127.0.0.1:" + free.getLocalPort(), discovery.address()));
         }
     }
 
@@ -67,8 +68,8 @@
      */
     @Test
     void aSignalDuringTheStartIsNotLost() throws Exception {
-        try (FakeDiscovery first = new FakeDiscovery(Sample.node("s-1", "SERVING"));
-                FakeDiscovery next = new FakeDiscovery(Sample.node("s-1", "SERVING"))) {
+        try (FakeDiscovery first = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
+                FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             write("first.json", first);
             write("next.json", next);
             CompletableFuture<Runnable> hup = new CompletableFuture<>();
@@ -93,8 +94,8 @@
      */
     @Test
     void aMoveThatNoSignalToldOfIsFollowedOnceTheOldAddressIsGone() throws Exception {
-        FakeDiscovery first = new FakeDiscovery(Sample.node("s-1", "SERVING"));
-        try (FakeDiscovery next = new FakeDiscovery(Sample.node("s-1", "SERVING"))) {
+        FakeDiscovery first = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
+        try (FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             write("first.json", first);
             write("next.json", next);
             serve(new Crossing(), null);
--- a/src/test/java/rosespread/platform/Sample.java
+++ b/src/test/java/rosespread/platform/PlatformFixture.java
@@ -5,7 +5,7 @@
 import rosespread.config.ConfigException;
 
 /** A small configuration for tests. */
-final class Sample {
+final class PlatformFixture {
     static final String SETTINGS =
             """
             {"azs":["a","b"],"kinds":["m2"],"membershipMode":"automatic",
@@ -17,7 +17,7 @@
              "policyLimits":{"probes":false},
              "report":{"columns":["utilization","outstanding"]}}""";
 
-    private Sample() {}
+    private PlatformFixture() {}
 
     static String config(String listen, String discovery) {
         return """
@@ -37,7 +37,8 @@
 
     static PlatformConfig parse(String text) throws ConfigException {
         return PlatformConfig.read(
-                Json.object("the configuration", text.getBytes(StandardCharsets.UTF_8)), Map.of());
+                JsonReader.object("the configuration", text.getBytes(StandardCharsets.UTF_8)),
+                Map.of());
     }
 
     static PlatformConfig config() {
--- a/src/test/java/rosespread/platform/PlatformStateTest.java
+++ b/src/test/java/rosespread/platform/PlatformStateTest.java
@@ -27,15 +27,15 @@
 
     PlatformStateTest() throws ConfigException {
         PlatformConfig config =
-                Sample.parse(
-                        Sample.config("127.0.0.1:1", "127.0.0.1:2")
+                PlatformFixture.parse(
+                        PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2")
                                 .replace("\"probes\":false", "\"probes\":true"));
         core =
                 new PlatformState(
                         config,
-                        new PlatformState.World() {
+                        new PlatformState.HealthCheckSender() {
                             @Override
-                            public void probe(NodeId node, Target target) {
+                            public void checkHealth(NodeId node, NodeEntry target) {
                                 if (faulty) {
                                     throw new NoClassDefFoundError("on purpose, within a round");
                                 }
@@ -50,7 +50,7 @@
                         0);
     }
 
-    private static final class Stream implements Wire {
+    private static final class Stream implements ProxyConnection {
         final List<String> written = new ArrayList<>();
         boolean closed;
 
@@ -62,7 +62,7 @@
         }
 
         @Override
-        public long unwritten() {
+        public long writeBufferBytes() {
             return 0;
         }
 
@@ -81,18 +81,18 @@
 
     private Stream join() {
         Stream stream = new Stream();
-        core.joined(now, stream, new Message.Join(PROXY, new ZoneId(0), 5, true));
+        core.proxyJoined(now, stream, new Message.ProxyJoin(PROXY, new ZoneId(0), 5, true));
         return stream;
     }
 
     private void run(double seconds) {
         for (long until = now + Math.round(seconds * SECOND); now < until; now += SECOND / 50) {
-            core.turn(now);
+            core.runDue(now);
         }
     }
 
-    private void done(Wire stream, int ticket) {
-        core.done(now, stream, new Message.Done(PROXY, ticket, SECOND / 10));
+    private void done(ProxyConnection stream, int ticket) {
+        core.acknowledged(now, stream, new Message.Acknowledgement(PROXY, ticket, SECOND / 10));
     }
 
     @Test
@@ -124,11 +124,11 @@
         run(5);
         faulty = false;
         run(2);
-        core.closed(now, old, PROXY);
+        core.connectionClosed(now, old, PROXY);
         done(old, fresh.ticket());
         assertTrue(core.seen().startsWith("joined 1 bound 1 "), "the fresh stream stands");
         assertTrue(core.seen().contains(" stray 1 "));
-        core.closed(now, fresh, PROXY);
+        core.connectionClosed(now, fresh, PROXY);
         assertTrue(core.seen().startsWith("joined 0 "));
     }
 
@@ -139,7 +139,7 @@
         done(stream, stream.ticket());
         run(1);
         int before = stream.written.size();
-        core.list(now, new TargetList(9, true, List.of()));
+        core.nodeListReceived(now, new NodeList(9, true, List.of()));
         run(2);
         assertTrue(core.seen().contains(" listed 1 "));
         assertEquals(before, stream.written.size(), stream.written.toString());
@@ -152,13 +152,15 @@
     @Test
     void aYoungNodeIsLetBackOnlyIfItWasThereBefore() throws ConfigException {
         String young =
-                Sample.node("s-2", "SERVING").replace("\"started_ms\":0", "\"started_ms\":5000");
+                PlatformFixture.node("s-2", "SERVING")
+                        .replace("\"started_ms\":0", "\"started_ms\":5000");
         String again =
-                Sample.node("s-1", "SERVING").replace("\"started_ms\":0", "\"started_ms\":5000");
+                PlatformFixture.node("s-1", "SERVING")
+                        .replace("\"started_ms\":0", "\"started_ms\":5000");
         for (String node : List.of(young, again)) {
-            core.list(
+            core.nodeListReceived(
                     now,
-                    TargetList.parse(
+                    NodeList.parse(
                             ("{\"version\":8,\"full\":false,\"servers\":[" + node + "]}")
                                     .getBytes(StandardCharsets.UTF_8)));
         }
--- a/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
+++ b/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
@@ -17,8 +17,8 @@
 
 /** From a round's orders to messages, case by case as the platform's pages have it. */
 class PlatformUpdateWriterTest {
-    private final NodeNames nodes = new NodeNames();
-    private final PartWriter writer = new PartWriter(Sample.config().names(), nodes);
+    private final NodeNameRegistry nodes = new NodeNameRegistry();
+    private final UpdateEncoder writer = new UpdateEncoder(PlatformFixture.config().names(), nodes);
     private final Set<NodeId> restless = new java.util.TreeSet<>();
     private final PlatformUpdateWriter orders =
             new PlatformUpdateWriter(2, restless::contains, null);
@@ -32,12 +32,12 @@
         for (String word : text.trim().split(" ")) {
             String rest = word.substring(1);
             switch (word.charAt(0)) {
-                case 'j' -> orders.joined(new ProxyId(Integer.parseInt(rest)));
-                case 'l' -> orders.left(new ProxyId(Integer.parseInt(rest)));
+                case 'j' -> orders.proxyJoined(new ProxyId(Integer.parseInt(rest)));
+                case 'l' -> orders.proxyLeft(new ProxyId(Integer.parseInt(rest)));
                 case 'm' -> orders.requestAcknowledgement(Integer.parseInt(rest));
-                case 'r' -> restless.add(nodes.give(rest.substring(1)));
-                case '-' -> orders.setExcluded(nodes.give(rest), true);
-                case '+' -> orders.setExcluded(nodes.give(rest), false);
+                case 'r' -> restless.add(nodes.register(rest.substring(1)));
+                case '-' -> orders.setExcluded(nodes.register(rest), true);
+                case '+' -> orders.setExcluded(nodes.register(rest), false);
                 case 'b' -> {
                     String[] parts = rest.split(":");
                     orders.subscribe(
@@ -45,12 +45,13 @@
                             methods(parts[2]),
                             new TableId(Integer.parseInt(parts[1])));
                 }
-                case '/' -> orders.close((proxy, parts, mark) -> {});
+                case '/' -> orders.finishRound((proxy, parts, mark) -> {});
                 default -> {
                     TableId table = new TableId(Integer.parseInt(word.substring(0, 1)));
                     if (word.contains("=")) {
                         String[] line = word.substring(2).split("=");
-                        orders.setWeight(table, nodes.give(line[0]), Double.parseDouble(line[1]));
+                        orders.setWeight(
+                                table, nodes.register(line[0]), Double.parseDouble(line[1]));
                     } else {
                         String[] level = word.substring(2).split("~");
                         orders.setAdmissionLimit(
@@ -67,14 +68,15 @@
 
     private String sent() {
         TreeMap<ProxyId, String> sent = new TreeMap<>();
-        orders.close(
+        orders.finishRound(
                 (proxy, parts, mark) -> {
                     List<String> words = new ArrayList<>();
                     for (int i = 0; i < parts.size(); i++) {
                         boolean last = i == parts.size() - 1;
                         words.add(
                                 String.join(
-                                        " ", writer.words(parts.get(i), last ? mark : -1, !last)));
+                                        " ",
+                                        writer.toWords(parts.get(i), last ? mark : -1, !last)));
                     }
                     sent.put(proxy, proxy.value() + "> " + String.join("; ", words));
                 });
@@ -122,18 +124,18 @@
 
     @Test
     void whatAProxyCannotUseIsNeverWritten() {
-        Part unknown = Part.shut(List.of(new NodeId(9)), List.of());
-        assertThrows(IllegalStateException.class, () -> writer.bytes(List.of(unknown), 1));
+        UpdatePart unknown = UpdatePart.ofExclusions(List.of(new NodeId(9)), List.of());
+        assertThrows(IllegalStateException.class, () -> writer.encode(List.of(unknown), 1));
         for (double weight : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            Part line =
-                    new Part(
+            UpdatePart line =
+                    new UpdatePart(
                             List.of(),
                             false,
-                            java.util.Map.of(nodes.give("A"), weight),
+                            java.util.Map.of(nodes.register("A"), weight),
                             Double.NaN,
                             List.of(),
                             List.of());
-            assertThrows(IllegalStateException.class, () -> writer.bytes(List.of(line), 1));
+            assertThrows(IllegalStateException.class, () -> writer.encode(List.of(line), 1));
         }
     }
 }
--- a/src/test/java/rosespread/platform/RespBytesTest.java
+++ b/src/test/java/rosespread/platform/RespBytesTest.java
@@ -29,9 +29,9 @@
 class RespBytesTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private final PlatformConfig config = Sample.config();
-    private final NodeNames nodes = new NodeNames();
-    private final PartWriter writer = new PartWriter(config.names(), nodes);
+    private final PlatformConfig config = PlatformFixture.config();
+    private final NodeNameRegistry nodes = new NodeNameRegistry();
+    private final UpdateEncoder writer = new UpdateEncoder(config.names(), nodes);
     private final TreeSet<NodeId> restless = new TreeSet<>();
     private final PlatformUpdateWriter orders =
             new PlatformUpdateWriter(2, restless::contains, null);
@@ -58,15 +58,15 @@
     }
 
     private void join(int proxy) {
-        orders.joined(new ProxyId(proxy));
+        orders.proxyJoined(new ProxyId(proxy));
     }
 
     private void leave(int proxy) {
-        orders.left(new ProxyId(proxy));
+        orders.proxyLeft(new ProxyId(proxy));
     }
 
     private void line(int table, String node, double weight) {
-        orders.setWeight(new TableId(table), nodes.give(node), weight);
+        orders.setWeight(new TableId(table), nodes.register(node), weight);
     }
 
     private void bind(int proxy, int table, int... methods) {
@@ -82,7 +82,7 @@
     }
 
     private void withdraw(String node, boolean out) {
-        orders.setExcluded(nodes.give(node), out);
+        orders.setExcluded(nodes.register(node), out);
     }
 
     /** Ends the round; a mark below 0 is none. */
@@ -90,9 +90,9 @@
         if (mark >= 0) {
             orders.requestAcknowledgement(mark);
         }
-        orders.close(
+        orders.finishRound(
                 (proxy, parts, last) ->
-                        record("proxy " + proxy.value(), writer.bytes(parts, last)));
+                        record("proxy " + proxy.value(), writer.encode(parts, last)));
     }
 
     @Test
@@ -170,7 +170,7 @@
         withdraw("node-4", false);
         withdraw("node-2", true);
         round(-1);
-        restless.add(nodes.give("node-5"));
+        restless.add(nodes.register("node-5"));
         line(3, "node-5", 0.75);
         bind(2, 3, 0);
         bind(2, 1, 1);
@@ -193,10 +193,10 @@
 
     private PlatformState core() throws ConfigException {
         return new PlatformState(
-                Sample.parse(Sample.config("127.0.0.1:1", "127.0.0.1:2")),
-                new PlatformState.World() {
+                PlatformFixture.parse(PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2")),
+                new PlatformState.HealthCheckSender() {
                     @Override
-                    public void probe(NodeId node, Target target) {}
+                    public void checkHealth(NodeId node, NodeEntry target) {}
 
                     @Override
                     public String seen() {
@@ -207,15 +207,15 @@
                 0);
     }
 
-    private Wire wire(String name) {
-        return new Wire() {
+    private ProxyConnection wire(String name) {
+        return new ProxyConnection() {
             @Override
             public void write(byte[] message) {
                 record(name, message);
             }
 
             @Override
-            public long unwritten() {
+            public long writeBufferBytes() {
                 return 0;
             }
 
@@ -226,17 +226,17 @@
         };
     }
 
-    private void tell(PlatformState core, Wire wire, String words) {
+    private void tell(PlatformState core, ProxyConnection wire, String words) {
         try {
             Message message =
                     new MessageReader(config.names(), config.proxies())
                             .read(List.of(words.split(" ")));
-            if (message instanceof Message.Join join) {
-                core.joined(now, wire, join);
-            } else if (message instanceof Message.Sums sums) {
-                core.sums(now, sums);
-            } else if (message instanceof Message.Offered offered) {
-                core.offered(now, offered);
+            if (message instanceof Message.ProxyJoin join) {
+                core.proxyJoined(now, wire, join);
+            } else if (message instanceof Message.LoadReport sums) {
+                core.loadReported(now, sums);
+            } else if (message instanceof Message.DemandReport offered) {
+                core.demandReported(now, offered);
             }
         } catch (MalformedMessageException e) {
             throw new AssertionError(e);
@@ -244,9 +244,9 @@
     }
 
     private void list(PlatformState core, long version, String... nodes) throws ConfigException {
-        core.list(
+        core.nodeListReceived(
                 now,
-                TargetList.parse(
+                NodeList.parse(
                         ("{\"version\":"
                                         + version
                                         + ",\"full\":false,\"servers\":["
@@ -257,7 +257,7 @@
 
     private void pass(PlatformState core, double seconds) {
         for (long until = now + Math.round(seconds * SECOND); now < until; now += SECOND / 50) {
-            core.turn(now);
+            core.runDue(now);
         }
     }
 
@@ -297,9 +297,9 @@
         list(
                 core,
                 8,
-                Sample.node("s-2", "SERVING"),
-                inZoneB(Sample.node("s-3", "SERVING")),
-                inZoneB(Sample.node("s-4", "SERVING")));
+                PlatformFixture.node("s-2", "SERVING"),
+                inZoneB(PlatformFixture.node("s-3", "SERVING")),
+                inZoneB(PlatformFixture.node("s-4", "SERVING")));
         tell(core, wire("proxy 0 a"), "attach node 0 locality a w 50 cold 1");
         tell(core, wire("proxy 1 a"), "attach node 1 locality a w 70 cold 0");
         tell(core, wire("proxy 2 b"), "attach node 2 locality b w 90 cold 1");
@@ -308,14 +308,15 @@
             report(core, i < 6 ? 0.5 : 1.5);
             pass(core, 0.5);
         }
-        list(core, 9, Sample.node("s-1", "DRAINING"));
+        list(core, 9, PlatformFixture.node("s-1", "DRAINING"));
         pass(core, 1);
         tell(core, wire("proxy 0 a, second stream"), "attach node 0 locality a w 50 cold 0");
         pass(core, 2);
         list(
                 core,
                 10,
-                Sample.node("s-1", "SERVING").replace("\"started_ms\":0", "\"started_ms\":108000"));
+                PlatformFixture.node("s-1", "SERVING")
+                        .replace("\"started_ms\":0", "\"started_ms\":108000"));
         pass(core, 6);
         assertEquals(
                 """
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -42,7 +42,10 @@
 
     @BeforeEach
     void start() throws IOException {
-        discovery = new FakeDiscovery(Sample.node("s-1", "SERVING"), Sample.node("s-2", "SERVING"));
+        discovery =
+                new FakeDiscovery(
+                        PlatformFixture.node("s-1", "SERVING"),
+                        PlatformFixture.node("s-2", "SERVING"));
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
@@ -74,7 +77,8 @@
 
     private void configure(String address) throws IOException {
         Files.writeString(
-                folder.resolve("config.json"), Sample.config("127.0.0.1:" + port, address));
+                folder.resolve("config.json"),
+                PlatformFixture.config("127.0.0.1:" + port, address));
     }
 
     @AfterEach
@@ -89,34 +93,35 @@
     /** Once the watch stands, as the stand-in tells a change only to those who wait for one. */
     private void drain(String node) {
         await().atMost(PATIENCE).until(discovery::watched);
-        discovery.change(Sample.node(node, "DRAINING"));
+        discovery.change(PlatformFixture.node(node, "DRAINING"));
     }
 
     private FakePeer joined(int proxy) throws IOException {
         FakePeer peer = peer();
-        peer.say("attach node " + proxy + " locality a w 5 cold 1");
-        peer.hears("whole 1");
+        peer.send("attach node " + proxy + " locality a w 5 cold 1");
+        peer.awaitMessage("whole 1");
         return peer;
     }
 
     @Test
     void aProxyJoinsAnswersAndIsToldOfADrain() throws IOException {
         FakePeer proxy = joined(3);
-        List<String> whole = proxy.hears("whole 1");
+        List<String> whole = proxy.awaitMessage("whole 1");
         assertTrue(
                 whole.contains("ticket") && String.join(" ", whole).contains("s-1:"),
                 whole.toString());
-        proxy.say("done node 3 nonce " + proxy.ticket(whole) + " latency 12.5");
+        proxy.send("done node 3 nonce " + proxy.tokenOf(whole) + " latency 12.5");
         FakePeer collector = peer();
-        collector.say("telemetry locality a");
-        collector.say("upstream_stats locality a endpoint s-1 total 5 errors 9 rtt 3 interval 500");
-        collector.say(
+        collector.send("telemetry locality a");
+        collector.send(
+                "upstream_stats locality a endpoint s-1 total 5 errors 9 rtt 3 interval 500");
+        collector.send(
                 "upstream_stats locality a endpoint s-1 total 5 errors 0 rtt 3 interval 500 metrics"
                         + " util:0.4");
-        proxy.say("hb");
-        proxy.hears("hb_ok");
+        proxy.send("hb");
+        proxy.awaitMessage("hb_ok");
         drain("s-1");
-        proxy.hears("s-1:0");
+        proxy.awaitMessage("s-1:0");
         await().atMost(PATIENCE).until(() -> log().contains("drops range:1"));
         assertEquals(false, collector.ended || proxy.ended);
     }
@@ -127,7 +132,7 @@
         FakePeer fresh = joined(3);
         await().atMost(PATIENCE).until(() -> old.ended);
         drain("s-1");
-        fresh.hears("s-1:0");
+        fresh.awaitMessage("s-1:0");
         assertEquals(false, log().contains("proxy 3 left"));
     }
 
@@ -146,21 +151,21 @@
             throws IOException {
         FakePeer proxy = joined(4);
         FakePeer bad = peer();
-        bad.raw(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
+        bad.sendBytes(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
         await().atMost(Duration.ofSeconds(3)).until(() -> bad.ended);
-        assertEquals(told, bad.heard.stream().anyMatch(m -> m.get(0).equals("reject")));
-        proxy.say("hb");
-        proxy.hears("hb_ok");
+        assertEquals(told, bad.received.stream().anyMatch(m -> m.get(0).equals("reject")));
+        proxy.send("hb");
+        proxy.awaitMessage("hb_ok");
     }
 
     @Test
     void whatComesAlongWithWhatWasRejectedIsNotTaken() throws IOException {
         FakePeer bad = peer();
-        bad.raw(
+        bad.sendBytes(
                 ("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
                         .replace("~", "\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        bad.hears("reject");
+        bad.awaitMessage("reject");
         joined(9);
         await().atMost(PATIENCE).until(() -> log().contains("proxy 9 joined"));
         assertEquals(false, log().contains("proxy 8 joined"));
@@ -183,11 +188,13 @@
         hup();
         await().atMost(PATIENCE).until(() -> log().contains("is at fault and changes nothing"));
         try (FakeDiscovery next =
-                new FakeDiscovery(Sample.node("s-2", "SERVING"), Sample.node("s-3", "SERVING"))) {
+                new FakeDiscovery(
+                        PlatformFixture.node("s-2", "SERVING"),
+                        PlatformFixture.node("s-3", "SERVING"))) {
             configure(next.address());
             hup();
-            proxy.hears("s-3:");
-            proxy.hears("s-1:0");
+            proxy.awaitMessage("s-3:");
+            proxy.awaitMessage("s-1:0");
             assertEquals(false, proxy.ended);
         }
     }
--- a/src/test/java/rosespread/platform/StreamServerTest.java
+++ b/src/test/java/rosespread/platform/StreamServerTest.java
@@ -20,7 +20,7 @@
             "*1\r\n$2\r\nhb\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
     private static final byte[] SPOILT =
             "*2\r\n$6\r\nattach\r\n$4\r\nnode\r\n".getBytes(StandardCharsets.US_ASCII);
-    private final PlatformConfig config = Sample.config();
+    private final PlatformConfig config = PlatformFixture.config();
     private final PlatformMetrics counts = new PlatformMetrics();
     private StreamServer server;
     private InetSocketAddress address;
@@ -30,9 +30,9 @@
         PlatformState core =
                 new PlatformState(
                         config,
-                        new PlatformState.World() {
+                        new PlatformState.HealthCheckSender() {
                             @Override
-                            public void probe(NodeId node, Target target) {}
+                            public void checkHealth(NodeId node, NodeEntry target) {}
 
                             @Override
                             public String seen() {
@@ -70,13 +70,13 @@
                     .until(
                             () -> {
                                 peer.getOutputStream().write(SIGNS);
-                                return server.unwritten() > 20_000;
+                                return server.maxWriteBufferBytes() > 20_000;
                             });
             peer.getOutputStream().write(SPOILT);
             await().until(() -> counts.rejected.sum() == 1);
-            assertEquals(1, server.open());
-            server.sweep(System.nanoTime() + 2_000_000_000L);
-            await().until(() -> server.open() == 0);
+            assertEquals(1, server.openConnections());
+            server.closeOverdue(System.nanoTime() + 2_000_000_000L);
+            await().until(() -> server.openConnections() == 0);
         }
     }
 }
--- a/src/test/java/rosespread/platform/CustomersTest.java
+++ b/src/test/java/rosespread/platform/TenantIsolationTest.java
@@ -18,7 +18,7 @@
  * Two customers whose settings share nothing, served side by side in one process: nothing may
  * cross.
  */
-class CustomersTest {
+class TenantIsolationTest {
     private static final Duration PATIENCE = Duration.ofSeconds(20);
     private static final String PASSES =
             """
@@ -41,7 +41,7 @@
     @TempDir private Path folder;
 
     private static String node(String id, String zone, String kind) {
-        return Sample.node(id, "SERVING")
+        return PlatformFixture.node(id, "SERVING")
                 .replace("\"zone\":\"a\"", "\"zone\":\"" + zone + "\"")
                 .replace("\"kind\":\"m2\"", "\"kind\":\"" + kind + "\"");
     }
@@ -77,7 +77,7 @@
                 .until(
                         () -> {
                             FakePeer peer = new FakePeer(port);
-                            peer.say("attach node " + proxy + " locality " + zone + " w 5 cold 1");
+                            peer.send("attach node " + proxy + " locality " + zone + " w 5 cold 1");
                             return peer;
                         },
                         peer -> true);
@@ -91,15 +91,15 @@
                 FakeDiscovery archive = new FakeDiscovery(node("a-1", "west", "tall-6"))) {
             int passPort = serve("passes", PASSES, passes);
             int archivePort = serve("archive", ARCHIVE, archive);
-            String pass = String.join(" ", join(passPort, 11, "ridge").hears("whole 1"));
-            String all = String.join(" ", join(archivePort, 299, "north").hears("whole 1"));
+            String pass = String.join(" ", join(passPort, 11, "ridge").awaitMessage("whole 1"));
+            String all = String.join(" ", join(archivePort, 299, "north").awaitMessage("whole 1"));
             assertTrue(
                     pass.contains("classes show") && pass.contains("p-1:") && pass.contains("p-2:"),
                     pass);
             assertTrue(
                     !all.contains("classes") && all.contains("a-1:") && !all.contains("p-"), all);
             FakePeer bound = join(passPort, 10, "ridge");
-            String stamp = String.join(" ", bound.hears("classes stamp"));
+            String stamp = String.join(" ", bound.awaitMessage("classes stamp"));
             assertTrue(
                     stamp.contains("p-2:") && !stamp.contains("p-1:"),
                     "its own zone alone: " + stamp);
@@ -108,7 +108,7 @@
                             join(passPort, 3, "north"),
                             join(passPort, 12, "quay"),
                             join(archivePort, 3, "quay"))) {
-                wrong.hears("reject");
+                wrong.awaitMessage("reject");
                 await().atMost(PATIENCE).until(() -> wrong.ended);
             }
             assertEquals(false, bound.ended);
