--- a/src/main/java/rosespread/platform/UpdateEncoder.java
+++ b/src/main/java/rosespread/platform/UpdateEncoder.java
@@ -11,12 +11,16 @@
 import rosespread.config.NameRegistry;
 import rosespread.resp.RespWriter;
 
-/** Writes a message's parts in the platform's words. */
+/** Encodes updates in the platform's words. Owned by the event-loop thread. */
 final class UpdateEncoder {
-    /** A message has at most so many parts. */
-    static final int MOST_PARTS = 64;
+    /** Stands for an update that asks for no acknowledgement. */
+    static final int NO_TOKEN = -1;
 
-    private static final MathContext FIGURES = new MathContext(6);
+    /** The platform takes at most so many parts a message. */
+    private static final int MAX_PARTS = 64;
+
+    private static final int INITIAL_BYTES = 512;
+    private static final MathContext SIX_DIGITS = new MathContext(6);
 
     private final NameRegistry names;
     private final NodeNameRegistry nodes;
@@ -27,56 +31,39 @@
     }
 
     /**
-     * One message; the last part carries the mark that is to be answered, if there is one
-     * (negative: none).
+     * Encodes one message; the last part carries the token to be acknowledged, if there is one.
      *
-     * @throws IllegalStateException at what a proxy can't use, as that would cost its stream
+     * @param token {@link #NO_TOKEN} for none
+     * @throws IllegalStateException if a proxy could not use it, as that would cost its stream
      */
-    byte[] encode(List<UpdatePart> parts, int ticket) {
-        check(parts.size() <= MOST_PARTS && !parts.isEmpty(), parts.size() + " parts");
-        ByteArrayOutputStream out = new ByteArrayOutputStream(512);
+    byte[] encode(List<UpdatePart> parts, int token) {
+        check(parts.size() <= MAX_PARTS && !parts.isEmpty(), parts.size() + " parts");
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         for (int i = 0; i < parts.size(); i++) {
             boolean last = i == parts.size() - 1;
-            RespWriter.write(toWords(parts.get(i), last ? ticket : -1, !last), out);
+            RespWriter.write(toWords(parts.get(i), last ? token : NO_TOKEN, !last), out);
         }
         return out.toByteArray();
     }
 
-    List<String> toWords(UpdatePart part, int ticket, boolean more) {
+    /**
+     * The words of one part.
+     *
+     * @param more whether another part of the same message follows
+     */
+    List<String> toWords(UpdatePart part, int token, boolean more) {
         List<String> words = new ArrayList<>();
         words.add("assign");
-        if (!part.methods().isEmpty()) {
-            add(
-                    words,
-                    "classes",
-                    part.methods().stream().map(this::method).collect(Collectors.joining("+")));
-        }
+        addMethods(words, part.methods());
         if (part.full()) {
             add(words, "whole", "1");
         }
-        if (!part.weights().isEmpty()) {
-            add(
-                    words,
-                    "lines",
-                    part.weights().entrySet().stream()
-                            .map(
-                                    line ->
-                                            nodes.nameOf(line.getKey())
-                                                    + ":"
-                                                    + figure(line.getValue()))
-                            .collect(Collectors.joining(",")));
-        }
-        if (!Double.isNaN(part.admissionLimit())) {
-            add(
-                    words,
-                    "level",
-                    figure(Math.min(part.admissionLimit(), NameRegistry.UNBOUNDED_LEVEL)));
-            add(words, "retry", Integer.toString(NameRegistry.RETRY_AFTER_PROOF));
-        }
+        addWeights(words, part);
+        addLimit(words, part);
         addNodes(words, "out", part.excluded());
         addNodes(words, "back", part.readmitted());
-        if (ticket >= 0) {
-            add(words, "ticket", Integer.toString(ticket));
+        if (token >= 0) {
+            add(words, "ticket", Integer.toString(token));
         }
         if (more) {
             add(words, "more", "1");
@@ -84,29 +71,61 @@
         return words;
     }
 
-    private static void add(List<String> words, String name, String value) {
-        words.add(name);
+    private static void add(List<String> words, String field, String value) {
+        words.add(field);
         words.add(value);
     }
 
-    private void addNodes(List<String> words, String name, List<NodeId> which) {
-        if (!which.isEmpty()) {
-            add(words, name, which.stream().map(nodes::nameOf).collect(Collectors.joining(",")));
+    private void addMethods(List<String> words, List<MethodId> methods) {
+        if (!methods.isEmpty()) {
+            add(
+                    words,
+                    "classes",
+                    methods.stream().map(this::nameOf).collect(Collectors.joining("+")));
+        }
+    }
+
+    private void addWeights(List<String> words, UpdatePart part) {
+        if (!part.weights().isEmpty()) {
+            String entries =
+                    part.weights().entrySet().stream()
+                            .map(
+                                    entry ->
+                                            nodes.nameOf(entry.getKey())
+                                                    + ":"
+                                                    + figure(entry.getValue()))
+                            .collect(Collectors.joining(","));
+            add(words, "lines", entries);
+        }
+    }
+
+    /** The protocol wants a limit and a retry allowance always together. */
+    private static void addLimit(List<String> words, UpdatePart part) {
+        if (part.setsLimit()) {
+            double limit = Math.min(part.admissionLimit(), NameRegistry.UNBOUNDED_LEVEL);
+            add(words, "level", figure(limit));
+            add(words, "retry", Integer.toString(NameRegistry.RETRY_AFTER_PROOF));
+        }
+    }
+
+    private void addNodes(List<String> words, String field, List<NodeId> ids) {
+        if (!ids.isEmpty()) {
+            add(words, field, ids.stream().map(nodes::nameOf).collect(Collectors.joining(",")));
         }
     }
 
-    private String method(MethodId method) {
+    private String nameOf(MethodId method) {
         return names.methodNames().get(method.value());
     }
 
     private static String figure(double value) {
         check(value >= 0 && !Double.isInfinite(value), "a figure of " + value);
-        return new BigDecimal(value).round(FIGURES).toPlainString();
+        return new BigDecimal(value).round(SIX_DIGITS).toPlainString();
     }
 
-    private static void check(boolean holds, String what) {
+    private static void check(boolean holds, String problem) {
         if (!holds) {
-            throw new IllegalStateException("an order with " + what);
+            throw new IllegalStateException("an update with " + problem);
         }
     }
 }
--- a/src/main/java/rosespread/platform/UpdatePart.java
+++ b/src/main/java/rosespread/platform/UpdatePart.java
@@ -6,11 +6,15 @@
 import rosespread.api.NodeId;
 
 /**
- * One part of a message to a proxy.
+ * One part of an update to a proxy.
  *
- * @param methods whom it is meant for; empty: all
- * @param whole whether the lines are the whole table, which forgets levels
- * @param level how much is let in; NaN: not told, infinite: all
+ * @param methods those concerned; empty for all
+ * @param full whether the weights are the whole table, which resets admission limits
+ * @param weights weight entries; 0 removes one
+ * @param admissionLimit how much of the methods' requests is admitted, infinite for all; {@link
+ *     #NO_LIMIT} if the part sets none
+ * @param excluded nodes that the proxy must not send to, whatever its tables say
+ * @param readmitted nodes that are no longer excluded
  */
 record UpdatePart(
         List<MethodId> methods,
@@ -19,8 +23,21 @@
         double admissionLimit,
         List<NodeId> excluded,
         List<NodeId> readmitted) {
-    /** What shuts nodes out of everything that a proxy holds, or lets them back. */
-    static UpdatePart ofExclusions(List<NodeId> out, List<NodeId> back) {
-        return new UpdatePart(List.of(), false, Map.of(), Double.NaN, out, back);
+    /** Stands for no admission limit being set; test with {@link #setsLimit}. */
+    static final double NO_LIMIT = Double.NaN;
+
+    /** A part that only excludes and readmits nodes, in everything that a proxy holds. */
+    static UpdatePart ofExclusions(List<NodeId> excluded, List<NodeId> readmitted) {
+        return new UpdatePart(List.of(), false, Map.of(), NO_LIMIT, excluded, readmitted);
+    }
+
+    /** A part that only sets an admission limit. */
+    static UpdatePart ofLimit(List<MethodId> methods, double admissionLimit) {
+        return new UpdatePart(methods, false, Map.of(), admissionLimit, List.of(), List.of());
+    }
+
+    /** Whether the part sets an admission limit. */
+    boolean setsLimit() {
+        return !Double.isNaN(admissionLimit);
     }
 }
