--- /dev/null
+++ b/src/main/java/rosespread/platform/MessageFields.java
@@ -0,0 +1,156 @@
+package rosespread.platform;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.regex.Pattern;
+import rosespread.api.MethodId;
+import rosespread.api.ProxyId;
+import rosespread.api.ZoneId;
+import rosespread.config.NameRegistry;
+import rosespread.platform.MalformedMessageException.Reason;
+
+/**
+ * The fields of one message, read as typed values within their bounds. Fields that nobody asks for
+ * are ignored. Every getter throws {@link MalformedMessageException} that names the field at fault.
+ */
+final class MessageFields {
+    /** Bounds that no true figure comes near. */
+    private static final double MAX_MILLIS = 600_000;
+
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int MAX_QUOTED_LENGTH = 20;
+
+    /**
+     * Plain decimals only: what Java takes beyond them, such as NaN or 0x1p3, is no number here.
+     */
+    private static final Pattern DECIMAL =
+            Pattern.compile(
+                    "[+-]?([0-9]{1,18}(\\.[0-9]{0,18})?|\\.[0-9]{1,18})([eE][+-]?[0-9]{1,3})?");
+
+    private static final Pattern UNPRINTABLE = Pattern.compile("[^\\x20-\\x7e]");
+
+    private final NameRegistry names;
+    private final int proxies;
+    private final Map<String, String> values = new HashMap<>();
+
+    /**
+     * Takes a message's words: its kind, then fields and values in turn.
+     *
+     * @param names the zones and methods of the settings
+     * @param proxies how many proxies there are
+     * @throws MalformedMessageException if they do not pair up
+     */
+    MessageFields(NameRegistry names, int proxies, List<String> words)
+            throws MalformedMessageException {
+        this.names = names;
+        this.proxies = proxies;
+        if (words.size() % 2 == 0) {
+            throw new MalformedMessageException(Reason.PAIRS, "a name without a value");
+        }
+        for (int i = 1; i < words.size(); i += 2) {
+            String field = words.get(i);
+            if (values.put(field, words.get(i + 1)) != null) {
+                throw new MalformedMessageException(
+                        Reason.PAIRS, field, quotable(field) + " is told twice");
+            }
+        }
+    }
+
+    /** The beginning of a peer's text, fit to be shown in a reply. */
+    static String quotable(String text) {
+        String beginning = text.substring(0, Math.min(MAX_QUOTED_LENGTH, text.length()));
+        return UNPRINTABLE.matcher(beginning).replaceAll("?");
+    }
+
+    boolean has(String field) {
+        return values.containsKey(field);
+    }
+
+    /** The text of a field that must be there. */
+    String text(String field) throws MalformedMessageException {
+        String text = values.get(field);
+        if (text == null) {
+            throw new MalformedMessageException(Reason.MISSING, field, field + " is missing");
+        }
+        return text;
+    }
+
+    double number(String field, double min, double max) throws MalformedMessageException {
+        return parse(field, text(field), min, max);
+    }
+
+    /** Parses a number that stands within the field's value. */
+    static double parse(String field, String text, double min, double max)
+            throws MalformedMessageException {
+        if (!DECIMAL.matcher(text).matches()) {
+            throw new MalformedMessageException(
+                    Reason.TYPE, field, field + " \"" + quotable(text) + "\" is not a number");
+        }
+        double value = Double.parseDouble(text);
+        if (!(value >= min && value <= max)) {
+            throw new MalformedMessageException(
+                    Reason.RANGE, field, field + " " + quotable(text) + " is out of range");
+        }
+        return value;
+    }
+
+    int integer(String field, int min, int max) throws MalformedMessageException {
+        double value = number(field, min, max);
+        if (value != Math.rint(value)) {
+            throw new MalformedMessageException(
+                    Reason.TYPE, field, field + " is not a whole number");
+        }
+        return (int) value;
+    }
+
+    boolean flag(String field) throws MalformedMessageException {
+        return integer(field, 0, 1) == 1;
+    }
+
+    /** A time that is told in milliseconds. */
+    double millis(String field) throws MalformedMessageException {
+        return number(field, 0, MAX_MILLIS);
+    }
+
+    /** A time that is told in milliseconds, in nanoseconds. */
+    long nanos(String field) throws MalformedMessageException {
+        return Math.round(millis(field) * NANOS_PER_MILLI);
+    }
+
+    /** What a report covers, in nanoseconds. */
+    long periodNanos() throws MalformedMessageException {
+        double millis = millis("interval");
+        if (millis == 0) {
+            throw new MalformedMessageException(Reason.RANGE, "interval", "interval is 0");
+        }
+        return Math.round(millis * NANOS_PER_MILLI);
+    }
+
+    ZoneId zone() throws MalformedMessageException {
+        String zone = text("locality");
+        if (!names.namesZone(zone)) {
+            throw new MalformedMessageException(
+                    Reason.UNKNOWN, "locality", "no zone \"" + quotable(zone) + "\"");
+        }
+        return names.zone(zone);
+    }
+
+    ProxyId proxy() throws MalformedMessageException {
+        int proxy = integer("node", 0, Integer.MAX_VALUE);
+        if (proxy >= proxies) {
+            throw new MalformedMessageException(Reason.UNKNOWN, "node", "no proxy " + proxy);
+        }
+        return new ProxyId(proxy);
+    }
+
+    MethodId method() throws MalformedMessageException {
+        String route = text("route");
+        return names.findMethod(route).orElseThrow(() -> unknownMethod(route));
+    }
+
+    private static MalformedMessageException unknownMethod(String route) {
+        return new MalformedMessageException(
+                Reason.UNKNOWN, "route", "no method \"" + quotable(route) + "\"");
+    }
+}
