--- a/src/main/java/rosespread/platform/AddressParser.java
+++ b/src/main/java/rosespread/platform/AddressParser.java
@@ -1,23 +1,41 @@
 package rosespread.platform;
 
 import java.net.InetSocketAddress;
+import java.util.regex.Pattern;
 import rosespread.config.ConfigException;
 
-/** Addresses as the platform writes them; always figures, as there are no names to look up. */
+/**
+ * Parses addresses as the platform writes them: IPv4 in figures, as there are no names to look up.
+ */
 final class AddressParser {
+    private static final String OCTET = "(25[0-5]|(2[0-4]|1[0-9]|[1-9])?[0-9])";
+    private static final Pattern HOST = Pattern.compile(OCTET + "(\\." + OCTET + "){3}");
+    private static final Pattern PORT = Pattern.compile("[0-9]{1,5}");
+    private static final int MAX_PORT = 65_535;
+
     private AddressParser() {}
 
-    static InetSocketAddress read(String field, String text) throws ConfigException {
+    /**
+     * Parses an address.
+     *
+     * @param field named in the error
+     * @throws ConfigException if it is not host and port
+     */
+    static InetSocketAddress parse(String field, String text) throws ConfigException {
         int colon = text.lastIndexOf(':');
         String host = colon < 0 ? "" : text.substring(0, colon);
         String port = text.substring(colon + 1);
-        String part = "(25[0-5]|(2[0-4]|1[0-9]|[1-9])?[0-9])";
-        if (!host.matches(part + "(\\." + part + "){3}")
-                || !port.matches("[0-9]{1,5}")
-                || Integer.parseInt(port) < 1
-                || Integer.parseInt(port) > 65_535) {
+        if (!HOST.matcher(host).matches() || !isPort(port)) {
             throw new ConfigException(field + " \"" + text + "\" is not like 10.0.0.4:3000");
         }
         return new InetSocketAddress(host, Integer.parseInt(port));
     }
+
+    private static boolean isPort(String text) {
+        if (!PORT.matcher(text).matches()) {
+            return false;
+        }
+        int port = Integer.parseInt(text);
+        return port >= 1 && port <= MAX_PORT;
+    }
 }
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -11,79 +11,91 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Follows discovery: the whole list first, then a watch that is asked for anew as soon as it is
- * answered, from the I/O thread, so that it goes on. A call that fails, is silent past its wait or
- * brings what is no list is made again soon; the list that is held stays.
+ * Follows discovery: the full list first, then a watch (a long poll for changes) that is renewed as
+ * soon as it is answered, straight from the I/O thread. A poll that fails, times out or brings no
+ * valid list is retried with backoff and jitter; whoever listens keeps the list meanwhile.
+ *
+ * <p>State is guarded by the monitor, as I/O, timer and signal threads meet here.
  */
 final class DiscoveryWatch implements AutoCloseable {
-    /** Called on I/O and timer threads; must not block. */
+    /** Takes what discovery brings, on I/O and timer threads; must not block. */
     interface Listener {
+        /** A full list, or the entries that changed since the list before. */
         void listReceived(NodeList list);
 
-        void listUnavailable(String why);
+        /** A poll failed, for this reason; the next one follows by itself. */
+        void listUnavailable(String reason);
     }
 
-    /**
-     * How long a watch may wait there: short, so that a connection gone silent is soon seen to be.
-     */
-    private static final long WAIT_MILLIS = 1_000;
+    private static final String FULL_LIST_PATH = "/api/targets";
+    private static final int OK = 200;
 
-    /** What an answer may take beyond that. */
-    private static final long SILENT_MILLIS = 700;
+    /** How long a watch may last there: short, so that a silent connection is noticed soon. */
+    private static final long WATCH_MILLIS = 1_000;
 
-    /** Pauses after failures, doubled up to the most, with jitter. */
-    private static final long FIRST_PAUSE = 20_000_000L;
+    /** How long an answer may take, beyond the watch's time. */
+    private static final long ANSWER_TIMEOUT_MILLIS = 700;
 
-    private static final long MOST_PAUSE = 320_000_000L;
-    private static final int MOST_DOUBLINGS = 4;
+    private static final long MIN_BACKOFF_NANOS = 20_000_000L;
+    private static final long MAX_BACKOFF_NANOS = 320_000_000L;
+    private static final int MAX_DOUBLINGS = 4;
 
     /**
-     * For so long a list older than the one held is not taken; after that its source has begun
-     * anew.
+     * For so long a list older than the last one is rejected; after that its source must have
+     * restarted.
      */
-    private static final long OLDER_NANOS = 1_000_000_000L;
+    private static final long OLDER_REJECTED_NANOS = 1_000_000_000L;
+
+    private static final long NO_VERSION = -1;
 
     private final HttpClient http;
     private final ScheduledExecutorService timer;
     private final RandomGenerator random;
-    private final Listener ears;
-    private InetSocketAddress at;
-    private long version = -1;
+    private final Listener listener;
+    private InetSocketAddress address;
 
-    /**
-     * The version of what was taken last, whatever is asked next; and since when only older ones
-     * came.
-     */
-    private long taken = -1;
+    /** What the next watch asks for changes since; negative for the full list. */
+    private long watchedVersion = NO_VERSION;
+
+    /** The version of the list accepted last, whatever is asked for next. */
+    private long acceptedVersion = NO_VERSION;
+
+    /** Since when only older lists came. */
+    private OptionalLong olderSinceNanos = OptionalLong.empty();
 
-    private OptionalLong olderSince = OptionalLong.empty();
     private int failures;
     private boolean closed;
-    private Call open;
+    private Poll current;
 
+    /**
+     * Prepares a watch; it begins with {@link #follow}.
+     *
+     * @param timer runs retries
+     * @param random draws the jitter of retries
+     */
     DiscoveryWatch(
             HttpClient http,
             ScheduledExecutorService timer,
             RandomGenerator random,
-            Listener ears) {
+            Listener listener) {
         this.http = http;
         this.timer = timer;
         this.random = random;
-        this.ears = ears;
+        this.listener = listener;
     }
 
-    /** Follows discovery there from now on; what was asked elsewhere is given up. */
-    synchronized void follow(InetSocketAddress address) {
-        at = address;
-        version = -1;
+    /** Follows discovery at this address from now on; a poll elsewhere is cancelled. */
+    synchronized void follow(InetSocketAddress next) {
+        address = next;
+        watchedVersion = NO_VERSION;
         failures = 0;
-        olderSince = OptionalLong.empty();
-        Call old = open;
-        open = null;
-        if (old != null) {
-            old.cancel.run();
+        olderSinceNanos = OptionalLong.empty();
+        Poll previous = current;
+        current = null;
+        if (previous != null) {
+            previous.cancel.run();
         }
-        ask();
+        poll();
     }
 
     @Override
@@ -91,42 +103,46 @@
         closed = true;
     }
 
-    private void ask() {
+    private void poll() {
         if (closed) {
             return;
         }
-        boolean whole = version < 0;
-        String target =
-                whole
-                        ? "/api/targets"
-                        : "/api/targets?since=" + version + "&timeout_ms=" + WAIT_MILLIS;
-        HttpMessage.Request call =
-                new HttpMessage.Request(
-                        "GET",
-                        target,
-                        HttpHeaders.of("host", at.getHostString() + ":" + at.getPort()),
-                        new byte[0]);
-        long millis = SILENT_MILLIS + (whole ? 0 : WAIT_MILLIS);
-        Call next = new Call();
-        open = next;
-        next.cancel = http.call(at, call, TimeUnit.MILLISECONDS.toNanos(millis), next);
+        boolean full = watchedVersion < 0;
+        long timeoutMillis = ANSWER_TIMEOUT_MILLIS + (full ? 0 : WATCH_MILLIS);
+        Poll next = new Poll();
+        current = next;
+        next.cancel =
+                http.call(
+                        address,
+                        request(full ? FULL_LIST_PATH : watchPath()),
+                        TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
+                        next);
+    }
+
+    private String watchPath() {
+        return FULL_LIST_PATH + "?since=" + watchedVersion + "&timeout_ms=" + WATCH_MILLIS;
     }
 
-    /** One call; what comes of it after another has been made is not heard. */
-    private final class Call implements HttpClient.Taker {
+    private HttpMessage.Request request(String path) {
+        String host = address.getHostString() + ":" + address.getPort();
+        return new HttpMessage.Request("GET", path, HttpHeaders.of("host", host), new byte[0]);
+    }
+
+    /** One poll; its outcome counts only while it is the current one. */
+    private final class Poll implements HttpClient.Taker {
         private Runnable cancel = () -> {};
 
         @Override
         public void answered(HttpMessage.Response answer) {
-            if (answer.status() != 200) {
+            if (answer.status() != OK) {
                 failed("status " + answer.status());
                 return;
             }
             try {
-                take(this, NodeList.parse(answer.body()));
+                accept(this, NodeList.parse(answer.body()));
             } catch (ConfigException | RuntimeException | StackOverflowError e) {
-                // Whatever an answer does to its reader, the next call is made: else nobody would
-                // ask again.
+                // Whatever an answer does to its parser, the next poll follows: else nobody would
+                // ever poll again.
                 failed(String.valueOf(e.getMessage()));
             }
         }
@@ -136,57 +152,59 @@
             failed(failure + ": " + detail);
         }
 
-        private void failed(String why) {
-            DiscoveryWatch.this.failed(this, why);
+        private void failed(String reason) {
+            DiscoveryWatch.this.failed(this, reason);
         }
     }
 
     /**
-     * A version that went back leaves it unknown what is held, so all is asked for. What is older
-     * than the list held is not taken, as it would undo what was told since: an agent that was
-     * moved to may be behind.
+     * A list that is older than the accepted one would undo newer changes, as an agent that was
+     * moved to may be behind: it is rejected, and the full list asked for.
      */
-    private synchronized void take(Call call, NodeList list) {
-        if (call != open || closed) {
+    private synchronized void accept(Poll poll, NodeList list) {
+        if (poll != current || closed) {
             return;
         }
-        if (list.version() < taken && !(list.full() && begunAnew())) {
-            version = -1;
-            failed(
-                    call,
-                    "version " + list.version() + " is older than " + taken + ", which is held");
+        if (list.version() < acceptedVersion && !(list.full() && sourceRestarted())) {
+            watchedVersion = NO_VERSION;
+            failed(poll, olderThanAccepted(list.version()));
             return;
         }
         failures = 0;
-        olderSince = OptionalLong.empty();
-        taken = list.version();
-        version = taken;
-        ask();
-        ears.listReceived(list);
+        olderSinceNanos = OptionalLong.empty();
+        acceptedVersion = list.version();
+        watchedVersion = acceptedVersion;
+        poll();
+        listener.listReceived(list);
+    }
+
+    private String olderThanAccepted(long version) {
+        return "version " + version + " is older than " + acceptedVersion + ", which is held";
     }
 
-    private boolean begunAnew() {
+    private boolean sourceRestarted() {
         long now = System.nanoTime();
-        olderSince = OptionalLong.of(olderSince.orElse(now));
-        return now - olderSince.getAsLong() > OLDER_NANOS;
+        olderSinceNanos = OptionalLong.of(olderSinceNanos.orElse(now));
+        return now - olderSinceNanos.getAsLong() > OLDER_REJECTED_NANOS;
     }
 
-    private synchronized void failed(Call call, String why) {
-        if (call != open || closed) {
+    private synchronized void failed(Poll poll, String reason) {
+        if (poll != current || closed) {
             return;
         }
-        open = null;
-        long pause = Math.min(MOST_PAUSE, FIRST_PAUSE << Math.min(failures, MOST_DOUBLINGS));
+        current = null;
+        long backoff = MIN_BACKOFF_NANOS << Math.min(failures, MAX_DOUBLINGS);
+        long pause = Math.min(MAX_BACKOFF_NANOS, backoff);
         failures++;
-        ears.listUnavailable(why);
-        InetSocketAddress asked = at;
+        listener.listUnavailable(reason);
+        InetSocketAddress polled = address;
         timer.schedule(
-                () -> again(asked), pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
+                () -> retry(polled), pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void again(InetSocketAddress asked) {
-        if (open == null && asked.equals(at)) {
-            ask();
+    private synchronized void retry(InetSocketAddress polled) {
+        if (current == null && polled.equals(address)) {
+            poll();
         }
     }
 }
--- a/src/main/java/rosespread/platform/NodeEntry.java
+++ b/src/main/java/rosespread/platform/NodeEntry.java
@@ -4,8 +4,10 @@
 import rosespread.api.EventHandler.NodeState;
 
 /**
- * A node as discovery has it.
+ * A node as discovery lists it.
  *
+ * @param address where it takes requests; null if the node is gone and none is given
+ * @param kind its machine type
  * @param startedMillis wall clock of its last start, 0 if long ago
  */
 record NodeEntry(
--- a/src/main/java/rosespread/platform/PlatformConfig.java
+++ b/src/main/java/rosespread/platform/PlatformConfig.java
@@ -10,7 +10,14 @@
 import rosespread.config.ConfigObject;
 import rosespread.config.NameRegistry;
 
-/** What the platform tells a conductor at its start and, by the same file, while it runs. */
+/**
+ * What the platform gives a controller at its start and, by the same file, while it runs.
+ *
+ * @param maxSockets how many descriptors the process may use for connections
+ * @param knownNodes the list to start with, until discovery answers
+ * @param names the settings' zones, methods and machine types
+ * @param proxies how many proxies there are, numbered from 0
+ */
 record PlatformConfig(
         String name,
         InetSocketAddress listen,
@@ -21,7 +28,22 @@
         NameRegistry names,
         PolicySettings settings,
         int proxies) {
-    private static final long MOST_BYTES = 16L << 20;
+    private static final String FILE_VARIABLE = "ROUTER_CONFIG";
+    private static final String NAME_VARIABLE = "ROUTER_NAME";
+    private static final String LISTEN_VARIABLE = "ROUTER_LISTEN";
+    private static final String DISCOVERY_VARIABLE = "ROUTER_DISCOVERY";
+    private static final long MAX_FILE_BYTES = 16L << 20;
+    private static final int MAX_PROXIES = 65_536;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int HEXADECIMAL = 16;
+
+    /** Descriptors kept for discovery, health checks, files and selectors. */
+    private static final int RESERVED_DESCRIPTORS = 72;
+
+    /** How many incoming connections may be open at once. */
+    int maxConnections() {
+        return Math.max(1, maxSockets - RESERVED_DESCRIPTORS);
+    }
 
     /**
      * Reads the file that the environment names.
@@ -29,56 +51,75 @@
      * @throws ConfigException naming the variable or field at fault
      */
     static PlatformConfig read(Map<String, String> environment) throws ConfigException {
-        String path = environment.get("ROUTER_CONFIG");
+        String path = environment.get(FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
-            throw new ConfigException("ROUTER_CONFIG is not set");
+            throw new ConfigException(FILE_VARIABLE + " is not set");
         }
-        byte[] bytes;
+        return read(JsonReader.object("the configuration", bytes(path)), environment);
+    }
+
+    private static byte[] bytes(String path) throws ConfigException {
         try {
-            if (Files.size(Path.of(path)) > MOST_BYTES) {
-                throw new ConfigException("ROUTER_CONFIG is over " + MOST_BYTES + " bytes");
+            if (Files.size(Path.of(path)) > MAX_FILE_BYTES) {
+                throw new ConfigException(FILE_VARIABLE + " is over " + MAX_FILE_BYTES + " bytes");
             }
-            bytes = Files.readAllBytes(Path.of(path));
+            return Files.readAllBytes(Path.of(path));
         } catch (IOException e) {
-            throw new ConfigException("ROUTER_CONFIG can't be read: " + e);
+            throw new ConfigException(FILE_VARIABLE + " can't be read: " + e);
         }
-        return read(JsonReader.object("the configuration", bytes), environment);
     }
 
-    static PlatformConfig read(ConfigObject all, Map<String, String> environment)
+    /**
+     * Reads the file's object; the environment stands in for fields that it lacks.
+     *
+     * @throws ConfigException naming the field at fault
+     */
+    static PlatformConfig read(ConfigObject file, Map<String, String> environment)
             throws ConfigException {
-        ConfigObject info = all.object("settings");
-        NameRegistry names = new NameRegistry(info);
-        int proxies = info.object("domain").integer("agents");
-        if (proxies < 1 || proxies > 65_536) {
-            throw new ConfigException("settings.domain.agents is not 1 to 65536");
-        }
-        int sockets = all.has("limits") ? all.object("limits").integer("sockets", 1024) : 1024;
-        NodeList known =
-                all.has("known")
-                        ? NodeList.read(all.object("known"))
-                        : new NodeList(0, true, java.util.List.of());
+        ConfigObject settings = file.object("settings");
+        NameRegistry names = new NameRegistry(settings);
+        int proxies = proxies(settings);
+        int sockets = sockets(file);
+        NodeList known = knownNodes(file);
         return new PlatformConfig(
-                all.text("name", environment.getOrDefault("ROUTER_NAME", "conductor")),
-                address(all, "listen", environment.get("ROUTER_LISTEN")),
-                address(all, "discovery", environment.get("ROUTER_DISCOVERY")),
-                seed(all.text("seed", "0")),
+                file.text("name", environment.getOrDefault(NAME_VARIABLE, "conductor")),
+                address(file, "listen", environment.get(LISTEN_VARIABLE)),
+                address(file, "discovery", environment.get(DISCOVERY_VARIABLE)),
+                seed(file.text("seed", "0")),
                 sockets,
                 known,
                 names,
-                names.settings(info),
+                names.settings(settings),
                 proxies);
     }
 
-    private static InetSocketAddress address(ConfigObject all, String field, String absent)
+    private static int proxies(ConfigObject settings) throws ConfigException {
+        int proxies = settings.object("domain").integer("agents");
+        if (proxies < 1 || proxies > MAX_PROXIES) {
+            throw new ConfigException("settings.domain.agents is not 1 to " + MAX_PROXIES);
+        }
+        return proxies;
+    }
+
+    private static int sockets(ConfigObject file) throws ConfigException {
+        return file.has("limits")
+                ? file.object("limits").integer("sockets", DEFAULT_SOCKETS)
+                : DEFAULT_SOCKETS;
+    }
+
+    private static NodeList knownNodes(ConfigObject file) throws ConfigException {
+        return file.has("known") ? NodeList.read(file.object("known")) : NodeList.EMPTY;
+    }
+
+    private static InetSocketAddress address(ConfigObject file, String field, String standIn)
             throws ConfigException {
-        return AddressParser.read(
-                field, absent == null ? all.text(field) : all.text(field, absent));
+        String text = standIn == null ? file.text(field) : file.text(field, standIn);
+        return AddressParser.parse(field, text);
     }
 
     private static long seed(String text) throws ConfigException {
         try {
-            return Long.parseUnsignedLong(text, 16);
+            return Long.parseUnsignedLong(text, HEXADECIMAL);
         } catch (NumberFormatException e) {
             throw new ConfigException("seed \"" + text + "\" is not up to 16 hexadecimal digits");
         }
