--- a/src/main/java/rosespread/cli/ServeCommand.java
+++ b/src/main/java/rosespread/cli/ServeCommand.java
@@ -1,21 +1,45 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import rosespread.config.ConfigException;
 import rosespread.platform.PlatformController;
 
-/** Runs one conductor on the platform. */
+/** Runs one controller on the platform. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a conductor on the platform, told by ROUTER_NAME, ROUTER_LISTEN, ROUTER_DISCOVERY"
-                        + " and the file that ROUTER_CONFIG names; see docs/platform.md.",
+                "Runs a controller on the platform, configured by ROUTER_NAME, ROUTER_LISTEN,"
+                        + " ROUTER_DISCOVERY and the file that ROUTER_CONFIG names; see"
+                        + " docs/platform.md.",
         footer = {"", "Example: ROUTER_CONFIG=config.json rosespread serve"})
 final class ServeCommand implements Callable<Integer> {
-    /** Started often and by a program, and short of memory: past the reading of arguments. */
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_CAN_NOT_LISTEN = 1;
+    private static final int EXIT_BAD_CONFIGURATION = 2;
+
+    /**
+     * Runs until the process is ended. {@link Main} calls it without picocli, as it is started
+     * often, by a program, and short of memory.
+     *
+     * @return the exit code
+     */
     static int serve() {
-        return PlatformController.serve(System.getenv());
+        try {
+            PlatformController.serve(System.getenv());
+            return EXIT_OK;
+        } catch (ConfigException e) {
+            return fail(EXIT_BAD_CONFIGURATION, e.getMessage());
+        } catch (IOException e) {
+            return fail(EXIT_CAN_NOT_LISTEN, "can't listen: " + e.getMessage());
+        }
+    }
+
+    private static int fail(int exitCode, String problem) {
+        System.err.println("rosespread serve: " + problem);
+        return exitCode;
     }
 
     @Override
--- a/src/main/java/rosespread/platform/LoadReportStatistics.java
+++ b/src/main/java/rosespread/platform/LoadReportStatistics.java
@@ -1,85 +1,99 @@
 package rosespread.platform;
 
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import rosespread.api.NodeId;
 
 /**
- * What reports told since it was last asked: sums of RPCs as they came, before the module makes
- * anything of them, so that its view can be held against them.
+ * Sums of load and demand reports as they came, before the policy makes anything of them, so that
+ * its view can be compared with them. Owned by the event-loop thread.
  */
 final class LoadReportStatistics {
-    private long reports;
-    private long tries;
-    private long unanswered;
-    private long offered;
-    private double busy;
-    private long busyReports;
+    private static final double MILLIS_PER_SECOND = 1e3;
+
+    /**
+     * Sums over all nodes and proxies.
+     *
+     * @param demand requests that came to proxies
+     * @param meanUtilization of the reports that carry one, NaN if none did
+     */
+    record Totals(
+            long reports, long attempts, long failures, long demand, double meanUtilization) {}
+
+    /**
+     * Sums over one node's reports.
+     *
+     * @param meanLatencyMillis of attempts that did not fail, 0 if there was none
+     * @param utilization the latest reported, NaN if none was
+     */
+    record NodeTotals(long attempts, long failures, double meanLatencyMillis, double utilization) {}
+
+    private static final class NodeSums {
+        private long attempts;
+        private long failures;
+        private double latencySeconds;
+        private double utilization = Double.NaN;
 
-    /** What was met at one node. */
-    private static final class At {
-        long tries;
-        long unanswered;
-        double latency;
-        double busy = Double.NaN;
+        void add(Message.LoadReport report) {
+            int succeeded = report.attempts() - report.failures();
+            attempts += report.attempts();
+            failures += report.failures();
+            if (!Double.isNaN(report.latencySeconds())) {
+                latencySeconds += report.latencySeconds() * succeeded;
+            }
+            if (!Double.isNaN(report.utilization())) {
+                utilization = report.utilization();
+            }
+        }
+
+        NodeTotals totals() {
+            double meanSeconds = latencySeconds / Math.max(1, attempts - failures);
+            return new NodeTotals(attempts, failures, meanSeconds * MILLIS_PER_SECOND, utilization);
+        }
     }
 
-    private final Map<NodeId, At> nodes = new TreeMap<>();
+    private final Map<NodeId, NodeSums> nodes = new TreeMap<>();
+    private long reports;
+    private long attempts;
+    private long failures;
+    private long demand;
+    private double utilization;
+    private long utilizationReports;
 
-    void sums(NodeId node, Message.LoadReport sums) {
-        At at = nodes.computeIfAbsent(node, fresh -> new At());
-        at.tries += sums.attempts();
-        at.unanswered += sums.failures();
-        at.latency +=
-                Double.isNaN(sums.latencySeconds())
-                        ? 0
-                        : sums.latencySeconds() * (sums.attempts() - sums.failures());
-        at.busy = Double.isNaN(sums.utilization()) ? at.busy : sums.utilization();
+    /** Adds a load report of a node. */
+    void add(NodeId node, Message.LoadReport report) {
+        nodes.computeIfAbsent(node, absent -> new NodeSums()).add(report);
         reports++;
-        tries += sums.attempts();
-        unanswered += sums.failures();
-        if (!Double.isNaN(sums.utilization())) {
-            busy += sums.utilization();
-            busyReports++;
+        attempts += report.attempts();
+        failures += report.failures();
+        if (!Double.isNaN(report.utilization())) {
+            utilization += report.utilization();
+            utilizationReports++;
         }
     }
 
-    void offered(Message.DemandReport told) {
+    /** Adds a demand report. */
+    void add(Message.DemandReport report) {
         reports++;
-        offered += told.requests();
+        demand += report.requests();
     }
 
-    /** One node's figures: tries, how many of them unanswered, mean milliseconds, busy share. */
-    String read(NodeId node) {
-        At at = nodes.getOrDefault(node, new At());
-        return String.format(
-                Locale.ROOT,
-                "%d-%d %.0fms %.2f",
-                at.tries,
-                at.unanswered,
-                at.latency / Math.max(1, at.tries - at.unanswered) * 1e3,
-                at.busy);
+    /** One node's sums since the last totals were taken. */
+    NodeTotals of(NodeId node) {
+        return nodes.getOrDefault(node, new NodeSums()).totals();
     }
 
-    /** The figures, and begins anew. */
-    String read() {
-        String told =
-                String.format(
-                        Locale.ROOT,
-                        "heard reports %d tries %d unanswered %d offered %d busy %.2f",
-                        reports,
-                        tries,
-                        unanswered,
-                        offered,
-                        busyReports == 0 ? Double.NaN : busy / busyReports);
+    /** The sums since the last call; starts from 0 again. */
+    Totals takeTotals() {
+        double mean = utilizationReports == 0 ? Double.NaN : utilization / utilizationReports;
+        Totals totals = new Totals(reports, attempts, failures, demand, mean);
         reports = 0;
-        tries = 0;
-        unanswered = 0;
-        offered = 0;
-        busy = 0;
-        busyReports = 0;
+        attempts = 0;
+        failures = 0;
+        demand = 0;
+        utilization = 0;
+        utilizationReports = 0;
         nodes.clear();
-        return told;
+        return totals;
     }
 }
--- a/src/main/java/rosespread/platform/NodeNameRegistry.java
+++ b/src/main/java/rosespread/platform/NodeNameRegistry.java
@@ -6,30 +6,37 @@
 import rosespread.api.NodeId;
 
 /**
- * The platform's names of nodes and the module's ids of them, in the order in which they were first
- * heard. Used from the decision thread only.
+ * Maps the platform's names of nodes to the policy's ids, numbered in the order in which they were
+ * first listed. A name keeps its id for good. Owned by the event-loop thread.
  */
 final class NodeNameRegistry {
+    private static final String NODE_LINE = "node";
+    private static final int NODE_LINE_WORDS = 3;
+
     private final Map<String, NodeId> ids = new HashMap<>();
     private final Map<NodeId, String> names = new HashMap<>();
-    private long last;
+    private long lastId;
 
+    /** The id of a name; a new one if it was never listed. */
     NodeId register(String name) {
-        return ids.computeIfAbsent(
-                name,
-                fresh -> {
-                    NodeId id = new NodeId(++last);
-                    names.put(id, fresh);
-                    return id;
-                });
+        return ids.computeIfAbsent(name, this::assign);
+    }
+
+    private NodeId assign(String name) {
+        NodeId id = new NodeId(++lastId);
+        names.put(id, name);
+        return id;
     }
 
+    /** The id of a name, empty if it was never listed. */
     Optional<NodeId> find(String name) {
         return Optional.ofNullable(ids.get(name));
     }
 
     /**
-     * @throws IllegalStateException if no list ever named it: such an order would cost the stream
+     * The name of an id.
+     *
+     * @throws IllegalStateException if it has none: an update that names it would cost the stream
      */
     String nameOf(NodeId id) {
         String name = names.get(id);
@@ -39,7 +46,16 @@
         return name;
     }
 
-    int size() {
-        return ids.size();
+    /** The policy logs nodes by number, as in {@code node 7 ...}; readers know them by name. */
+    String replaceNodeNumber(String line) {
+        String[] words = line.split(" ", NODE_LINE_WORDS);
+        boolean aboutNode =
+                words.length == NODE_LINE_WORDS
+                        && words[0].equals(NODE_LINE)
+                        && words[1].matches("[0-9]{1,18}");
+        if (!aboutNode) {
+            return line;
+        }
+        return NODE_LINE + " " + nameOf(new NodeId(Long.parseLong(words[1]))) + " " + words[2];
     }
 }
--- a/src/main/java/rosespread/platform/PeerConnection.java
+++ b/src/main/java/rosespread/platform/PeerConnection.java
@@ -1,27 +1,81 @@
 package rosespread.platform;
 
+import java.util.List;
 import org.apache.mina.core.session.IoSession;
 import rosespread.api.ProxyId;
-import rosespread.api.ZoneId;
+import rosespread.resp.RespCodec;
+import rosespread.resp.RespLimits;
+import rosespread.resp.RespWriter;
 
-/** One connection and who is at its other end. Written by its I/O thread only. */
+/**
+ * One accepted connection and who is at its other end. Its I/O thread alone changes it; any thread
+ * may write to it and close it.
+ */
 final class PeerConnection implements ProxyConnection {
+    /** Who is at the other end. */
     enum Role {
-        STRANGER,
+        /** It has not joined yet. */
+        UNIDENTIFIED,
         COLLECTOR,
         PROXY,
+        /** It was told that it is rejected; nothing that it sends counts. */
         REJECTED
     }
 
-    final IoSession session;
-    final long openedAt;
-    volatile Role role = Role.STRANGER;
-    ZoneId zone;
-    ProxyId proxy;
+    /** Bounds of a message before joining. */
+    static final RespLimits UNIDENTIFIED_LIMITS = new RespLimits(4 << 10, 64);
 
-    PeerConnection(IoSession session, long openedAt) {
+    private static final RespLimits JOINED_LIMITS = new RespLimits(1 << 20, 256);
+
+    private final IoSession session;
+    private final long openedNanos;
+    private volatile Role role = Role.UNIDENTIFIED;
+    private ProxyId proxy;
+
+    PeerConnection(IoSession session, long openedNanos) {
         this.session = session;
-        this.openedAt = openedAt;
+        this.openedNanos = openedNanos;
+    }
+
+    /** When it was opened, in nanoseconds of {@link System#nanoTime()}. */
+    long openedNanos() {
+        return openedNanos;
+    }
+
+    Role role() {
+        return role;
+    }
+
+    /** The joined proxy; null if this is not one's connection. */
+    ProxyId proxy() {
+        return proxy;
+    }
+
+    /** Whether it is the connection of this proxy. */
+    boolean isOf(ProxyId other) {
+        return other.equals(proxy);
+    }
+
+    void joinAsCollector() {
+        join(Role.COLLECTOR);
+    }
+
+    void joinAsProxy(ProxyId joined) {
+        proxy = joined;
+        join(Role.PROXY);
+    }
+
+    private void join(Role joined) {
+        role = joined;
+        RespCodec.limit(session, JOINED_LIMITS);
+    }
+
+    /** Sends the reason, then closes; what still comes is not read, nor used if it came along. */
+    void reject(String reason) {
+        role = Role.REJECTED;
+        session.suspendRead();
+        write(RespWriter.bytes(List.of("reject", "reason", reason)));
+        session.closeOnFlush();
     }
 
     @Override
--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -1,11 +1,7 @@
 package rosespread.platform;
 
-import java.io.File;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
@@ -13,7 +9,6 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.function.BiPredicate;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.api.NodeId;
@@ -25,257 +20,178 @@
 import rosespread.http.HttpLimits;
 
 /**
- * One conductor on the platform, in the foreground: told by the environment and a file, stopped by
- * SIGTERM, told of a new file by SIGHUP. Nothing of it is kept on disk.
+ * One controller on the platform, in the foreground: configured by the environment and a file,
+ * stopped by SIGTERM, made to read the file again by SIGHUP. It writes nothing to disk. It puts the
+ * parts together and starts their threads; all state is theirs.
  */
 public final class PlatformController {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformController.class);
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    /** Unused connections are dropped soon, as descriptors are few. */
-    private static final int IDLE_SECONDS = 1;
+    /** Unused connections are closed soon, as descriptors are few. */
+    private static final int IDLE_TIMEOUT_SECONDS = 1;
 
-    private static final long PROBE_NANOS = 500_000_000L;
-    private static final long SWEEP_MILLIS = 50;
+    private static final int HTTP_THREADS = 1;
+    private static final String HEALTH_CHECK_PATH = "/-/healthy";
+    private static final long HEALTH_CHECK_TIMEOUT_NANOS = 500_000_000L;
+    private static final long JOIN_TIMEOUT_CHECK_MILLIS = 50;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** While discovery is out of reach, the file is looked at so often. */
-    private static final long LOOK_NANOS = 1_000_000_000L;
+    /** EX_SOFTWARE of sysexits.h: an internal error was found. */
+    private static final int EXIT_INTERNAL_ERROR = 70;
 
-    /** EX_SOFTWARE of sysexits.h. */
-    private static final int BROKEN = 70;
-
-    /** Descriptors kept back from connections that come in: discovery, probes, files, selectors. */
-    private static final int KEPT_BACK = 72;
-
-    private final Map<String, String> environment;
-    private final EventQueue inbox = new EventQueue();
-    private final PlatformMetrics counts = new PlatformMetrics();
+    private final PlatformConfig config;
+    private final EventQueue events = new EventQueue();
     private final ScheduledExecutorService timer =
-            Executors.newSingleThreadScheduledExecutor(
-                    task -> {
-                        Thread thread = new Thread(task, "timer");
-                        thread.setDaemon(true);
-                        return thread;
-                    });
+            Executors.newSingleThreadScheduledExecutor(PlatformController::timerThread);
     private final HttpClient http =
-            new HttpClient(1, HttpLimits.USUAL, CONNECT_MILLIS, IDLE_SECONDS);
-    private final HealthChecker prober = new HealthChecker(http, "/-/healthy", PROBE_NANOS);
-    private final DiscoveryWatch watch;
-    private final PlatformState core;
+            new HttpClient(
+                    HTTP_THREADS, HttpLimits.USUAL, CONNECT_TIMEOUT_MILLIS, IDLE_TIMEOUT_SECONDS);
+    private final HealthChecker healthChecker =
+            new HealthChecker(http, HEALTH_CHECK_PATH, HEALTH_CHECK_TIMEOUT_NANOS);
+    private final PlatformState state;
     private final StreamServer server;
-    private PlatformConfig config;
-    private long lookedAt;
+    private final StatusReporter reporter;
+    private final DiscoveryWatch watch;
+    private final ConfigReloader reloader;
 
     private PlatformController(PlatformConfig config, Map<String, String> environment) {
         this.config = config;
-        this.environment = environment;
-        this.lookedAt = System.nanoTime();
-        long wallOffset = System.nanoTime() - System.currentTimeMillis() * 1_000_000;
-        core = new PlatformState(config, new Outside(), counts, wallOffset);
-        server =
-                new StreamServer(
-                        inbox,
-                        core,
-                        new MessageReader(config.names(), config.proxies()),
-                        counts,
-                        most(config));
+        PlatformMetrics metrics = new PlatformMetrics();
+        long wallOffset = System.nanoTime() - System.currentTimeMillis() * NANOS_PER_MILLI;
+        state = new PlatformState(config, this::checkHealth, metrics, wallOffset);
+        MessageReader reader = new MessageReader(config.names(), config.proxies());
+        server = new StreamServer(events, state, reader, metrics, config.maxConnections());
+        reporter = new StatusReporter(state, metrics, this::processStatus);
         watch =
                 new DiscoveryWatch(
-                        http, timer, new SplittableRandom(config.seed()), new ListEars());
+                        http, timer, new SplittableRandom(config.seed()), new NodeListListener());
+        reloader = new ConfigReloader(config, environment, watch, server);
     }
 
-    /** Runs until the process is told to end; returns its exit code if it can't begin. */
-    public static int serve(Map<String, String> environment) {
-        return serve(environment, SignalHandlers::handle);
+    private static Thread timerThread(Runnable task) {
+        Thread thread = new Thread(task, "timer");
+        thread.setDaemon(true);
+        return thread;
     }
 
     /**
-     * @param signals takes a signal's name and what is run at it; false if the process is not told
-     *     of it
+     * Runs until the process is ended, or the calling thread interrupted.
+     *
+     * @param environment what names the configuration file
+     * @throws ConfigException if the configuration is missing or invalid; it names the place
+     * @throws IOException if the address to listen on can't be bound
      */
-    static int serve(Map<String, String> environment, BiPredicate<String, Runnable> signals) {
+    public static void serve(Map<String, String> environment) throws ConfigException, IOException {
+        serve(environment, SignalHandlers::handle);
+    }
+
+    /** As {@link #serve(Map)}, with signals that a test may raise. */
+    static void serve(Map<String, String> environment, SignalHandlers.Registrar signals)
+            throws ConfigException, IOException {
         CompletableFuture<PlatformController> running = new CompletableFuture<>();
-        signals.test(
-                "TERM",
-                () -> {
-                    LOG.info("told to end");
-                    System.exit(0);
-                });
-        // One that comes before the start is over, such as right after the first hb_ok, is not
-        // lost.
-        if (!signals.test("HUP", () -> running.join().reload())) {
-            LOG.warn(
-                    "SIGHUP is ignored, as whoever started this process set it (nohup does): the configuration"
-                            + " is looked at only while discovery is out of reach");
-        }
-        try {
-            PlatformConfig config = PlatformConfig.read(environment);
-            PlatformController conductor = new PlatformController(config, environment);
-            conductor.start();
-            running.complete(conductor);
-        } catch (ConfigException e) {
-            System.err.println("rosespread serve: " + e.getMessage());
-            return 2;
-        } catch (IOException e) {
-            System.err.println("rosespread serve: can't listen: " + e.getMessage());
-            return 1;
-        }
+        register(signals, running);
+        PlatformController controller =
+                new PlatformController(PlatformConfig.read(environment), environment);
+        controller.start();
+        running.complete(controller);
         try {
             new CountDownLatch(1).await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return 0;
     }
 
-    private static int most(PlatformConfig config) {
-        return Math.max(1, config.maxSockets() - KEPT_BACK);
+    /** A SIGHUP during the start, such as right after the first heartbeat, waits for its end. */
+    private static void register(
+            SignalHandlers.Registrar signals, CompletableFuture<PlatformController> running) {
+        signals.handle("TERM", PlatformController::exit);
+        if (!signals.handle("HUP", () -> running.join().reloader.reload())) {
+            LOG.warn(
+                    "SIGHUP is ignored, as set by the parent process (nohup does so): the"
+                            + " configuration is polled only while discovery is unavailable");
+        }
+    }
+
+    private static void exit() {
+        LOG.info("SIGTERM received, shutting down");
+        System.exit(0);
     }
 
     private void start() throws IOException {
-        Thread decisions =
-                new Thread(new EventLoop(inbox, core::runDue, this::undecided), "decisions");
-        decisions.setDaemon(true);
-        decisions.start();
+        EventLoop loop = new EventLoop(events, this::runDue, PlatformController::exitWithoutLoop);
+        Thread thread = new Thread(loop, "decisions");
+        thread.setDaemon(true);
+        thread.start();
         watch.follow(config.discovery());
-        timer.scheduleAtFixedRate(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
-        InetSocketAddress bound = server.listen(config.listen());
-        LOG.info(
-                "{} listens on {}, discovery {}, {} nodes known, {} sockets, {} proxies at most, {}",
-                config.name(),
-                bound,
-                config.discovery(),
-                config.knownNodes().nodes().size(),
-                config.maxSockets(),
-                config.proxies(),
-                config.settings());
-        ChannelCapacityCheck.warnings(config.settings(), config.proxies()).forEach(LOG::warn);
+        timer.scheduleAtFixedRate(
+                this::closeOverdue,
+                JOIN_TIMEOUT_CHECK_MILLIS,
+                JOIN_TIMEOUT_CHECK_MILLIS,
+                TimeUnit.MILLISECONDS);
+        logStart(server.listen(config.listen()));
+        for (ChannelCapacityCheck.Warning warning :
+                ChannelCapacityCheck.warnings(config.settings(), config.proxies())) {
+            LOG.atWarn().addKeyValue("shortage", warning.shortage()).log(warning.text());
+        }
     }
 
-    /**
-     * A timer's task that throws is never run again: strangers would keep their descriptors for
-     * good.
-     */
-    private void sweep() {
-        try {
-            server.closeOverdue(System.nanoTime());
-        } catch (RuntimeException | Error e) {
-            LOG.error("strangers could not be looked through", e);
-        }
+    private void logStart(InetSocketAddress address) {
+        LOG.atInfo()
+                .addKeyValue("controller", config.name())
+                .addKeyValue("address", address)
+                .addKeyValue("discovery", config.discovery())
+                .addKeyValue("nodes", config.knownNodes().nodes().size())
+                .addKeyValue("maxSockets", config.maxSockets())
+                .addKeyValue("maxProxies", config.proxies())
+                .addKeyValue("settings", config.settings())
+                .log("listening for proxies");
     }
 
-    /**
-     * I/O threads would go on saying that all is well; the platform starts a process that ended
-     * anew.
-     */
-    private void undecided() {
-        LOG.error("the decision thread ended, so the process does");
-        Runtime.getRuntime().halt(BROKEN);
+    /** One turn of the event loop; returns when the next is due. */
+    private long runDue(long now) {
+        long nextReport = reporter.reportIfDue(now);
+        return Math.min(state.runDue(now), nextReport);
     }
 
     /**
-     * A SIGHUP may be lost: to a parent that ignores it, or to a file that was not whole yet.
-     * Guards against a list that goes quiet for good because discovery has moved and nobody heard
-     * of it.
+     * Ends the process with its event loop: I/O threads would go on answering heartbeats, while the
+     * platform restarts a process that ended.
      */
-    private synchronized void look() {
-        long now = System.nanoTime();
-        if (now - lookedAt < LOOK_NANOS) {
-            return;
-        }
-        lookedAt = now;
-        try {
-            PlatformConfig next = PlatformConfig.read(environment);
-            if (!next.discovery().equals(config.discovery())) {
-                take(next);
-            }
-        } catch (ConfigException | RuntimeException e) {
-            LOG.debug("the configuration can't be used now: {}", e.getMessage());
-        }
+    private static void exitWithoutLoop() {
+        LOG.error("event loop ended, exiting");
+        Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
 
-    /** A file at fault changes nothing; of a good one, what can be taken while running is. */
-    private synchronized void reload() {
+    /** A timer's task that throws is never run again: connections would stay open for good. */
+    private void closeOverdue() {
         try {
-            take(PlatformConfig.read(environment));
-        } catch (ConfigException | RuntimeException e) {
-            LOG.error("the new configuration is at fault and changes nothing: {}", e.getMessage());
+            server.closeOverdue(System.nanoTime());
+        } catch (RuntimeException | LinkageError | VirtualMachineError e) {
+            LOG.error("connections that did not join could not be closed", e);
         }
     }
 
-    private void take(PlatformConfig next) {
-        if (!next.discovery().equals(config.discovery())) {
-            LOG.info("discovery moves from {} to {}", config.discovery(), next.discovery());
-            watch.follow(next.discovery());
-        }
-        LOG.info("the new configuration was read");
-        server.setMaxConnections(most(next));
-        if (!next.settings().equals(config.settings()) || !next.listen().equals(config.listen())) {
-            LOG.warn("settings or the address to listen on changed: taken at the next start");
-        }
-        config = next;
+    private void checkHealth(NodeId node, NodeEntry entry) {
+        healthChecker.check(
+                entry.address(), result -> events.put(now -> state.healthChecked(node, result)));
     }
 
-    private final class ListEars implements DiscoveryWatch.Listener {
-        @Override
-        public void listReceived(NodeList list) {
-            inbox.put(now -> core.nodeListReceived(now, list));
-        }
-
-        @Override
-        public void listUnavailable(String why) {
-            LOG.warn("discovery: {}", why);
-            inbox.put(now -> core.nodeListUnavailable());
-            timer.execute(PlatformController.this::look);
-        }
+    private ProcessStatus processStatus() {
+        return ProcessStatus.read(server.openConnections(), server.maxWriteBufferBytes());
     }
 
-    private final class Outside implements PlatformState.HealthCheckSender {
+    private final class NodeListListener implements DiscoveryWatch.Listener {
         @Override
-        public void checkHealth(NodeId node, NodeEntry target) {
-            prober.check(
-                    target.address(),
-                    verdict -> inbox.put(now -> core.healthChecked(node, verdict)));
+        public void listReceived(NodeList list) {
+            events.put(now -> state.nodeListReceived(now, list));
         }
 
         @Override
-        public String seen() {
-            return "open "
-                    + server.openConnections()
-                    + " opened "
-                    + counts.opened.sum()
-                    + " rejected "
-                    + counts.rejected.sum()
-                    + " late "
-                    + counts.strangersClosed.sum()
-                    + " evicted "
-                    + counts.evicted.sum()
-                    + " garbled "
-                    + counts.garbled.sum()
-                    + " not accepted "
-                    + counts.notAccepted.sum()
-                    + " unread "
-                    + server.maxWriteBufferBytes()
-                    + " resident "
-                    + resident()
-                    + " KB descriptors "
-                    + descriptors();
-        }
-
-        private long resident() {
-            try {
-                String[] pages =
-                        Files.readString(Path.of("/proc/self/statm"), StandardCharsets.US_ASCII)
-                                .split(" ");
-                return Long.parseLong(pages[1]) * 4;
-            } catch (IOException | RuntimeException e) {
-                return -1;
-            }
-        }
-
-        private int descriptors() {
-            String[] all = new File("/proc/self/fd").list();
-            return all == null ? -1 : all.length;
+        public void listUnavailable(String reason) {
+            LOG.atWarn().addKeyValue("reason", reason).log("discovery unavailable");
+            events.put(now -> state.nodeListUnavailable());
+            timer.execute(reloader::pollIfDue);
         }
     }
 }
--- a/src/main/java/rosespread/platform/PlatformMetrics.java
+++ b/src/main/java/rosespread/platform/PlatformMetrics.java
@@ -1,40 +1,79 @@
 package rosespread.platform;
 
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.Collectors;
 
-/** What happened at the sockets since the start; written by any thread. */
+/** Counts of what happened at the sockets since the start. Any thread may write and read them. */
 final class PlatformMetrics {
-    final LongAdder opened = new LongAdder();
-    final LongAdder strangersClosed = new LongAdder();
-    final LongAdder evicted = new LongAdder();
-    final LongAdder rejected = new LongAdder();
-    final LongAdder garbled = new LongAdder();
-    final LongAdder notAccepted = new LongAdder();
+    /** What is counted of connections, each under its key in the status line. */
+    enum ConnectionEvent {
+        /** A connection was accepted. */
+        OPENED("connectionsOpened"),
+        /** It was closed as it did not join in time. */
+        JOIN_TIMEOUT("joinTimeouts"),
+        /** It was closed before it joined, to make room. */
+        EVICTED("connectionsEvicted"),
+        /** It was told that it is rejected, and closed. */
+        REJECTED("connectionsRejected"),
+        /** It was closed as its bytes can't be parsed. */
+        UNPARSABLE("connectionsUnparsable"),
+        /** Accepting failed. */
+        ACCEPT_FAILED("acceptFailures");
+
+        private final String logKey;
+
+        ConnectionEvent(String logKey) {
+            this.logKey = logKey;
+        }
+
+        String logKey() {
+            return logKey;
+        }
+    }
+
+    private final Map<ConnectionEvent, LongAdder> connections =
+            new EnumMap<>(ConnectionEvent.class);
     private final Map<MalformedMessageException.Reason, LongAdder> dropped =
             new EnumMap<>(MalformedMessageException.Reason.class);
 
     PlatformMetrics() {
+        for (ConnectionEvent event : ConnectionEvent.values()) {
+            connections.put(event, new LongAdder());
+        }
         for (MalformedMessageException.Reason reason : MalformedMessageException.Reason.values()) {
             dropped.put(reason, new LongAdder());
         }
     }
 
-    void drop(MalformedMessageException.Reason reason) {
+    void add(ConnectionEvent event, long times) {
+        connections.get(event).add(times);
+    }
+
+    void increment(ConnectionEvent event) {
+        connections.get(event).increment();
+    }
+
+    long count(ConnectionEvent event) {
+        return connections.get(event).sum();
+    }
+
+    /** A message was dropped. */
+    void countDropped(MalformedMessageException.Reason reason) {
         dropped.get(reason).increment();
     }
 
-    /** Messages dropped by reason, those that occurred. */
-    String drops() {
+    /** Messages dropped, those reasons that occurred, such as {@code range:37,type:60}. */
+    String droppedByReason() {
         return dropped.entrySet().stream()
-                .filter(e -> e.getValue().sum() > 0)
-                .map(
-                        e ->
-                                e.getKey().name().toLowerCase(java.util.Locale.ROOT)
-                                        + ":"
-                                        + e.getValue().sum())
+                .filter(entry -> entry.getValue().sum() > 0)
+                .map(PlatformMetrics::describe)
                 .collect(Collectors.joining(","));
     }
+
+    private static String describe(Map.Entry<MalformedMessageException.Reason, LongAdder> entry) {
+        return entry.getKey().name().toLowerCase(Locale.ROOT) + ":" + entry.getValue().sum();
+    }
 }
--- a/src/main/java/rosespread/platform/PlatformState.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -1,15 +1,16 @@
 package rosespread.platform;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalInt;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.api.EventHandler;
+import rosespread.api.EventHandler.NodeListKind;
 import rosespread.api.EventSource;
 import rosespread.api.NodeId;
 import rosespread.api.ProxyId;
@@ -18,407 +19,290 @@
 import rosespread.policy.RoutingPolicy;
 
 /**
- * The conductor's state on the decision thread: who is joined by which stream, what is listed, and
- * the module. Everything here is called from that thread only.
+ * The controller's state on the event loop: it takes the events of sessions and discovery, hands
+ * them to the routing policy, and has the policy's actions written. Owned by the event-loop thread,
+ * which alone may call it. Times are nanoseconds of {@link System#nanoTime()}.
  */
 final class PlatformState {
-    /** What it needs of the outside. */
+    /** Sends health checks; their results come back as {@link #healthChecked} events. */
     interface HealthCheckSender {
-        void checkHealth(NodeId node, NodeEntry target);
-
-        /** What one second showed at the sockets and of the process. */
-        String seen();
+        /** Starts a check of a listed node; must not block. */
+        void checkHealth(NodeId node, NodeEntry entry);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(PlatformState.class);
-    private static final long SECOND = 1_000_000_000L;
-
-    /** A stream that leaves so much unread is of no use, and what waits for it must not grow. */
-    private static final long UNWRITTEN_MOST = 512L << 10;
-
-    private static final int MARKS_MOST = 1024;
-    private static final int TICKETS = 1 << 16;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final PlatformConfig config;
-    private final HealthCheckSender world;
-    private final PlatformMetrics counts;
+    private final HealthCheckSender healthChecks;
+    private final PlatformMetrics metrics;
     private final long wallOffset;
     private final RoundScheduler rounds = new RoundScheduler();
-    private final RoundScheduler.RoundHandler player = new Playing();
-    private final NodeNameRegistry nodes = new NodeNameRegistry();
-    private final UpdateEncoder writer;
-    private final Map<NodeId, NodeEntry> listed = new TreeMap<>();
-    private final TreeSet<NodeId> restless = new TreeSet<>();
-    private final Map<ProxyId, Stream> streams = new TreeMap<>();
-    private final Map<ZoneId, Long> reports = new TreeMap<>();
-    private RoutingPolicy brain;
-    private PlatformUpdateWriter orders;
-    private int begun;
-    private int ticket;
+    private final RoundScheduler.RoundHandler roundHandler = new PolicyRounds();
+    private final NodeNameRegistry nodeNames = new NodeNameRegistry();
+    private final NodeDirectory directory = new NodeDirectory(nodeNames);
+    private final ProxySessions sessions = new ProxySessions();
+    private final LoadReportStatistics statistics = new LoadReportStatistics();
+    private final Map<ZoneId, Long> reportsByZone = new TreeMap<>();
+    private final UpdateSender sender;
+    private RoutingPolicy policy;
+    private PlatformUpdateWriter updates;
+    private int policyStarts;
     private long now;
-    private long seenAt;
-    private long messages;
-    private long bytes;
-    private long strayAnswers;
-    private final LoadReportStatistics heard = new LoadReportStatistics();
-
-    private static final class Stream {
-        final ProxyConnection wire;
-        final Message.ProxyJoin join;
-        final Map<Integer, Mark> marks = new LinkedHashMap<>();
-
-        Stream(ProxyConnection wire, Message.ProxyJoin join) {
-            this.wire = wire;
-            this.join = join;
-        }
-    }
-
-    /** A mark of the module that a ticket stands for, and when it was written. */
-    private record Mark(int mark, long at) {}
 
     /**
-     * @param wallOffset what is added to nanoseconds of the wall clock to have the module's time;
-     *     fixed, so that a start always comes out the same
+     * Starts with the nodes that the configuration knows and no proxy.
+     *
+     * @param wallOffset what is added to nanoseconds of the wall clock to have the policy's time;
+     *     fixed, so that a node's start always comes out the same
      */
     PlatformState(
             PlatformConfig config,
-            HealthCheckSender world,
-            PlatformMetrics counts,
+            HealthCheckSender healthChecks,
+            PlatformMetrics metrics,
             long wallOffset) {
         this.config = config;
-        this.world = world;
-        this.counts = counts;
+        this.healthChecks = healthChecks;
+        this.metrics = metrics;
         this.wallOffset = wallOffset;
-        this.writer = new UpdateEncoder(config.names(), nodes);
-        nodeListReceived(EventHandler.NodeListKind.CACHED, config.knownNodes());
-        begin();
+        this.sender = new UpdateSender(sessions, new UpdateEncoder(config.names(), nodeNames));
+        Map<NodeId, NodeEntry> known = directory.apply(NodeListKind.CACHED, config.knownNodes());
+        logList(NodeListKind.CACHED, config.knownNodes(), known.size());
+        startPolicy();
     }
 
-    /** A fresh module, told what is held: the list and who is joined. */
-    private void begin() {
-        brain = new RoutingPolicy(config.settings(), new SplittableRandom(config.seed() + begun));
-        begun++;
-        orders =
+    /** Starts a new policy and replays what is known: the node list and who is joined. */
+    private void startPolicy() {
+        policy =
+                new RoutingPolicy(
+                        config.settings(), new SplittableRandom(config.seed() + policyStarts));
+        policyStarts++;
+        updates =
                 new PlatformUpdateWriter(
-                        config.settings().methods().size(), restless::contains, new Asking());
+                        config.settings().methods().size(),
+                        directory::possiblyExcluded,
+                        new Requests());
         rounds.restart();
-        streams.values().forEach(stream -> stream.marks.clear());
-        tellList(EventHandler.NodeListKind.CACHED, listed);
-        streams.values().forEach(stream -> tellJoin(stream.join));
+        sessions.clearPending();
+        publishNodes(NodeListKind.CACHED, directory.listed());
+        sessions.forEach(session -> publishJoin(session.join()));
     }
 
-    // ---- the list ----
-
     /**
-     * A whole list without a node while nodes are held is not believed: it would take all lines
-     * away on the word of one answer. What is held stays, and changes since that version count.
+     * Takes a list of discovery. A full one that names no node while nodes are listed is rejected:
+     * it would remove every weight entry on the strength of one answer. What is listed stays, and
+     * changes since that version count.
      */
     void nodeListReceived(long time, NodeList list) {
         now = time;
-        if (list.full() && list.nodes().isEmpty() && !listed.isEmpty()) {
-            LOG.warn(
-                    "discovery: whole list version {} names no node: the {} held stay",
-                    list.version(),
-                    listed.size());
+        if (list.full() && list.nodes().isEmpty() && !directory.isEmpty()) {
+            LOG.atWarn()
+                    .addKeyValue("version", list.version())
+                    .addKeyValue("nodes", directory.size())
+                    .log("empty node list rejected");
             nodeListUnavailable();
             return;
         }
-        nodeListReceived(
-                list.full()
-                        ? EventHandler.NodeListKind.FULL
-                        : EventHandler.NodeListKind.INCREMENTAL,
-                list);
-    }
-
-    private void nodeListReceived(EventHandler.NodeListKind kind, NodeList list) {
-        boolean whole = kind != EventHandler.NodeListKind.INCREMENTAL;
-        if (!whole && list.nodes().isEmpty()) {
-            return;
-        }
-        Map<NodeId, NodeEntry> told = new TreeMap<>();
-        list.nodes().forEach(target -> told.put(nodes.register(target.name()), target));
-        told.forEach(
-                (id, target) -> {
-                    if (mayBeShutOut(target, listed.get(id))) {
-                        restless.add(id);
-                    }
-                });
-        if (whole) {
-            listed.keySet().stream().filter(id -> !told.containsKey(id)).forEach(restless::add);
-            listed.clear();
+        NodeListKind kind = list.full() ? NodeListKind.FULL : NodeListKind.INCREMENTAL;
+        if (list.full() || !list.nodes().isEmpty()) {
+            Map<NodeId, NodeEntry> update = directory.apply(kind, list);
+            publishNodes(kind, update);
+            logList(kind, list, update.size());
         }
-        told.forEach(
-                (id, target) -> {
-                    if (target.state() == EventHandler.NodeState.GONE) {
-                        listed.remove(id);
-                    } else {
-                        listed.put(id, target);
-                    }
-                });
-        tellList(kind, told);
-        LOG.info(
-                "list {} version {}: {} told, {} listed, {} draining",
-                kind,
-                list.version(),
-                told.size(),
-                listed.size(),
-                listed.values().stream()
-                        .filter(target -> target.state() == EventHandler.NodeState.DRAINING)
-                        .count());
     }
 
-    /**
-     * Whether some conductor may have shut it out: it leaves, or has started anew since it was
-     * listed. That it is young says nothing: a release brings new nodes under new names, and a line
-     * of a message for each of them at each proxy would fill the channel for nothing.
-     */
-    private static boolean mayBeShutOut(NodeEntry target, NodeEntry before) {
-        return target.state() != EventHandler.NodeState.READY
-                || before != null && before.startedMillis() != target.startedMillis();
+    private void logList(NodeListKind kind, NodeList list, int entries) {
+        LOG.atInfo()
+                .addKeyValue("kind", kind)
+                .addKeyValue("version", list.version())
+                .addKeyValue("entries", entries)
+                .addKeyValue("nodes", directory.size())
+                .addKeyValue("draining", directory.draining())
+                .log("node list applied");
     }
 
-    private void tellList(EventHandler.NodeListKind kind, Map<NodeId, NodeEntry> told) {
-        rounds.add(observer -> observer.listStarted(kind));
-        told.forEach(
-                (id, target) -> {
-                    long started =
-                            target.startedMillis() == 0
-                                    ? Long.MIN_VALUE
-                                    : target.startedMillis() * 1_000_000 + wallOffset;
-                    rounds.add(
-                            observer ->
-                                    observer.nodeListed(
-                                            id,
-                                            config.names().kind(target.kind()),
-                                            config.names().zone(target.zone()),
-                                            target.weight(),
-                                            target.state(),
-                                            started));
-                });
+    private void publishNodes(NodeListKind kind, Map<NodeId, NodeEntry> entries) {
+        rounds.add(handler -> handler.listStarted(kind));
+        entries.forEach(this::publishNode);
         rounds.add(EventHandler::listCompleted);
     }
 
-    /** The module is told only where the settings say that it asks for the list. */
+    private void publishNode(NodeId id, NodeEntry entry) {
+        long started = policyTime(entry.startedMillis());
+        rounds.add(
+                handler ->
+                        handler.nodeListed(
+                                id,
+                                config.names().kind(entry.kind()),
+                                config.names().zone(entry.zone()),
+                                entry.weight(),
+                                entry.state(),
+                                started));
+    }
+
+    /** Converts a wall time in milliseconds, 0 for long ago, to the policy's time. */
+    private long policyTime(long wallMillis) {
+        return wallMillis == 0 ? Long.MIN_VALUE : wallMillis * NANOS_PER_MILLI + wallOffset;
+    }
+
+    /** Discovery failed; the policy is notified only where the settings say that it polls. */
     void nodeListUnavailable() {
         if (config.settings().listOnDemand()) {
-            rounds.add(observer -> observer.listStarted(EventHandler.NodeListKind.UNAVAILABLE));
+            rounds.add(handler -> handler.listStarted(NodeListKind.UNAVAILABLE));
             rounds.add(EventHandler::listCompleted);
         }
     }
 
-    void healthChecked(NodeId node, EventHandler.HealthCheckResult verdict) {
-        rounds.add(observer -> observer.healthChecked(node, verdict));
+    /** A health check of a node is done. */
+    void healthChecked(NodeId node, EventHandler.HealthCheckResult result) {
+        rounds.add(handler -> handler.healthChecked(node, result));
     }
 
-    // ---- streams ----
-
-    /** A new stream of a proxy replaces the old one, whose own end may come later or never. */
-    void proxyJoined(long time, ProxyConnection wire, Message.ProxyJoin join) {
+    /** A proxy joined; its new session replaces an older one, whose own end may come later. */
+    void proxyJoined(long time, ProxyConnection connection, Message.ProxyJoin join) {
         now = time;
-        Stream old = streams.put(join.proxy(), new Stream(wire, join));
-        if (old != null) {
-            old.wire.close();
-        }
-        tellJoin(join);
-        LOG.info(
-                "proxy {} joined{}{}",
-                join.proxy().value(),
-                join.holdsNoTables() ? ", fresh" : "",
-                old == null ? "" : ", in place of its old stream");
+        Optional<ProxySession> replaced = sessions.open(connection, join);
+        replaced.ifPresent(session -> session.connection().close());
+        publishJoin(join);
+        LOG.atInfo()
+                .addKeyValue("proxy", join.proxy().value())
+                .addKeyValue("zone", join.zone().value())
+                .addKeyValue("holdsNoTables", join.holdsNoTables())
+                .addKeyValue("replacedSession", replaced.isPresent())
+                .log("proxy joined");
     }
 
-    private void tellJoin(Message.ProxyJoin join) {
-        orders.proxyJoined(join.proxy());
+    private void publishJoin(Message.ProxyJoin join) {
+        updates.proxyJoined(join.proxy());
         rounds.add(
-                observer ->
-                        observer.proxyJoined(join.proxy(), join.zone(), join.requestsPerSecond()));
+                handler ->
+                        handler.proxyJoined(join.proxy(), join.zone(), join.requestsPerSecond()));
     }
 
-    /**
-     * Only the stream that stands ends; the late end of one that was replaced takes nothing with
-     * it.
-     */
-    void connectionClosed(long time, ProxyConnection wire, ProxyId proxy) {
+    /** A connection closed; the late end of one that was replaced ends nothing. */
+    void connectionClosed(long time, ProxyConnection connection, ProxyId proxy) {
         now = time;
-        Stream stream = streams.get(proxy);
-        if (stream != null && stream.wire == wire) {
-            streams.remove(proxy);
-            orders.proxyLeft(proxy);
-            rounds.add(observer -> observer.proxyLeft(proxy));
-            LOG.info("proxy {} left", proxy.value());
+        if (sessions.close(proxy, connection)) {
+            updates.proxyLeft(proxy);
+            rounds.add(handler -> handler.proxyLeft(proxy));
+            LOG.atInfo().addKeyValue("proxy", proxy.value()).log("proxy left");
         }
     }
 
-    /** PlatformMetrics only on the stream that carried the mark. */
-    void acknowledged(long time, ProxyConnection wire, Message.Acknowledgement done) {
+    /** An acknowledgement counts only on the connection that carried its token. */
+    void acknowledged(
+            long time, ProxyConnection connection, Message.Acknowledgement acknowledgement) {
         now = time;
-        Stream stream = streams.get(done.proxy());
-        Mark mark =
-                stream == null || stream.wire != wire ? null : stream.marks.remove(done.token());
-        if (mark == null) {
-            strayAnswers++;
-            return;
+        OptionalInt settled = sessions.acknowledge(connection, acknowledgement);
+        if (settled.isPresent()) {
+            int mark = settled.getAsInt();
+            rounds.add(
+                    handler ->
+                            handler.acknowledged(
+                                    acknowledgement.proxy(), mark, acknowledgement.latencyNanos()));
         }
-        rounds.add(
-                observer -> observer.acknowledged(done.proxy(), mark.mark(), done.latencyNanos()));
     }
 
-    // ---- reports ----
-
-    void loadReported(long time, Message.LoadReport sums) {
+    /** A load report of a zone; one for a node that was never listed is dropped and counted. */
+    void loadReported(long time, Message.LoadReport report) {
         now = time;
-        NodeId node = nodes.find(sums.node()).orElse(null);
+        NodeId node = nodeNames.find(report.node()).orElse(null);
         if (node == null) {
-            counts.drop(MalformedMessageException.Reason.UNKNOWN);
+            metrics.countDropped(MalformedMessageException.Reason.UNKNOWN);
             return;
         }
-        reports.merge(sums.zone(), 1L, Long::sum);
-        heard.sums(node, sums);
+        reportsByZone.merge(report.zone(), 1L, Long::sum);
+        statistics.add(node, report);
         rounds.add(
-                observer ->
-                        observer.loadReported(
+                handler ->
+                        handler.loadReported(
                                 node,
-                                sums.zone(),
-                                sums.attempts(),
-                                sums.failures(),
-                                sums.latencySeconds(),
-                                sums.periodNanos(),
-                                sums.utilization()));
+                                report.zone(),
+                                report.attempts(),
+                                report.failures(),
+                                report.latencySeconds(),
+                                report.periodNanos(),
+                                report.utilization()));
     }
 
-    void demandReported(long time, Message.DemandReport offered) {
+    /** A report of the demand that came to a proxy. */
+    void demandReported(long time, Message.DemandReport report) {
         now = time;
-        heard.offered(offered);
+        statistics.add(report);
         rounds.add(
-                observer ->
-                        observer.demandReported(
-                                offered.proxy(),
-                                offered.method(),
-                                offered.requests(),
-                                offered.periodNanos()));
+                handler ->
+                        handler.demandReported(
+                                report.proxy(),
+                                report.method(),
+                                report.requests(),
+                                report.periodNanos()));
     }
 
-    // ---- rounds ----
-
-    /** Plays a round if one is due; returns when to come back. */
+    /** Runs a round if one is due; returns when to come back. */
     long runDue(long time) {
         now = time;
-        if (now - seenAt >= SECOND) {
-            seenAt = now;
-            if (LOG.isDebugEnabled()) {
-                listed.forEach(
-                        (id, target) ->
-                                LOG.debug(
-                                        "node {} {} {} weight {} met {}",
-                                        target.name(),
-                                        target.kind(),
-                                        target.state(),
-                                        orders.weightOf(id),
-                                        heard.read(id)));
-            }
-            LOG.info("{}", seen());
-        }
-        return Math.min(rounds.runDue(now, player), seenAt + SECOND);
+        return rounds.runDue(now, roundHandler);
     }
 
-    String seen() {
-        long open = streams.values().stream().mapToLong(stream -> stream.marks.size()).sum();
-        long oldest =
-                streams.values().stream()
-                        .flatMap(stream -> stream.marks.values().stream())
-                        .mapToLong(mark -> now - mark.at())
-                        .max()
-                        .orElse(0);
-        List<String> zones = new ArrayList<>();
-        reports.forEach((zone, count) -> zones.add(zone.value() + ":" + count));
-        return "joined "
-                + streams.size()
-                + " bound "
-                + orders.subscribedProxies()
-                + " withdrawn "
-                + orders.excludedNodes()
-                + " listed "
-                + listed.size()
-                + " rounds "
-                + rounds.roundsRun()
-                + " worst "
-                + rounds.maxNanos() / 1000
-                + " us messages "
-                + messages
-                + " bytes "
-                + bytes
-                + " marks "
-                + open
-                + " oldest "
-                + oldest / 1_000_000
-                + " ms stray "
-                + strayAnswers
-                + " reports "
-                + String.join(",", zones)
-                + " drops "
-                + counts.drops()
-                + " "
-                + heard.read()
-                + " "
-                + world.seen();
+    /** The state's counts, as of the latest event. */
+    PlatformStatus status() {
+        return new PlatformStatus(
+                sessions.size(),
+                updates.subscribedProxies(),
+                updates.excludedNodes(),
+                directory.size(),
+                rounds.roundsRun(),
+                rounds.maxNanos(),
+                sender.messages(),
+                sender.bytes(),
+                sessions.pendingAcknowledgements(),
+                sessions.maxPendingNanos(now),
+                sessions.unmatchedAcknowledgements(),
+                Map.copyOf(reportsByZone));
     }
 
-    /** A module that throws has lost its place: a fresh one begins, as after a restart. */
-    private final class Playing implements RoundScheduler.RoundHandler {
-        @Override
-        public void runRound(EventSource feed) {
-            brain.round(now, feed, orders);
-            Map<List<UpdatePart>, byte[]> written = new LinkedHashMap<>();
-            ticket = (ticket + 1) % TICKETS;
-            orders.finishRound((proxy, parts, mark) -> send(proxy, parts, mark, written));
-        }
+    /** Each listed node with its weight and what load reports said of it since the last totals. */
+    List<NodeStatus> nodeStatuses() {
+        List<NodeStatus> all = new ArrayList<>();
+        directory.forEach(
+                (id, entry) ->
+                        all.add(new NodeStatus(entry, updates.weightOf(id), statistics.of(id))));
+        return all;
+    }
 
-        @Override
-        public void roundFailed(Throwable fault) {
-            LOG.error("the decision module failed and begins anew", fault);
-            begin();
-        }
+    /** Totals of all reports since the last call. */
+    LoadReportStatistics.Totals takeReportTotals() {
+        return statistics.takeTotals();
     }
 
     /**
-     * Proxies that get the same parts share the bytes, as all of a round carry the one mark. It
-     * goes out under a ticket of our own, one a round: an answer that is late, or from before the
-     * module began anew, fits none.
+     * Plays rounds. A policy that throws has lost its place: a new one starts, as after a crash.
      */
-    private void send(
-            ProxyId proxy,
-            List<UpdatePart> parts,
-            int mark,
-            Map<List<UpdatePart>, byte[]> written) {
-        Stream stream = streams.get(proxy);
-        byte[] message =
-                written.computeIfAbsent(parts, p -> writer.encode(p, mark < 0 ? -1 : ticket));
-        if (stream.wire.writeBufferBytes() > UNWRITTEN_MOST) {
-            LOG.warn("proxy {} takes nothing: its stream is ended", proxy.value());
-            stream.wire.close();
-            return;
+    private final class PolicyRounds implements RoundScheduler.RoundHandler {
+        @Override
+        public void runRound(EventSource events) {
+            policy.round(now, events, updates);
+            updates.finishRound(sender.startRound(now));
         }
-        if (mark >= 0) {
-            if (stream.marks.size() >= MARKS_MOST) {
-                stream.marks.remove(stream.marks.keySet().iterator().next());
-            }
-            stream.marks.put(ticket, new Mark(mark, now));
+
+        @Override
+        public void roundFailed(Throwable cause) {
+            LOG.error("policy failed and restarts", cause);
+            startPolicy();
         }
-        messages++;
-        bytes += message.length;
-        stream.wire.write(message);
     }
 
-    private final class Asking implements PlatformUpdateWriter.PolicyRequests {
+    /** What the policy asks for besides updates. */
+    private final class Requests implements PlatformUpdateWriter.PolicyRequests {
         @Override
         public void checkHealth(NodeId node) {
-            NodeEntry target = listed.get(node);
-            if (target != null) {
-                world.checkHealth(node, target);
+            NodeEntry entry = directory.find(node);
+            if (entry != null) {
+                healthChecks.checkHealth(node, entry);
             }
         }
 
-        /** Discovery is followed from the start on, so there is nothing to begin. */
+        /** Discovery is watched from the start on, so there is nothing to begin. */
         @Override
         public void watchNodes() {}
 
@@ -429,17 +313,7 @@
 
         @Override
         public void log(String line) {
-            LOG.info("{}", named(line));
+            LOG.info("{}", nodeNames.replaceNodeNumber(line));
         }
     }
-
-    /** The module speaks of nodes by number; whoever reads the log knows them by name. */
-    private String named(String line) {
-        String[] words = line.split(" ", 3);
-        boolean node =
-                words.length == 3 && words[0].equals("node") && words[1].matches("[0-9]{1,18}");
-        return node
-                ? "node " + nodes.nameOf(new NodeId(Long.parseLong(words[1]))) + " " + words[2]
-                : line;
-    }
 }
--- /dev/null
+++ b/src/main/java/rosespread/platform/UpdateSender.java
@@ -0,0 +1,80 @@
+package rosespread.platform;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import rosespread.api.ProxyId;
+
+/**
+ * Writes the updates of a round to the sessions. Proxies that get the same update share its bytes,
+ * as all updates of a round carry the same token. Owned by the event-loop thread.
+ */
+final class UpdateSender {
+    private static final Logger LOG = LoggerFactory.getLogger(UpdateSender.class);
+
+    /** A proxy that leaves so much unread is of no use, and what waits for it must not grow. */
+    private static final long MAX_WRITE_BUFFER_BYTES = 512L << 10;
+
+    /** The protocol's acknowledgement tokens are 16 bits wide. */
+    private static final int TOKENS = 1 << 16;
+
+    private final ProxySessions sessions;
+    private final UpdateEncoder encoder;
+    private int token;
+    private long messages;
+    private long bytes;
+
+    UpdateSender(ProxySessions sessions, UpdateEncoder encoder) {
+        this.sessions = sessions;
+        this.encoder = encoder;
+    }
+
+    /**
+     * Opens a round's sending. Each round takes a token of the controller's own count, as the
+     * policy counts its marks from the beginning whenever it restarts: an answer to an earlier
+     * policy fits no token.
+     */
+    PlatformUpdateWriter.UpdateSink startRound(long now) {
+        token = (token + 1) % TOKENS;
+        Map<List<UpdatePart>, byte[]> encoded = new HashMap<>();
+        return (proxy, parts, mark) -> {
+            byte[] message = encoded.computeIfAbsent(parts, same -> encode(same, mark));
+            send(proxy, message, mark, now);
+        };
+    }
+
+    private byte[] encode(List<UpdatePart> parts, int mark) {
+        return encoder.encode(parts, mark < 0 ? UpdateEncoder.NO_TOKEN : token);
+    }
+
+    private void send(ProxyId proxy, byte[] message, int mark, long now) {
+        ProxySession session = sessions.find(proxy);
+        long buffered = session.connection().writeBufferBytes();
+        if (buffered > MAX_WRITE_BUFFER_BYTES) {
+            LOG.atWarn()
+                    .addKeyValue("proxy", proxy.value())
+                    .addKeyValue("writeBufferBytes", buffered)
+                    .log("slow consumer disconnected");
+            session.connection().close();
+            return;
+        }
+        if (mark >= 0) {
+            session.pending().add(token, mark, now);
+        }
+        messages++;
+        bytes += message.length;
+        session.connection().write(message);
+    }
+
+    /** Messages written so far. */
+    long messages() {
+        return messages;
+    }
+
+    /** Bytes written so far. */
+    long bytes() {
+        return bytes;
+    }
+}
--- a/src/test/java/rosespread/platform/FakePeer.java
+++ b/src/test/java/rosespread/platform/FakePeer.java
@@ -17,7 +17,7 @@
 
 /** One connection to the conductor: all that it brings is kept. */
 final class FakePeer {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     final List<List<String>> received = new CopyOnWriteArrayList<>();
     final Socket socket;
     volatile boolean ended;
@@ -56,7 +56,7 @@
 
     /** The first message with all these words in a row, once it is there. */
     List<String> awaitMessage(String words) {
-        await().atMost(PATIENCE)
+        await().atMost(TIMEOUT)
                 .until(() -> received.stream().anyMatch(m -> joined(m).contains(words)));
         return received.stream().filter(m -> joined(m).contains(words)).findFirst().orElseThrow();
     }
--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -214,7 +214,7 @@
                                 PolicyActions.class.getClassLoader(),
                                 new Class<?>[] {PolicyActions.class},
                                 (self, method, arguments) -> {
-                                    if (method.getName().equals("line")) {
+                                    if (method.getName().equals("setWeight")) {
                                         tablesLaid.add((TableId) arguments[0]);
                                     }
                                     return method.invoke(orders, arguments);
--- a/src/test/java/rosespread/platform/PlatformControllerTest.java
+++ b/src/test/java/rosespread/platform/PlatformControllerTest.java
@@ -3,7 +3,6 @@
 import static org.awaitility.Awaitility.await;
 
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -14,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** SignalHandlers and configurations that cross the start, or never come. */
+/** Signals and configurations that cross the start, or never come. */
 class PlatformControllerTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     @TempDir private Path folder;
 
-    /** The environment of a process whose file is replaced, once it was read for the first time. */
-    private final class Crossing extends AbstractMap<String, String> {
+    /** The environment of a process whose file is replaced once it was read for the first time. */
+    private final class ReplacedFile extends AbstractMap<String, String> {
         private int reads;
 
         @Override
@@ -28,7 +27,8 @@
             if (!"ROUTER_CONFIG".equals(key)) {
                 return null;
             }
-            return folder.resolve(++reads == 1 ? "first.json" : "next.json").toString();
+            reads++;
+            return folder.resolve(reads == 1 ? "first.json" : "next.json").toString();
         }
 
         @Override
@@ -38,70 +38,57 @@
     }
 
     private void write(String file, FakeDiscovery discovery) throws IOException {
-        try (ServerSocket free = new ServerSocket(0)) {
-            Files.writeString(
-                    folder.resolve(file),
-                    PlatformFixture.config(
-                            "127.0.0.1:" + free.getLocalPort(), discovery.address()));
-        }
+        String listen = "127.0.0.1:" + PlatformFixture.freePort();
+        Files.writeString(
+                folder.resolve(file), PlatformFixture.config(listen, discovery.address()));
+    }
+
+    private static boolean isWaitingOrDone(Thread thread) {
+        Thread.State state = thread.getState();
+        return state == Thread.State.WAITING || state == Thread.State.TERMINATED;
     }
 
-    private static void serve(Map<String, String> environment, CompletableFuture<Runnable> hup) {
-        Thread thread =
-                new Thread(
-                        () ->
-                                PlatformController.serve(
-                                        environment,
-                                        (name, then) -> {
-                                            if (name.equals("HUP") && hup != null) {
-                                                hup.complete(then);
-                                            }
-                                            return hup != null || !name.equals("HUP");
-                                        }),
-                        "serve");
-        thread.setDaemon(true);
-        thread.start();
+    /** Raises the signal from a thread of its own, and goes on once it waits or is done. */
+    private static void raise(Runnable handler) {
+        Thread signal = new Thread(handler, "SIGHUP handler");
+        signal.setDaemon(true);
+        signal.start();
+        await().until(() -> isWaitingOrDone(signal));
     }
 
     /**
      * The signal comes before the first configuration was read, so surely before the start is over.
      */
     @Test
-    void aSignalDuringTheStartIsNotLost() throws Exception {
+    void signalDuringTheStartIsNotLost() throws Exception {
         try (FakeDiscovery first = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
                 FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             write("first.json", first);
             write("next.json", next);
-            CompletableFuture<Runnable> hup = new CompletableFuture<>();
-            hup.thenAccept(
-                    then -> {
-                        Thread signal = new Thread(then, "SIGHUP handler");
-                        signal.setDaemon(true);
-                        signal.start();
-                        await().until(
-                                        () ->
-                                                signal.getState() == Thread.State.WAITING
-                                                        || signal.getState()
-                                                                == Thread.State.TERMINATED);
-                    });
-            serve(new Crossing(), hup);
-            await().atMost(PATIENCE).until(next::watched);
+            CompletableFuture<Runnable> hangup = new CompletableFuture<>();
+            hangup.thenAccept(PlatformControllerTest::raise);
+            PlatformFixture.serve(
+                    "serve",
+                    new ReplacedFile(),
+                    (signal, action) -> !signal.equals("HUP") || hangup.complete(action));
+            await().atMost(TIMEOUT).until(next::watched);
         }
     }
 
     /**
-     * The parent ignores the signal, as nohup does: the file alone says that discovery has moved.
+     * The parent ignores the signal, as nohup does: the file alone tells that discovery has moved.
      */
     @Test
-    void aMoveThatNoSignalToldOfIsFollowedOnceTheOldAddressIsGone() throws Exception {
+    void moveWithoutSignalIsFollowedOnceTheOldAddressIsGone() throws Exception {
         FakeDiscovery first = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
         try (FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             write("first.json", first);
             write("next.json", next);
-            serve(new Crossing(), null);
-            await().atMost(PATIENCE).until(first::watched);
+            PlatformFixture.serve(
+                    "serve", new ReplacedFile(), (signal, action) -> !signal.equals("HUP"));
+            await().atMost(TIMEOUT).until(first::watched);
             first.close();
-            await().atMost(PATIENCE).until(next::watched);
+            await().atMost(TIMEOUT).until(next::watched);
         }
     }
 }
--- a/src/test/java/rosespread/platform/PlatformFixture.java
+++ b/src/test/java/rosespread/platform/PlatformFixture.java
@@ -1,12 +1,14 @@
 package rosespread.platform;
 
+import java.io.IOException;
+import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import rosespread.config.ConfigException;
 
-/** A small configuration for tests. */
+/** Configurations, node entries and running controllers for tests. */
 final class PlatformFixture {
-    static final String SETTINGS =
+    private static final String SETTINGS =
             """
             {"azs":["a","b"],"kinds":["m2"],"membershipMode":"automatic",
              "profiles":[{"name":"lookup","importance":1.0},{"name":"order","importance":2.0}],
@@ -19,6 +21,7 @@
 
     private PlatformFixture() {}
 
+    /** A configuration with one known node. */
     static String config(String listen, String discovery) {
         return """
                 {"name":"n1","listen":"%s","discovery":"%s","seed":"8c1f30d27a5be964",
@@ -28,6 +31,7 @@
                 .formatted(listen, discovery, node("s-1", "SERVING"), SETTINGS);
     }
 
+    /** A node's entry in a list of discovery. */
     static String node(String id, String state) {
         return """
                 {"id":"%s","addr":"127.0.0.1:9","zone":"a","kind":"m2","cell":0,"state":"%s","weight":1.0,
@@ -36,9 +40,8 @@
     }
 
     static PlatformConfig parse(String text) throws ConfigException {
-        return PlatformConfig.read(
-                JsonReader.object("the configuration", text.getBytes(StandardCharsets.UTF_8)),
-                Map.of());
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        return PlatformConfig.read(JsonReader.object("the configuration", bytes), Map.of());
     }
 
     static PlatformConfig config() {
@@ -48,4 +51,26 @@
             throw new AssertionError(e);
         }
     }
+
+    static int freePort() throws IOException {
+        try (ServerSocket free = new ServerSocket(0)) {
+            return free.getLocalPort();
+        }
+    }
+
+    /** Runs a controller on a daemon thread for the rest of the test run. */
+    static void serve(
+            String name, Map<String, String> environment, SignalHandlers.Registrar signals) {
+        Thread thread = new Thread(() -> serve(environment, signals), name);
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private static void serve(Map<String, String> environment, SignalHandlers.Registrar signals) {
+        try {
+            PlatformController.serve(environment, signals);
+        } catch (ConfigException | IOException e) {
+            throw new AssertionError(e);
+        }
+    }
 }
--- a/src/test/java/rosespread/platform/RespBytesTest.java
+++ b/src/test/java/rosespread/platform/RespBytesTest.java
@@ -197,11 +197,6 @@
                 new PlatformState.HealthCheckSender() {
                     @Override
                     public void checkHealth(NodeId node, NodeEntry target) {}
-
-                    @Override
-                    public String seen() {
-                        return "";
-                    }
                 },
                 new PlatformMetrics(),
                 0);
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -26,7 +25,7 @@
  * loopback.
  */
 class ServeTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     @TempDir private Path folder;
     private FakeDiscovery discovery;
@@ -46,9 +45,7 @@
                 new FakeDiscovery(
                         PlatformFixture.node("s-1", "SERVING"),
                         PlatformFixture.node("s-2", "SERVING"));
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
-        }
+        port = PlatformFixture.freePort();
         configure(discovery.address());
         ProcessBuilder builder =
                 new ProcessBuilder(
@@ -64,7 +61,7 @@
                 builder.redirectErrorStream(true)
                         .redirectOutput(folder.resolve("log").toFile())
                         .start();
-        await().atMost(PATIENCE)
+        await().atMost(TIMEOUT)
                 .until(
                         () -> {
                             try (Socket socket = new Socket("127.0.0.1", port)) {
@@ -92,7 +89,7 @@
 
     /** Once the watch stands, as the stand-in tells a change only to those who wait for one. */
     private void drain(String node) {
-        await().atMost(PATIENCE).until(discovery::watched);
+        await().atMost(TIMEOUT).until(discovery::watched);
         discovery.change(PlatformFixture.node(node, "DRAINING"));
     }
 
@@ -122,7 +119,7 @@
         proxy.awaitMessage("hb_ok");
         drain("s-1");
         proxy.awaitMessage("s-1:0");
-        await().atMost(PATIENCE).until(() -> log().contains("drops range:1"));
+        await().atMost(TIMEOUT).until(() -> log().contains("droppedMessages=\"range:1"));
         assertEquals(false, collector.ended || proxy.ended);
     }
 
@@ -130,10 +127,10 @@
     void aNewStreamReplacesTheOldAndItsLateEndTakesNothing() throws IOException {
         FakePeer old = joined(3);
         FakePeer fresh = joined(3);
-        await().atMost(PATIENCE).until(() -> old.ended);
+        await().atMost(TIMEOUT).until(() -> old.ended);
         drain("s-1");
         fresh.awaitMessage("s-1:0");
-        assertEquals(false, log().contains("proxy 3 left"));
+        assertEquals(false, log().contains("proxy left proxy=\"3\""));
     }
 
     @ParameterizedTest
@@ -167,8 +164,8 @@
                         .getBytes(StandardCharsets.US_ASCII));
         bad.awaitMessage("reject");
         joined(9);
-        await().atMost(PATIENCE).until(() -> log().contains("proxy 9 joined"));
-        assertEquals(false, log().contains("proxy 8 joined"));
+        await().atMost(TIMEOUT).until(() -> log().contains("proxy joined proxy=\"9\""));
+        assertEquals(false, log().contains("proxy joined proxy=\"8\""));
     }
 
     @Test
@@ -186,7 +183,7 @@
         hup();
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
         hup();
-        await().atMost(PATIENCE).until(() -> log().contains("is at fault and changes nothing"));
+        await().atMost(TIMEOUT).until(() -> log().contains("configuration rejected"));
         try (FakeDiscovery next =
                 new FakeDiscovery(
                         PlatformFixture.node("s-2", "SERVING"),
@@ -208,14 +205,15 @@
     }
 
     private void hup() throws IOException, InterruptedException {
-        await().atMost(PATIENCE).until(() -> log().contains("listens on"));
+        await().atMost(TIMEOUT).until(() -> log().contains("listening for proxies"));
         int before = log().length();
         new ProcessBuilder("/bin/kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        await().atMost(PATIENCE)
+        await().atMost(TIMEOUT)
                 .until(
                         () ->
                                 log().substring(before).contains("configuration")
-                                        || log().substring(before).contains("discovery moves"));
+                                        || log().substring(before)
+                                                .contains("discovery address changed"));
     }
 
     private String log() throws IOException {
--- a/src/test/java/rosespread/platform/StreamServerTest.java
+++ b/src/test/java/rosespread/platform/StreamServerTest.java
@@ -12,7 +12,6 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rosespread.api.NodeId;
 import rosespread.eventloop.EventQueue;
 
 class StreamServerTest {
@@ -21,32 +20,19 @@
     private static final byte[] SPOILT =
             "*2\r\n$6\r\nattach\r\n$4\r\nnode\r\n".getBytes(StandardCharsets.US_ASCII);
     private final PlatformConfig config = PlatformFixture.config();
-    private final PlatformMetrics counts = new PlatformMetrics();
+    private final PlatformMetrics metrics = new PlatformMetrics();
     private StreamServer server;
     private InetSocketAddress address;
 
     @BeforeEach
     void listen() throws IOException {
-        PlatformState core =
-                new PlatformState(
-                        config,
-                        new PlatformState.HealthCheckSender() {
-                            @Override
-                            public void checkHealth(NodeId node, NodeEntry target) {}
-
-                            @Override
-                            public String seen() {
-                                return "";
-                            }
-                        },
-                        counts,
-                        0);
+        PlatformState core = new PlatformState(config, (node, entry) -> {}, metrics, 0);
         server =
                 new StreamServer(
                         new EventQueue(),
                         core,
                         new MessageReader(config.names(), config.proxies()),
-                        counts,
+                        metrics,
                         100);
         address = server.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     }
@@ -73,7 +59,7 @@
                                 return server.maxWriteBufferBytes() > 20_000;
                             });
             peer.getOutputStream().write(SPOILT);
-            await().until(() -> counts.rejected.sum() == 1);
+            await().until(() -> metrics.count(PlatformMetrics.ConnectionEvent.REJECTED) == 1);
             assertEquals(1, server.openConnections());
             server.closeOverdue(System.nanoTime() + 2_000_000_000L);
             await().until(() -> server.openConnections() == 0);
--- a/src/test/java/rosespread/platform/TenantIsolationTest.java
+++ b/src/test/java/rosespread/platform/TenantIsolationTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -15,11 +14,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two customers whose settings share nothing, served side by side in one process: nothing may
- * cross.
+ * Two tenants whose settings share nothing, served side by side in one process: nothing crosses.
  */
 class TenantIsolationTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final String PASSES =
             """
             {"azs":["quay","ridge"],"kinds":["wide-8","thin-2"],"membershipMode":"subscribe",
@@ -47,32 +45,21 @@
     }
 
     private int serve(String name, String settings, FakeDiscovery discovery) throws IOException {
-        int port;
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
-        }
-        Path file =
-                Files.writeString(
-                        folder.resolve(name + ".json"),
-                        """
+        int port = PlatformFixture.freePort();
+        String config =
+                """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":256},
                  "settings":%s}"""
-                                .formatted(name, port, discovery.address(), settings));
-        Thread thread =
-                new Thread(
-                        () ->
-                                PlatformController.serve(
-                                        Map.of("ROUTER_CONFIG", file.toString()),
-                                        (signal, then) -> true),
-                        name);
-        thread.setDaemon(true);
-        thread.start();
-        await().atMost(PATIENCE).until(discovery::watched);
+                        .formatted(name, port, discovery.address(), settings);
+        Path file = Files.writeString(folder.resolve(name + ".json"), config);
+        PlatformFixture.serve(
+                name, Map.of("ROUTER_CONFIG", file.toString()), (signal, action) -> true);
+        await().atMost(TIMEOUT).until(discovery::watched);
         return port;
     }
 
     private static FakePeer join(int port, int proxy, String zone) {
-        return await().atMost(PATIENCE)
+        return await().atMost(TIMEOUT)
                 .ignoreExceptions()
                 .until(
                         () -> {
@@ -84,7 +71,7 @@
     }
 
     @Test
-    void methodsZonesLimitsAndNodesAreEachCustomersOwn() throws IOException {
+    void methodsZonesLimitsAndNodesAreEachTenantsOwn() throws IOException {
         try (FakeDiscovery passes =
                         new FakeDiscovery(
                                 node("p-1", "quay", "wide-8"), node("p-2", "ridge", "thin-2"));
@@ -109,7 +96,7 @@
                             join(passPort, 12, "quay"),
                             join(archivePort, 3, "quay"))) {
                 wrong.awaitMessage("reject");
-                await().atMost(PATIENCE).until(() -> wrong.ended);
+                await().atMost(TIMEOUT).until(() -> wrong.ended);
             }
             assertEquals(false, bound.ended);
         }
