--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -68,7 +68,7 @@
     private Poll current;
 
     /**
-     * Prepares a watch; it begins with {@link #follow}.
+     * Prepares a watch; it starts with {@link #follow}.
      *
      * @param timer runs retries
      * @param random draws the jitter of retries
@@ -179,7 +179,7 @@
     }
 
     private String olderThanAccepted(long version) {
-        return "version " + version + " is older than " + acceptedVersion + ", which is held";
+        return "version " + version + " is older than the accepted " + acceptedVersion;
     }
 
     private boolean sourceRestarted() {
--- a/src/main/java/rosespread/platform/ExclusionTracker.java
+++ b/src/main/java/rosespread/platform/ExclusionTracker.java
@@ -13,8 +13,8 @@
 import rosespread.api.TableId;
 
 /**
- * Decides which exclusions and readmissions of nodes each proxy has to be told. Owned by the
- * event-loop thread.
+ * Decides which exclusions and readmissions of nodes each proxy needs. Owned by the event-loop
+ * thread.
  */
 final class ExclusionTracker {
     private final Predicate<NodeId> possiblyExcluded;
@@ -56,7 +56,7 @@
         changes.clear();
     }
 
-    /** What a proxy has to be told in this round, which is taken as told; empty if nothing. */
+    /** What a proxy needs in this round, which is noted as sent; empty if nothing. */
     Optional<UpdatePart> takeUpdate(ProxyView view) {
         List<NodeId> out = new ArrayList<>();
         List<NodeId> back = new ArrayList<>();
@@ -70,7 +70,7 @@
 
     /**
      * An exclusion concerns proxies whose tables name the node, and each that follows no table yet,
-     * as it may hold the node; a readmission concerns those that were told of the exclusion.
+     * as it may hold the node; a readmission concerns those that were sent the exclusion.
      */
     private void addChange(
             ProxyView view, NodeId node, boolean exclude, List<NodeId> out, List<NodeId> back) {
--- a/src/main/java/rosespread/platform/MessageFields.java
+++ b/src/main/java/rosespread/platform/MessageFields.java
@@ -108,12 +108,12 @@
         return integer(field, 0, 1) == 1;
     }
 
-    /** A time that is told in milliseconds. */
+    /** A time in milliseconds. */
     double millis(String field) throws MalformedMessageException {
         return number(field, 0, MAX_MILLIS);
     }
 
-    /** A time that is told in milliseconds, in nanoseconds. */
+    /** A time that the wire has in milliseconds, in nanoseconds. */
     long nanos(String field) throws MalformedMessageException {
         return Math.round(millis(field) * NANOS_PER_MILLI);
     }
--- a/src/main/java/rosespread/platform/NodeList.java
+++ b/src/main/java/rosespread/platform/NodeList.java
@@ -84,7 +84,7 @@
         if (name.isEmpty()
                 || name.length() > MAX_NAME_LENGTH
                 || SEPARATOR.matcher(name).matches()) {
-            throw new ConfigException("id \"" + name + "\" can't be written in an order");
+            throw new ConfigException("id \"" + name + "\" can't be written in an update");
         }
         return name;
     }
--- a/src/main/java/rosespread/platform/PeerConnection.java
+++ b/src/main/java/rosespread/platform/PeerConnection.java
@@ -18,7 +18,7 @@
         UNIDENTIFIED,
         COLLECTOR,
         PROXY,
-        /** It was told that it is rejected; nothing that it sends counts. */
+        /** It was sent a rejection; nothing that it sends counts. */
         REJECTED
     }
 
--- a/src/main/java/rosespread/platform/PlatformMetrics.java
+++ b/src/main/java/rosespread/platform/PlatformMetrics.java
@@ -16,7 +16,7 @@
         JOIN_TIMEOUT("joinTimeouts"),
         /** It was closed before it joined, to make room. */
         EVICTED("connectionsEvicted"),
-        /** It was told that it is rejected, and closed. */
+        /** It was sent a rejection and closed. */
         REJECTED("connectionsRejected"),
         /** It was closed as its bytes can't be parsed. */
         UNPARSABLE("connectionsUnparsable"),
--- a/src/main/java/rosespread/platform/PlatformUpdateWriter.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -68,7 +68,7 @@
         this.requests = requests;
     }
 
-    /** A stream begins: whatever the proxy holds, it follows no table here. */
+    /** A stream starts: whatever the proxy holds, it follows no table here. */
     void proxyJoined(ProxyId proxy) {
         proxies.put(proxy, new ProxyView());
     }
--- a/src/main/java/rosespread/platform/ProxyView.java
+++ b/src/main/java/rosespread/platform/ProxyView.java
@@ -12,7 +12,7 @@
 import rosespread.api.TableId;
 
 /**
- * What one proxy's stream was told so far: the tables that it follows, those of which it needs a
+ * What was sent on one proxy's stream so far: the tables that it follows, those of which it needs a
  * full update, and which nodes were excluded on it. Owned by the event-loop thread.
  */
 final class ProxyView {
@@ -59,7 +59,7 @@
         pendingFull.clear();
     }
 
-    /** Notes that a node is excluded; false if the stream was told so already. */
+    /** Notes that a node is excluded; false if the exclusion was sent already. */
     boolean exclude(NodeId node) {
         boolean first = excluded.add(node);
         if (first) {
--- a/src/test/java/rosespread/platform/DiscoveryRequestTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryRequestTest.java
@@ -15,7 +15,7 @@
 
 /** The exact requests that are sent to discovery: the whole list first, then the watch. */
 class DiscoveryRequestTest {
-    private static final String WHOLE =
+    private static final String FULL_LIST =
             "GET /api/targets HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n" + "content-length: 0\r\n\r\n";
     private static final String WATCH =
             "GET /api/targets?since=7&timeout_ms=1000 HTTP/1.1\r\n"
@@ -49,7 +49,7 @@
                 DiscoveryWatch watch = watch(http, timer)) {
             watch.follow(server.address());
             await().until(() -> server.requests().size() >= 2);
-            assertEquals(List.of(WHOLE, WATCH), server.requests().subList(0, 2));
+            assertEquals(List.of(FULL_LIST, WATCH), server.requests().subList(0, 2));
         } finally {
             timer.shutdownNow();
         }
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -19,7 +19,7 @@
 import rosespread.http.HttpLimits;
 
 class DiscoveryWatchTest {
-    private final List<String> heard = new CopyOnWriteArrayList<>();
+    private final List<String> received = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 1);
     private final DiscoveryWatch watch =
@@ -30,12 +30,12 @@
                     new DiscoveryWatch.Listener() {
                         @Override
                         public void listReceived(NodeList list) {
-                            heard.add((list.full() ? "whole " : "changes ") + list.version());
+                            received.add((list.full() ? "full " : "changes ") + list.version());
                         }
 
                         @Override
                         public void listUnavailable(String why) {
-                            heard.add("unavailable: " + why);
+                            received.add("unavailable: " + why);
                         }
                     });
 
@@ -47,90 +47,91 @@
     }
 
     @Test
-    void firstTheWholeListThenTheWatchGoesOn() throws IOException {
+    void fullListComesFirstThenTheWatchGoesOn() throws IOException {
         try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             watch.follow(discovery.socketAddress());
             await().until(discovery::watched);
             discovery.change(PlatformFixture.node("s-1", "DRAINING"));
             await().until(
                             () ->
-                                    discovery.requests.stream()
+                                    discovery.requests().stream()
                                                     .anyMatch(t -> t.contains("?since=2&"))
-                                            && heard.contains("changes 2"));
-            assertEquals("/api/targets", discovery.requests.get(0));
-            assertEquals(List.of("whole 1", "changes 2"), heard);
+                                            && received.contains("changes 2"));
+            assertEquals("/api/targets", discovery.requests().get(0));
+            assertEquals(List.of("full 1", "changes 2"), received);
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"version\":2,\"full\":tr", "[]", "{\"version\":2,\"servers\":[{}]}"})
-    void whatIsNoListIsAskedForAgain(String cut) throws IOException {
+    void invalidListIsRequestedAgain(String answer) throws IOException {
         try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
-            discovery.answerNext(cut);
+            discovery.answerNext(answer);
             watch.follow(discovery.socketAddress());
-            await().until(() -> heard.contains("whole 1"));
-            assertTrue(heard.get(0).startsWith("unavailable: "), heard.toString());
+            await().until(() -> received.contains("full 1"));
+            assertTrue(received.get(0).startsWith("unavailable: "), received.toString());
         }
     }
 
-    /** Lists and changes, in the order in which they were heard. */
+    /** Full lists and changes, in the order in which they were received. */
     private List<String> lists() {
-        return heard.stream().filter(one -> !one.startsWith("unavailable")).toList();
+        return received.stream().filter(one -> !one.startsWith("unavailable")).toList();
     }
 
     /**
-     * Discovery that began anew goes on telling the older version, and is believed after a while.
+     * Discovery that restarted goes on sending the older version, and is accepted after a while.
      */
     @Test
-    void aVersionThatWentBackIsNotBelievedToBeAChange() throws IOException {
+    void versionThatWentBackIsNotAcceptedAsAChange() throws IOException {
         try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             discovery.answerNext("{\"version\":9,\"full\":true,\"servers\":[]}");
             watch.follow(discovery.socketAddress());
-            await().until(() -> heard.contains("whole 1"));
-            assertEquals(List.of("whole 9", "whole 1"), lists());
-            assertEquals("unavailable: version 1 is older than 9, which is held", heard.get(1));
+            await().until(() -> received.contains("full 1"));
+            assertEquals(List.of("full 9", "full 1"), lists());
+            assertEquals("unavailable: version 1 is older than the accepted 9", received.get(1));
         }
     }
 
-    /** The agent that was moved to answers first from before what the old one told already. */
+    /** The agent that was moved to answers first with what is older than the old one sent. */
     @Test
-    void anOlderWholeListAfterAMoveUndoesNothing() throws IOException {
+    void olderFullListAfterAMoveUndoesNothing() throws IOException {
         try (FakeDiscovery old = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
                 FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             watch.follow(old.socketAddress());
             await().until(old::watched);
             old.change(PlatformFixture.node("s-1", "DRAINING"));
             next.change(PlatformFixture.node("s-1", "DRAINING"));
-            await().until(() -> heard.contains("changes 2"));
+            await().until(() -> received.contains("changes 2"));
             next.answerNext(
                     "{\"version\":1,\"full\":true,\"servers\":["
                             + PlatformFixture.node("s-1", "SERVING")
                             + "]}");
             watch.follow(next.socketAddress());
-            await().until(() -> next.watched() && heard.contains("whole 2"));
-            assertEquals(List.of("whole 1", "changes 2", "whole 2"), lists());
+            await().until(() -> next.watched() && received.contains("full 2"));
+            assertEquals(List.of("full 1", "changes 2", "full 2"), lists());
         }
     }
 
     /**
-     * The end of a kept connection and the next call cross: nothing was missed, so nothing is said.
+     * The end of a kept connection and the next request cross: nothing was missed, so nothing is
+     * reported.
      */
     @Test
-    void aConnectionThatEndsAsTheNextCallIsWrittenOnItIsNoTrouble() throws IOException {
+    void connectionThatEndsAsTheNextRequestIsWrittenCausesNoFailure() throws IOException {
         try (CrossingServer discovery =
                 new CrossingServer(
                         "{\"version\":1,\"full\":true,\"servers\":[]}",
                         "{\"version\":1,\"full\":false,\"servers\":[]}")) {
             watch.follow(discovery.at());
-            await().until(() -> heard.size() >= 2);
-            // The watch goes on and is heard meanwhile: only a copy stays as it is while it is
+            await().until(() -> received.size() >= 2);
+            // The watch goes on meanwhile: only a copy stays as it is while it is
             // compared.
-            assertEquals(List.of("whole 1", "changes 1"), List.copyOf(heard).subList(0, 2));
+            assertEquals(List.of("full 1", "changes 1"), List.copyOf(received).subList(0, 2));
         }
     }
 
     @Test
-    void anotherAddressIsFollowedAtOnceAndTheOldCallIsNotHeard() throws IOException {
+    void otherAddressIsFollowedAtOnceAndTheOldPollIsIgnored() throws IOException {
         try (FakeDiscovery old = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
                 FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-2", "SERVING"))) {
             watch.follow(old.socketAddress());
@@ -139,8 +140,8 @@
             await().until(next::watched);
             old.change(PlatformFixture.node("s-1", "DRAINING"));
             next.change(PlatformFixture.node("s-2", "DRAINING"));
-            await().until(() -> heard.contains("changes 2"));
-            assertEquals(List.of("whole 1", "whole 1", "changes 2"), heard);
+            await().until(() -> received.contains("changes 2"));
+            assertEquals(List.of("full 1", "full 1", "changes 2"), received);
         }
     }
 }
--- a/src/test/java/rosespread/platform/FakeDiscovery.java
+++ b/src/test/java/rosespread/platform/FakeDiscovery.java
@@ -4,6 +4,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.Executors;
@@ -13,23 +14,24 @@
 import rosespread.http.HttpMessage;
 import rosespread.http.HttpServer;
 
-/** Discovery as the platform has it: a whole list, and a watch that waits for the next change. */
+/** Discovery as the platform has it: a full list, and a watch that waits for the next change. */
 final class FakeDiscovery implements AutoCloseable {
-    final List<String> requests = new CopyOnWriteArrayList<>();
-    private final List<HttpServer.Exchange> waiting = new ArrayList<>();
+    private final List<String> requests = new CopyOnWriteArrayList<>();
+    private final List<HttpServer.Exchange> watches = new ArrayList<>();
     private final List<String> nodes = new ArrayList<>();
     private final HttpServer server;
     private final InetSocketAddress address;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private int version = 1;
-    private String cut = "";
+    private String nextAnswer = "";
 
     FakeDiscovery(String... nodes) throws IOException {
         this.nodes.addAll(List.of(nodes));
-        server = new HttpServer(1, HttpLimits.USUAL, this::take);
+        server = new HttpServer(1, HttpLimits.USUAL, this::handle);
         address = server.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     }
 
+    /** The address as a configuration has it. */
     String address() {
         return "127.0.0.1:" + address.getPort();
     }
@@ -38,54 +40,59 @@
         return address;
     }
 
-    /** The next answer is this text, whatever was asked. */
+    /** The paths that were requested. */
+    List<String> requests() {
+        return Collections.unmodifiableList(requests);
+    }
+
+    /** The next answer is this text, whatever is asked for. */
     synchronized void answerNext(String text) {
-        cut = text;
+        nextAnswer = text;
     }
 
-    private synchronized void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
-        requests.add(call.target());
-        if (!cut.isEmpty()) {
-            exchange.answer(HttpMessage.Response.json(200, cut));
-            cut = "";
-        } else if (call.target().contains("since=" + version + "&")) {
-            waiting.add(exchange);
-            long millis = Long.parseLong(call.target().replaceAll(".*timeout_ms=", ""));
-            timer.schedule(() -> nothingNew(exchange), millis, TimeUnit.MILLISECONDS);
+    private synchronized void handle(HttpMessage.Request request, HttpServer.Exchange exchange) {
+        String target = request.target();
+        requests.add(target);
+        if (!nextAnswer.isEmpty()) {
+            exchange.answer(HttpMessage.Response.json(200, nextAnswer));
+            nextAnswer = "";
+        } else if (target.contains("since=" + version + "&")) {
+            watches.add(exchange);
+            long millis = Long.parseLong(target.replaceAll(".*timeout_ms=", ""));
+            timer.schedule(() -> endWatch(exchange), millis, TimeUnit.MILLISECONDS);
         } else {
-            exchange.answer(list(!call.target().contains("since="), nodes));
+            exchange.answer(list(!target.contains("since="), nodes));
         }
     }
 
     private HttpMessage.Response list(boolean full, List<String> entries) {
+        String json = "{\"version\":%d,\"full\":%b,\"servers\":[%s]}";
         return HttpMessage.Response.json(
-                200,
-                "{\"version\":"
-                        + version
-                        + ",\"full\":"
-                        + full
-                        + ",\"servers\":["
-                        + String.join(",", entries)
-                        + "]}");
+                200, json.formatted(version, full, String.join(",", entries)));
     }
 
-    private synchronized void nothingNew(HttpServer.Exchange exchange) {
-        if (waiting.remove(exchange)) {
+    private synchronized void endWatch(HttpServer.Exchange exchange) {
+        if (watches.remove(exchange)) {
             exchange.answer(list(false, List.of()));
         }
     }
 
-    /** Tells those who watch; whoever asks later gets it too. */
+    /** Changes a node's entry: open watches are answered, and later requests get it too. */
     synchronized void change(String entry) {
         version++;
-        nodes.removeIf(node -> node.substring(0, 12).equals(entry.substring(0, 12)));
+        nodes.removeIf(node -> idOf(node).equals(idOf(entry)));
         nodes.add(entry);
-        waiting.forEach(exchange -> exchange.answer(list(false, List.of(entry))));
-        waiting.clear();
+        watches.forEach(exchange -> exchange.answer(list(false, List.of(entry))));
+        watches.clear();
+    }
+
+    private static String idOf(String entry) {
+        return entry.substring(0, entry.indexOf(','));
     }
 
+    /** Whether a watch is open. */
     synchronized boolean watched() {
-        return !waiting.isEmpty();
+        return !watches.isEmpty();
     }
 
     @Override
--- a/src/test/java/rosespread/platform/FakePeer.java
+++ b/src/test/java/rosespread/platform/FakePeer.java
@@ -8,19 +8,23 @@
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.time.Duration;
+import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
 import rosespread.resp.RespException;
 import rosespread.resp.RespLimits;
 import rosespread.resp.RespParser;
 import rosespread.resp.RespWriter;
 
-/** One connection to the conductor: all that it brings is kept. */
-final class FakePeer {
+/** A client's end of one connection to the controller: all that it receives is kept. */
+final class FakePeer implements AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
-    final List<List<String>> received = new CopyOnWriteArrayList<>();
-    final Socket socket;
-    volatile boolean ended;
+    private static final RespLimits LIMITS = new RespLimits(1 << 20, 256);
+
+    private final List<List<String>> received = new CopyOnWriteArrayList<>();
+    private final Socket socket;
+    private volatile boolean ended;
 
     FakePeer(int port) throws IOException {
         socket = new Socket("127.0.0.1", port);
@@ -30,7 +34,7 @@
     }
 
     private void read() {
-        RespParser parser = new RespParser(new RespLimits(1 << 20, 256), received::add);
+        RespParser parser = new RespParser(LIMITS, received::add);
         byte[] bytes = new byte[4096];
         try (InputStream in = socket.getInputStream()) {
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
@@ -42,10 +46,12 @@
         ended = true;
     }
 
+    /** Sends one message of these words, separated by blanks. */
     void send(String words) throws IOException {
         sendBytes(RespWriter.bytes(List.of(words.split(" "))));
     }
 
+    /** Sends these bytes; a connection that the controller has closed already takes none. */
     void sendBytes(byte[] bytes) throws IOException {
         try {
             socket.getOutputStream().write(bytes);
@@ -54,18 +60,34 @@
         }
     }
 
+    List<List<String>> received() {
+        return Collections.unmodifiableList(received);
+    }
+
+    /** Whether the controller has closed the connection. */
+    boolean isEnded() {
+        return ended;
+    }
+
     /** The first message with all these words in a row, once it is there. */
     List<String> awaitMessage(String words) {
-        await().atMost(TIMEOUT)
-                .until(() -> received.stream().anyMatch(m -> joined(m).contains(words)));
-        return received.stream().filter(m -> joined(m).contains(words)).findFirst().orElseThrow();
+        await().atMost(TIMEOUT).until(() -> find(words).isPresent());
+        return find(words).orElseThrow();
     }
 
-    private static String joined(List<String> words) {
-        return String.join(" ", words);
+    private Optional<List<String>> find(String words) {
+        return received.stream()
+                .filter(message -> String.join(" ", message).contains(words))
+                .findFirst();
     }
 
-    int tokenOf(List<String> message) {
+    /** The acknowledgement token of a message. */
+    static int tokenOf(List<String> message) {
         return Integer.parseInt(message.get(message.indexOf("ticket") + 1));
     }
+
+    @Override
+    public void close() throws IOException {
+        socket.close();
+    }
 }
--- a/src/test/java/rosespread/platform/MessageReaderTest.java
+++ b/src/test/java/rosespread/platform/MessageReaderTest.java
@@ -37,8 +37,8 @@
                         + " zone=ZoneId[value=0], attempts=3, failures=3, latencySeconds=NaN, periodNanos=500000000,"
                         + " utilization=NaN]"
             })
-    void goodMessages(String words, String told) throws MalformedMessageException {
-        assertEquals(told, read(words).toString());
+    void validMessagesAreRead(String words, String expected) throws MalformedMessageException {
+        assertEquals(expected, read(words).toString());
     }
 
     @ParameterizedTest
@@ -71,7 +71,7 @@
         "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util, TYPE",
         "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util:-1, RANGE"
     })
-    void spoiltMessagesByReason(String words, Reason reason) {
+    void malformedMessagesAreRejectedByReason(String words, Reason reason) {
         assertEquals(
                 reason, assertThrows(MalformedMessageException.class, () -> read(words)).reason());
     }
--- a/src/test/java/rosespread/platform/PlatformConfigTest.java
+++ b/src/test/java/rosespread/platform/PlatformConfigTest.java
@@ -13,7 +13,7 @@
 
 class PlatformConfigTest {
     @Test
-    void whatIsNeededIsRead() {
+    void requiredFieldsAreRead() {
         PlatformConfig config = PlatformFixture.config();
         assertEquals("n1", config.name());
         assertEquals(20, config.proxies());
@@ -34,14 +34,14 @@
                 "\"discovery\":\"127.0.0.1:2\" | \"at\":1 | lacks \"discovery\"",
                 "\"seed\":\"8c | \"seed\":\"zc | seed \"zc1f30d27a5be964\" is not up to 16 hexadecimal digits",
                 "\"sockets\":256 | \"sockets\":\"many\" | limits.sockets is not a number",
-                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an order",
+                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an update",
                 "\"state\":\"SERVING\" | \"state\":\"UP\" | entry 0 of servers: state \"UP\" is not known",
                 "\"127.0.0.1:9\" | \"999.0.0.1:9\" | addr \"999.0.0.1:9\" is not like 10.0.0.4:3000",
                 "\"started_ms\":0 | \"started_ms\":1e300 | entry 0 of servers: weight or started_ms is out of range",
                 "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight or started_ms is out of range",
                 "\"limits\":{ | \"limits\":[ | is not JSON at line 2"
             })
-    void aFaultNamesItsField(String good, String bad, String told) {
+    void invalidFieldIsNamed(String good, String bad, String expected) {
         String text = PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2");
         assertTrue(text.contains(good));
         String message =
@@ -49,11 +49,11 @@
                                 ConfigException.class,
                                 () -> PlatformFixture.parse(text.replace(good, bad)))
                         .getMessage();
-        assertTrue(message.contains(told), message);
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void everyCutOfAListIsAnError() throws ConfigException {
+    void everyTruncatedListIsAnError() throws ConfigException {
         String text =
                 "{\"version\":3,\"full\":false,\"servers\":["
                         + PlatformFixture.node("s-2", "DELETED")
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aMissingFileIsNamed() {
+    void missingFileIsNamed() {
         assertTrue(
                 assertThrows(ConfigException.class, () -> PlatformConfig.read(Map.of()))
                         .getMessage()
--- a/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
+++ b/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
@@ -5,84 +5,101 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
-/** From a round's orders to messages, case by case as the platform's pages have it. */
+/** From a round's actions to updates, case by case as the platform's pages have it. */
 class PlatformUpdateWriterTest {
     private final NodeNameRegistry nodes = new NodeNameRegistry();
-    private final UpdateEncoder writer = new UpdateEncoder(PlatformFixture.config().names(), nodes);
-    private final Set<NodeId> restless = new java.util.TreeSet<>();
-    private final PlatformUpdateWriter orders =
-            new PlatformUpdateWriter(2, restless::contains, null);
+    private final UpdateEncoder encoder =
+            new UpdateEncoder(PlatformFixture.config().names(), nodes);
+    private final Set<NodeId> possiblyExcluded = new TreeSet<>();
+    private final PlatformUpdateWriter updates =
+            new PlatformUpdateWriter(2, possiblyExcluded::contains, null);
 
     /**
-     * PolicyActions in short: j0 joins proxy 0, l0 is its leaving; b0:1:lo binds it to table 1 for
-     * lookup and order; 1:A=2 sets a line; 1:o~0.5 a level; -A withdraws, +A lets back; r:A has
-     * left once; m7 is a mark; / ends the round.
+     * Plays a script: j0 joins proxy 0, l0 is its leaving; b0:1:lo subscribes it to table 1 for
+     * lookup and order; 1:A=2 sets a weight; 1:o~0.5 an admission limit; -A excludes a node, +A
+     * readmits it; r:A has left once; m7 is a mark; / ends the round.
      */
-    private void play(String text) {
-        for (String word : text.trim().split(" ")) {
-            String rest = word.substring(1);
-            switch (word.charAt(0)) {
-                case 'j' -> orders.proxyJoined(new ProxyId(Integer.parseInt(rest)));
-                case 'l' -> orders.proxyLeft(new ProxyId(Integer.parseInt(rest)));
-                case 'm' -> orders.requestAcknowledgement(Integer.parseInt(rest));
-                case 'r' -> restless.add(nodes.register(rest.substring(1)));
-                case '-' -> orders.setExcluded(nodes.register(rest), true);
-                case '+' -> orders.setExcluded(nodes.register(rest), false);
-                case 'b' -> {
-                    String[] parts = rest.split(":");
-                    orders.subscribe(
-                            new ProxyId(Integer.parseInt(parts[0])),
-                            methods(parts[2]),
-                            new TableId(Integer.parseInt(parts[1])));
-                }
-                case '/' -> orders.finishRound((proxy, parts, mark) -> {});
-                default -> {
-                    TableId table = new TableId(Integer.parseInt(word.substring(0, 1)));
-                    if (word.contains("=")) {
-                        String[] line = word.substring(2).split("=");
-                        orders.setWeight(
-                                table, nodes.register(line[0]), Double.parseDouble(line[1]));
-                    } else {
-                        String[] level = word.substring(2).split("~");
-                        orders.setAdmissionLimit(
-                                table, methods(level[0]).get(0), Double.parseDouble(level[1]));
-                    }
-                }
+    private void play(String script) {
+        for (String step : script.trim().split(" ")) {
+            String rest = step.substring(1);
+            switch (step.charAt(0)) {
+                case 'j' -> updates.proxyJoined(proxy(rest));
+                case 'l' -> updates.proxyLeft(proxy(rest));
+                case 'm' -> updates.requestAcknowledgement(Integer.parseInt(rest));
+                case 'r' -> possiblyExcluded.add(nodes.register(rest.substring(1)));
+                case '-' -> updates.setExcluded(nodes.register(rest), true);
+                case '+' -> updates.setExcluded(nodes.register(rest), false);
+                case 'b' -> subscribe(rest.split(":"));
+                case '/' -> updates.finishRound((proxy, parts, mark) -> {});
+                default -> changeTable(step);
             }
         }
     }
 
+    private void subscribe(String[] proxyTableAndMethods) {
+        updates.subscribe(
+                proxy(proxyTableAndMethods[0]),
+                methods(proxyTableAndMethods[2]),
+                table(proxyTableAndMethods[1]));
+    }
+
+    private void changeTable(String step) {
+        TableId table = table(step.substring(0, 1));
+        String change = step.substring(2);
+        if (change.contains("=")) {
+            String[] entry = change.split("=");
+            updates.setWeight(table, nodes.register(entry[0]), Double.parseDouble(entry[1]));
+        } else {
+            String[] limit = change.split("~");
+            MethodId method = methods(limit[0]).get(0);
+            updates.setAdmissionLimit(table, method, Double.parseDouble(limit[1]));
+        }
+    }
+
+    private static ProxyId proxy(String number) {
+        return new ProxyId(Integer.parseInt(number));
+    }
+
+    private static TableId table(String number) {
+        return new TableId(Integer.parseInt(number));
+    }
+
     private static List<MethodId> methods(String letters) {
-        return letters.chars().mapToObj(c -> new MethodId(c == 'l' ? 0 : 1)).toList();
+        return letters.chars().mapToObj(letter -> new MethodId(letter == 'l' ? 0 : 1)).toList();
     }
 
-    private String sent() {
-        TreeMap<ProxyId, String> sent = new TreeMap<>();
-        orders.finishRound(
-                (proxy, parts, mark) -> {
-                    List<String> words = new ArrayList<>();
-                    for (int i = 0; i < parts.size(); i++) {
-                        boolean last = i == parts.size() - 1;
-                        words.add(
-                                String.join(
-                                        " ",
-                                        writer.toWords(parts.get(i), last ? mark : -1, !last)));
-                    }
-                    sent.put(proxy, proxy.value() + "> " + String.join("; ", words));
-                });
+    /** Ends the round; what each proxy gets, parts separated by semicolons. */
+    private String finishRound() {
+        Map<ProxyId, String> sent = new TreeMap<>();
+        updates.finishRound(
+                (proxy, parts, mark) ->
+                        sent.put(proxy, proxy.value() + "> " + describe(parts, mark)));
         return String.join(" ", sent.values());
     }
 
+    private String describe(List<UpdatePart> parts, int mark) {
+        List<String> texts = new ArrayList<>();
+        for (int i = 0; i < parts.size(); i++) {
+            boolean last = i == parts.size() - 1;
+            int token = last ? mark : UpdateEncoder.NO_TOKEN;
+            texts.add(String.join(" ", encoder.toWords(parts.get(i), token, !last)));
+        }
+        return String.join("; ", texts);
+    }
+
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -117,25 +134,24 @@
                 "j0 1:A=2 2:B=1 b0:1:lo / b0:2:lo / 1:A=3 | ",
                 "j0 1:A=2 2:B=1 b0:1:lo / b0:2:o / 1:A=3 | 0> assign classes lookup lines A:3"
             })
-    void ordersBecomeMessages(String played, String told) {
-        play(played);
-        assertEquals(told == null ? "" : told, sent());
+    void actionsBecomeUpdates(String script, String expected) {
+        play(script);
+        assertEquals(expected == null ? "" : expected, finishRound());
     }
 
     @Test
-    void whatAProxyCannotUseIsNeverWritten() {
-        UpdatePart unknown = UpdatePart.ofExclusions(List.of(new NodeId(9)), List.of());
-        assertThrows(IllegalStateException.class, () -> writer.encode(List.of(unknown), 1));
-        for (double weight : new double[] {-1, Double.NaN, Double.POSITIVE_INFINITY}) {
-            UpdatePart line =
-                    new UpdatePart(
-                            List.of(),
-                            false,
-                            java.util.Map.of(nodes.register("A"), weight),
-                            Double.NaN,
-                            List.of(),
-                            List.of());
-            assertThrows(IllegalStateException.class, () -> writer.encode(List.of(line), 1));
-        }
+    void exclusionOfAnUnlistedNodeIsNeverWritten() {
+        UpdatePart unlisted = UpdatePart.ofExclusions(List.of(new NodeId(9)), List.of());
+        assertThrows(IllegalStateException.class, () -> encoder.encode(List.of(unlisted), 1));
+    }
+
+    @ParameterizedTest
+    @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
+    void weightThatAProxyCannotUseIsNeverWritten(double weight) {
+        Map<NodeId, Double> weights = Map.of(nodes.register("A"), weight);
+        UpdatePart part =
+                new UpdatePart(
+                        List.of(), false, weights, UpdatePart.NO_LIMIT, List.of(), List.of());
+        assertThrows(IllegalStateException.class, () -> encoder.encode(List.of(part), 1));
     }
 }
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -21,8 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * {@code serve} as a process, against small stand-ins of discovery, collectors and proxies on
- * loopback.
+ * {@code serve} as a process, against small fakes of discovery, collectors and proxies on loopback.
  */
 class ServeTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -81,13 +80,13 @@
     @AfterEach
     void stop() throws IOException, InterruptedException {
         for (FakePeer peer : peers) {
-            peer.socket.close();
+            peer.close();
         }
         process.destroyForcibly().waitFor();
         discovery.close();
     }
 
-    /** Once the watch stands, as the stand-in tells a change only to those who wait for one. */
+    /** Once a watch is open, as the fake answers open watches with a change. */
     private void drain(String node) {
         await().atMost(TIMEOUT).until(discovery::watched);
         discovery.change(PlatformFixture.node(node, "DRAINING"));
@@ -101,13 +100,13 @@
     }
 
     @Test
-    void aProxyJoinsAnswersAndIsToldOfADrain() throws IOException {
+    void proxyJoinsAcknowledgesAndGetsARemoval() throws IOException {
         FakePeer proxy = joined(3);
         List<String> whole = proxy.awaitMessage("whole 1");
         assertTrue(
                 whole.contains("ticket") && String.join(" ", whole).contains("s-1:"),
                 whole.toString());
-        proxy.send("done node 3 nonce " + proxy.tokenOf(whole) + " latency 12.5");
+        proxy.send("done node 3 nonce " + FakePeer.tokenOf(whole) + " latency 12.5");
         FakePeer collector = peer();
         collector.send("telemetry locality a");
         collector.send(
@@ -120,14 +119,14 @@
         drain("s-1");
         proxy.awaitMessage("s-1:0");
         await().atMost(TIMEOUT).until(() -> log().contains("droppedMessages=\"range:1"));
-        assertEquals(false, collector.ended || proxy.ended);
+        assertEquals(false, collector.isEnded() || proxy.isEnded());
     }
 
     @Test
-    void aNewStreamReplacesTheOldAndItsLateEndTakesNothing() throws IOException {
+    void newStreamReplacesTheOldWhoseLateEndEndsNothing() throws IOException {
         FakePeer old = joined(3);
         FakePeer fresh = joined(3);
-        await().atMost(TIMEOUT).until(() -> old.ended);
+        await().atMost(TIMEOUT).until(() -> old.isEnded());
         drain("s-1");
         fresh.awaitMessage("s-1:0");
         assertEquals(false, log().contains("proxy left proxy=\"3\""));
@@ -144,19 +143,19 @@
         "*2~$2~hb~, false",
         "'', false"
     })
-    void aBadClientIsToldOrClosedAndAProxyHeedsNothing(String text, boolean told)
+    void badClientIsRejectedOrClosedAndProxiesAreUnaffected(String text, boolean told)
             throws IOException {
         FakePeer proxy = joined(4);
         FakePeer bad = peer();
         bad.sendBytes(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
-        await().atMost(Duration.ofSeconds(3)).until(() -> bad.ended);
-        assertEquals(told, bad.received.stream().anyMatch(m -> m.get(0).equals("reject")));
+        await().atMost(Duration.ofSeconds(3)).until(() -> bad.isEnded());
+        assertEquals(told, bad.received().stream().anyMatch(m -> m.get(0).equals("reject")));
         proxy.send("hb");
         proxy.awaitMessage("hb_ok");
     }
 
     @Test
-    void whatComesAlongWithWhatWasRejectedIsNotTaken() throws IOException {
+    void messagesBehindARejectedOneAreIgnored() throws IOException {
         FakePeer bad = peer();
         bad.sendBytes(
                 ("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
@@ -169,7 +168,7 @@
     }
 
     @Test
-    void hundredsOfSilentStrangersLeaveRoomForAProxy() throws IOException {
+    void hundredsOfSilentConnectionsLeaveRoomForAProxy() throws IOException {
         for (int i = 0; i < 400; i++) {
             peer();
         }
@@ -178,7 +177,7 @@
     }
 
     @Test
-    void aNewConfigurationMovesDiscoveryAndAFaultyOneDoesNot() throws Exception {
+    void newConfigurationMovesDiscoveryAndAnInvalidOneDoesNot() throws Exception {
         FakePeer proxy = joined(6);
         hup();
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
@@ -192,12 +191,12 @@
             hup();
             proxy.awaitMessage("s-3:");
             proxy.awaitMessage("s-1:0");
-            assertEquals(false, proxy.ended);
+            assertEquals(false, proxy.isEnded());
         }
     }
 
     @Test
-    void termEndsItSoonAndCleanly() throws Exception {
+    void termEndsTheProcessPromptlyWithExitCode0() throws Exception {
         joined(7);
         process.destroy();
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
--- a/src/test/java/rosespread/platform/StreamServerTest.java
+++ b/src/test/java/rosespread/platform/StreamServerTest.java
@@ -15,9 +15,9 @@
 import rosespread.eventloop.EventQueue;
 
 class StreamServerTest {
-    private static final byte[] SIGNS =
+    private static final byte[] HEARTBEATS =
             "*1\r\n$2\r\nhb\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] SPOILT =
+    private static final byte[] MALFORMED_JOIN =
             "*2\r\n$6\r\nattach\r\n$4\r\nnode\r\n".getBytes(StandardCharsets.US_ASCII);
     private final PlatformConfig config = PlatformFixture.config();
     private final PlatformMetrics metrics = new PlatformMetrics();
@@ -26,11 +26,11 @@
 
     @BeforeEach
     void listen() throws IOException {
-        PlatformState core = new PlatformState(config, (node, entry) -> {}, metrics, 0);
+        PlatformState state = new PlatformState(config, (node, entry) -> {}, metrics, 0);
         server =
                 new StreamServer(
                         new EventQueue(),
-                        core,
+                        state,
                         new MessageReader(config.names(), config.proxies()),
                         metrics,
                         100);
@@ -43,11 +43,10 @@
     }
 
     /**
-     * It leaves unread what it asked for until its socket takes no more, so its word of rejection
-     * waits too.
+     * It leaves replies unread until its socket takes no more, so that its rejection is queued too.
      */
     @Test
-    void oneThatIsRejectedAndReadsNothingIsGoneAllTheSame() throws IOException {
+    void rejectedPeerThatReadsNothingIsClosedAllTheSame() throws IOException {
         try (Socket peer = new Socket()) {
             peer.setReceiveBufferSize(2048);
             peer.connect(address);
@@ -55,10 +54,10 @@
                     .pollInterval(Duration.ofMillis(5))
                     .until(
                             () -> {
-                                peer.getOutputStream().write(SIGNS);
+                                peer.getOutputStream().write(HEARTBEATS);
                                 return server.maxWriteBufferBytes() > 20_000;
                             });
-            peer.getOutputStream().write(SPOILT);
+            peer.getOutputStream().write(MALFORMED_JOIN);
             await().until(() -> metrics.count(PlatformMetrics.ConnectionEvent.REJECTED) == 1);
             assertEquals(1, server.openConnections());
             server.closeOverdue(System.nanoTime() + 2_000_000_000L);
--- a/src/test/java/rosespread/platform/TenantIsolationTest.java
+++ b/src/test/java/rosespread/platform/TenantIsolationTest.java
@@ -18,7 +18,7 @@
  */
 class TenantIsolationTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
-    private static final String PASSES =
+    private static final String TICKETS =
             """
             {"azs":["quay","ridge"],"kinds":["wide-8","thin-2"],"membershipMode":"subscribe",
              "profiles":[{"name":"show","importance":1.0},{"name":"stamp","importance":4.0}],
@@ -72,33 +72,36 @@
 
     @Test
     void methodsZonesLimitsAndNodesAreEachTenantsOwn() throws IOException {
-        try (FakeDiscovery passes =
+        try (FakeDiscovery tickets =
                         new FakeDiscovery(
                                 node("p-1", "quay", "wide-8"), node("p-2", "ridge", "thin-2"));
                 FakeDiscovery archive = new FakeDiscovery(node("a-1", "west", "tall-6"))) {
-            int passPort = serve("passes", PASSES, passes);
+            int ticketsPort = serve("tickets", TICKETS, tickets);
             int archivePort = serve("archive", ARCHIVE, archive);
-            String pass = String.join(" ", join(passPort, 11, "ridge").awaitMessage("whole 1"));
+            String partial =
+                    String.join(" ", join(ticketsPort, 11, "ridge").awaitMessage("whole 1"));
             String all = String.join(" ", join(archivePort, 299, "north").awaitMessage("whole 1"));
             assertTrue(
-                    pass.contains("classes show") && pass.contains("p-1:") && pass.contains("p-2:"),
-                    pass);
+                    partial.contains("classes show")
+                            && partial.contains("p-1:")
+                            && partial.contains("p-2:"),
+                    partial);
             assertTrue(
                     !all.contains("classes") && all.contains("a-1:") && !all.contains("p-"), all);
-            FakePeer bound = join(passPort, 10, "ridge");
-            String stamp = String.join(" ", bound.awaitMessage("classes stamp"));
+            FakePeer subscribed = join(ticketsPort, 10, "ridge");
+            String stamp = String.join(" ", subscribed.awaitMessage("classes stamp"));
             assertTrue(
                     stamp.contains("p-2:") && !stamp.contains("p-1:"),
                     "its own zone alone: " + stamp);
             for (FakePeer wrong :
                     List.of(
-                            join(passPort, 3, "north"),
-                            join(passPort, 12, "quay"),
+                            join(ticketsPort, 3, "north"),
+                            join(ticketsPort, 12, "quay"),
                             join(archivePort, 3, "quay"))) {
                 wrong.awaitMessage("reject");
-                await().atMost(TIMEOUT).until(() -> wrong.ended);
+                await().atMost(TIMEOUT).until(() -> wrong.isEnded());
             }
-            assertEquals(false, bound.ended);
+            assertEquals(false, subscribed.isEnded());
         }
     }
 }
