--- a/src/test/java/rosespread/platform/FakePeer.java
+++ b/src/test/java/rosespread/platform/FakePeer.java
@@ -8,19 +8,23 @@
 import java.net.SocketException;
 import java.nio.ByteBuffer;
 import java.time.Duration;
+import java.util.Collections;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
 import rosespread.resp.RespException;
 import rosespread.resp.RespLimits;
 import rosespread.resp.RespParser;
 import rosespread.resp.RespWriter;
 
-/** One connection to the conductor: all that it brings is kept. */
-final class FakePeer {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
-    final List<List<String>> heard = new CopyOnWriteArrayList<>();
-    final Socket socket;
-    volatile boolean ended;
+/** A client's end of one connection to the controller: all that it receives is kept. */
+final class FakePeer implements AutoCloseable {
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
+    private static final RespLimits LIMITS = new RespLimits(1 << 20, 256);
+
+    private final List<List<String>> received = new CopyOnWriteArrayList<>();
+    private final Socket socket;
+    private volatile boolean ended;
 
     FakePeer(int port) throws IOException {
         socket = new Socket("127.0.0.1", port);
@@ -30,23 +34,25 @@
     }
 
     private void read() {
-        RespParser parser = new RespParser(new RespLimits(1 << 20, 256), heard::add);
+        RespParser parser = new RespParser(LIMITS, received::add);
         byte[] bytes = new byte[4096];
         try (InputStream in = socket.getInputStream()) {
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 parser.feed(ByteBuffer.wrap(bytes, 0, count));
             }
         } catch (IOException | RespException e) {
-            heard.add(List.of("broken", String.valueOf(e)));
+            received.add(List.of("broken", String.valueOf(e)));
         }
         ended = true;
     }
 
-    void say(String words) throws IOException {
-        raw(RespWriter.encode(List.of(words.split(" "))));
+    /** Sends one message of these words, separated by blanks. */
+    void send(String words) throws IOException {
+        sendBytes(RespWriter.encode(List.of(words.split(" "))));
     }
 
-    void raw(byte[] bytes) throws IOException {
+    /** Sends these bytes; a connection that the controller has closed already takes none. */
+    void sendBytes(byte[] bytes) throws IOException {
         try {
             socket.getOutputStream().write(bytes);
         } catch (SocketException e) {
@@ -54,18 +60,34 @@
         }
     }
 
+    List<List<String>> received() {
+        return Collections.unmodifiableList(received);
+    }
+
+    /** Whether the controller has closed the connection. */
+    boolean isEnded() {
+        return ended;
+    }
+
     /** The first message with all these words in a row, once it is there. */
-    List<String> hears(String words) {
-        await().atMost(PATIENCE)
-                .until(() -> heard.stream().anyMatch(m -> joined(m).contains(words)));
-        return heard.stream().filter(m -> joined(m).contains(words)).findFirst().orElseThrow();
+    List<String> awaitMessage(String words) {
+        await().atMost(TIMEOUT).until(() -> find(words).isPresent());
+        return find(words).orElseThrow();
     }
 
-    private static String joined(List<String> words) {
-        return String.join(" ", words);
+    private Optional<List<String>> find(String words) {
+        return received.stream()
+                .filter(message -> String.join(" ", message).contains(words))
+                .findFirst();
     }
 
-    int ticket(List<String> message) {
+    /** The acknowledgement token of a message. */
+    static int tokenOf(List<String> message) {
         return Integer.parseInt(message.get(message.indexOf("ticket") + 1));
     }
+
+    @Override
+    public void close() throws IOException {
+        socket.close();
+    }
 }
--- a/src/test/java/rosespread/platform/PlatformConfigTest.java
+++ b/src/test/java/rosespread/platform/PlatformConfigTest.java
@@ -13,14 +13,14 @@
 
 class PlatformConfigTest {
     @Test
-    void whatIsNeededIsRead() {
-        PlatformConfig config = Sample.config();
+    void requiredFieldsAreRead() {
+        PlatformConfig config = PlatformFixture.config();
         assertEquals("n1", config.name());
         assertEquals(20, config.proxies());
-        assertEquals(256, config.sockets());
+        assertEquals(256, config.maxSockets());
         assertEquals(Long.parseUnsignedLong("8c1f30d27a5be964", 16), config.seed());
         assertEquals(2, config.settings().methods().size());
-        assertEquals("s-1", config.known().targets().get(0).name());
+        assertEquals("s-1", config.knownNodes().nodes().get(0).name());
     }
 
     @ParameterizedTest
@@ -34,37 +34,39 @@
                 "\"discovery\":\"127.0.0.1:2\" | \"at\":1 | lacks \"discovery\"",
                 "\"seed\":\"8c | \"seed\":\"zc | seed \"zc1f30d27a5be964\" is not up to 16 hexadecimal digits",
                 "\"sockets\":256 | \"sockets\":\"many\" | limits.sockets is not a number",
-                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an order",
+                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an update",
                 "\"state\":\"SERVING\" | \"state\":\"UP\" | entry 0 of servers: state \"UP\" is not known",
                 "\"127.0.0.1:9\" | \"999.0.0.1:9\" | addr \"999.0.0.1:9\" is not like 10.0.0.4:3000",
                 "\"started_ms\":0 | \"started_ms\":1e300 | entry 0 of servers: weight or started_ms is out of range",
                 "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight or started_ms is out of range",
                 "\"limits\":{ | \"limits\":[ | is not JSON at line 2"
             })
-    void aFaultNamesItsField(String good, String bad, String told) {
-        String text = Sample.config("127.0.0.1:1", "127.0.0.1:2");
+    void invalidFieldIsNamed(String good, String bad, String expected) {
+        String text = PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2");
         assertTrue(text.contains(good));
         String message =
-                assertThrows(ConfigException.class, () -> Sample.parse(text.replace(good, bad)))
+                assertThrows(
+                                ConfigException.class,
+                                () -> PlatformFixture.parse(text.replace(good, bad)))
                         .getMessage();
-        assertTrue(message.contains(told), message);
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void everyCutOfAListIsAnError() throws ConfigException {
+    void everyTruncatedListIsAnError() throws ConfigException {
         String text =
                 "{\"version\":3,\"full\":false,\"servers\":["
-                        + Sample.node("s-2", "DELETED")
+                        + PlatformFixture.node("s-2", "DELETED")
                         + "]}";
-        assertEquals(1, TargetList.parse(text.getBytes(StandardCharsets.UTF_8)).targets().size());
+        assertEquals(1, NodeList.parse(text.getBytes(StandardCharsets.UTF_8)).nodes().size());
         for (int cut = 0; cut < text.length(); cut++) {
             byte[] part = text.substring(0, cut).getBytes(StandardCharsets.UTF_8);
-            assertThrows(ConfigException.class, () -> TargetList.parse(part));
+            assertThrows(ConfigException.class, () -> NodeList.parse(part));
         }
     }
 
     @Test
-    void aMissingFileIsNamed() {
+    void missingFileIsNamed() {
         assertTrue(
                 assertThrows(ConfigException.class, () -> PlatformConfig.read(Map.of()))
                         .getMessage()
--- a/src/test/java/rosespread/platform/CustomersTest.java
+++ b/src/test/java/rosespread/platform/TenantIsolationTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -15,12 +14,11 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two customers whose settings share nothing, served side by side in one process: nothing may
- * cross.
+ * Two tenants whose settings share nothing, served side by side in one process: nothing crosses.
  */
-class CustomersTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
-    private static final String PASSES =
+class TenantIsolationTest {
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
+    private static final String TICKETS =
             """
             {"azs":["quay","ridge"],"kinds":["wide-8","thin-2"],"membershipMode":"subscribe",
              "profiles":[{"name":"show","importance":1.0},{"name":"stamp","importance":4.0}],
@@ -41,77 +39,69 @@
     @TempDir private Path folder;
 
     private static String node(String id, String zone, String kind) {
-        return Sample.node(id, "SERVING")
+        return PlatformFixture.node(id, "SERVING")
                 .replace("\"zone\":\"a\"", "\"zone\":\"" + zone + "\"")
                 .replace("\"kind\":\"m2\"", "\"kind\":\"" + kind + "\"");
     }
 
     private int serve(String name, String settings, FakeDiscovery discovery) throws IOException {
-        int port;
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
-        }
-        Path file =
-                Files.writeString(
-                        folder.resolve(name + ".json"),
-                        """
+        int port = PlatformFixture.freePort();
+        String config =
+                """
                 {"name":"%s","listen":"127.0.0.1:%d","discovery":"%s","seed":"1","limits":{"sockets":256},
                  "settings":%s}"""
-                                .formatted(name, port, discovery.address(), settings));
-        Thread thread =
-                new Thread(
-                        () ->
-                                PlatformController.serve(
-                                        Map.of("ROUTER_CONFIG", file.toString()),
-                                        (signal, then) -> true),
-                        name);
-        thread.setDaemon(true);
-        thread.start();
-        await().atMost(PATIENCE).until(discovery::watched);
+                        .formatted(name, port, discovery.address(), settings);
+        Path file = Files.writeString(folder.resolve(name + ".json"), config);
+        PlatformFixture.serve(
+                name, Map.of("ROUTER_CONFIG", file.toString()), (signal, action) -> true);
+        await().atMost(TIMEOUT).until(discovery::watched);
         return port;
     }
 
     private static FakePeer join(int port, int proxy, String zone) {
-        return await().atMost(PATIENCE)
+        return await().atMost(TIMEOUT)
                 .ignoreExceptions()
                 .until(
                         () -> {
                             FakePeer peer = new FakePeer(port);
-                            peer.say("attach node " + proxy + " locality " + zone + " w 5 cold 1");
+                            peer.send("attach node " + proxy + " locality " + zone + " w 5 cold 1");
                             return peer;
                         },
                         peer -> true);
     }
 
     @Test
-    void methodsZonesLimitsAndNodesAreEachCustomersOwn() throws IOException {
-        try (FakeDiscovery passes =
+    void methodsZonesLimitsAndNodesAreEachTenantsOwn() throws IOException {
+        try (FakeDiscovery tickets =
                         new FakeDiscovery(
                                 node("p-1", "quay", "wide-8"), node("p-2", "ridge", "thin-2"));
                 FakeDiscovery archive = new FakeDiscovery(node("a-1", "west", "tall-6"))) {
-            int passPort = serve("passes", PASSES, passes);
+            int ticketsPort = serve("tickets", TICKETS, tickets);
             int archivePort = serve("archive", ARCHIVE, archive);
-            String pass = String.join(" ", join(passPort, 11, "ridge").hears("whole 1"));
-            String all = String.join(" ", join(archivePort, 299, "north").hears("whole 1"));
+            String partial =
+                    String.join(" ", join(ticketsPort, 11, "ridge").awaitMessage("whole 1"));
+            String all = String.join(" ", join(archivePort, 299, "north").awaitMessage("whole 1"));
             assertTrue(
-                    pass.contains("classes show") && pass.contains("p-1:") && pass.contains("p-2:"),
-                    pass);
+                    partial.contains("classes show")
+                            && partial.contains("p-1:")
+                            && partial.contains("p-2:"),
+                    partial);
             assertTrue(
                     !all.contains("classes") && all.contains("a-1:") && !all.contains("p-"), all);
-            FakePeer bound = join(passPort, 10, "ridge");
-            String stamp = String.join(" ", bound.hears("classes stamp"));
+            FakePeer subscribed = join(ticketsPort, 10, "ridge");
+            String stamp = String.join(" ", subscribed.awaitMessage("classes stamp"));
             assertTrue(
                     stamp.contains("p-2:") && !stamp.contains("p-1:"),
                     "its own zone alone: " + stamp);
             for (FakePeer wrong :
                     List.of(
-                            join(passPort, 3, "north"),
-                            join(passPort, 12, "quay"),
+                            join(ticketsPort, 3, "north"),
+                            join(ticketsPort, 12, "quay"),
                             join(archivePort, 3, "quay"))) {
-                wrong.hears("reject");
-                await().atMost(PATIENCE).until(() -> wrong.ended);
+                wrong.awaitMessage("reject");
+                await().atMost(TIMEOUT).until(() -> wrong.isEnded());
             }
-            assertEquals(false, bound.ended);
+            assertEquals(false, subscribed.isEnded());
         }
     }
 }
