--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -111,7 +111,7 @@
 
     private HttpMessage.Response answer(HttpMessage.Request call) {
         try {
-            Caller caller = Caller.of(call, ownIds + ownId++);
+            RequestContext caller = RequestContext.of(call, ownIds + ownId++);
             return switch (call.path()) {
                 case "/v1/settings" -> settings(call, caller);
                 case "/v1/state" ->
@@ -155,7 +155,7 @@
     }
 
     /** Does an act between two lines of the audit log; tells whether it is audited. */
-    private HttpMessage.Response audited(HttpMessage.Request call, Caller caller, Act act)
+    private HttpMessage.Response audited(HttpMessage.Request call, RequestContext caller, Act act)
             throws IOException {
         if (audit != null) {
             audit.write(line(call, caller, "asked"));
@@ -181,12 +181,13 @@
         HttpMessage.Response run() throws IOException;
     }
 
-    private static AuditLog.Act line(HttpMessage.Request call, Caller caller, String outcome) {
+    private static AuditLog.Act line(
+            HttpMessage.Request call, RequestContext caller, String outcome) {
         return new AuditLog.Act(
-                caller.who(),
+                caller.operator(),
                 call.headers().first("host").orElse(""),
                 call.verb() + " " + call.target(),
-                caller.id(),
+                caller.idempotencyKey(),
                 outcome);
     }
 
@@ -194,7 +195,8 @@
      * {@code GET /v1/nodes}; {@code POST /v1/nodes/NAME/drain} and {@code .../undrain}, with {@code
      * ?force=true} past the guard.
      */
-    private HttpMessage.Response nodes(HttpMessage.Request call, Caller caller) throws IOException {
+    private HttpMessage.Response nodes(HttpMessage.Request call, RequestContext caller)
+            throws IOException {
         if (call.path().equals("/v1/nodes")) {
             return call.verb().equals("GET")
                     ? json(200, conductor.state().nodes())
@@ -220,9 +222,9 @@
                                     new DrainRequest(
                                             name,
                                             act.group(2).equals("drain"),
-                                            caller.who(),
-                                            caller.id(),
-                                            caller.revision(),
+                                            caller.operator(),
+                                            caller.idempotencyKey(),
+                                            caller.expectedRevision(),
                                             "true".equals(act.group(3))));
                     String told = String.join("; ", outcome.told());
                     return switch (outcome.kind()) {
@@ -243,7 +245,7 @@
                                 ProblemDetails.of(
                                         412,
                                         "Changed since",
-                                        "since revision " + caller.revision() + ": " + told,
+                                        "since revision " + caller.expectedRevision() + ": " + told,
                                         outcome.told(),
                                         outcome.revision());
                         case GUARDED ->
@@ -307,7 +309,7 @@
                         .put("audit", audit == null ? "" : audit.trouble()));
     }
 
-    private HttpMessage.Response settings(HttpMessage.Request call, Caller caller)
+    private HttpMessage.Response settings(HttpMessage.Request call, RequestContext caller)
             throws IOException {
         Optional<Snapshot.Saved> now = conductor.settings();
         if (call.verb().equals("GET")) {
@@ -350,7 +352,10 @@
                     try {
                         Controller.Applied applied =
                                 conductor.apply(
-                                        call.text(), caller.who(), caller.id(), caller.revision());
+                                        call.text(),
+                                        caller.operator(),
+                                        caller.idempotencyKey(),
+                                        caller.expectedRevision());
                         long revision = applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
                         if (applied.done()) {
                             return json(
@@ -412,7 +417,7 @@
      * /v1/tables/N/diff?from=V&to=V}; {@code POST /v1/tables/N/rollback?version=V}, {@code
      * .../pin}, {@code .../release}.
      */
-    private HttpMessage.Response tables(HttpMessage.Request call, Caller caller)
+    private HttpMessage.Response tables(HttpMessage.Request call, RequestContext caller)
             throws IOException {
         if (call.path().equals("/v1/tables")) {
             return call.verb().equals("GET")
--- a/src/main/java/rosespread/admin/Caller.java
+++ b/src/main/java/rosespread/admin/RequestContext.java
@@ -10,13 +10,13 @@
  * @param id from {@code idempotency-key}; one of its own if the call brings none
  * @param revision from {@code if-match}; -1 for any
  */
-record Caller(String who, String id, long revision) {
+record RequestContext(String operator, String idempotencyKey, long expectedRevision) {
     private static final String NAME = "[\\x21-\\x7e]{1,64}";
 
     /**
      * @throws IllegalArgumentException if a header is not what it may be; the message names it
      */
-    static Caller of(HttpMessage.Request call, String ownId) {
+    static RequestContext of(HttpMessage.Request call, String ownId) {
         String who = call.headers().first("x-operator").orElse("unnamed");
         String id = call.headers().first("idempotency-key").orElse(ownId);
         Optional<String> match = call.headers().first("if-match");
@@ -32,7 +32,7 @@
             throw new IllegalArgumentException(
                     "header if-match is " + match.get() + ", not a revision as a number or *");
         }
-        return new Caller(
+        return new RequestContext(
                 who,
                 id,
                 match.isEmpty() || match.get().equals("*")
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -93,16 +93,16 @@
     private void take() throws FrameException {
         int code = u8();
         int flags = u8();
-        Kind kind = Kind.of(code);
+        FrameType kind = FrameType.of(code);
         if (kind == null) {
-            if ((flags & Kind.OPTIONAL) == 0) {
+            if ((flags & FrameType.OPTIONAL_FLAG) == 0) {
                 throw error(
                         Frame.Reason.BAD_FRAME,
                         "frame kind " + code + " is unknown and not optional");
             }
             return;
         }
-        if (kind == Kind.PACKED) {
+        if (kind == FrameType.PACKED) {
             unpack();
             return;
         }
@@ -203,9 +203,10 @@
     }
 
     private int entries(int count, int bytesEach, String what) throws FrameException {
-        if (count < 0 || count > Kind.ENTRIES_MOST) {
+        if (count < 0 || count > FrameType.MAX_ENTRIES) {
             throw error(
-                    Frame.Reason.BAD_FRAME, count + " " + what + "; at most " + Kind.ENTRIES_MOST);
+                    Frame.Reason.BAD_FRAME,
+                    count + " " + what + "; at most " + FrameType.MAX_ENTRIES);
         }
         need(count * bytesEach, what);
         return count;
@@ -259,8 +260,9 @@
 
     private List<String> names() throws FrameException {
         int count = u8();
-        if (count > Kind.METHODS_MOST) {
-            throw error(Frame.Reason.BAD_FRAME, count + " methods; at most " + Kind.METHODS_MOST);
+        if (count > FrameType.MAX_METHODS) {
+            throw error(
+                    Frame.Reason.BAD_FRAME, count + " methods; at most " + FrameType.MAX_METHODS);
         }
         List<String> names = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -279,8 +281,9 @@
 
     private MethodId method() throws FrameException {
         int value = u8();
-        if (value >= Kind.METHODS_MOST) {
-            throw error(Frame.Reason.BAD_FRAME, "method " + value + "; below " + Kind.METHODS_MOST);
+        if (value >= FrameType.MAX_METHODS) {
+            throw error(
+                    Frame.Reason.BAD_FRAME, "method " + value + "; below " + FrameType.MAX_METHODS);
         }
         return new MethodId(value);
     }
@@ -289,7 +292,7 @@
         need(Integer.BYTES, "methods");
         int bits = body.getInt();
         List<MethodId> methods = new ArrayList<>();
-        for (int m = 0; m < Kind.METHODS_MOST; m++) {
+        for (int m = 0; m < FrameType.MAX_METHODS; m++) {
             if ((bits >>> m & 1) == 1) {
                 methods.add(new MethodId(m));
             }
--- a/src/main/java/rosespread/channel/Kind.java
+++ b/src/main/java/rosespread/channel/FrameType.java
@@ -1,7 +1,7 @@
 package rosespread.channel;
 
 /** Kinds of frames by their byte, and the bounds that both sides keep. */
-enum Kind {
+enum FrameType {
     HELLO(1),
     JOIN(2),
     NODE(3),
@@ -19,26 +19,26 @@
     PACKED(15);
 
     /** Longest text in bytes; most methods and most lines or sums in one frame. */
-    static final int TEXT_MOST = 255, METHODS_MOST = 32, ENTRIES_MOST = 1 << 15;
+    static final int MAX_TEXT_BYTES = 255, MAX_METHODS = 32, MAX_ENTRIES = 1 << 15;
 
     /** A receiver that does not know a frame's kind passes over it if this flag is set. */
-    static final int OPTIONAL = 1;
+    static final int OPTIONAL_FLAG = 1;
 
-    private static final Kind[] BY_CODE = new Kind[256];
+    private static final FrameType[] BY_CODE = new FrameType[256];
 
     final int code;
 
-    Kind(int code) {
+    FrameType(int code) {
         this.code = code;
     }
 
     static {
-        for (Kind kind : values()) {
+        for (FrameType kind : values()) {
             BY_CODE[kind.code] = kind;
         }
     }
 
-    static Kind of(int code) {
+    static FrameType of(int code) {
         return BY_CODE[code];
     }
 }
--- a/src/main/java/rosespread/channel/FrameWriter.java
+++ b/src/main/java/rosespread/channel/FrameWriter.java
@@ -20,7 +20,7 @@
     public static byte[] packed(byte[] frames) {
         byte[] packed = Packing.pack(frames);
         return frame(
-                Kind.PACKED,
+                FrameType.PACKED,
                 out -> {
                     out.writeInt(frames.length);
                     out.write(packed);
@@ -30,7 +30,7 @@
     public static byte[] bytes(Frame frame) {
         if (frame instanceof Frame.Hello f) {
             return frame(
-                    Kind.HELLO,
+                    FrameType.HELLO,
                     out -> {
                         out.writeShort(f.version());
                         text(out, f.name());
@@ -41,7 +41,7 @@
                     });
         } else if (frame instanceof Frame.Join f) {
             return frame(
-                    Kind.JOIN,
+                    FrameType.JOIN,
                     out -> {
                         text(out, f.proxy());
                         text(out, f.zone());
@@ -55,7 +55,7 @@
                     });
         } else if (frame instanceof Frame.Node f) {
             return frame(
-                    Kind.NODE,
+                    FrameType.NODE,
                     out -> {
                         out.writeLong(f.node().value());
                         text(out, f.host());
@@ -64,7 +64,7 @@
                     });
         } else if (frame instanceof Frame.Bind f) {
             return frame(
-                    Kind.BIND,
+                    FrameType.BIND,
                     out -> {
                         out.writeShort(f.table().value());
                         out.writeLong(f.version());
@@ -79,7 +79,7 @@
                     });
         } else if (frame instanceof Frame.Lines f) {
             return frame(
-                    Kind.LINES,
+                    FrameType.LINES,
                     out -> {
                         out.writeShort(f.table().value());
                         out.writeLong(f.from());
@@ -89,28 +89,28 @@
                     });
         } else if (frame instanceof Frame.Missed f) {
             return frame(
-                    Kind.MISSED,
+                    FrameType.MISSED,
                     out -> {
                         out.writeShort(f.table().value());
                         out.writeLong(f.held());
                     });
         } else if (frame instanceof Frame.Withdraw f) {
             return frame(
-                    Kind.WITHDRAW,
+                    FrameType.WITHDRAW,
                     out -> {
                         out.writeLong(f.node().value());
                         out.writeBoolean(f.out());
                     });
         } else if (frame instanceof Frame.Levels f) {
             return frame(
-                    Kind.LEVELS,
+                    FrameType.LEVELS,
                     out -> {
                         out.writeShort(f.table().value());
                         levels(out, f.levels());
                     });
         } else if (frame instanceof Frame.Mark f) {
             return frame(
-                    Kind.MARK,
+                    FrameType.MARK,
                     out -> {
                         out.writeLong(f.number());
                         out.writeLong(f.round());
@@ -119,10 +119,10 @@
                         out.writeLong(f.queuedMicros());
                     });
         } else if (frame instanceof Frame.Installed f) {
-            return frame(Kind.INSTALLED, out -> out.writeLong(f.number()));
+            return frame(FrameType.INSTALLED, out -> out.writeLong(f.number()));
         } else if (frame instanceof Frame.Sums f) {
             return frame(
-                    Kind.SUMS,
+                    FrameType.SUMS,
                     out -> {
                         out.writeLong(f.coversMicros());
                         out.writeShort(f.sums().size());
@@ -136,7 +136,7 @@
                     });
         } else if (frame instanceof Frame.Offered f) {
             return frame(
-                    Kind.OFFERED,
+                    FrameType.OFFERED,
                     out -> {
                         out.writeLong(f.coversMicros());
                         out.writeByte(f.counts().size());
@@ -147,14 +147,14 @@
                     });
         } else if (frame instanceof Frame.KeepAlive f) {
             return frame(
-                    Kind.KEEP_ALIVE,
+                    FrameType.KEEP_ALIVE,
                     out -> {
                         out.writeLong(f.number());
                         out.writeBoolean(f.answer());
                     });
         } else if (frame instanceof Frame.Close f) {
             return frame(
-                    Kind.CLOSE,
+                    FrameType.CLOSE,
                     out -> {
                         out.writeByte(f.reason().ordinal());
                         text(out, f.text());
@@ -187,7 +187,7 @@
     private static void text(DataOutputStream out, String text) throws IOException {
         String cut = text;
         byte[] bytes = cut.getBytes(StandardCharsets.UTF_8);
-        while (bytes.length > Kind.TEXT_MOST) {
+        while (bytes.length > FrameType.MAX_TEXT_BYTES) {
             cut = cut.substring(0, cut.offsetByCodePoints(cut.length(), -1));
             bytes = cut.getBytes(StandardCharsets.UTF_8);
         }
@@ -195,7 +195,7 @@
         out.write(bytes);
     }
 
-    private static byte[] frame(Kind kind, Body body) {
+    private static byte[] frame(FrameType kind, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeInt(0);
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -175,7 +175,7 @@
     }
 
     /** How many addresses connections are kept for. */
-    int kept() {
+    int idleAddressCount() {
         return idle.size();
     }
 
--- a/src/main/java/rosespread/http/HttpHeaders.java
+++ b/src/main/java/rosespread/http/HttpHeaders.java
@@ -8,7 +8,7 @@
 
 /** Header fields in their order; names are kept in lower case. */
 public final class HttpHeaders {
-    private final List<String> names = new ArrayList<>();
+    private final List<String> containsToken = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
     public static HttpHeaders of(String... namesAndValues) {
@@ -20,20 +20,20 @@
     }
 
     public HttpHeaders add(String name, String value) {
-        names.add(name.toLowerCase(Locale.ROOT));
+        containsToken.add(name.toLowerCase(Locale.ROOT));
         values.add(value);
         return this;
     }
 
     public Optional<String> first(String name) {
-        int at = names.indexOf(name);
+        int at = containsToken.indexOf(name);
         return at < 0 ? Optional.empty() : Optional.of(values.get(at));
     }
 
     /** All values of a field, in order. */
     public List<String> all(String name) {
         List<String> found = new ArrayList<>();
-        each(
+        forEach(
                 (n, value) -> {
                     if (n.equals(name)) {
                         found.add(value);
@@ -43,17 +43,17 @@
     }
 
     public int size() {
-        return names.size();
+        return containsToken.size();
     }
 
-    public void each(BiConsumer<String, String> taker) {
-        for (int i = 0; i < names.size(); i++) {
-            taker.accept(names.get(i), values.get(i));
+    public void forEach(BiConsumer<String, String> taker) {
+        for (int i = 0; i < containsToken.size(); i++) {
+            taker.accept(containsToken.get(i), values.get(i));
         }
     }
 
     /** Whether the field, a list of words, has this word (RFC 9110 section 5.6.1). */
-    public boolean names(String field, String word) {
+    public boolean containsToken(String field, String word) {
         return all(field).stream()
                 .flatMap(v -> List.of(v.split(",")).stream())
                 .anyMatch(part -> part.trim().equalsIgnoreCase(word));
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -10,7 +10,7 @@
 
     /** Whether the connection may carry another message after this one. */
     default boolean keepsAlive() {
-        return !headers().names("connection", "close");
+        return !headers().containsToken("connection", "close");
     }
 
     default String text() {
--- a/src/main/java/rosespread/http/HttpParser.java
+++ b/src/main/java/rosespread/http/HttpParser.java
@@ -256,7 +256,7 @@
      * version.
      */
     private HttpHeaders closing() {
-        return first.contains("HTTP/1.0") && !headers.names("connection", "keep-alive")
+        return first.contains("HTTP/1.0") && !headers.containsToken("connection", "keep-alive")
                 ? headers.add("connection", "close")
                 : headers;
     }
--- a/src/main/java/rosespread/http/HttpWriter.java
+++ b/src/main/java/rosespread/http/HttpWriter.java
@@ -19,7 +19,7 @@
                     .append("\r\n");
         }
         message.headers()
-                .each(
+                .forEach(
                         (name, value) ->
                                 head.append(name)
                                         .append(": ")
--- a/src/test/java/rosespread/http/HttpClientTest.java
+++ b/src/test/java/rosespread/http/HttpClientTest.java
@@ -74,8 +74,8 @@
             servers.add(server);
             call(server.listen(new InetSocketAddress(local, 0)), "GET");
         }
-        assertEquals(5, http.kept());
+        assertEquals(5, http.idleAddressCount());
         servers.forEach(HttpServer::close);
-        await().until(() -> http.kept() == 0);
+        await().until(() -> http.idleAddressCount() == 0);
     }
 }
