--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -9,13 +9,14 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
+import rosespread.codec.MessageParser;
 
 /**
  * Reads a stream of frames that may be cut at every byte. Holds at most one frame, which grows with
  * the bytes that came and not with the length that was announced; throws nothing but {@link
  * FrameException}.
  */
-public final class FrameReader {
+public final class FrameReader implements MessageParser {
     /** Longest frames in bytes that a conductor and a proxy take. */
     public static final int FROM_PROXY = 1 << 20, FROM_CONDUCTOR = 1 << 20;
 
@@ -50,6 +51,7 @@
     }
 
     /** Takes all bytes of the buffer. After an error nothing more may be fed. */
+    @Override
     public void feed(ByteBuffer in) throws FrameException {
         while (in.hasRemaining()) {
             int missing = (length < 0 ? HEAD : length) - held.position();
--- /dev/null
+++ b/src/main/java/rosespread/codec/StreamCodecFactory.java
@@ -0,0 +1,114 @@
+package rosespread.codec;
+
+import java.util.ArrayDeque;
+import java.util.Queue;
+import java.util.function.Consumer;
+import org.apache.mina.core.buffer.IoBuffer;
+import org.apache.mina.core.session.AttributeKey;
+import org.apache.mina.core.session.IoSession;
+import org.apache.mina.filter.codec.ProtocolCodecFactory;
+import org.apache.mina.filter.codec.ProtocolDecoder;
+import org.apache.mina.filter.codec.ProtocolDecoderAdapter;
+import org.apache.mina.filter.codec.ProtocolDecoderOutput;
+import org.apache.mina.filter.codec.ProtocolEncoder;
+import org.apache.mina.filter.codec.ProtocolEncoderAdapter;
+import org.apache.mina.filter.codec.ProtocolEncoderOutput;
+
+/**
+ * A MINA codec built from a {@link MessageParser} and a function that encodes a message.
+ *
+ * <p>MINA asks for the decoder at every read, so each session keeps its own together with the
+ * parser's position. After a {@link MalformedStreamException} the decoder discards whatever else
+ * arrives; messages completed before the violation are still delivered. A session carries at most
+ * one such codec.
+ *
+ * @param <M> the messages that the parser produces
+ */
+public abstract class StreamCodecFactory<M> implements ProtocolCodecFactory {
+    private static final AttributeKey DECODER =
+            new AttributeKey(StreamCodecFactory.class, "decoder");
+
+    private final ProtocolEncoder encoder = new MessageEncoder();
+
+    /**
+     * Creates the parser of a session at its first read.
+     *
+     * @param session the session; a subclass may keep the parser in one of its attributes
+     * @param out takes each complete message
+     */
+    protected abstract MessageParser newParser(IoSession session, Consumer<M> out);
+
+    /**
+     * Encodes a message that was written to a session. Called by the writing thread.
+     *
+     * @throws ClassCastException if this protocol cannot carry the message
+     */
+    protected abstract byte[] encode(Object message);
+
+    @Override
+    public final ProtocolEncoder getEncoder(IoSession session) {
+        return encoder;
+    }
+
+    @Override
+    public final ProtocolDecoder getDecoder(IoSession session) {
+        Object decoder = session.getAttribute(DECODER);
+        if (decoder == null) {
+            Queue<M> parsed = new ArrayDeque<>();
+            decoder = new MessageDecoder<>(newParser(session, parsed::add), parsed);
+            session.setAttribute(DECODER, decoder);
+        }
+        return (ProtocolDecoder) decoder;
+    }
+
+    private final class MessageEncoder extends ProtocolEncoderAdapter {
+        @Override
+        public void encode(IoSession session, Object message, ProtocolEncoderOutput out) {
+            out.write(IoBuffer.wrap(StreamCodecFactory.this.encode(message)));
+        }
+    }
+
+    /** The state of one session's incoming stream; used by its I/O thread alone. */
+    private static final class MessageDecoder<M> extends ProtocolDecoderAdapter {
+        private final MessageParser parser;
+        private final Queue<M> parsed;
+        private boolean failed;
+
+        MessageDecoder(MessageParser parser, Queue<M> parsed) {
+            this.parser = parser;
+            this.parsed = parsed;
+        }
+
+        @Override
+        public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out)
+                throws MalformedStreamException {
+            if (failed) {
+                in.skip(in.remaining());
+                return;
+            }
+            try {
+                parser.feed(in.buf());
+            } catch (MalformedStreamException e) {
+                failed = true;
+                throw e;
+            } finally {
+                deliver(out);
+            }
+        }
+
+        @Override
+        public void finishDecode(IoSession session, ProtocolDecoderOutput out)
+                throws MalformedStreamException {
+            if (!failed) {
+                parser.end();
+            }
+            deliver(out);
+        }
+
+        private void deliver(ProtocolDecoderOutput out) {
+            for (M message = parsed.poll(); message != null; message = parsed.poll()) {
+                out.write(message);
+            }
+        }
+    }
+}
