--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -1,17 +1,9 @@
 package rosespread.http;
 
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
-import java.util.Deque;
-import java.util.Map;
-import java.util.Set;
-import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.Executors;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.ScheduledFuture;
+import java.util.Optional;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
 import org.apache.mina.core.future.ConnectFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IdleStatus;
@@ -20,165 +12,128 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * Makes calls over kept connections, one call at a time on each; every call ends in exactly one
- * outcome. The other end may close a kept connection just as a call is written on it; a call that
- * changes nothing (GET, HEAD) is then made once more on a new connection within the same time, as
- * RFC 9110, 9.2.2 allows.
+ * An HTTP/1.1 client over persistent connections, one request at a time on each. Every call ends in
+ * exactly one outcome.
+ *
+ * <p>A server may close an idle connection just as a request is written on it. A request with a
+ * safe method (GET, HEAD) is then sent once more, on a new connection and within the same timeout,
+ * as RFC 9110, 9.2.2 allows; any other fails with {@link Failure#BROKEN}.
+ *
+ * <p>Thread-safe.
  */
 public final class HttpClient implements AutoCloseable {
-    /** Why no answer came. */
+    /** Why there is no response. */
     public enum Failure {
-        /** No connection was had, so not a byte was written: proof that the call never ran. */
+        /** No connection was made, so not a byte was written: proof that the call never ran. */
         NOT_CONNECTED,
-        /** The connection broke after the call may have been written. */
+        /** The connection broke after the request may have been written. */
         BROKEN,
+        /** The timeout passed, or the caller cancelled. */
         TIMED_OUT,
-        /** What came back is not HTTP/1.1. */
+        /** What came back is not acceptable HTTP/1.1. */
         MALFORMED
     }
 
-    /** Takes the outcome on an I/O or timer thread and must not block. */
+    /**
+     * Receives the outcome of a call: exactly one method is called, once, on an I/O thread, the
+     * timer's or the caller's. It must not block.
+     */
     public interface Taker {
-        void answered(HttpMessage.Response answer);
+        /** Called with the complete response, whatever its status. */
+        void answered(HttpMessage.Response response);
 
+        /**
+         * Called if there is no response.
+         *
+         * @param detail a sentence for logs
+         */
         void failed(Failure failure, String detail);
     }
 
-    private static final String TALK = "talk";
-    private static final String KEPT_FOR = "kept for";
-    private static final int MOST_IDLE = 64;
-
-    /** Methods whose calls change nothing at the other end. */
-    private static final Set<String> SAFE = Set.of("GET", "HEAD");
-
     private final NioSocketConnector connector;
     private final ScheduledThreadPoolExecutor timer;
-    private final Map<InetSocketAddress, Deque<IoSession>> idle = new ConcurrentHashMap<>();
+    private final IdleConnections idleConnections = new IdleConnections();
 
     /**
-     * @param connectMillis how long a connection may take; @param idleSeconds how long an unused
-     *     one is kept
+     * Starts a client.
+     *
+     * @param threads I/O threads
+     * @param limits bounds on each response
+     * @param connectMillis how long a connection attempt may take
+     * @param idleSeconds how long an unused connection is kept
      */
     public HttpClient(int threads, HttpLimits limits, int connectMillis, int idleSeconds) {
         connector = new NioSocketConnector(threads);
         connector.setConnectTimeoutMillis(connectMillis);
         connector.getSessionConfig().setTcpNoDelay(true);
         connector.getSessionConfig().setIdleTime(IdleStatus.BOTH_IDLE, idleSeconds);
-        connector
-                .getFilterChain()
-                .addLast("http", new ProtocolCodecFilter(new HttpCodec(false, limits)));
+        HttpCodec codec = new HttpCodec(HttpParser.Mode.RESPONSES, limits);
+        connector.getFilterChain().addLast("http", new ProtocolCodecFilter(codec));
         connector.setHandler(new Sessions());
-        timer =
-                (ScheduledThreadPoolExecutor)
-                        Executors.newScheduledThreadPool(
-                                1,
-                                task -> {
-                                    Thread thread = new Thread(task, "http-timer");
-                                    thread.setDaemon(true);
-                                    return thread;
-                                });
+        timer = new ScheduledThreadPoolExecutor(1, HttpClient::timerThread);
         timer.setRemoveOnCancelPolicy(true);
     }
 
+    private static Thread timerThread(Runnable task) {
+        Thread thread = new Thread(task, "http-timer");
+        thread.setDaemon(true);
+        return thread;
+    }
+
     /**
-     * Makes a call; {@code nanos} runs until the whole answer is there. A call that is given up on
-     * closes its connection, so that the other side can stop. Returns what cancels it.
+     * Makes a call. A call that times out or is cancelled closes its connection, so that the server
+     * can stop.
+     *
+     * @param timeoutNanos time until the response must be complete, connection attempt included
+     * @return cancels the call, with {@link Failure#TIMED_OUT}; does nothing after an outcome
+     * @throws java.util.concurrent.RejectedExecutionException if the client is closed
      */
-    public Runnable call(InetSocketAddress to, HttpMessage.Request call, long nanos, Taker taker) {
-        Talk talk = new Talk(to, call, taker);
-        talk.deadline =
-                timer(
-                        nanos,
-                        () ->
-                                talk.fail(
-                                        Failure.TIMED_OUT,
-                                        "no answer within "
-                                                + TimeUnit.NANOSECONDS.toMillis(nanos)
-                                                + " ms"));
-        IoSession kept = take(to);
-        if (kept != null) {
-            talk.again = SAFE.contains(call.verb());
-            talk.start(kept);
+    public Runnable call(
+            InetSocketAddress address,
+            HttpMessage.Request request,
+            long timeoutNanos,
+            Taker taker) {
+        ClientExchange exchange =
+                new ClientExchange(address, request, taker, idleConnections, this::connect);
+        exchange.timeout(
+                timer.schedule(
+                        () -> timeOut(exchange, timeoutNanos), timeoutNanos, TimeUnit.NANOSECONDS));
+        Optional<IoSession> idle = idleConnections.take(address);
+        if (idle.isPresent()) {
+            exchange.sendOnReused(idle.get());
         } else {
-            connect(talk);
+            connect(exchange);
         }
-        return () -> talk.fail(Failure.TIMED_OUT, "cancelled");
-    }
-
-    private void connect(Talk talk) {
-        connector
-                .connect(talk.to)
-                .addListener(
-                        future -> {
-                            ConnectFuture made = (ConnectFuture) future;
-                            if (made.isConnected()) {
-                                talk.start(made.getSession());
-                            } else {
-                                talk.fail(
-                                        Failure.NOT_CONNECTED,
-                                        "no connection to " + talk.to + ": " + made.getException());
-                            }
-                        });
-    }
-
-    private ScheduledFuture<?> timer(long nanos, Runnable then) {
-        ScheduledExecutorService on = timer;
-        return on.schedule(then, nanos, TimeUnit.NANOSECONDS);
+        return () -> exchange.fail(Failure.TIMED_OUT, "cancelled");
     }
 
-    private IoSession take(InetSocketAddress to) {
-        IoSession[] taken = new IoSession[1];
-        idle.computeIfPresent(
-                to,
-                (address, kept) -> {
-                    while (taken[0] == null && !kept.isEmpty()) {
-                        IoSession last = kept.pollLast();
-                        taken[0] = last.isActive() ? last : null;
-                    }
-                    return kept.isEmpty() ? null : kept;
-                });
-        return taken[0];
+    private static void timeOut(ClientExchange exchange, long timeoutNanos) {
+        long millis = TimeUnit.NANOSECONDS.toMillis(timeoutNanos);
+        exchange.fail(Failure.TIMED_OUT, "no answer within " + millis + " ms");
     }
 
-    private void keep(InetSocketAddress to, IoSession session) {
-        session.setAttribute(KEPT_FOR, to);
-        boolean[] room = new boolean[1];
-        idle.compute(
-                to,
-                (address, kept) -> {
-                    Deque<IoSession> all = kept == null ? new ArrayDeque<>() : kept;
-                    room[0] = all.size() < MOST_IDLE && session.isActive();
-                    if (room[0]) {
-                        all.addLast(session);
-                    }
-                    return all.isEmpty() ? null : all;
-                });
-        if (!room[0]) {
-            session.closeNow();
-        }
+    private void connect(ClientExchange exchange) {
+        connector
+                .connect(exchange.address())
+                .addListener(future -> connected((ConnectFuture) future, exchange));
     }
 
-    /**
-     * Nothing is held of a connection that is gone, nor of an address that is: nodes come and go
-     * all day.
-     */
-    private void forget(IoSession session) {
-        InetSocketAddress to = (InetSocketAddress) session.getAttribute(KEPT_FOR);
-        if (to != null) {
-            idle.computeIfPresent(
-                    to,
-                    (address, kept) -> {
-                        kept.remove(session);
-                        return kept.isEmpty() ? null : kept;
-                    });
+    private static void connected(ConnectFuture attempt, ClientExchange exchange) {
+        if (attempt.isConnected()) {
+            exchange.send(attempt.getSession());
+        } else {
+            exchange.fail(
+                    Failure.NOT_CONNECTED,
+                    "no connection to " + exchange.address() + ": " + attempt.getException());
         }
     }
 
-    /** How many addresses connections are kept for. */
+    /** The number of addresses with at least one idle connection. */
     int idleAddressCount() {
-        return idle.size();
+        return idleConnections.addressCount();
     }
 
+    /** Closes all connections and stops the threads. Calls without an outcome may get none. */
     @Override
     public void close() {
         timer.shutdownNow();
@@ -186,127 +141,54 @@
         connector.dispose();
     }
 
-    /** One call and its one outcome. */
-    private final class Talk {
-        private final InetSocketAddress to;
-        private final HttpMessage.Request call;
-        private final Taker taker;
-        private final AtomicBoolean over = new AtomicBoolean();
-        private volatile IoSession session;
-        private volatile ScheduledFuture<?> deadline;
-
-        /**
-         * Whether the call may be made once more, if the kept connection breaks before its answer.
-         */
-        private volatile boolean again;
-
-        Talk(InetSocketAddress to, HttpMessage.Request call, Taker taker) {
-            this.to = to;
-            this.call = call;
-            this.taker = taker;
-        }
-
-        void start(IoSession on) {
-            session = on;
-            on.setAttribute(TALK, this);
-            if (over.get()) {
-                on.closeNow();
-                return;
-            }
-            on.write(call);
-            if (on.isClosing()) {
-                broke(on, "the connection closed as the call was written");
-            }
-        }
-
-        /** LoadReportStatistics twice of one connection, it counts once. */
-        void broke(IoSession on, String detail) {
-            if (!on.equals(session)) {
-                return;
-            }
-            boolean repeat;
-            synchronized (this) {
-                repeat = again && !over.get();
-                again = false;
-                session = repeat ? null : session;
-            }
-            if (repeat) {
-                on.removeAttribute(TALK);
-                on.closeNow();
-                connect(this);
-            } else {
-                fail(Failure.BROKEN, detail);
-            }
-        }
-
-        void answered(HttpMessage.Response answer) {
-            if (over.compareAndSet(false, true)) {
-                deadline.cancel(false);
-                session.removeAttribute(TALK);
-                if (answer.keepsAlive()) {
-                    keep(to, session);
-                } else {
-                    session.closeNow();
-                }
-                taker.answered(answer);
-            }
-        }
-
-        void fail(Failure failure, String detail) {
-            if (over.compareAndSet(false, true)) {
-                ScheduledFuture<?> set = deadline;
-                if (set != null) {
-                    set.cancel(false);
-                }
-                IoSession on = session;
-                if (on != null) {
-                    on.closeNow();
-                }
-                taker.failed(failure, detail);
-            }
-        }
-    }
-
+    /** Passes the events of a connection to its exchange; runs on the I/O threads. */
     private final class Sessions extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
-            Talk talk = (Talk) session.getAttribute(TALK);
-            if (talk == null) {
+            ClientExchange exchange = ClientExchange.of(session);
+            if (exchange == null) {
                 session.closeNow();
             } else {
-                talk.answered((HttpMessage.Response) message);
+                exchange.complete((HttpMessage.Response) message);
             }
         }
 
         @Override
         public void sessionIdle(IoSession session, IdleStatus status) {
-            if (session.getAttribute(TALK) == null) {
+            if (ClientExchange.of(session) == null) {
                 session.closeNow();
             }
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            forget(session);
-            Talk talk = (Talk) session.getAttribute(TALK);
-            if (talk != null) {
-                talk.broke(session, "the connection closed before the answer");
+            idleConnections.remove(session);
+            ClientExchange exchange = ClientExchange.of(session);
+            if (exchange != null) {
+                exchange.connectionLost(session, "the connection closed before the answer");
             }
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
-            Talk talk = (Talk) session.getAttribute(TALK);
-            Throwable root = cause;
-            while (root.getCause() != null && !(root instanceof HttpException)) {
-                root = root.getCause();
-            }
-            if (talk != null && root instanceof HttpException) {
-                talk.fail(Failure.MALFORMED, root.getMessage());
-            } else if (talk != null) {
-                talk.broke(session, root.getMessage());
+            ClientExchange exchange = ClientExchange.of(session);
+            if (exchange != null) {
+                Optional<HttpException> malformed = HttpException.findIn(cause);
+                if (malformed.isPresent()) {
+                    exchange.fail(Failure.MALFORMED, malformed.get().getMessage());
+                } else {
+                    exchange.connectionLost(session, rootCause(cause).getMessage());
+                }
             }
             session.closeNow();
         }
+
+        private static Throwable rootCause(Throwable thrown) {
+            Throwable root = thrown;
+            while (root.getCause() != null) {
+                root = root.getCause();
+            }
+            return root;
+        }
     }
 }
--- a/src/main/java/rosespread/http/HttpCodec.java
+++ b/src/main/java/rosespread/http/HttpCodec.java
@@ -1,92 +1,31 @@
 package rosespread.http;
 
-import java.util.ArrayDeque;
-import java.util.Queue;
-import org.apache.mina.core.buffer.IoBuffer;
+import java.util.function.Consumer;
 import org.apache.mina.core.session.IoSession;
-import org.apache.mina.filter.codec.ProtocolCodecFactory;
-import org.apache.mina.filter.codec.ProtocolDecoder;
-import org.apache.mina.filter.codec.ProtocolDecoderOutput;
-import org.apache.mina.filter.codec.ProtocolEncoder;
-import org.apache.mina.filter.codec.ProtocolEncoderAdapter;
-import org.apache.mina.filter.codec.ProtocolEncoderOutput;
+import rosespread.codec.MessageParser;
+import rosespread.codec.StreamCodecFactory;
 
-/**
- * The parser and the writer as a codec of MINA. MINA asks for a decoder at every read, so the
- * session keeps its own, with the parser's place; after an error it takes nothing more.
- */
-final class HttpCodec implements ProtocolCodecFactory {
-    private static final String DECODER = "http decoder";
-
-    private final boolean calls;
+/** The MINA codec of HTTP/1.1: {@link HttpParser} in, {@link HttpWriter} out. */
+final class HttpCodec extends StreamCodecFactory<HttpMessage> {
+    private final HttpParser.Mode mode;
     private final HttpLimits limits;
 
-    HttpCodec(boolean calls, HttpLimits limits) {
-        this.calls = calls;
+    /**
+     * @param mode what the other end sends
+     * @param limits bounds on each incoming message
+     */
+    HttpCodec(HttpParser.Mode mode, HttpLimits limits) {
+        this.mode = mode;
         this.limits = limits;
     }
 
     @Override
-    public ProtocolEncoder getEncoder(IoSession session) {
-        return new ProtocolEncoderAdapter() {
-            @Override
-            public void encode(IoSession s, Object message, ProtocolEncoderOutput out) {
-                out.write(IoBuffer.wrap(HttpWriter.bytes((HttpMessage) message)));
-            }
-        };
+    protected MessageParser newParser(IoSession session, Consumer<HttpMessage> out) {
+        return new HttpParser(mode, limits, out);
     }
 
     @Override
-    public ProtocolDecoder getDecoder(IoSession session) {
-        Object kept = session.getAttribute(DECODER);
-        if (kept == null) {
-            kept = decoder();
-            session.setAttribute(DECODER, kept);
-        }
-        return (ProtocolDecoder) kept;
-    }
-
-    private ProtocolDecoder decoder() {
-        Queue<HttpMessage> parsed = new ArrayDeque<>();
-        HttpParser parser = new HttpParser(calls, limits, parsed::add);
-        return new ProtocolDecoder() {
-            private boolean broken;
-
-            @Override
-            public void decode(IoSession s, IoBuffer in, ProtocolDecoderOutput out)
-                    throws HttpException {
-                if (broken) {
-                    in.skip(in.remaining());
-                    return;
-                }
-                try {
-                    parser.feed(in.buf());
-                } catch (HttpException e) {
-                    broken = true;
-                    throw e;
-                } finally {
-                    flush(out);
-                }
-            }
-
-            @Override
-            public void finishDecode(IoSession s, ProtocolDecoderOutput out) throws HttpException {
-                if (!broken) {
-                    parser.end();
-                }
-                flush(out);
-            }
-
-            @Override
-            public void dispose(IoSession s) {}
-
-            private void flush(ProtocolDecoderOutput out) {
-                for (HttpMessage message = parsed.poll();
-                        message != null;
-                        message = parsed.poll()) {
-                    out.write(message);
-                }
-            }
-        };
+    protected byte[] encode(Object message) {
+        return HttpWriter.bytes((HttpMessage) message);
     }
 }
--- a/src/main/java/rosespread/http/HttpException.java
+++ b/src/main/java/rosespread/http/HttpException.java
@@ -1,21 +1,31 @@
 package rosespread.http;
 
-/**
- * What came in is not the HTTP/1.1 that this codec takes; the message names the byte offset in the
- * stream.
- */
-public final class HttpException extends Exception {
+import java.util.Optional;
+import rosespread.codec.MalformedStreamException;
+
+/** Thrown when incoming bytes are not HTTP/1.1, or not the part of it that this package accepts. */
+public final class HttpException extends MalformedStreamException {
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    public HttpException(int status, long offset, String message) {
-        super(message + " (byte " + offset + ")");
+    HttpException(int status, long offset, String message) {
+        super(offset, message);
         this.status = status;
     }
 
-    /** The status that a server answers with before it closes. */
+    /** The status with which a server answers before it closes the connection: 4xx or 5xx. */
     public int status() {
         return status;
     }
+
+    /** Finds the HTTP error within what MINA reports, which wraps it. */
+    static Optional<HttpException> findIn(Throwable thrown) {
+        for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
+            if (cause instanceof HttpException found) {
+                return Optional.of(found);
+            }
+        }
+        return Optional.empty();
+    }
 }
--- a/src/main/java/rosespread/http/HttpHeaders.java
+++ b/src/main/java/rosespread/http/HttpHeaders.java
@@ -6,11 +6,19 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 
-/** Header fields in their order; names are kept in lower case. */
+/**
+ * The header fields of a message, in order; a name may occur several times. Names are stored in
+ * lower case, and look-ups take them so. Not thread-safe while fields are added.
+ */
 public final class HttpHeaders {
-    private final List<String> containsToken = new ArrayList<>();
+    private final List<String> names = new ArrayList<>();
     private final List<String> values = new ArrayList<>();
 
+    /**
+     * Builds headers from alternating names and values.
+     *
+     * @throws ArrayIndexOutOfBoundsException if the last name has no value
+     */
     public static HttpHeaders of(String... namesAndValues) {
         HttpHeaders headers = new HttpHeaders();
         for (int i = 0; i < namesAndValues.length; i += 2) {
@@ -19,43 +27,54 @@
         return headers;
     }
 
+    /** Appends a field and returns this object. */
     public HttpHeaders add(String name, String value) {
-        containsToken.add(name.toLowerCase(Locale.ROOT));
+        names.add(name.toLowerCase(Locale.ROOT));
         values.add(value);
         return this;
     }
 
+    /** The value of the first field of this lower-case name. */
     public Optional<String> first(String name) {
-        int at = containsToken.indexOf(name);
-        return at < 0 ? Optional.empty() : Optional.of(values.get(at));
+        int index = names.indexOf(name);
+        return index < 0 ? Optional.empty() : Optional.of(values.get(index));
     }
 
-    /** All values of a field, in order. */
+    /** The values of all fields of this lower-case name, in order; empty if there is none. */
     public List<String> all(String name) {
         List<String> found = new ArrayList<>();
-        forEach(
-                (n, value) -> {
-                    if (n.equals(name)) {
-                        found.add(value);
-                    }
-                });
+        for (int i = 0; i < names.size(); i++) {
+            if (names.get(i).equals(name)) {
+                found.add(values.get(i));
+            }
+        }
         return found;
     }
 
+    /** The number of fields. */
     public int size() {
-        return containsToken.size();
+        return names.size();
     }
 
-    public void forEach(BiConsumer<String, String> taker) {
-        for (int i = 0; i < containsToken.size(); i++) {
-            taker.accept(containsToken.get(i), values.get(i));
+    /** Passes each name and value, in order. */
+    public void forEach(BiConsumer<String, String> action) {
+        for (int i = 0; i < names.size(); i++) {
+            action.accept(names.get(i), values.get(i));
         }
     }
 
-    /** Whether the field, a list of words, has this word (RFC 9110 section 5.6.1). */
-    public boolean containsToken(String field, String word) {
-        return all(field).stream()
-                .flatMap(v -> List.of(v.split(",")).stream())
-                .anyMatch(part -> part.trim().equalsIgnoreCase(word));
+    /**
+     * Whether a field that is a comma-separated list (RFC 9110, 5.6.1) contains a token; the case
+     * of the token does not matter.
+     */
+    public boolean containsToken(String name, String token) {
+        for (String value : all(name)) {
+            for (String part : value.split(",")) {
+                if (part.trim().equalsIgnoreCase(token)) {
+                    return true;
+                }
+            }
+        }
+        return false;
     }
 }
--- a/src/main/java/rosespread/http/HttpLimits.java
+++ b/src/main/java/rosespread/http/HttpLimits.java
@@ -1,9 +1,20 @@
 package rosespread.http;
 
-/** Bounds in bytes on what one message may bring, and on how many headers it has. */
-public record HttpLimits(int line, int headers, int headerBytes, int body) {
-    public static final HttpLimits USUAL = new HttpLimits(8 << 10, 100, 32 << 10, 1 << 20);
+/**
+ * Bounds on one incoming message.
+ *
+ * @param maxLineBytes longest start line, header line or chunk size line, without its CRLF
+ * @param maxHeaders most header fields
+ * @param maxHeaderBytes most bytes of all header and trailer lines together
+ * @param maxBodyBytes largest body, after chunks are joined
+ */
+public record HttpLimits(int maxLineBytes, int maxHeaders, int maxHeaderBytes, int maxBodyBytes) {
+    private static final int KIB = 1 << 10;
+    private static final int MIB = 1 << 20;
 
-    /** For answers of a server list: a large fleet's catalogue is one body. */
-    public static final HttpLimits LARGE = new HttpLimits(8 << 10, 100, 32 << 10, 64 << 20);
+    /** For requests and for responses of a moderate size: a body of 1 MiB. */
+    public static final HttpLimits USUAL = new HttpLimits(8 * KIB, 100, 32 * KIB, MIB);
+
+    /** For endpoint lists, where a large fleet's catalogue is one body: 64 MiB. */
+    public static final HttpLimits LARGE = new HttpLimits(8 * KIB, 100, 32 * KIB, 64 * MIB);
 }
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -2,10 +2,12 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A whole message of HTTP/1.1; the body is shared, never copied. */
+/** A complete HTTP/1.1 message. The body array is shared, never copied: do not modify it. */
 public sealed interface HttpMessage {
+    /** The header fields, without the length, which {@link HttpWriter} adds. */
     HttpHeaders headers();
 
+    /** The body; empty, not null, if there is none. */
     byte[] body();
 
     /** Whether the connection may carry another message after this one. */
@@ -13,29 +15,41 @@
         return !headers().containsToken("connection", "close");
     }
 
+    /** The body as UTF-8; malformed bytes become replacement characters. */
     default String text() {
         return new String(body(), StandardCharsets.UTF_8);
     }
 
     /**
-     * @param target the path and query as they stand in the first line
+     * A request.
+     *
+     * @param verb the method, in upper case by convention
+     * @param target path and query as they stand in the request line
      */
     record Request(String verb, String target, HttpHeaders headers, byte[] body)
             implements HttpMessage {
+        /** The target without its query; percent-encoding is left as it is. */
         public String path() {
             int query = target.indexOf('?');
             return query < 0 ? target : target.substring(0, query);
         }
     }
 
+    /**
+     * A response.
+     *
+     * @param status the status code, 100 to 999
+     */
     record Response(int status, HttpHeaders headers, byte[] body) implements HttpMessage {
-        public static Response of(int status, String type, String text) {
+        /** A response with a body of text in UTF-8 and its content type. */
+        public static Response of(int status, String contentType, String text) {
             return new Response(
                     status,
-                    HttpHeaders.of("content-type", type),
+                    HttpHeaders.of("content-type", contentType),
                     text.getBytes(StandardCharsets.UTF_8));
         }
 
+        /** A response of type {@code application/json}. */
         public static Response json(int status, String text) {
             return of(status, "application/json", text);
         }
--- a/src/main/java/rosespread/http/HttpParser.java
+++ b/src/main/java/rosespread/http/HttpParser.java
@@ -2,271 +2,254 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.List;
 import java.util.function.Consumer;
+import java.util.regex.Pattern;
+import rosespread.codec.MessageParser;
 
 /**
- * Parses a stream of HTTP/1.1 messages (RFC 9112) that may be cut at every byte; what is left after
- * a message begins the next one. Framing that two readers could take differently is refused, never
+ * Parses a stream of HTTP/1.1 messages (RFC 9112) that may be cut at every byte; bytes after a
+ * message begin the next one. Framing that two recipients could read differently is refused, never
  * guessed: several or conflicting lengths, a length beside a transfer coding, a bare CR, space
  * before a colon, folded lines.
+ *
+ * <p>Memory is bounded by {@link HttpLimits}. Not thread-safe: a parser belongs to the I/O thread
+ * of its connection.
  */
-public final class HttpParser {
-    private enum Place {
-        FIRST,
+public final class HttpParser implements MessageParser {
+    /** What the stream carries. */
+    public enum Mode {
+        /** Requests, as a server receives them. */
+        REQUESTS,
+        /** Responses, as a client receives them. */
+        RESPONSES
+    }
+
+    private enum State {
+        START_LINE,
         HEADER,
-        FIXED,
+        FIXED_BODY,
         CHUNK_SIZE,
-        CHUNK,
+        CHUNK_DATA,
         CHUNK_END,
         TRAILER,
-        TO_CLOSE
+        BODY_UNTIL_CLOSE
     }
 
-    private final boolean calls;
+    private static final Pattern FIELD_NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
+    private static final Pattern CHUNK_SIZE_FORM = Pattern.compile("[0-9A-Fa-f]{1,8}");
+
+    private final Mode mode;
     private final HttpLimits limits;
     private final Consumer<HttpMessage> out;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
-    private Place place = Place.FIRST;
+    private final LineBuffer line = new LineBuffer();
+    private State state = State.START_LINE;
+
+    /** Bytes of the stream that have been consumed. */
     private long offset;
-    private boolean sawReturn, bodiless;
-    private String first;
+
+    private StartLine startLine;
     private HttpHeaders headers;
-    private int headerBytes, left;
+    private int headerBytes;
     private ByteArrayOutputStream body;
 
+    /** Bytes that the fixed body or the current chunk still lacks. */
+    private int missingBytes;
+
     /**
-     * @param calls whether the stream brings calls (a server's side) or answers
+     * @param limits bounds on each message
+     * @param out takes each complete message, on the thread that feeds
      */
-    public HttpParser(boolean calls, HttpLimits limits, Consumer<HttpMessage> out) {
-        this.calls = calls;
+    public HttpParser(Mode mode, HttpLimits limits, Consumer<HttpMessage> out) {
+        this.mode = mode;
         this.limits = limits;
         this.out = out;
     }
 
-    /** The answer that comes next has no body, whatever its headers say: it answers a HEAD. */
-    public void nextIsBodiless() {
-        bodiless = true;
-    }
-
-    /** Whether a message has begun that has not ended. */
-    public boolean midway() {
-        return place != Place.FIRST || line.size() > 0 || sawReturn;
-    }
-
-    /** Takes all bytes of the buffer. After an error nothing more may be fed. */
+    /**
+     * {@inheritDoc}
+     *
+     * @throws HttpException if the bytes are not acceptable HTTP/1.1
+     */
+    @Override
     public void feed(ByteBuffer in) throws HttpException {
-        while (in.hasRemaining()) {
-            switch (place) {
-                case FIXED, CHUNK, TO_CLOSE -> takeBody(in);
-                default -> {
-                    offset++;
-                    takeByte(in.get());
+        try {
+            while (in.hasRemaining()) {
+                switch (state) {
+                    case FIXED_BODY, CHUNK_DATA, BODY_UNTIL_CLOSE -> readBody(in);
+                    default -> readLineByte(in);
                 }
             }
+        } catch (HttpViolation e) {
+            throw new HttpException(e.status(), offset, e.getMessage());
         }
     }
 
-    /** The stream has ended: completes an answer that runs to the close. */
+    /**
+     * Completes a response whose body runs to the end of the stream.
+     *
+     * @throws HttpException if the stream ends within a message
+     */
+    @Override
     public void end() throws HttpException {
-        if (place == Place.TO_CLOSE) {
-            complete();
-        } else if (midway()) {
-            throw error(400, "the stream ends within a message");
+        if (state == State.BODY_UNTIL_CLOSE) {
+            completeMessage();
+        } else if (state != State.START_LINE || !line.isEmpty()) {
+            throw new HttpException(400, offset, "the stream ends within a message");
         }
     }
 
-    private void takeBody(ByteBuffer in) throws HttpException {
-        int count = place == Place.TO_CLOSE ? in.remaining() : Math.min(left, in.remaining());
-        if (body.size() + count > limits.body()) {
-            throw error(413, "body over " + limits.body() + " bytes");
-        }
+    private void readBody(ByteBuffer in) throws HttpViolation {
+        boolean untilClose = state == State.BODY_UNTIL_CLOSE;
+        int count = untilClose ? in.remaining() : Math.min(missingBytes, in.remaining());
+        requireBodyWithinLimit(count);
         byte[] part = new byte[count];
         in.get(part);
         offset += count;
         body.writeBytes(part);
-        left -= count;
-        if (place == Place.FIXED && left == 0) {
-            complete();
-        } else if (place == Place.CHUNK && left == 0) {
-            place = Place.CHUNK_END;
+        if (untilClose) {
+            return;
+        }
+        missingBytes -= count;
+        if (missingBytes > 0) {
+            return;
+        }
+        if (state == State.FIXED_BODY) {
+            completeMessage();
+        } else {
+            state = State.CHUNK_END;
         }
     }
 
-    private void takeByte(byte b) throws HttpException {
-        if (sawReturn) {
-            if (b != '\n') {
-                throw error(400, "a CR without LF");
-            }
-            sawReturn = false;
-            String text = line.toString(StandardCharsets.ISO_8859_1);
-            line.reset();
-            takeLine(text);
-        } else if (b == '\r') {
-            sawReturn = true;
-        } else if (b == '\n' || b == 0) {
-            throw error(400, b == 0 ? "a NUL in the head" : "a LF without CR");
-        } else {
-            line.write(b);
-            if (line.size() > limits.line()) {
-                throw error(
-                        place == Place.FIRST && calls ? 414 : 431,
-                        "line over " + limits.line() + " bytes");
-            }
+    private void readLineByte(ByteBuffer in) throws HttpViolation {
+        offset++;
+        if (line.append(in.get())) {
+            readLine(line.take());
+        } else if (line.length() > limits.maxLineBytes()) {
+            boolean isTarget = state == State.START_LINE && mode == Mode.REQUESTS;
+            throw new HttpViolation(
+                    isTarget ? 414 : 431, "line over " + limits.maxLineBytes() + " bytes");
         }
     }
 
-    private void takeLine(String text) throws HttpException {
-        switch (place) {
-            case FIRST -> {
-                if (!text.isEmpty()) {
-                    takeFirst(text);
-                }
-            }
-            case HEADER, TRAILER -> {
-                if (text.isEmpty()) {
-                    if (place == Place.TRAILER) {
-                        complete();
-                    } else {
-                        headEnds();
-                    }
-                } else {
-                    takeHeader(text);
-                }
-            }
-            case CHUNK_SIZE -> takeChunkSize(text);
-            case CHUNK_END -> {
-                if (!text.isEmpty()) {
-                    throw error(400, "no line end after a chunk");
-                }
-                place = Place.CHUNK_SIZE;
-            }
-            default -> throw new IllegalStateException(place.name());
+    private void readLine(String text) throws HttpViolation {
+        switch (state) {
+            case START_LINE -> readStartLine(text);
+            case HEADER -> readHeaderLine(text);
+            case TRAILER -> readTrailerLine(text);
+            case CHUNK_SIZE -> readChunkSize(text);
+            case CHUNK_END -> readChunkEnd(text);
+            default -> throw new IllegalStateException(state.name());
         }
     }
 
-    private void takeFirst(String text) throws HttpException {
-        boolean well =
-                calls
-                        ? text.matches(
-                                "[!#$%&'*+.^_`|~0-9A-Za-z-]{1,20} [\\x21-\\x7e]+ HTTP/1\\.[01]")
-                        : text.matches("HTTP/1\\.[01] [1-9][0-9]{2}( .*)?");
-        if (!well) {
-            throw error(400, "not a first line of HTTP/1.1: \"" + shown(text) + "\"");
+    /** Empty lines before a message are skipped (RFC 9112, 2.2). */
+    private void readStartLine(String text) throws HttpViolation {
+        if (text.isEmpty()) {
+            return;
         }
-        first = text;
+        startLine =
+                mode == Mode.REQUESTS
+                        ? StartLine.RequestLine.parse(text)
+                        : StartLine.StatusLine.parse(text);
         headers = new HttpHeaders();
         headerBytes = 0;
-        place = Place.HEADER;
+        state = State.HEADER;
+    }
+
+    private void readHeaderLine(String text) throws HttpViolation {
+        if (text.isEmpty()) {
+            beginBody();
+            return;
+        }
+        int colon = checkField(text);
+        headers.add(text.substring(0, colon), text.substring(colon + 1).trim());
     }
 
-    private void takeHeader(String text) throws HttpException {
+    /** Trailer fields are checked and dropped. */
+    private void readTrailerLine(String text) throws HttpViolation {
+        if (text.isEmpty()) {
+            completeMessage();
+        } else {
+            checkField(text);
+        }
+    }
+
+    /** Returns the index of the colon of an acceptable field. */
+    private int checkField(String text) throws HttpViolation {
         int colon = text.indexOf(':');
         headerBytes += text.length();
-        if (colon < 1 || !text.substring(0, colon).matches("[!#$%&'*+.^_`|~0-9A-Za-z-]+")) {
-            throw error(400, "not a header field: \"" + shown(text) + "\"");
+        if (colon < 1 || !FIELD_NAME.matcher(text.substring(0, colon)).matches()) {
+            throw new HttpViolation(400, "not a header field: " + HttpViolation.quote(text));
         }
-        if (headers.size() >= limits.headers() || headerBytes > limits.headerBytes()) {
-            throw error(
+        if (headers.size() >= limits.maxHeaders() || headerBytes > limits.maxHeaderBytes()) {
+            throw new HttpViolation(
                     431,
                     "over "
-                            + limits.headers()
+                            + limits.maxHeaders()
                             + " header fields or "
-                            + limits.headerBytes()
+                            + limits.maxHeaderBytes()
                             + " bytes");
         }
-        if (place == Place.HEADER) {
-            headers.add(text.substring(0, colon), text.substring(colon + 1).trim());
-        }
+        return colon;
     }
 
-    private void headEnds() throws HttpException {
+    private void beginBody() throws HttpViolation {
         body = new ByteArrayOutputStream(0);
-        List<String> lengths = headers.all("content-length");
-        List<String> codings = headers.all("transfer-encoding");
-        int status = calls ? 0 : Integer.parseInt(first.substring(9, 12));
-        if (!codings.isEmpty() && (!lengths.isEmpty() || first.contains("HTTP/1.0"))) {
-            throw error(400, "a transfer coding beside a length or in HTTP/1.0");
-        }
-        if (!codings.isEmpty()
-                && !(codings.size() == 1 && codings.get(0).equalsIgnoreCase("chunked"))) {
-            throw error(
-                    calls ? 501 : 502,
-                    "transfer coding \"" + shown(codings.get(0)) + "\" is not chunked");
-        }
-        if (lengths.size() > 1 || !lengths.isEmpty() && !lengths.get(0).matches("[0-9]{1,18}")) {
-            throw error(
-                    400,
-                    "content-length \""
-                            + shown(String.join(", ", lengths))
-                            + "\" is not one number");
-        }
-        if (!lengths.isEmpty() && Long.parseLong(lengths.get(0)) > limits.body()) {
-            throw error(413, "body over " + limits.body() + " bytes");
-        }
-        boolean empty = !calls && (bodiless || status < 200 || status == 204 || status == 304);
-        if (empty) {
-            complete();
-        } else if (!codings.isEmpty()) {
-            place = Place.CHUNK_SIZE;
-        } else if (!lengths.isEmpty() || calls) {
-            left = lengths.isEmpty() ? 0 : Integer.parseInt(lengths.get(0));
-            place = Place.FIXED;
-            if (left == 0) {
-                complete();
-            }
+        BodyFraming framing = BodyFraming.of(startLine, headers, limits);
+        if (framing instanceof BodyFraming.Chunked) {
+            state = State.CHUNK_SIZE;
+        } else if (framing instanceof BodyFraming.UntilClose) {
+            state = State.BODY_UNTIL_CLOSE;
+        } else if (framing instanceof BodyFraming.FixedLength fixed && fixed.bytes() > 0) {
+            missingBytes = fixed.bytes();
+            state = State.FIXED_BODY;
         } else {
-            place = Place.TO_CLOSE;
+            completeMessage();
         }
     }
 
-    private void takeChunkSize(String text) throws HttpException {
-        int end = text.indexOf(';');
-        String size = (end < 0 ? text : text.substring(0, end)).trim();
-        if (!size.matches("[0-9A-Fa-f]{1,8}")) {
-            throw error(400, "not a chunk size: \"" + shown(text) + "\"");
+    /** Chunk extensions are ignored. */
+    private void readChunkSize(String text) throws HttpViolation {
+        int extension = text.indexOf(';');
+        String size = (extension < 0 ? text : text.substring(0, extension)).trim();
+        if (!CHUNK_SIZE_FORM.matcher(size).matches()) {
+            throw new HttpViolation(400, "not a chunk size: " + HttpViolation.quote(text));
         }
         long bytes = Long.parseLong(size, 16);
-        if (body.size() + bytes > limits.body()) {
-            throw error(413, "body over " + limits.body() + " bytes");
+        requireBodyWithinLimit(bytes);
+        missingBytes = (int) bytes;
+        state = missingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
+    }
+
+    private void readChunkEnd(String text) throws HttpViolation {
+        if (!text.isEmpty()) {
+            throw new HttpViolation(400, "no line end after a chunk");
+        }
+        state = State.CHUNK_SIZE;
+    }
+
+    private void requireBodyWithinLimit(long additionalBytes) throws HttpViolation {
+        if (body.size() + additionalBytes > limits.maxBodyBytes()) {
+            throw BodyFraming.bodyTooLarge(limits.maxBodyBytes());
         }
-        left = (int) bytes;
-        place = left == 0 ? Place.TRAILER : Place.CHUNK;
     }
 
-    private void complete() {
-        place = Place.FIRST;
+    private void completeMessage() {
+        state = State.START_LINE;
         byte[] bytes = body.toByteArray();
         body = null;
-        if (calls) {
-            String[] parts = first.split(" ");
-            out.accept(new HttpMessage.Request(parts[0], parts[1], closing(), bytes));
-        } else {
-            int status = Integer.parseInt(first.substring(9, 12));
-            if (status >= 200) {
-                bodiless = false;
-                out.accept(new HttpMessage.Response(status, closing(), bytes));
-            }
+        if (!startLine.isInterim()) {
+            out.accept(startLine.toMessage(effectiveHeaders(), bytes));
         }
     }
 
     /**
-     * HTTP/1.0 closes unless it says otherwise; said so here once, so that nobody asks for the
-     * version.
+     * HTTP/1.0 closes the connection unless told otherwise; this is added as a field, so that no
+     * one has to know the version.
      */
-    private HttpHeaders closing() {
-        return first.contains("HTTP/1.0") && !headers.containsToken("connection", "keep-alive")
+    private HttpHeaders effectiveHeaders() {
+        return startLine.isHttp10() && !headers.containsToken("connection", "keep-alive")
                 ? headers.add("connection", "close")
                 : headers;
     }
-
-    private HttpException error(int status, String message) {
-        return new HttpException(status, offset, message);
-    }
-
-    private static String shown(String text) {
-        String cut = text.length() > 60 ? text.substring(0, 60) + "..." : text;
-        return cut.replaceAll("[^\\x20-\\x7e]", "?");
-    }
 }
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -2,77 +2,98 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
+import java.net.SocketAddress;
+import java.util.Optional;
+import java.util.Set;
 import org.apache.mina.core.service.IoHandlerAdapter;
+import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IdleStatus;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.filter.codec.ProtocolCodecFilter;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Answers calls on any number of addresses. Calls of one connection are handed out one by one, so
- * that answers keep their order (RFC 9112 section 9.3.2); at most {@value #MOST_WAITING} more may
- * wait behind one.
+ * An HTTP/1.1 server on any number of addresses. The requests of a connection are handed out one
+ * after another, so that responses keep their order; see {@link RequestPipeline} for how many may
+ * wait. A request that is not acceptable HTTP is answered with the status of its {@link
+ * HttpException}, and its connection is closed.
+ *
+ * <p>Thread-safe.
  */
 public final class HttpServer implements AutoCloseable {
-    /**
-     * Takes calls on an I/O thread and must not block; the answer may come later and from any
-     * thread.
-     */
+    /** Receives requests. */
     @FunctionalInterface
     public interface Handler {
-        void take(HttpMessage.Request call, Exchange exchange);
+        /**
+         * Takes a request. Called on an I/O thread, or on the thread that answered the connection's
+         * previous request; must not block. The response may be given later, from any thread.
+         */
+        void take(HttpMessage.Request request, Exchange exchange);
     }
 
-    /** One call to be answered once. */
+    /** A request that awaits its response. Thread-safe. */
     public interface Exchange {
-        /** The port that the call came to. */
+        /** The local port that the request came to. */
         int port();
 
-        /** The answer; a second one, or one after the caller has hung up, is dropped. */
-        void answer(HttpMessage.Response answer);
+        /** Sends the response; ignored after the first time and once the client is gone. */
+        void answer(HttpMessage.Response response);
 
-        /** Closes without an answer. */
+        /** Closes the connection without a response. */
         void hangUp();
 
-        /** Runs once if the connection closes before the answer. */
-        void onClosed(Runnable then);
+        /**
+         * Sets what runs, once, if the connection closes before the response; runs it at once if
+         * the connection is already closed. It runs on an I/O thread or the caller's.
+         */
+        void onClosed(Runnable action);
     }
 
-    private static final int MOST_WAITING = 64;
+    private static final int BACKLOG = 1024;
     private static final int IDLE_SECONDS = 60;
-    private static final String LANE = "lane";
+    private static final AttributeKey PIPELINE = new AttributeKey(HttpServer.class, "pipeline");
 
     private final NioSocketAcceptor acceptor;
     private final Handler handler;
 
+    /**
+     * Creates a server that does not listen yet.
+     *
+     * @param threads I/O threads besides the one that accepts
+     * @param limits bounds on each request
+     */
     public HttpServer(int threads, HttpLimits limits, Handler handler) {
         this.handler = handler;
         acceptor = new NioSocketAcceptor(threads);
         acceptor.setReuseAddress(true);
-        acceptor.setBacklog(1024);
+        acceptor.setBacklog(BACKLOG);
         acceptor.setCloseOnDeactivation(false);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getSessionConfig().setIdleTime(IdleStatus.READER_IDLE, IDLE_SECONDS);
-        acceptor.getFilterChain()
-                .addLast("http", new ProtocolCodecFilter(new HttpCodec(true, limits)));
+        HttpCodec codec = new HttpCodec(HttpParser.Mode.REQUESTS, limits);
+        acceptor.getFilterChain().addLast("http", new ProtocolCodecFilter(codec));
         acceptor.setHandler(new Sessions());
     }
 
-    /** Listens; port 0 takes a free one. Returns the address in use. */
+    /**
+     * Starts to listen on one more address; port 0 takes a free port.
+     *
+     * @return the address with the port in use
+     * @throws IOException if the address cannot be bound
+     */
     public synchronized InetSocketAddress listen(InetSocketAddress address) throws IOException {
         if (address.getPort() != 0) {
             acceptor.bind(address);
             return address;
         }
-        var before = acceptor.getLocalAddresses();
+        Set<SocketAddress> before = acceptor.getLocalAddresses();
         acceptor.bind(address);
-        var after = acceptor.getLocalAddresses();
-        after.removeAll(before);
-        return (InetSocketAddress) after.iterator().next();
+        Set<SocketAddress> added = acceptor.getLocalAddresses();
+        added.removeAll(before);
+        return (InetSocketAddress) added.iterator().next();
     }
 
-    /** Stops listening at an address and resets its connections, as a process that dies would. */
+    /** Stops listening on an address and resets its connections, as if its process had died. */
     public synchronized void drop(InetSocketAddress address) {
         acceptor.unbind(address);
         for (IoSession session : acceptor.getManagedSessions().values()) {
@@ -82,156 +103,54 @@
         }
     }
 
+    /** Closes all connections and stops the I/O threads. */
     @Override
     public void close() {
         acceptor.getManagedSessions().values().forEach(IoSession::closeNow);
         acceptor.dispose();
     }
 
-    /** One connection's calls in their order. */
-    private final class Lane {
-        private final IoSession session;
-        private final ArrayDeque<HttpMessage.Request> waiting = new ArrayDeque<>();
-        private Turn current;
-
-        Lane(IoSession session) {
-            this.session = session;
-        }
-
-        void take(HttpMessage.Request call) {
-            synchronized (this) {
-                if (current != null) {
-                    waiting.add(call);
-                    if (waiting.size() > MOST_WAITING) {
-                        session.closeNow();
-                    }
-                    return;
-                }
-                current = new Turn(this, call.keepsAlive());
-            }
-            handler.take(call, current);
-        }
-
-        void done(Turn turn) {
-            HttpMessage.Request next;
-            synchronized (this) {
-                if (current != turn) {
-                    return;
-                }
-                next = waiting.poll();
-                current = next == null ? null : new Turn(this, next.keepsAlive());
-            }
-            if (next != null) {
-                handler.take(next, current);
-            }
-        }
-
-        synchronized Turn current() {
-            return current;
-        }
-    }
-
-    private static final class Turn implements Exchange {
-        private final Lane lane;
-        private final boolean keeps;
-        private boolean answered;
-        private boolean closed;
-        private Runnable onClosed;
-
-        Turn(Lane lane, boolean keeps) {
-            this.lane = lane;
-            this.keeps = keeps;
-        }
-
-        @Override
-        public int port() {
-            return ((InetSocketAddress) lane.session.getLocalAddress()).getPort();
-        }
-
-        @Override
-        public void answer(HttpMessage.Response answer) {
-            synchronized (this) {
-                if (answered) {
-                    return;
-                }
-                answered = true;
-            }
-            lane.session.write(answer);
-            if (keeps && answer.keepsAlive()) {
-                lane.done(this);
-            } else {
-                lane.session.closeOnFlush();
-            }
-        }
-
-        @Override
-        public void hangUp() {
-            lane.session.closeNow();
-        }
-
-        @Override
-        public void onClosed(Runnable then) {
-            synchronized (this) {
-                onClosed = then;
-                if (!closed) {
-                    return;
-                }
-            }
-            then.run();
-        }
-
-        void closed() {
-            Runnable then;
-            synchronized (this) {
-                closed = true;
-                then = answered ? null : onClosed;
-                answered = true;
-            }
-            if (then != null) {
-                then.run();
-            }
-        }
+    private static Optional<RequestPipeline> pipeline(IoSession session) {
+        return Optional.ofNullable((RequestPipeline) session.getAttribute(PIPELINE));
     }
 
+    /** Passes the events of a connection to its pipeline; runs on the I/O threads. */
     private final class Sessions extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
-            session.setAttribute(LANE, new Lane(session));
+            session.setAttribute(PIPELINE, new RequestPipeline(session, handler));
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
-            ((Lane) session.getAttribute(LANE)).take((HttpMessage.Request) message);
+            pipeline(session).orElseThrow().receive((HttpMessage.Request) message);
         }
 
         @Override
         public void sessionIdle(IoSession session, IdleStatus status) {
-            if (((Lane) session.getAttribute(LANE)).current() == null) {
+            if (pipeline(session).orElseThrow().isIdle()) {
                 session.closeNow();
             }
         }
 
         @Override
         public void sessionClosed(IoSession session) {
-            Lane lane = (Lane) session.getAttribute(LANE);
-            Turn turn = lane == null ? null : lane.current();
-            if (turn != null) {
-                turn.closed();
-            }
+            pipeline(session).ifPresent(RequestPipeline::connectionClosed);
         }
 
         @Override
         public void exceptionCaught(IoSession session, Throwable cause) {
-            for (Throwable at = cause; at != null; at = at.getCause()) {
-                if (at instanceof HttpException e && session.isConnected()) {
-                    session.write(
-                            HttpMessage.Response.of(
-                                    e.status(), "text/plain", e.getMessage() + "\n"));
-                    session.closeOnFlush();
-                    return;
-                }
+            Optional<HttpException> malformed = HttpException.findIn(cause);
+            if (malformed.isEmpty() || !session.isConnected()) {
+                session.closeNow();
+                return;
             }
-            session.closeNow();
+            session.write(
+                    HttpMessage.Response.of(
+                            malformed.get().status(),
+                            "text/plain",
+                            malformed.get().getMessage() + "\n"));
+            session.closeOnFlush();
         }
     }
 }
--- a/src/main/java/rosespread/http/HttpWriter.java
+++ b/src/main/java/rosespread/http/HttpWriter.java
@@ -3,37 +3,50 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes whole messages with a length; a value can bring no line of its own. */
+/**
+ * Encodes messages. Every message carries a {@code content-length}; line breaks and NUL in a header
+ * value become spaces, so a value cannot inject a header.
+ */
 final class HttpWriter {
+    private static final int INITIAL_HEAD_CHARS = 128;
+    private static final String CRLF = "\r\n";
+
     private HttpWriter() {}
 
     static byte[] bytes(HttpMessage message) {
-        StringBuilder head = new StringBuilder(128);
-        if (message instanceof HttpMessage.Request call) {
-            head.append(call.verb()).append(' ').append(call.target()).append(" HTTP/1.1\r\n");
-        } else if (message instanceof HttpMessage.Response answer) {
+        StringBuilder head = new StringBuilder(INITIAL_HEAD_CHARS);
+        appendStartLine(head, message);
+        message.headers().forEach((name, value) -> appendField(head, name, sanitize(value)));
+        appendField(head, "content-length", String.valueOf(message.body().length));
+        head.append(CRLF);
+        ByteArrayOutputStream bytes =
+                new ByteArrayOutputStream(head.length() + message.body().length);
+        bytes.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
+        bytes.writeBytes(message.body());
+        return bytes.toByteArray();
+    }
+
+    private static void appendStartLine(StringBuilder head, HttpMessage message) {
+        if (message instanceof HttpMessage.Request request) {
+            head.append(request.verb()).append(' ').append(request.target()).append(" HTTP/1.1");
+        } else if (message instanceof HttpMessage.Response response) {
             head.append("HTTP/1.1 ")
-                    .append(answer.status())
+                    .append(response.status())
                     .append(' ')
-                    .append(reason(answer.status()))
-                    .append("\r\n");
+                    .append(reasonPhrase(response.status()));
         }
-        message.headers()
-                .forEach(
-                        (name, value) ->
-                                head.append(name)
-                                        .append(": ")
-                                        .append(value.replaceAll("[\\r\\n\\x00]", " "))
-                                        .append("\r\n"));
-        head.append("content-length: ").append(message.body().length).append("\r\n\r\n");
-        ByteArrayOutputStream all =
-                new ByteArrayOutputStream(head.length() + message.body().length);
-        all.writeBytes(head.toString().getBytes(StandardCharsets.ISO_8859_1));
-        all.writeBytes(message.body());
-        return all.toByteArray();
+        head.append(CRLF);
+    }
+
+    private static void appendField(StringBuilder head, String name, String value) {
+        head.append(name).append(": ").append(value).append(CRLF);
+    }
+
+    private static String sanitize(String value) {
+        return value.replaceAll("[\\r\\n\\x00]", " ");
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
--- a/src/test/java/rosespread/http/HttpParserTest.java
+++ b/src/test/java/rosespread/http/HttpParserTest.java
@@ -26,7 +26,7 @@
         List<String> read = new ArrayList<>();
         HttpParser parser =
                 new HttpParser(
-                        calls,
+                        calls ? HttpParser.Mode.REQUESTS : HttpParser.Mode.RESPONSES,
                         LIMITS,
                         m ->
                                 read.add(
