--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -1,511 +1,133 @@
 package rosespread.admin;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.SerializationFeature;
-import com.fasterxml.jackson.databind.json.JsonMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.URLDecoder;
-import java.nio.charset.StandardCharsets;
-import java.time.Instant;
 import java.util.List;
-import java.util.Locale;
 import java.util.Optional;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.audit.AuditLog;
 import rosespread.controller.Controller;
-import rosespread.controller.ControllerStatus;
 import rosespread.controller.DrainJson;
-import rosespread.controller.DrainRequest;
-import rosespread.controller.DrainResult;
-import rosespread.http.HttpHeaders;
 import rosespread.http.HttpLimits;
 import rosespread.http.HttpMessage;
 import rosespread.http.HttpServer;
-import rosespread.settings.SettingsException;
-import rosespread.settings.SettingsReader;
-import rosespread.settings.Snapshot;
 
 /**
- * The API for operators; docs/daemon.md lists its calls. Acts name their caller, may name the
- * revision that they are made against and an id under which they are done once, and are audited.
+ * The operators' HTTP API of a controller; docs/daemon.md lists its requests. Changes name their
+ * operator, may name the revision that they are made against and a key under which they take effect
+ * once, and are audited.
+ *
+ * <p>I/O threads queue the requests and one worker thread answers them in order, since a change
+ * waits for the disk. The controller is used and not closed.
  */
 public final class AdminServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
-    private static final Pattern ONE = Pattern.compile("/v1/tables/([0-9]{1,5})");
-    private static final Pattern ACT =
-            Pattern.compile(
-                    "/v1/tables/([0-9]{1,5})/(rollback|pin|release)(?:\\?version=([0-9]{1,18}))?");
-    private static final Pattern DIFF =
-            Pattern.compile("/v1/tables/([0-9]{1,5})/diff\\?from=([0-9]{1,18})&to=([0-9]{1,18})");
-    private static final int WAITING_MOST = 64;
+    private static final int MAX_QUEUED_REQUESTS = 64;
 
-    private final ObjectMapper json =
-            JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
-    private static final Pattern NODE_ACT =
-            Pattern.compile("/v1/nodes/([^/?]{1,400})/(drain|undrain)(?:\\?force=(true|false))?");
-    private final Controller conductor;
-    private final AuditLog audit;
-    private final String ownIds = "own-" + System.currentTimeMillis() + "-";
-    private long ownId;
+    private final Resource router;
     private final HttpServer http;
-
-    /** Saving a snapshot waits for the disk, which I/O threads must not. */
     private final ExecutorService worker =
             new ThreadPoolExecutor(
                     1,
                     1,
                     0,
                     TimeUnit.SECONDS,
-                    new LinkedBlockingQueue<>(WAITING_MOST),
-                    task -> {
-                        Thread thread = new Thread(task, "control");
-                        thread.setDaemon(true);
-                        return thread;
-                    });
+                    new LinkedBlockingQueue<>(MAX_QUEUED_REQUESTS),
+                    AdminServer::workerThread);
+
+    /** Generated idempotency keys differ between processes and within one. */
+    private final String generatedKeyPrefix = "own-" + System.currentTimeMillis() + "-";
 
-    /** Without an audit log. */
-    public AdminServer(Controller conductor) {
-        this(conductor, null);
+    /** Owned by the worker thread. */
+    private long generatedKeys;
+
+    /** Creates a server without an audit log. */
+    public AdminServer(Controller controller) {
+        this(controller, null);
     }
 
     /**
-     * @param audit where acts go, or null
+     * Creates a server that does not listen yet.
+     *
+     * @param auditLog records changes; null for none. The caller closes it.
      */
-    public AdminServer(Controller conductor, AuditLog audit) {
-        this.conductor = conductor;
-        this.audit = audit;
-        this.http = new HttpServer(1, HttpLimits.USUAL, this::take);
+    public AdminServer(Controller controller, AuditLog auditLog) {
+        AuditTrail audit = new AuditTrail(Optional.ofNullable(auditLog));
+        this.router = new Router(routes(controller, audit));
+        this.http = new HttpServer(1, HttpLimits.USUAL, this::enqueue);
+    }
+
+    private static List<Router.Route> routes(Controller controller, AuditTrail audit) {
+        StatusReport report = new StatusReport(controller, audit);
+        return List.of(
+                Router.Route.exact("/v1/settings", new SettingsResource(controller, audit)),
+                Router.Route.exact("/v1/status", new ReadOnlyResource(report::summary)),
+                Router.Route.exact(
+                        "/v1/state",
+                        new ReadOnlyResource(() -> JsonResponses.ok(controller.state()))),
+                Router.Route.exact("/v1/health", new ReadOnlyResource(report::health)),
+                Router.Route.prefix("/v1/nodes", new NodesResource(controller, audit)),
+                Router.Route.exact(
+                        "/v1/drains",
+                        new ReadOnlyResource(
+                                () -> JsonResponses.ok(DrainJson.write(controller.drains())))),
+                Router.Route.prefix("/v1/tables", new TablesResource(controller, audit)),
+                Router.Route.exact(
+                        "/v1/acts", new ReadOnlyResource(() -> JsonResponses.ok(audit.recent()))));
+    }
+
+    private static Thread workerThread(Runnable task) {
+        Thread thread = new Thread(task, "admin");
+        thread.setDaemon(true);
+        return thread;
     }
 
+    /**
+     * Starts to listen; port 0 takes a free port.
+     *
+     * @return the address with the port in use
+     * @throws IOException if the address cannot be bound
+     */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         InetSocketAddress bound = http.listen(address);
-        LOG.atInfo().addKeyValue("address", bound).log("control API");
+        LOG.atInfo().addKeyValue("address", bound).log("admin API listening");
         return bound;
     }
 
+    /** Closes all connections and stops the worker thread; queued requests are dropped. */
     @Override
     public void close() {
         http.close();
         worker.shutdownNow();
     }
 
-    private void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
+    private void enqueue(HttpMessage.Request request, HttpServer.Exchange exchange) {
         try {
-            worker.execute(() -> exchange.answer(answer(call)));
+            worker.execute(() -> exchange.answer(respond(request)));
         } catch (RejectedExecutionException e) {
-            exchange.answer(error(503, "too many calls at once"));
+            exchange.answer(ProblemDetails.of(503, "too many calls at once"));
         }
     }
 
-    private HttpMessage.Response answer(HttpMessage.Request call) {
+    private HttpMessage.Response respond(HttpMessage.Request request) {
         try {
-            RequestContext caller = RequestContext.of(call, ownIds + ownId++);
-            return switch (call.path()) {
-                case "/v1/settings" -> settings(call, caller);
-                case "/v1/state" ->
-                        call.verb().equals("GET")
-                                ? json(200, conductor.state())
-                                : error(405, "only GET " + call.path());
-                case "/v1/health" ->
-                        call.verb().equals("GET")
-                                ? health(conductor.state())
-                                : error(405, "only GET " + call.path());
-                case "/v1/status" ->
-                        call.verb().equals("GET")
-                                ? json(200, status(conductor.state()))
-                                : error(405, "only GET " + call.path());
-                case "/v1/acts" ->
-                        call.verb().equals("GET")
-                                ? json(200, audit == null ? List.of() : audit.recent())
-                                : error(405, "only GET " + call.path());
-                case "/v1/drains" ->
-                        call.verb().equals("GET")
-                                ? json(200, DrainJson.write(conductor.drains()))
-                                : error(405, "only GET " + call.path());
-                default ->
-                        call.path().startsWith("/v1/tables")
-                                ? tables(call, caller)
-                                : call.path().startsWith("/v1/nodes")
-                                        ? nodes(call, caller)
-                                        : error(
-                                                404,
-                                                "no "
-                                                        + call.path()
-                                                        + "; there are /v1/settings, /v1/status, /v1/state, /v1/health, "
-                                                        + "/v1/nodes, /v1/drains, /v1/tables, /v1/acts");
-            };
+            String generatedKey = generatedKeyPrefix + generatedKeys++;
+            RequestContext context = RequestContext.of(request.headers(), generatedKey);
+            return router.handle(new AdminRequest(request, context));
         } catch (IllegalArgumentException e) {
-            return error(400, e.getMessage());
+            return ProblemDetails.of(400, e.getMessage());
         } catch (IOException | RuntimeException e) {
-            LOG.error("control call {} {} failed", call.verb(), call.path(), e);
-            return error(500, "see the conductor's log");
-        }
-    }
-
-    /** Does an act between two lines of the audit log; tells whether it is audited. */
-    private HttpMessage.Response audited(HttpMessage.Request call, RequestContext caller, Act act)
-            throws IOException {
-        if (audit != null) {
-            audit.write(line(call, caller, "asked"));
-        }
-        HttpMessage.Response answer = act.run();
-        if (audit != null) {
-            audit.write(
-                    line(
-                            call,
-                            caller,
-                            answer.status()
-                                    + (answer.status() == 200
-                                            ? " done"
-                                            : " "
-                                                    + json.readTree(answer.body())
-                                                            .path("detail")
-                                                            .asText())));
-        }
-        return answer;
-    }
-
-    private interface Act {
-        HttpMessage.Response run() throws IOException;
-    }
-
-    private static AuditLog.Act line(
-            HttpMessage.Request call, RequestContext caller, String outcome) {
-        return new AuditLog.Act(
-                caller.operator(),
-                call.headers().first("host").orElse(""),
-                call.verb() + " " + call.target(),
-                caller.idempotencyKey(),
-                outcome);
-    }
-
-    /**
-     * {@code GET /v1/nodes}; {@code POST /v1/nodes/NAME/drain} and {@code .../undrain}, with {@code
-     * ?force=true} past the guard.
-     */
-    private HttpMessage.Response nodes(HttpMessage.Request call, RequestContext caller)
-            throws IOException {
-        if (call.path().equals("/v1/nodes")) {
-            return call.verb().equals("GET")
-                    ? json(200, conductor.state().nodes())
-                    : error(405, "only GET " + call.path());
-        }
-        Matcher act = NODE_ACT.matcher(call.target());
-        if (!act.matches()) {
-            return error(
-                    404,
-                    "not /v1/nodes, /v1/nodes/NAME/drain or /v1/nodes/NAME/undrain: "
-                            + call.target());
-        }
-        if (!call.verb().equals("POST")) {
-            return error(405, "only POST " + call.path());
-        }
-        String name = URLDecoder.decode(act.group(1).replace("+", "%2B"), StandardCharsets.UTF_8);
-        return audited(
-                call,
-                caller,
-                () -> {
-                    DrainResult outcome =
-                            conductor.drain(
-                                    new DrainRequest(
-                                            name,
-                                            act.group(2).equals("drain"),
-                                            caller.operator(),
-                                            caller.idempotencyKey(),
-                                            caller.expectedRevision(),
-                                            "true".equals(act.group(3))));
-                    String told = String.join("; ", outcome.told());
-                    return switch (outcome.kind()) {
-                        case DONE, REPEATED ->
-                                json(
-                                        200,
-                                        json.createObjectNode()
-                                                .put("done", true)
-                                                .put(
-                                                        "repeated",
-                                                        outcome.kind() == DrainResult.Kind.REPEATED)
-                                                .put("revision", outcome.revision()));
-                        case NO_NODE -> ProblemDetails.of(404, "No such node", told);
-                        case AMBIGUOUS ->
-                                ProblemDetails.of(
-                                        409, "Several nodes have this name", "name one of " + told);
-                        case STALE ->
-                                ProblemDetails.of(
-                                        412,
-                                        "Changed since",
-                                        "since revision " + caller.expectedRevision() + ": " + told,
-                                        outcome.told(),
-                                        outcome.revision());
-                        case GUARDED ->
-                                ProblemDetails.of(
-                                        409,
-                                        "Too much would be drained",
-                                        told,
-                                        outcome.told(),
-                                        outcome.revision());
-                    };
-                });
-    }
-
-    /** One screen's worth: counts, versions and troubles, without lines, nodes and proxies. */
-    private ObjectNode status(ControllerStatus state) {
-        ObjectNode all =
-                json.createObjectNode()
-                        .put("name", conductor.name())
-                        .put("phase", state.phase())
-                        .put("proxies", state.proxies())
-                        .put("proxiesBound", state.proxiesBound())
-                        .put("linesWaiting", state.linesWaiting())
-                        .put("lastMode", state.lastMode())
-                        .put("listTrouble", state.listTrouble())
-                        .put("settingsTrouble", conductor.settingsTrouble())
-                        .put("storageTrouble", state.storage().trouble())
-                        .put("auditTrouble", audit == null ? "" : audit.trouble());
-        conductor
-                .settings()
-                .ifPresent(
-                        is ->
-                                all.put("settingsRevision", is.revision())
-                                        .put("settingsBy", is.by()));
-        ObjectNode nodes = all.putObject("nodes");
-        state.nodes()
-                .forEach(node -> nodes.put(node.state(), nodes.path(node.state()).asInt() + 1));
-        ObjectNode drained = all.putObject("drained");
-        state.nodes().stream()
-                .filter(node -> !node.drainedBy().isEmpty())
-                .forEach(node -> drained.put(node.name(), node.drainedBy()));
-        ArrayNode tables = all.putArray("tables");
-        state.tables()
-                .forEach(
-                        table ->
-                                tables.addObject()
-                                        .put("table", table.table())
-                                        .put("version", table.version())
-                                        .put("held", table.held())
-                                        .put("refusals", String.join("; ", table.refusals())));
-        return all;
-    }
-
-    /** Serving without storage is serving; the trouble is told beside. */
-    private HttpMessage.Response health(ControllerStatus state) throws IOException {
-        return json(
-                state.phase().equals("serving") ? 200 : 503,
-                json.createObjectNode()
-                        .put("phase", state.phase())
-                        .put("trouble", conductor.settingsTrouble())
-                        .put("storage", state.storage().trouble())
-                        .put("audit", audit == null ? "" : audit.trouble()));
-    }
-
-    private HttpMessage.Response settings(HttpMessage.Request call, RequestContext caller)
-            throws IOException {
-        Optional<Snapshot.Saved> now = conductor.settings();
-        if (call.verb().equals("GET")) {
-            return now.isEmpty()
-                    ? error(
-                            404,
-                            "no settings yet"
-                                    + (conductor.settingsTrouble().isEmpty()
-                                            ? ""
-                                            : "; " + conductor.settingsTrouble()))
-                    : new HttpMessage.Response(
-                            200,
-                            HttpHeaders.of(
-                                    "content-type",
-                                    "application/json",
-                                    "etag",
-                                    "\"" + now.get().revision() + "\"",
-                                    "x-applied-by",
-                                    now.get().by()),
-                            now.get().text().getBytes(StandardCharsets.UTF_8));
+            LOG.atError()
+                    .setCause(e)
+                    .addKeyValue("request", request.verb() + " " + request.path())
+                    .log("admin request failed");
+            return ProblemDetails.of(500, "see the conductor's log");
         }
-        if (!call.verb().equals("PUT")) {
-            return error(405, "only GET and PUT " + call.path());
-        }
-        if (call.target().equals("/v1/settings?dry-run=true")) {
-            return tried(call);
-        }
-        if (!call.target().equals(call.path())) {
-            // Nothing is applied by a mistaken word where a trial may have been meant.
-            return error(
-                    400,
-                    "query "
-                            + call.target().substring(call.path().length())
-                            + " is not ?dry-run=true; nothing was applied");
-        }
-        return audited(
-                call,
-                caller,
-                () -> {
-                    try {
-                        Controller.Applied applied =
-                                conductor.apply(
-                                        call.text(),
-                                        caller.operator(),
-                                        caller.idempotencyKey(),
-                                        caller.expectedRevision());
-                        long revision = applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
-                        if (applied.done()) {
-                            return json(
-                                    200,
-                                    json.createObjectNode()
-                                            .put("applied", true)
-                                            .put("revision", revision));
-                        }
-                        String since =
-                                applied.inForce()
-                                        .map(
-                                                is ->
-                                                        "revision "
-                                                                + is.revision()
-                                                                + " was applied by "
-                                                                + is.by()
-                                                                + " at "
-                                                                + Instant.ofEpochMilli(
-                                                                        is.atMillis()))
-                                        .orElse("there are no settings");
-                        return ProblemDetails.of(
-                                412, "Changed since", since, List.of(since), revision);
-                    } catch (SettingsException e) {
-                        return faults(e);
-                    } catch (IOException e) {
-                        return error(
-                                503,
-                                "settings not applied, the snapshot cannot be written: "
-                                        + e.getMessage());
-                    }
-                });
-    }
-
-    /** Whether settings would hold; nothing changes. */
-    private HttpMessage.Response tried(HttpMessage.Request call) throws IOException {
-        try {
-            SettingsReader.read(call.text());
-            return json(200, json.createObjectNode().put("applied", false).put("good", true));
-        } catch (SettingsException e) {
-            return faults(e);
-        }
-    }
-
-    private static HttpMessage.Response faults(SettingsException e) {
-        ObjectNode told = ProblemDetails.members(422, "Settings not applied", e.getMessage());
-        ArrayNode faults = told.putArray("faults");
-        e.faults()
-                .forEach(
-                        fault ->
-                                faults.addObject()
-                                        .put("field", fault.field())
-                                        .put("value", fault.value())
-                                        .put("allowed", fault.allowed()));
-        return ProblemDetails.answer(told);
-    }
-
-    /**
-     * {@code GET /v1/tables}, {@code /v1/tables/N} as it will be, {@code
-     * /v1/tables/N/diff?from=V&to=V}; {@code POST /v1/tables/N/rollback?version=V}, {@code
-     * .../pin}, {@code .../release}.
-     */
-    private HttpMessage.Response tables(HttpMessage.Request call, RequestContext caller)
-            throws IOException {
-        if (call.path().equals("/v1/tables")) {
-            return call.verb().equals("GET")
-                    ? json(200, conductor.state().tables())
-                    : error(405, "only GET " + call.path());
-        }
-        Matcher one = ONE.matcher(call.target());
-        if (one.matches() && call.verb().equals("GET")) {
-            Optional<ControllerStatus.Table> table =
-                    conductor.table(Integer.parseInt(one.group(1)));
-            return table.isPresent()
-                    ? json(200, table.get())
-                    : error(404, "no table " + one.group(1));
-        }
-        Matcher diff = DIFF.matcher(call.target());
-        if (diff.matches() && call.verb().equals("GET")) {
-            return difference(diff);
-        }
-        Matcher act = ACT.matcher(call.target());
-        if (!act.matches()) {
-            return error(
-                    404,
-                    "not /v1/tables/N, /v1/tables/N/diff?from=V&to=V, "
-                            + "/v1/tables/N/rollback?version=V, /v1/tables/N/pin or /v1/tables/N/release: "
-                            + call.target());
-        }
-        if (!call.verb().equals("POST")) {
-            return error(405, "only POST " + call.path());
-        }
-        Controller.TableAct what =
-                Controller.TableAct.valueOf(act.group(2).toUpperCase(Locale.ROOT));
-        if ((what == Controller.TableAct.ROLLBACK) != (act.group(3) != null)) {
-            return error(
-                    400, "version is " + act.group(3) + "; a rollback, and only that, names one");
-        }
-        long version = act.group(3) == null ? 0 : Long.parseLong(act.group(3));
-        return audited(
-                call,
-                caller,
-                () -> {
-                    Controller.Outcome outcome =
-                            conductor.act(what, Integer.parseInt(act.group(1)), version);
-                    return outcome.why().isEmpty()
-                            ? json(
-                                    200,
-                                    json.createObjectNode()
-                                            .put("done", true)
-                                            .put("kept", outcome.kept()))
-                            : error(409, outcome.why());
-                });
-    }
-
-    private HttpMessage.Response difference(Matcher diff) throws IOException {
-        int table = Integer.parseInt(diff.group(1));
-        long from = Long.parseLong(diff.group(2));
-        long to = Long.parseLong(diff.group(3));
-        Optional<ControllerStatus.Difference> found = conductor.difference(table, from, to);
-        if (found.isPresent()) {
-            return json(200, found.get());
-        }
-        Optional<ControllerStatus.Table> there = conductor.table(table);
-        return error(
-                404,
-                there.isEmpty()
-                        ? "no table " + table
-                        : "table "
-                                + table
-                                + " does not keep version "
-                                + (there.get().versions().stream().anyMatch(v -> v.number() == from)
-                                        ? to
-                                        : from));
-    }
-
-    private static HttpMessage.Response error(int status, String detail) {
-        return ProblemDetails.of(
-                status,
-                switch (status) {
-                    case 400 -> "Bad call";
-                    case 404 -> "Not found";
-                    case 405 -> "Wrong verb";
-                    case 409 -> "Not possible now";
-                    case 503 -> "Not available";
-                    default -> "Internal error";
-                },
-                detail);
-    }
-
-    private HttpMessage.Response json(int status, Object body) throws JsonProcessingException {
-        return HttpMessage.Response.json(status, json.writeValueAsString(body) + "\n");
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/admin/AuditTrail.java
@@ -0,0 +1,64 @@
+package rosespread.admin;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.Optional;
+import rosespread.audit.AuditLog;
+import rosespread.http.HttpMessage;
+
+/** Records the changes that operators make, if there is an audit log. */
+final class AuditTrail {
+    private static final String REQUESTED = "asked";
+    private static final String SUCCEEDED = " done";
+
+    /** A change and its response. */
+    @FunctionalInterface
+    interface Change {
+        HttpMessage.Response perform() throws IOException;
+    }
+
+    private final Optional<AuditLog> log;
+
+    AuditTrail(Optional<AuditLog> log) {
+        this.log = log;
+    }
+
+    /**
+     * Performs a change between two lines of the log: that it was requested, and its outcome. A log
+     * that cannot be written does not prevent the change; see {@link #trouble}.
+     */
+    HttpMessage.Response record(AdminRequest request, Change change) throws IOException {
+        if (log.isEmpty()) {
+            return change.perform();
+        }
+        log.get().write(entry(request, REQUESTED));
+        HttpMessage.Response response = change.perform();
+        log.get().write(entry(request, outcome(response)));
+        return response;
+    }
+
+    private static String outcome(HttpMessage.Response response) throws IOException {
+        return response.status() == 200
+                ? response.status() + SUCCEEDED
+                : response.status() + " " + JsonResponses.body(response).path("detail").asText();
+    }
+
+    private static AuditLog.Act entry(AdminRequest request, String outcome) {
+        return new AuditLog.Act(
+                request.context().operator(),
+                request.http().headers().first("host").orElse(""),
+                request.http().verb() + " " + request.target(),
+                request.context().idempotencyKey(),
+                outcome);
+    }
+
+    /** The last entries that this process wrote, oldest first; empty without a log. */
+    List<AuditLog.Line> recent() {
+        return log.map(AuditLog::recent).orElse(List.of());
+    }
+
+    /** Why the log cannot be written now; empty if it can, or if there is none. */
+    String trouble() {
+        return log.map(AuditLog::trouble).orElse("");
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/admin/JsonResponses.java
@@ -0,0 +1,37 @@
+package rosespread.admin;
+
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.SerializationFeature;
+import com.fasterxml.jackson.databind.json.JsonMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import rosespread.http.HttpMessage;
+
+/** Responses with a JSON body, indented, that ends with a line break. */
+final class JsonResponses {
+    private static final ObjectMapper JSON =
+            JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
+
+    private JsonResponses() {}
+
+    /** A response of status 200 whose body is the value as Jackson maps it. */
+    static HttpMessage.Response ok(Object body) throws JsonProcessingException {
+        return of(200, body);
+    }
+
+    static HttpMessage.Response of(int status, Object body) throws JsonProcessingException {
+        return HttpMessage.Response.json(status, JSON.writeValueAsString(body) + "\n");
+    }
+
+    /** An empty object to fill. */
+    static ObjectNode object() {
+        return JSON.createObjectNode();
+    }
+
+    /** The body of a response that has one of JSON. */
+    static JsonNode body(HttpMessage.Response response) throws IOException {
+        return JSON.readTree(response.body());
+    }
+}
--- a/src/main/java/rosespread/admin/ProblemDetails.java
+++ b/src/main/java/rosespread/admin/ProblemDetails.java
@@ -5,25 +5,55 @@
 import java.util.List;
 import rosespread.http.HttpMessage;
 
-/** What is wrong with a call, as problem details (RFC 9457). */
+/** Error responses in the form of problem details (RFC 9457). */
 final class ProblemDetails {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private ProblemDetails() {}
 
+    /** A problem whose title follows from its status. */
+    static HttpMessage.Response of(int status, String detail) {
+        return of(status, title(status), detail);
+    }
+
+    private static String title(int status) {
+        return switch (status) {
+            case 400 -> "Bad call";
+            case 404 -> "Not found";
+            case 405 -> "Wrong verb";
+            case 409 -> "Not possible now";
+            case 503 -> "Not available";
+            default -> "Internal error";
+        };
+    }
+
+    /**
+     * Status 405.
+     *
+     * @param allowed the methods that the path has, in words
+     */
+    static HttpMessage.Response methodNotAllowed(String allowed, AdminRequest request) {
+        return of(405, "only " + allowed + " " + request.path());
+    }
+
     static HttpMessage.Response of(int status, String title, String detail) {
-        return answer(members(status, title, detail));
+        return response(members(status, title, detail));
     }
 
-    /** With sentences that say why, or what changed, each on its own. */
+    /**
+     * A problem with its reasons one by one.
+     *
+     * @param revision the revision in force
+     */
     static HttpMessage.Response of(
             int status, String title, String detail, List<String> reasons, long revision) {
         ObjectNode members = members(status, title, detail);
         reasons.forEach(members.putArray("reasons")::add);
         members.put("revision", revision);
-        return answer(members);
+        return response(members);
     }
 
+    /** The standard members, to which others may be added. */
     static ObjectNode members(int status, String title, String detail) {
         return JSON.createObjectNode()
                 .put("type", "about:blank")
@@ -32,7 +62,8 @@
                 .put("detail", detail);
     }
 
-    static HttpMessage.Response answer(ObjectNode members) {
+    /** The response of these members; its status is the member's. */
+    static HttpMessage.Response response(ObjectNode members) {
         return HttpMessage.Response.of(
                 members.path("status").asInt(),
                 "application/problem+json",
--- a/src/main/java/rosespread/admin/RequestContext.java
+++ b/src/main/java/rosespread/admin/RequestContext.java
@@ -1,42 +1,53 @@
 package rosespread.admin;
 
 import java.util.Optional;
-import rosespread.http.HttpMessage;
+import java.util.regex.Pattern;
+import rosespread.http.HttpHeaders;
 
 /**
- * Who makes a call, for which act, and against which revision.
+ * Who makes a request, and under which conditions it has an effect.
  *
- * @param who as {@code x-operator} says; not proved
- * @param id from {@code idempotency-key}; one of its own if the call brings none
- * @param revision from {@code if-match}; -1 for any
+ * @param operator from {@code x-operator}, "unnamed" without it; not authenticated
+ * @param idempotencyKey from {@code idempotency-key}, generated without it; requests of one key
+ *     have one effect
+ * @param expectedRevision from {@code if-match}, the revision that must still be in force; {@link
+ *     #ANY_REVISION} without it or with {@code *}
  */
 record RequestContext(String operator, String idempotencyKey, long expectedRevision) {
-    private static final String NAME = "[\\x21-\\x7e]{1,64}";
+    static final long ANY_REVISION = -1;
+
+    private static final String UNNAMED = "unnamed";
+    private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,64}");
+    private static final Pattern REVISION = Pattern.compile("\\*|\"?[0-9]{1,18}\"?");
 
     /**
-     * @throws IllegalArgumentException if a header is not what it may be; the message names it
+     * Reads the headers of a request.
+     *
+     * @param generatedKey the idempotency key if the request brings none
+     * @throws IllegalArgumentException if a header is malformed; the message names it
      */
-    static RequestContext of(HttpMessage.Request call, String ownId) {
-        String who = call.headers().first("x-operator").orElse("unnamed");
-        String id = call.headers().first("idempotency-key").orElse(ownId);
-        Optional<String> match = call.headers().first("if-match");
-        if (!who.matches(NAME)) {
-            throw new IllegalArgumentException(
-                    "header x-operator is not 1 to 64 visible characters");
-        }
-        if (!id.matches(NAME)) {
+    static RequestContext of(HttpHeaders headers, String generatedKey) {
+        String operator = headers.first("x-operator").orElse(UNNAMED);
+        String key = headers.first("idempotency-key").orElse(generatedKey);
+        Optional<String> revision = headers.first("if-match");
+        requireToken("x-operator", operator);
+        requireToken("idempotency-key", key);
+        return new RequestContext(
+                operator, key, revision.map(RequestContext::parseRevision).orElse(ANY_REVISION));
+    }
+
+    private static void requireToken(String header, String value) {
+        if (!TOKEN.matcher(value).matches()) {
             throw new IllegalArgumentException(
-                    "header idempotency-key is not 1 to 64 visible characters");
+                    "header " + header + " is not 1 to 64 visible characters");
         }
-        if (match.isPresent() && !match.get().matches("\\*|\"?[0-9]{1,18}\"?")) {
+    }
+
+    private static long parseRevision(String value) {
+        if (!REVISION.matcher(value).matches()) {
             throw new IllegalArgumentException(
-                    "header if-match is " + match.get() + ", not a revision as a number or *");
+                    "header if-match is " + value + ", not a revision as a number or *");
         }
-        return new RequestContext(
-                who,
-                id,
-                match.isEmpty() || match.get().equals("*")
-                        ? -1
-                        : Long.parseLong(match.get().replace("\"", "")));
+        return value.equals("*") ? ANY_REVISION : Long.parseLong(value.replace("\"", ""));
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/admin/Router.java
@@ -0,0 +1,48 @@
+package rosespread.admin;
+
+import java.io.IOException;
+import java.util.List;
+import java.util.stream.Collectors;
+import rosespread.http.HttpMessage;
+
+/** The routing table: finds the resource of a path. Immutable. */
+final class Router implements Resource {
+    /**
+     * A path and its resource.
+     *
+     * @param coversSubpaths whether the resource also takes every path that begins with this one
+     */
+    record Route(String path, boolean coversSubpaths, Resource resource) {
+        static Route exact(String path, Resource resource) {
+            return new Route(path, false, resource);
+        }
+
+        static Route prefix(String path, Resource resource) {
+            return new Route(path, true, resource);
+        }
+
+        boolean matches(String requested) {
+            return coversSubpaths ? requested.startsWith(path) : requested.equals(path);
+        }
+    }
+
+    private final List<Route> routes;
+
+    /**
+     * @param routes the first that matches is taken
+     */
+    Router(List<Route> routes) {
+        this.routes = List.copyOf(routes);
+    }
+
+    @Override
+    public HttpMessage.Response handle(AdminRequest request) throws IOException {
+        for (Route route : routes) {
+            if (route.matches(request.path())) {
+                return route.resource().handle(request);
+            }
+        }
+        String known = routes.stream().map(Route::path).collect(Collectors.joining(", "));
+        return ProblemDetails.of(404, "no " + request.path() + "; there are " + known);
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/admin/SettingsResource.java
@@ -0,0 +1,131 @@
+package rosespread.admin;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.time.Instant;
+import java.util.List;
+import java.util.Optional;
+import rosespread.controller.Controller;
+import rosespread.http.HttpHeaders;
+import rosespread.http.HttpMessage;
+import rosespread.settings.SettingsException;
+import rosespread.settings.SettingsReader;
+import rosespread.settings.Snapshot;
+
+/**
+ * {@code /v1/settings}: GET reads the settings in force; PUT applies new ones as a whole, or only
+ * checks them with {@code ?dry-run=true}.
+ */
+final class SettingsResource implements Resource {
+    private static final String DRY_RUN_QUERY = "?dry-run=true";
+
+    private final Controller controller;
+    private final AuditTrail audit;
+
+    SettingsResource(Controller controller, AuditTrail audit) {
+        this.controller = controller;
+        this.audit = audit;
+    }
+
+    @Override
+    public HttpMessage.Response handle(AdminRequest request) throws IOException {
+        if (request.hasMethod("GET")) {
+            return get();
+        }
+        if (!request.hasMethod("PUT")) {
+            return ProblemDetails.methodNotAllowed("GET and PUT", request);
+        }
+        String query = request.target().substring(request.path().length());
+        if (query.equals(DRY_RUN_QUERY)) {
+            return check(request.http().text());
+        }
+        if (!query.isEmpty()) {
+            // A mistyped dry run must not apply the settings.
+            return ProblemDetails.of(
+                    400, "query " + query + " is not " + DRY_RUN_QUERY + "; nothing was applied");
+        }
+        return audit.record(request, () -> apply(request));
+    }
+
+    private HttpMessage.Response get() {
+        Optional<Snapshot.Saved> inForce = controller.settings();
+        if (inForce.isEmpty()) {
+            String trouble = controller.settingsTrouble();
+            return ProblemDetails.of(
+                    404, "no settings yet" + (trouble.isEmpty() ? "" : "; " + trouble));
+        }
+        Snapshot.Saved settings = inForce.get();
+        HttpHeaders headers =
+                HttpHeaders.of("content-type", "application/json")
+                        .add("etag", "\"" + settings.revision() + "\"")
+                        .add("x-applied-by", settings.by());
+        return new HttpMessage.Response(
+                200, headers, settings.text().getBytes(StandardCharsets.UTF_8));
+    }
+
+    private static HttpMessage.Response check(String settings) throws IOException {
+        try {
+            SettingsReader.read(settings);
+        } catch (SettingsException e) {
+            return faults(e);
+        }
+        return JsonResponses.ok(JsonResponses.object().put("applied", false).put("good", true));
+    }
+
+    private HttpMessage.Response apply(AdminRequest request) {
+        RequestContext context = request.context();
+        try {
+            Controller.Applied applied =
+                    controller.apply(
+                            request.http().text(),
+                            context.operator(),
+                            context.idempotencyKey(),
+                            context.expectedRevision());
+            return applied.done()
+                    ? JsonResponses.ok(
+                            JsonResponses.object()
+                                    .put("applied", true)
+                                    .put("revision", revision(applied)))
+                    : changedSince(applied);
+        } catch (SettingsException e) {
+            return faults(e);
+        } catch (IOException e) {
+            return ProblemDetails.of(
+                    503, "settings not applied, the snapshot cannot be written: " + e.getMessage());
+        }
+    }
+
+    private static long revision(Controller.Applied applied) {
+        return applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
+    }
+
+    private static HttpMessage.Response changedSince(Controller.Applied applied) {
+        String change =
+                applied.inForce().map(SettingsResource::describe).orElse("there are no settings");
+        return ProblemDetails.of(412, "Changed since", change, List.of(change), revision(applied));
+    }
+
+    private static String describe(Snapshot.Saved settings) {
+        return "revision "
+                + settings.revision()
+                + " was applied by "
+                + settings.by()
+                + " at "
+                + Instant.ofEpochMilli(settings.atMillis());
+    }
+
+    private static HttpMessage.Response faults(SettingsException e) {
+        ObjectNode problem = ProblemDetails.members(422, "Settings not applied", e.getMessage());
+        ArrayNode faults = problem.putArray("faults");
+        e.faults()
+                .forEach(
+                        fault ->
+                                faults.addObject()
+                                        .put("field", fault.field())
+                                        .put("value", fault.value())
+                                        .put("allowed", fault.allowed()));
+        return ProblemDetails.response(problem);
+    }
+}
--- a/src/main/java/rosespread/channel/Packing.java
+++ b/src/main/java/rosespread/channel/Packing.java
@@ -21,7 +21,7 @@
         try {
             return Zstd.compressBound(1) > 0;
         } catch (UnsatisfiedLinkError | ExceptionInInitializerError | NoClassDefFoundError e) {
-            LOG.atWarn().addKeyValue("reason", e).log("compression is unavailable");
+            LOG.atWarn().addKeyValue("reason", e.toString()).log("compression is unavailable");
             return false;
         }
     }
