--- a/src/test/java/rosespread/admin/AdminFuzzTest.java
+++ b/src/test/java/rosespread/admin/AdminFuzzTest.java
@@ -4,26 +4,25 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketException;
+import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Random;
+import java.util.stream.Stream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
-import rosespread.controller.Controller;
-import rosespread.validation.TableChangeValidator;
 
 /**
  * Calls of parts that could be right, put together anyhow, and bytes that are no call: none is a
  * 500 or hangs.
  */
 class AdminFuzzTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private static final List<String> VERBS =
             List.of("GET", "PUT", "POST", "DELETE", "PATCH", "get", "");
     private static final List<String> PARTS =
@@ -72,24 +71,18 @@
             List.of("", "{", "{}", "[]", "null", "\u0000", "5\r\nabc");
 
     private static Path folder;
-    private static Controller conductor;
-    private static AdminServer control;
-    private static InetSocketAddress at;
+    private static AdminFixture admin;
 
     @BeforeContainer
     static void begin() throws IOException {
         folder = Files.createTempDirectory("rosespread-fuzz");
-        conductor = new Controller("fuzz", folder, Controller.MODULE, new TableChangeValidator());
-        conductor.start(ANY);
-        control = new AdminServer(conductor);
-        at = control.listen(ANY);
+        admin = new AdminFixture("fuzz", folder, null);
     }
 
     @AfterContainer
     static void end() throws IOException {
-        control.close();
-        conductor.close();
-        try (var files = Files.list(folder)) {
+        admin.close();
+        try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
@@ -130,7 +123,7 @@
      * The status of the first answer; 0 if the connection was closed without, -1 if nothing came.
      */
     private static int status(byte[] call, boolean whole) throws IOException {
-        try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+        try (Socket socket = new Socket(admin.address().getAddress(), admin.address().getPort())) {
             socket.setSoTimeout(5_000);
             socket.getOutputStream().write(call);
             if (!whole) {
@@ -140,9 +133,9 @@
             String answer =
                     new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             return answer.startsWith("HTTP/1.1 ") ? Integer.parseInt(answer.substring(9, 12)) : 0;
-        } catch (java.net.SocketTimeoutException e) {
+        } catch (SocketTimeoutException e) {
             return -1;
-        } catch (java.net.SocketException e) {
+        } catch (SocketException e) {
             return 0;
         }
     }
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import rosespread.audit.AuditLog;
 import rosespread.controller.Controller;
+import rosespread.drain.Drain;
 import rosespread.fleet.Fleet;
 import rosespread.fleet.FleetResponse;
 import rosespread.http.HttpHeaders;
@@ -23,19 +24,41 @@
 import rosespread.http.HttpMessage;
 import rosespread.http.HttpServer;
 import rosespread.settings.SettingsTest;
-import rosespread.validation.TableChangeValidator;
 
 /** Two operators who act at once, each against the revision that both have seen. */
 class RaceTest {
-    private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
-    private static final long TIMEOUT = 5_000_000_000L;
+    private static final long TIMEOUT_NANOS = 5_000_000_000L;
 
     /** A few in every build; 1,000 for docs/results.md. */
     private static final int PAIRS = Integer.getInteger("race.pairs", 60);
 
     @TempDir private Path folder;
 
-    private static HttpServer list() {
+    private final Random random = new Random(1);
+
+    /** A request as either operator makes it. */
+    private record Change(String method, String anaTarget, String boTarget, String body) {
+        static Change ofDrains() {
+            return new Change("POST", "/v1/nodes/n/drain?force=true", "/v1/nodes/m/undrain", "");
+        }
+
+        static Change ofSettings(String settings) {
+            return new Change("PUT", "/v1/settings", "/v1/settings", settings);
+        }
+
+        boolean isDrain() {
+            return method.equals("POST");
+        }
+    }
+
+    /** An operator's client with all that its request needs. */
+    private record Operator(String name, Fleet fleet, InetSocketAddress address) {
+        FleetResponse send(Change change, String target, String[] headers) {
+            return fleet.ask(address, change.method(), target, change.body(), headers);
+        }
+    }
+
+    private static HttpServer endpointList() {
         byte[] body =
                 ("[{\"Service\":{\"ID\":\"n\",\"Address\":\"127.0.0.1\",\"Port\":9,"
                                 + "\"Tags\":[\"zone=a\","
@@ -56,89 +79,76 @@
 
     @Test
     void oneOfTwoWinsAndTheOtherIsToldByWhom() throws IOException {
-        HttpServer list = list();
-        String settings =
-                SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()));
-        Controller conductor =
-                new Controller("race", folder, Controller.MODULE, new TableChangeValidator());
-        conductor.start(ANY);
         Path log = folder.resolve("audit.log");
-        Random random = new Random(1);
-        int wins = 0;
         int repeats = 0;
-        try (AuditLog audit = new AuditLog(log, System::currentTimeMillis);
-                AdminServer control = new AdminServer(conductor, audit)) {
-            InetSocketAddress at = control.listen(ANY);
-            try (Fleet ana = new Fleet(List.of(at), "ana", TIMEOUT);
-                    Fleet bo = new Fleet(List.of(at), "bo", TIMEOUT)) {
-                assertEquals(200, ana.ask(at, "PUT", "/v1/settings", settings).status());
-                await().until(() -> conductor.state().nodes().size() == 2);
+        try (HttpServer list = endpointList()) {
+            int port = list.listen(AdminFixture.ANY_PORT).getPort();
+            String settings = SettingsTest.GOOD.replace("8500", String.valueOf(port));
+            try (AuditLog audit = new AuditLog(log, System::currentTimeMillis);
+                    AdminFixture admin = new AdminFixture("race", folder, audit);
+                    Fleet anaFleet = fleet(admin, "ana");
+                    Fleet boFleet = fleet(admin, "bo")) {
+                Operator ana = new Operator("ana", anaFleet, admin.address());
+                Operator bo = new Operator("bo", boFleet, admin.address());
+                Change first = Change.ofSettings(settings);
+                assertEquals(200, ana.send(first, first.anaTarget(), new String[0]).status());
+                await().until(() -> admin.controller().state().nodes().size() == 2);
                 for (int pair = 0; pair < PAIRS; pair++) {
-                    boolean drains = random.nextBoolean();
-                    long revision =
-                            drains
-                                    ? words(conductor)
-                                    : conductor.settings().orElseThrow().revision();
-                    String verb = drains ? "POST" : "PUT";
-                    String ofAna = drains ? "/v1/nodes/n/drain?force=true" : "/v1/settings";
-                    String ofBo = drains ? "/v1/nodes/m/undrain" : "/v1/settings";
-                    String body = drains ? "" : settings;
-                    String[] anas = {
-                        "if-match", String.valueOf(revision), "idempotency-key", "a" + pair
-                    };
-                    String[] bos = {
-                        "if-match", String.valueOf(revision), "idempotency-key", "b" + pair
-                    };
-                    CompletableFuture<FleetResponse> other =
-                            CompletableFuture.supplyAsync(() -> bo.ask(at, verb, ofBo, body, bos));
-                    FleetResponse one = ana.ask(at, verb, ofAna, body, anas);
-                    FleetResponse two = other.join();
-                    boolean first = one.isOk();
-                    assertEquals(
-                            List.of(200, 412),
-                            first
-                                    ? List.of(one.status(), two.status())
-                                    : List.of(two.status(), one.status()),
-                            "pair " + pair);
-                    FleetResponse lost = first ? two : one;
-                    assertTrue(
-                            lost.detail().contains("by " + (first ? "ana" : "bo")), lost.detail());
-                    assertEquals(
-                            revision + 1,
-                            drains
-                                    ? words(conductor)
-                                    : conductor.settings().orElseThrow().revision());
-                    wins++;
-                    if (random.nextInt(4) == 0) {
-                        // The winner's answer was lost, so it calls again: nothing more comes of
-                        // it.
-                        FleetResponse again =
-                                first
-                                        ? ana.ask(at, verb, ofAna, body, anas)
-                                        : bo.ask(at, verb, ofBo, body, bos);
-                        assertEquals(200, again.status(), again.detail());
-                        assertEquals(
-                                revision + 1,
-                                drains
-                                        ? words(conductor)
-                                        : conductor.settings().orElseThrow().revision());
-                        repeats++;
-                    }
+                    Change change =
+                            random.nextBoolean() ? Change.ofDrains() : Change.ofSettings(settings);
+                    repeats += race(admin.controller(), ana, bo, change, pair);
                 }
             }
-        } finally {
-            conductor.close();
-            list.close();
         }
         assertEquals("", AuditLog.check(log).fault());
         long done =
                 Files.readAllLines(log).stream().filter(line -> line.contains("200 done")).count();
-        assertEquals(1 + wins + repeats, done, "no act is lost");
+        assertEquals(1 + PAIRS + repeats, done, "no act is lost");
         assertTrue(repeats > 0);
     }
 
-    /** The revision of all words on nodes. */
-    private static long words(Controller conductor) throws IOException {
-        return conductor.drains().stream().mapToLong(word -> word.stamp()).max().orElse(0);
+    private static Fleet fleet(AdminFixture admin, String operator) {
+        return new Fleet(List.of(admin.address()), operator, TIMEOUT_NANOS);
+    }
+
+    /** Lets both make the change at once; returns how often the winner then repeated it. */
+    private int race(Controller controller, Operator ana, Operator bo, Change change, int pair)
+            throws IOException {
+        long revision = revision(controller, change);
+        String[] anaHeaders = headers(revision, "a" + pair);
+        String[] boHeaders = headers(revision, "b" + pair);
+        CompletableFuture<FleetResponse> pending =
+                CompletableFuture.supplyAsync(() -> bo.send(change, change.boTarget(), boHeaders));
+        FleetResponse anaResponse = ana.send(change, change.anaTarget(), anaHeaders);
+        FleetResponse boResponse = pending.join();
+        boolean anaWon = anaResponse.isOk();
+        FleetResponse won = anaWon ? anaResponse : boResponse;
+        FleetResponse lost = anaWon ? boResponse : anaResponse;
+        Operator winner = anaWon ? ana : bo;
+        assertEquals(List.of(200, 412), List.of(won.status(), lost.status()), "pair " + pair);
+        assertTrue(lost.detail().contains("by " + winner.name()), lost.detail());
+        assertEquals(revision + 1, revision(controller, change));
+        if (random.nextInt(4) != 0) {
+            return 0;
+        }
+        // The winner's response was lost, so it repeats the request: nothing more comes of it.
+        FleetResponse repeated =
+                anaWon
+                        ? ana.send(change, change.anaTarget(), anaHeaders)
+                        : bo.send(change, change.boTarget(), boHeaders);
+        assertEquals(200, repeated.status(), repeated.detail());
+        assertEquals(revision + 1, revision(controller, change));
+        return 1;
+    }
+
+    private static String[] headers(long revision, String key) {
+        return new String[] {"if-match", String.valueOf(revision), "idempotency-key", key};
+    }
+
+    /** The revision of what the change is made to: all drains, or the settings. */
+    private static long revision(Controller controller, Change change) throws IOException {
+        return change.isDrain()
+                ? controller.drains().stream().mapToLong(Drain::stamp).max().orElse(0)
+                : controller.settings().orElseThrow().revision();
     }
 }
