--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -58,7 +58,7 @@
     }
 
     /** The capacity in bytes of the buffer for an incomplete frame. */
-    public int held() {
+    public int bufferCapacity() {
         return buffer.capacity();
     }
 
