--- a/src/test/java/rosespread/http/HttpClientTest.java
+++ b/src/test/java/rosespread/http/HttpClientTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class HttpClientTest {
-    private static final long PATIENCE = 10_000_000_000L;
+    private static final long TIMEOUT_NANOS = 10_000_000_000L;
     private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, 1000, 10);
     private final List<String> outcomes = new CopyOnWriteArrayList<>();
 
@@ -32,7 +32,7 @@
         http.call(
                 to,
                 call,
-                PATIENCE,
+                TIMEOUT_NANOS,
                 new HttpClient.Taker() {
                     @Override
                     public void answered(HttpMessage.Response answer) {
--- a/src/test/java/rosespread/http/HttpParserTest.java
+++ b/src/test/java/rosespread/http/HttpParserTest.java
@@ -22,25 +22,23 @@
                     + "2;x=y\r\nde\r\n1\r\nf\r\n0\r\nt: u\r\n\r\n"
                     + "GET /c HTTP/1.0\r\n\r\n";
 
+    private static String describe(HttpMessage message) {
+        if (message instanceof HttpMessage.Request request) {
+            return String.join(
+                    " ",
+                    request.verb(),
+                    request.target(),
+                    request.text(),
+                    String.valueOf(request.keepsAlive()));
+        }
+        return ((HttpMessage.Response) message).status() + " " + message.text();
+    }
+
+    /** Parses the text, cut at random, or whole if there is no randomness. */
     private static List<String> read(boolean calls, String text, Random cuts) throws HttpException {
         List<String> read = new ArrayList<>();
-        HttpParser parser =
-                new HttpParser(
-                        calls ? HttpParser.Mode.REQUESTS : HttpParser.Mode.RESPONSES,
-                        LIMITS,
-                        m ->
-                                read.add(
-                                        m instanceof HttpMessage.Request c
-                                                ? c.verb()
-                                                        + " "
-                                                        + c.target()
-                                                        + " "
-                                                        + c.text()
-                                                        + " "
-                                                        + c.keepsAlive()
-                                                : ((HttpMessage.Response) m).status()
-                                                        + " "
-                                                        + m.text()));
+        HttpParser.Mode mode = calls ? HttpParser.Mode.REQUESTS : HttpParser.Mode.RESPONSES;
+        HttpParser parser = new HttpParser(mode, LIMITS, message -> read.add(describe(message)));
         byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
         for (int at = 0; at < bytes.length; ) {
             int part =
