--- /dev/null
+++ b/src/main/java/rosespread/admin/RequestContext.java
@@ -0,0 +1,53 @@
+package rosespread.admin;
+
+import java.util.Optional;
+import java.util.regex.Pattern;
+import rosespread.http.HttpHeaders;
+
+/**
+ * Who makes a request, and under which conditions it has an effect.
+ *
+ * @param operator from {@code x-operator}, "unnamed" without it; not authenticated
+ * @param idempotencyKey from {@code idempotency-key}, generated without it; requests of one key
+ *     have one effect
+ * @param expectedRevision from {@code if-match}, the revision that must still be in force; {@link
+ *     #ANY_REVISION} without it or with {@code *}
+ */
+record RequestContext(String operator, String idempotencyKey, long expectedRevision) {
+    static final long ANY_REVISION = -1;
+
+    private static final String UNNAMED = "unnamed";
+    private static final Pattern TOKEN = Pattern.compile("[\\x21-\\x7e]{1,64}");
+    private static final Pattern REVISION = Pattern.compile("\\*|\"?[0-9]{1,18}\"?");
+
+    /**
+     * Reads the headers of a request.
+     *
+     * @param generatedKey the idempotency key if the request brings none
+     * @throws IllegalArgumentException if a header is malformed; the message names it
+     */
+    static RequestContext of(HttpHeaders headers, String generatedKey) {
+        String operator = headers.first("x-operator").orElse(UNNAMED);
+        String key = headers.first("idempotency-key").orElse(generatedKey);
+        Optional<String> revision = headers.first("if-match");
+        requireToken("x-operator", operator);
+        requireToken("idempotency-key", key);
+        return new RequestContext(
+                operator, key, revision.map(RequestContext::parseRevision).orElse(ANY_REVISION));
+    }
+
+    private static void requireToken(String header, String value) {
+        if (!TOKEN.matcher(value).matches()) {
+            throw new IllegalArgumentException(
+                    "header " + header + " is not 1 to 64 visible characters");
+        }
+    }
+
+    private static long parseRevision(String value) {
+        if (!REVISION.matcher(value).matches()) {
+            throw new IllegalArgumentException(
+                    "header if-match is " + value + ", not a revision as a number or *");
+        }
+        return value.equals("*") ? ANY_REVISION : Long.parseLong(value.replace("\"", ""));
+    }
+}
