--- a/src/main/java/rosespread/codec/MalformedStreamException.java
+++ b/src/main/java/rosespread/codec/MalformedStreamException.java
@@ -7,11 +7,19 @@
 public abstract class MalformedStreamException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    private final long byteOffset;
+
     /**
      * @param offset bytes of the stream before the violation
      * @param message what is wrong, without the offset
      */
     protected MalformedStreamException(long offset, String message) {
         super(message + " (byte " + offset + ")");
+        byteOffset = offset;
+    }
+
+    /** The offset of the byte at fault from the start of the stream. */
+    public final long byteOffset() {
+        return byteOffset;
     }
 }
--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import rosespread.codec.MessageParser;
 
 /**
  * An incremental parser of RESP2 arrays of bulk strings. The stream may be cut at any byte.
@@ -15,7 +16,7 @@
  *
  * <p>Not thread-safe; belongs to the I/O thread of its session.
  */
-public final class RespParser {
+public final class RespParser implements MessageParser {
     /** What the next byte belongs to. */
     private enum State {
         ARRAY_TYPE,
@@ -73,6 +74,7 @@
      * @throws RespException if they are malformed or a message passes its limits; nothing more may
      *     be fed after that
      */
+    @Override
     public void feed(ByteBuffer in) throws RespException {
         while (in.hasRemaining()) {
             if (state == State.STRING_BYTES) {
