--- a/src/main/java/rosespread/resp/package-info.java
+++ b/src/main/java/rosespread/resp/package-info.java
@@ -3,7 +3,7 @@
  * bulk strings, in both directions. A parser and a writer that know nothing of sockets, and the
  * codec that puts them into a MINA filter chain.
  *
- * <p>The package uses no other of the project. A parser belongs to one session and so to that
+ * <p>Of the project it uses only the shared codec. A parser belongs to one session and so to that
  * session's I/O thread; the writer has no state.
  */
 package rosespread.resp;
