--- a/src/main/java/rosespread/cli/ConductorCommand.java
+++ b/src/main/java/rosespread/cli/ControllerCommand.java
@@ -21,7 +21,7 @@
             "Example: rosespread conductor --name c1 --state ./c1 --listen 127.0.0.1:7400"
                     + " --control 127.0.0.1:7401"
         })
-public final class ConductorCommand implements Callable<Integer> {
+public final class ControllerCommand implements Callable<Integer> {
     @Option(
             names = "--name",
             defaultValue = "conductor",
--- a/src/main/java/rosespread/cli/FleetCommand.java
+++ b/src/main/java/rosespread/cli/FleetCommand.java
@@ -24,12 +24,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import rosespread.fleet.Differences;
-import rosespread.fleet.Emptied;
-import rosespread.fleet.FieldChanges;
+import rosespread.fleet.EmptyNodeCheck;
 import rosespread.fleet.Fleet;
+import rosespread.fleet.FleetDifferences;
 import rosespread.fleet.FleetResponse;
-import rosespread.fleet.StagedApply;
+import rosespread.fleet.JsonDiff;
+import rosespread.fleet.StagedSettingsRollout;
 
 /** Tends several conductors with one call. */
 @Command(
@@ -129,7 +129,8 @@
                         ObjectNode each =
                                 all.putObject(reply.address()).put("status", reply.status());
                         if (reply.status() == 0) {
-                            each.put("detail", reply.detail()).put("mayHaveRun", reply.ran());
+                            each.put("detail", reply.detail())
+                                    .put("mayHaveRun", reply.mayHaveRun());
                         } else {
                             each.set("answer", reply.body());
                         }
@@ -209,7 +210,7 @@
                         held + "/" + is.path("tables").size(),
                         String.join("; ", trouble));
             }
-            Differences.among(replies).forEach(difference -> out.println("! " + difference));
+            FleetDifferences.between(replies).forEach(difference -> out.println("! " + difference));
             return code(replies);
         }
     }
@@ -307,7 +308,9 @@
                                                                 ? "done, revision "
                                                                         + reply.body()
                                                                                 .path("revision")
-                                                                : reply.status() == 0 && reply.ran()
+                                                                : reply.status() == 0
+                                                                                && reply
+                                                                                        .mayHaveRun()
                                                                         ? "may be done: "
                                                                                 + reply.detail()
                                                                         : reply.detail())));
@@ -321,7 +324,9 @@
             long until = begun + (long) (seconds * 1e9);
             List<String> not;
             do {
-                not = Emptied.not(node, fleet.ask("GET", "/v1/nodes", ""), QUIET_MILLIS);
+                not =
+                        EmptyNodeCheck.blockers(
+                                node, fleet.ask("GET", "/v1/nodes", ""), QUIET_MILLIS);
                 if (not.isEmpty()) {
                     out.printf(
                             "%s is empty after %.1f s%n", node, (System.nanoTime() - begun) / 1e9);
@@ -423,7 +428,7 @@
                     err.println(reply.address() + ": " + reply.detail());
                     continue;
                 }
-                List<String> changes = FieldChanges.between(is, wanted);
+                List<String> changes = JsonDiff.between(is, wanted);
                 out.println(reply.address() + ": " + changes.size() + " fields change");
                 changes.forEach(change -> out.println("  " + change));
             }
@@ -462,7 +467,7 @@
                 return code(replies);
             }
             int done =
-                    new StagedApply(
+                    new StagedSettingsRollout(
                                     fleet,
                                     (long) (patience * 1e9),
                                     line -> {
@@ -470,7 +475,7 @@
                                         out.flush();
                                     })
                             .run(text, UUID.randomUUID().toString());
-            return done == fleet.conductors().size() ? 0 : done == 0 ? 1 : SOME;
+            return done == fleet.controllers().size() ? 0 : done == 0 ? 1 : SOME;
         }
     }
 
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -25,12 +25,12 @@
         subcommands = {
             Main.AdapterCommand.class,
             ServeCommand.class,
-            ConductorCommand.class,
+            ControllerCommand.class,
             TableCommand.class,
             FleetCommand.class,
             AuditCommand.class,
-            StandinCommand.class,
-            RehearseCommand.class
+            TestbedCommand.class,
+            ScenarioCommand.class
         })
 public final class Main {
     private Main() {}
--- a/src/main/java/rosespread/cli/RehearseCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -28,7 +28,7 @@
             "3:a rule was broken"
         },
         footer = {"", "Example: rosespread rehearse bad-day --seed 7 --out day.json"})
-final class RehearseCommand implements Callable<Integer> {
+final class ScenarioCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "SCENARIO",
             description =
--- a/src/main/java/rosespread/cli/StandinCommand.java
+++ b/src/main/java/rosespread/cli/TestbedCommand.java
@@ -20,13 +20,13 @@
         synopsisSubcommandLabel = "SUBCOMMAND",
         description =
                 "Stand-ins of nodes, list, proxies and clients, for a conductor started by hand.",
-        subcommands = {StandinCommand.Site.class, StandinCommand.SettingsText.class},
+        subcommands = {TestbedCommand.Site.class, TestbedCommand.SettingsText.class},
         footer = {
             "",
             "Example: rosespread standin settings quiet-day |"
                     + " curl -X PUT -d @- 127.0.0.1:7401/v1/settings"
         })
-final class StandinCommand implements Callable<Integer> {
+final class TestbedCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Override
--- a/src/main/java/rosespread/fleet/Emptied.java
+++ b/src/main/java/rosespread/fleet/EmptyNodeCheck.java
@@ -9,11 +9,11 @@
  * reported for a while, and every proxy heard lately, as a proxy that is not heard may go on
  * sending unseen.
  */
-public final class Emptied {
-    private Emptied() {}
+public final class EmptyNodeCheck {
+    private EmptyNodeCheck() {}
 
     /** Why it is not known to be empty yet, a sentence a conductor; empty if it is. */
-    public static List<String> not(String node, List<FleetResponse> nodes, long quietMillis) {
+    public static List<String> blockers(String node, List<FleetResponse> nodes, long quietMillis) {
         List<String> reasons = new ArrayList<>();
         for (FleetResponse reply : nodes) {
             if (!reply.isOk()) {
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -20,7 +20,7 @@
     private static final int CONNECT_MILLIS = 1000;
     private static final int IDLE_SECONDS = 10;
 
-    private final List<InetSocketAddress> conductors;
+    private final List<InetSocketAddress> controllers;
     private final String operator;
     private final long nanos;
     private final HttpClient http =
@@ -30,19 +30,19 @@
      * @param nanos how long one call may take
      */
     public Fleet(List<InetSocketAddress> conductors, String operator, long nanos) {
-        this.conductors = List.copyOf(conductors);
+        this.controllers = List.copyOf(conductors);
         this.operator = operator;
         this.nanos = nanos;
     }
 
-    public List<InetSocketAddress> conductors() {
-        return conductors;
+    public List<InetSocketAddress> controllers() {
+        return controllers;
     }
 
     /** Asks all; the replies stand in the conductors' order. */
     public List<FleetResponse> ask(String verb, String path, String body, String... headers) {
         List<CompletableFuture<FleetResponse>> asked = new ArrayList<>();
-        for (InetSocketAddress conductor : conductors) {
+        for (InetSocketAddress conductor : controllers) {
             asked.add(start(conductor, verb, path, body, headers));
         }
         return asked.stream().map(CompletableFuture::join).toList();
--- a/src/main/java/rosespread/fleet/Differences.java
+++ b/src/main/java/rosespread/fleet/FleetDifferences.java
@@ -13,11 +13,11 @@
  * What conductors of a fleet do not have in common though they should: decided from their status
  * alone.
  */
-public final class Differences {
-    private Differences() {}
+public final class FleetDifferences {
+    private FleetDifferences() {}
 
     /** A sentence for each difference, in a steady order; empty if all that answered are alike. */
-    public static List<String> among(List<FleetResponse> replies) {
+    public static List<String> between(List<FleetResponse> replies) {
         List<FleetResponse> answered = replies.stream().filter(FleetResponse::isOk).toList();
         List<String> told = new ArrayList<>();
         differ(
--- a/src/main/java/rosespread/fleet/FleetResponse.java
+++ b/src/main/java/rosespread/fleet/FleetResponse.java
@@ -11,13 +11,17 @@
  * @param ran whether the call may have been taken up
  */
 public record FleetResponse(
-        InetSocketAddress conductor, int status, JsonNode body, String detail, boolean ran) {
+        InetSocketAddress controller,
+        int status,
+        JsonNode body,
+        String detail,
+        boolean mayHaveRun) {
     public boolean isOk() {
         return status == 200;
     }
 
     /** The conductor as the operator named it. */
     public String address() {
-        return conductor.getHostString() + ":" + conductor.getPort();
+        return controller.getHostString() + ":" + controller.getPort();
     }
 }
--- a/src/main/java/rosespread/fleet/FieldChanges.java
+++ b/src/main/java/rosespread/fleet/JsonDiff.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /** Which fields of one JSON document another would change. */
-public final class FieldChanges {
-    private FieldChanges() {}
+public final class JsonDiff {
+    private JsonDiff() {}
 
     /** A line for each leaf that differs, by its path; "none" stands for one that is not there. */
     public static List<String> between(JsonNode before, JsonNode after) {
--- a/src/main/java/rosespread/fleet/StagedApply.java
+++ b/src/main/java/rosespread/fleet/StagedSettingsRollout.java
@@ -10,7 +10,7 @@
  * serves as many proxies as it did; if that does not come in time, or one is refused, the rest keep
  * what they have.
  */
-public final class StagedApply {
+public final class StagedSettingsRollout {
     private static final long LOOK_MILLIS = 100;
 
     private final Fleet fleet;
@@ -20,7 +20,7 @@
     /**
      * @param patienceNanos how long a conductor may take to have its proxies back
      */
-    public StagedApply(Fleet fleet, long patienceNanos, Consumer<String> progress) {
+    public StagedSettingsRollout(Fleet fleet, long patienceNanos, Consumer<String> progress) {
         this.fleet = fleet;
         this.patienceNanos = patienceNanos;
         this.progress = progress;
@@ -40,7 +40,7 @@
             }
         }
         int done = 0;
-        for (InetSocketAddress conductor : fleet.conductors()) {
+        for (InetSocketAddress conductor : fleet.controllers()) {
             FleetResponse before = fleet.ask(conductor, "GET", "/v1/status", "");
             int bound = before.body().path("proxiesBound").asInt();
             // Against what it has now: another operator's settings of this moment are not
@@ -61,7 +61,7 @@
             }
             done++;
             progress.accept(put.address() + ": applied as revision " + put.body().path("revision"));
-            if (done < fleet.conductors().size() && !backTo(conductor, bound)) {
+            if (done < fleet.controllers().size() && !backTo(conductor, bound)) {
                 progress.accept(
                         put.address()
                                 + ": its "
