--- /dev/null
+++ b/src/main/java/rosespread/cli/FleetDrainCommand.java
@@ -0,0 +1,57 @@
+package rosespread.cli;
+
+import java.time.Duration;
+import java.util.List;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import rosespread.fleet.DrainBlocker;
+import rosespread.fleet.EmptyNodeCheck;
+import rosespread.fleet.Fleet;
+
+/** Drains a node at all controllers and, if asked to, waits until it receives no traffic. */
+@Command(
+        name = "drain",
+        mixinStandardHelpOptions = true,
+        description = "Takes a node out of all tables until it is undrained or gone from the list.",
+        footer = {"", "Example: rosespread fleet drain node-3 --fleet 127.0.0.1:7401 --wait 10"})
+final class FleetDrainCommand extends FleetNodeCommand {
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final Duration QUIET_PERIOD = Duration.ofSeconds(2);
+    private static final long POLL_MILLIS = 200;
+
+    @Option(names = "--force", description = "Passes over the guard against draining too much.")
+    private boolean force;
+
+    @Option(
+            names = "--wait",
+            paramLabel = "SECONDS",
+            description = "Waits until no conductor hears of a try there any more.")
+    private Double waitSeconds;
+
+    @Override
+    int run(Fleet fleet) throws InterruptedException {
+        int exitCode = change(fleet, "drain", force ? "?force=true" : "");
+        if (exitCode != ExitCodes.DONE || waitSeconds == null) {
+            return exitCode;
+        }
+        return awaitEmpty(fleet);
+    }
+
+    private int awaitEmpty(Fleet fleet) throws InterruptedException {
+        EmptyNodeCheck check = new EmptyNodeCheck(node(), QUIET_PERIOD);
+        long startNanos = System.nanoTime();
+        long deadlineNanos = startNanos + (long) (waitSeconds * NANOS_PER_SECOND);
+        List<DrainBlocker> blockers;
+        do {
+            blockers = check.blockers(fleet.ask("GET", "/v1/nodes", ""));
+            if (blockers.isEmpty()) {
+                double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+                out().printf("%s is empty after %.1f s%n", node(), seconds);
+                return ExitCodes.DONE;
+            }
+            Thread.sleep(POLL_MILLIS);
+        } while (deadlineNanos - System.nanoTime() > 0);
+        blockers.forEach(blocker -> err().println("not known to be empty: " + blocker.describe()));
+        return ExitCodes.PARTLY_DONE;
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/cli/FleetJson.java
@@ -0,0 +1,25 @@
+package rosespread.cli;
+
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import rosespread.fleet.FleetResponse;
+
+/** The JSON form of a fleet's responses: one object with a field for each control address. */
+final class FleetJson {
+    private FleetJson() {}
+
+    static String format(List<FleetResponse> responses) {
+        ObjectNode document = JsonNodeFactory.instance.objectNode();
+        for (FleetResponse response : responses) {
+            ObjectNode entry = document.putObject(response.address());
+            entry.put("status", response.status());
+            if (response.isReceived()) {
+                entry.set("answer", response.body());
+            } else {
+                entry.put("detail", response.detail()).put("mayHaveRun", response.mayHaveRun());
+            }
+        }
+        return document.toPrettyString();
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/cli/FleetSettingsShowCommand.java
@@ -0,0 +1,21 @@
+package rosespread.cli;
+
+import java.util.List;
+import picocli.CommandLine.Command;
+import rosespread.fleet.FleetResponse;
+
+/** Prints the settings of each controller, as JSON in any case. */
+@Command(
+        name = "show",
+        mixinStandardHelpOptions = true,
+        description = "The settings of each conductor.")
+final class FleetSettingsShowCommand extends FleetQueryCommand {
+    FleetSettingsShowCommand() {
+        super("/v1/settings");
+    }
+
+    @Override
+    void print(List<FleetResponse> responses) {
+        out().println(FleetJson.format(responses));
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/cli/FleetUndrainCommand.java
@@ -0,0 +1,13 @@
+package rosespread.cli;
+
+import picocli.CommandLine.Command;
+import rosespread.fleet.Fleet;
+
+/** Ends the drain of a node at all controllers. */
+@Command(name = "undrain", mixinStandardHelpOptions = true, description = "Ends a drain.")
+final class FleetUndrainCommand extends FleetNodeCommand {
+    @Override
+    int run(Fleet fleet) {
+        return change(fleet, "undrain", "");
+    }
+}
--- a/src/main/java/rosespread/fleet/EmptyNodeCheck.java
+++ b/src/main/java/rosespread/fleet/EmptyNodeCheck.java
@@ -1,45 +1,54 @@
 package rosespread.fleet;
 
-import com.fasterxml.jackson.databind.JsonNode;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
 
 /**
- * Decides from conductors' own words whether a drained node is empty: told as draining, no try
- * reported for a while, and every proxy heard lately, as a proxy that is not heard may go on
- * sending unseen.
+ * Decides from controllers' node lists whether a drained node receives no traffic any more: every
+ * controller drains it, no proxy reported an attempt during the quiet period, and no proxy's report
+ * is overdue, since such a proxy may go on sending unseen.
+ *
+ * @param node the node's name, or NAME@HOST:PORT where several nodes share a name
+ * @param quietPeriod how long no attempt may have been reported
  */
-public final class EmptyNodeCheck {
-    private EmptyNodeCheck() {}
-
-    /** Why it is not known to be empty yet, a sentence a conductor; empty if it is. */
-    public static List<String> blockers(String node, List<FleetResponse> nodes, long quietMillis) {
-        List<String> reasons = new ArrayList<>();
-        for (FleetResponse reply : nodes) {
-            if (!reply.isOk()) {
-                reasons.add(reply.address() + " does not answer: " + reply.detail());
+public record EmptyNodeCheck(String node, Duration quietPeriod) {
+    /**
+     * Judges responses to {@code GET /v1/nodes}. A controller that does not list the node blocks
+     * nothing.
+     *
+     * @return what stands against the node being empty, in the responses' order; empty if it is
+     *     known to be empty
+     */
+    public List<DrainBlocker> blockers(List<FleetResponse> responses) {
+        List<DrainBlocker> blockers = new ArrayList<>();
+        for (FleetResponse response : responses) {
+            if (!response.isOk()) {
+                blockers.add(new DrainBlocker.NoResponse(response.address(), response.detail()));
                 continue;
             }
-            for (JsonNode each : reply.body()) {
-                String name = each.path("name").asText();
-                if (!name.equals(node)
-                        && !(name + "@" + each.path("address").asText()).equals(node)) {
-                    continue;
-                }
-                long ago = each.path("triedAgoMs").asLong(-1);
-                if (each.path("state").asText().equals("READY")) {
-                    reasons.add(reply.address() + " still lists it as ready");
-                } else if (ago >= 0 && ago < quietMillis) {
-                    reasons.add(reply.address() + " heard of a try " + ago + " ms ago");
-                } else if (each.path("unheard").asInt() > 0) {
-                    reasons.add(
-                            reply.address()
-                                    + " cannot know: "
-                                    + each.path("unheard")
-                                    + " of its proxies have not reported");
-                }
-            }
+            NodeSummary.parseAll(response.body()).stream()
+                    .filter(listed -> listed.isNamed(node))
+                    .map(listed -> blocker(response.address(), listed))
+                    .flatMap(Optional::stream)
+                    .forEach(blockers::add);
+        }
+        return blockers;
+    }
+
+    private Optional<DrainBlocker> blocker(String address, NodeSummary listed) {
+        if (listed.isReady()) {
+            return Optional.of(new DrainBlocker.StillReady(address));
+        }
+        OptionalLong agoMillis = listed.lastAttemptAgoMillis();
+        if (agoMillis.isPresent() && agoMillis.getAsLong() < quietPeriod.toMillis()) {
+            return Optional.of(new DrainBlocker.RecentAttempt(address, agoMillis.getAsLong()));
         }
-        return reasons;
+        int overdue = listed.proxiesWithoutReport();
+        return overdue > 0
+                ? Optional.of(new DrainBlocker.OverdueReports(address, overdue))
+                : Optional.empty();
     }
 }
--- a/src/main/java/rosespread/fleet/FleetDifferences.java
+++ b/src/main/java/rosespread/fleet/FleetDifferences.java
@@ -1,77 +1,77 @@
 package rosespread.fleet;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
 
-/**
- * What conductors of a fleet do not have in common though they should: decided from their status
- * alone.
- */
+/** Compares the status of a fleet's controllers in what they should have in common. */
 public final class FleetDifferences {
+    /** A controller's status with the address it came from. */
+    private record Status(String address, ControllerSummary summary) {}
+
     private FleetDifferences() {}
 
-    /** A sentence for each difference, in a steady order; empty if all that answered are alike. */
-    public static List<String> between(List<FleetResponse> replies) {
-        List<FleetResponse> answered = replies.stream().filter(FleetResponse::isOk).toList();
-        List<String> told = new ArrayList<>();
-        differ(
-                answered,
-                "settings",
-                body ->
-                        body.has("settingsRevision")
-                                ? "revision "
-                                        + body.path("settingsRevision")
-                                        + " by "
-                                        + body.path("settingsBy").asText()
-                                : "none",
-                told);
-        differ(
-                answered,
-                "nodes listed",
-                body -> {
-                    int all = 0;
-                    for (JsonNode count : body.path("nodes")) {
-                        all += count.asInt();
-                    }
-                    return String.valueOf(all);
-                },
-                told);
-        Set<String> drained = new TreeSet<>();
-        answered.forEach(
-                reply -> reply.body().path("drained").fieldNames().forEachRemaining(drained::add));
-        for (String node : drained) {
-            List<String> without =
-                    answered.stream()
-                            .filter(r -> !r.body().path("drained").has(node))
-                            .map(FleetResponse::address)
-                            .toList();
-            if (!without.isEmpty()) {
-                told.add("node " + node + " is drained, but not at " + String.join(", ", without));
-            }
+    /**
+     * Compares responses to {@code GET /v1/status}; those without success are left out.
+     *
+     * @return the differences: settings, number of nodes, then drains by the node's name; empty if
+     *     the controllers agree
+     */
+    public static List<FleetDifference> between(List<FleetResponse> responses) {
+        List<Status> statuses =
+                responses.stream()
+                        .filter(FleetResponse::isOk)
+                        .map(r -> new Status(r.address(), ControllerSummary.parse(r.body())))
+                        .toList();
+        List<FleetDifference> differences = new ArrayList<>();
+        compare("settings", statuses, FleetDifferences::settings).ifPresent(differences::add);
+        compare("nodes listed", statuses, summary -> String.valueOf(summary.listedNodes()))
+                .ifPresent(differences::add);
+        differences.addAll(missingDrains(statuses));
+        return differences;
+    }
+
+    private static String settings(ControllerSummary summary) {
+        return summary.settings()
+                .map(settings -> "revision " + settings.revision() + " by " + settings.operator())
+                .orElse("none");
+    }
+
+    private static Optional<FleetDifference> compare(
+            String subject, List<Status> statuses, Function<ControllerSummary, String> value) {
+        SortedMap<String, List<String>> addressesByValue = new TreeMap<>();
+        for (Status status : statuses) {
+            addressesByValue
+                    .computeIfAbsent(value.apply(status.summary()), v -> new ArrayList<>())
+                    .add(status.address());
+        }
+        if (addressesByValue.size() < 2) {
+            return Optional.empty();
         }
-        return told;
+        return Optional.of(
+                new FleetDifference.Value(
+                        subject, Collections.unmodifiableSortedMap(addressesByValue)));
     }
 
-    private static void differ(
-            List<FleetResponse> replies,
-            String what,
-            Function<JsonNode, String> value,
-            List<String> told) {
-        Map<String, List<String>> byValue = new TreeMap<>();
-        replies.forEach(
-                reply ->
-                        byValue.computeIfAbsent(value.apply(reply.body()), v -> new ArrayList<>())
-                                .add(reply.address()));
-        if (byValue.size() > 1) {
-            List<String> parts = new ArrayList<>();
-            byValue.forEach((each, at) -> parts.add(each + " at " + String.join(", ", at)));
-            told.add(what + " differ: " + String.join("; ", parts));
+    private static List<FleetDifference> missingDrains(List<Status> statuses) {
+        TreeSet<String> drained = new TreeSet<>();
+        statuses.forEach(status -> drained.addAll(status.summary().drainedNodes()));
+        List<FleetDifference> missing = new ArrayList<>();
+        for (String node : drained) {
+            List<String> addresses =
+                    statuses.stream()
+                            .filter(status -> !status.summary().drainedNodes().contains(node))
+                            .map(Status::address)
+                            .toList();
+            if (!addresses.isEmpty()) {
+                missing.add(new FleetDifference.MissingDrain(node, addresses));
+            }
         }
+        return missing;
     }
 }
--- a/src/main/java/rosespread/fleet/FleetResponse.java
+++ b/src/main/java/rosespread/fleet/FleetResponse.java
@@ -1,14 +1,19 @@
 package rosespread.fleet;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
 import java.net.InetSocketAddress;
 
 /**
- * What one conductor answered.
+ * The response of one controller, or the reason why there is none.
  *
- * @param status of HTTP, 0 if no answer came; @param body null then; @param detail why not, in a
- *     sentence
- * @param ran whether the call may have been taken up
+ * @param controller the control address that the request was sent to
+ * @param status the HTTP status, {@link #NO_RESPONSE} if no response arrived
+ * @param body the response's JSON document, a {@link MissingNode} if there is none; never null
+ * @param detail the problem detail of an error response or the reason for a missing response, in a
+ *     sentence; empty if there is neither
+ * @param mayHaveRun whether the controller may have executed the request; false only if no
+ *     connection was made
  */
 public record FleetResponse(
         InetSocketAddress controller,
@@ -16,11 +21,37 @@
         JsonNode body,
         String detail,
         boolean mayHaveRun) {
+    /** The status of a request that got no response. */
+    public static final int NO_RESPONSE = 0;
+
+    private static final int OK = 200;
+    private static final int NOT_FOUND = 404;
+
+    static FleetResponse received(InetSocketAddress controller, int status, JsonNode body) {
+        return new FleetResponse(controller, status, body, body.path("detail").asText(""), true);
+    }
+
+    static FleetResponse missing(InetSocketAddress controller, String reason, boolean mayHaveRun) {
+        return new FleetResponse(
+                controller, NO_RESPONSE, MissingNode.getInstance(), reason, mayHaveRun);
+    }
+
+    /** Whether the controller executed the request and reported success. */
     public boolean isOk() {
-        return status == 200;
+        return status == OK;
+    }
+
+    /** Whether the controller responded that what was asked for does not exist. */
+    public boolean isNotFound() {
+        return status == NOT_FOUND;
+    }
+
+    /** Whether a response arrived, whatever its status. */
+    public boolean isReceived() {
+        return status != NO_RESPONSE;
     }
 
-    /** The conductor as the operator named it. */
+    /** The control address as HOST:PORT, the way the operator gave it. */
     public String address() {
         return controller.getHostString() + ":" + controller.getPort();
     }
--- a/src/main/java/rosespread/fleet/JsonDiff.java
+++ b/src/main/java/rosespread/fleet/JsonDiff.java
@@ -3,50 +3,59 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Which fields of one JSON document another would change. */
+/** Compares two JSON documents leaf by leaf. */
 public final class JsonDiff {
     private JsonDiff() {}
 
-    /** A line for each leaf that differs, by its path; "none" stands for one that is not there. */
-    public static List<String> between(JsonNode before, JsonNode after) {
-        Map<String, String> is = new TreeMap<>();
-        Map<String, String> will = new TreeMap<>();
-        leaves("", before, is);
-        leaves("", after, will);
-        TreeSet<String> paths = new TreeSet<>(is.keySet());
-        paths.addAll(will.keySet());
-        List<String> changes = new ArrayList<>();
+    /**
+     * Lists the leaves that differ, sorted by path. Values are compared as JSON text; an object or
+     * array without content has no leaves.
+     *
+     * @param before the former document; a missing node stands for none
+     * @param after the new document
+     */
+    public static List<FieldChange> between(JsonNode before, JsonNode after) {
+        SortedMap<String, String> formerLeaves = leaves(before);
+        SortedMap<String, String> newLeaves = leaves(after);
+        TreeSet<String> paths = new TreeSet<>(formerLeaves.keySet());
+        paths.addAll(newLeaves.keySet());
+        List<FieldChange> changes = new ArrayList<>();
         for (String path : paths) {
-            String from = is.getOrDefault(path, "none");
-            String to = will.getOrDefault(path, "none");
+            Optional<String> from = Optional.ofNullable(formerLeaves.get(path));
+            Optional<String> to = Optional.ofNullable(newLeaves.get(path));
             if (!from.equals(to)) {
-                changes.add(path + ": " + from + " -> " + to);
+                changes.add(new FieldChange(path, from, to));
             }
         }
         return changes;
     }
 
-    private static void leaves(String path, JsonNode node, Map<String, String> into) {
+    private static SortedMap<String, String> leaves(JsonNode document) {
+        SortedMap<String, String> leaves = new TreeMap<>();
+        collectLeaves("", document, leaves);
+        return leaves;
+    }
+
+    private static void collectLeaves(
+            String path, JsonNode node, SortedMap<String, String> leaves) {
         if (node.isObject()) {
+            String prefix = path.isEmpty() ? "" : path + ".";
             node.properties()
                     .forEach(
                             field ->
-                                    leaves(
-                                            path.isEmpty()
-                                                    ? field.getKey()
-                                                    : path + "." + field.getKey(),
-                                            field.getValue(),
-                                            into));
+                                    collectLeaves(
+                                            prefix + field.getKey(), field.getValue(), leaves));
         } else if (node.isArray()) {
             for (int i = 0; i < node.size(); i++) {
-                leaves(path + "[" + i + "]", node.get(i), into);
+                collectLeaves(path + "[" + i + "]", node.get(i), leaves);
             }
         } else if (!node.isMissingNode()) {
-            into.put(path, node.toString());
+            leaves.put(path, node.toString());
         }
     }
 }
--- a/src/main/java/rosespread/fleet/StagedSettingsRollout.java
+++ b/src/main/java/rosespread/fleet/StagedSettingsRollout.java
@@ -2,104 +2,138 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.net.InetSocketAddress;
+import java.time.Duration;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
- * Applies settings to one conductor after the other. Between two it waits until the one before
- * serves as many proxies as it did; if that does not come in time, or one is refused, the rest keep
+ * Applies settings to one controller after the other. All controllers check them first, in a dry
+ * run. After each controller the rollout waits until that controller serves as many proxies as
+ * before; if they do not return in time, or a controller refuses, the remaining controllers keep
  * what they have.
+ *
+ * <p>Runs on the calling thread, events included.
  */
 public final class StagedSettingsRollout {
-    private static final long LOOK_MILLIS = 100;
+    private static final long POLL_MILLIS = 100;
 
     private final Fleet fleet;
-    private final long patienceNanos;
-    private final Consumer<String> progress;
+    private final Duration resubscribeTimeout;
+    private final Consumer<RolloutEvent> listener;
 
     /**
-     * @param patienceNanos how long a conductor may take to have its proxies back
+     * Creates a rollout.
+     *
+     * @param fleet the controllers, in the order of the rollout
+     * @param resubscribeTimeout how long a controller's proxies may take to return
+     * @param listener is called with each event as it happens
      */
-    public StagedSettingsRollout(Fleet fleet, long patienceNanos, Consumer<String> progress) {
+    public StagedSettingsRollout(
+            Fleet fleet, Duration resubscribeTimeout, Consumer<RolloutEvent> listener) {
         this.fleet = fleet;
-        this.patienceNanos = patienceNanos;
-        this.progress = progress;
+        this.resubscribeTimeout = resubscribeTimeout;
+        this.listener = listener;
     }
 
     /**
-     * Returns at how many conductors the settings hold now; the progress says where and why it
-     * stopped.
+     * Runs the rollout to its end or to the first failure.
+     *
+     * @param settings the settings, as JSON text
+     * @param idempotencyKey makes a repeated rollout do nothing where it already succeeded
+     * @return how many controllers applied the settings; the last event says why it stopped
+     * @throws InterruptedException if interrupted while waiting for proxies; what was applied stays
      */
-    public int run(String settings, String call) throws InterruptedException {
-        List<FleetResponse> tried = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
-        for (FleetResponse reply : tried) {
-            if (!reply.isOk()) {
-                progress.accept(
-                        reply.address() + ": " + why(reply) + "; nothing was applied anywhere");
-                return 0;
-            }
+    public Completion run(String settings, String idempotencyKey) throws InterruptedException {
+        List<InetSocketAddress> controllers = fleet.controllers();
+        if (!passesDryRun(settings)) {
+            return Completion.of(0, controllers.size());
         }
-        int done = 0;
-        for (InetSocketAddress conductor : fleet.controllers()) {
-            FleetResponse before = fleet.ask(conductor, "GET", "/v1/status", "");
-            int bound = before.body().path("proxiesBound").asInt();
-            // Against what it has now: another operator's settings of this moment are not
-            // overwritten.
-            FleetResponse put =
-                    fleet.ask(
-                            conductor,
-                            "PUT",
-                            "/v1/settings",
-                            settings,
-                            "idempotency-key",
-                            call,
-                            "if-match",
-                            String.valueOf(before.body().path("settingsRevision").asLong()));
-            if (!put.isOk()) {
-                progress.accept(put.address() + ": " + why(put) + "; stopped here");
-                return done;
+        int applied = 0;
+        for (InetSocketAddress controller : controllers) {
+            ControllerSummary before = status(controller);
+            if (!apply(controller, settings, idempotencyKey, before)) {
+                break;
             }
-            done++;
-            progress.accept(put.address() + ": applied as revision " + put.body().path("revision"));
-            if (done < fleet.controllers().size() && !backTo(conductor, bound)) {
-                progress.accept(
-                        put.address()
-                                + ": its "
-                                + bound
-                                + " proxies are not back in time; stopped here");
-                return done;
+            applied++;
+            boolean isLast = applied == controllers.size();
+            if (!isLast && !proxiesReturn(controller, before.subscribedProxies())) {
+                break;
             }
         }
-        return done;
+        return Completion.of(applied, controllers.size());
+    }
+
+    private boolean passesDryRun(String settings) {
+        List<FleetResponse> responses = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
+        Optional<FleetResponse> failed = responses.stream().filter(r -> !r.isOk()).findFirst();
+        failed.ifPresent(
+                response ->
+                        listener.accept(
+                                new RolloutEvent.DryRunFailed(
+                                        response.address(), reason(response))));
+        return failed.isEmpty();
+    }
+
+    private boolean apply(
+            InetSocketAddress controller,
+            String settings,
+            String idempotencyKey,
+            ControllerSummary before) {
+        // If-Match, so that settings which another operator applied just now are not overwritten.
+        long revision =
+                before.settings().map(ControllerSummary.AppliedSettings::revision).orElse(0L);
+        FleetResponse response =
+                fleet.ask(
+                        controller,
+                        "PUT",
+                        "/v1/settings",
+                        settings,
+                        "idempotency-key",
+                        idempotencyKey,
+                        "if-match",
+                        String.valueOf(revision));
+        listener.accept(
+                response.isOk()
+                        ? new RolloutEvent.Applied(
+                                response.address(), response.body().path("revision").asLong())
+                        : new RolloutEvent.ApplyFailed(response.address(), reason(response)));
+        return response.isOk();
     }
 
-    private boolean backTo(InetSocketAddress conductor, int bound) throws InterruptedException {
-        long until = System.nanoTime() + patienceNanos;
-        while (until - System.nanoTime() > 0) {
-            JsonNode status = fleet.ask(conductor, "GET", "/v1/status", "").body();
-            if (status.path("phase").asText().equals("serving")
-                    && status.path("proxiesBound").asInt() >= bound) {
+    private boolean proxiesReturn(InetSocketAddress controller, int proxies)
+            throws InterruptedException {
+        long deadline = System.nanoTime() + resubscribeTimeout.toNanos();
+        while (deadline - System.nanoTime() > 0) {
+            ControllerSummary now = status(controller);
+            if (now.isServing() && now.subscribedProxies() >= proxies) {
                 return true;
             }
-            Thread.sleep(LOOK_MILLIS);
+            Thread.sleep(POLL_MILLIS);
         }
+        String address = controller.getHostString() + ":" + controller.getPort();
+        listener.accept(new RolloutEvent.ProxiesMissing(address, proxies));
         return false;
     }
 
-    private static String why(FleetResponse reply) {
-        StringBuilder why =
+    private ControllerSummary status(InetSocketAddress controller) {
+        return ControllerSummary.parse(fleet.ask(controller, "GET", "/v1/status", "").body());
+    }
+
+    private static String reason(FleetResponse response) {
+        StringBuilder reason =
                 new StringBuilder(
-                        reply.detail().isEmpty() ? "status " + reply.status() : reply.detail());
-        reply.body()
-                .path("faults")
-                .forEach(
-                        fault ->
-                                why.append("; field ")
-                                        .append(fault.path("field").asText())
-                                        .append(" is ")
-                                        .append(fault.path("value").asText())
-                                        .append(", allowed: ")
-                                        .append(fault.path("allowed").asText()));
-        return why.toString();
+                        response.detail().isEmpty()
+                                ? "status " + response.status()
+                                : response.detail());
+        for (JsonNode fault : response.body().path("faults")) {
+            reason.append("; field ")
+                    .append(fault.path("field").asText())
+                    .append(" is ")
+                    .append(fault.path("value").asText())
+                    .append(", allowed: ")
+                    .append(fault.path("allowed").asText());
+        }
+        return reason.toString();
     }
 }
