--- /dev/null
+++ b/src/main/java/rosespread/cli/AdapterCommand.java
@@ -0,0 +1,36 @@
+package rosespread.cli;
+
+import java.io.IOException;
+import java.util.concurrent.Callable;
+import picocli.CommandLine.Command;
+import rosespread.adapter.SimulatorAdapter;
+import rosespread.adapter.WireException;
+
+/** Runs the routing policy for the operators' simulator, on standard input and output. */
+@Command(
+        name = "adapter",
+        mixinStandardHelpOptions = true,
+        description = "Decides on the simulator's wire, from standard input to standard output.",
+        footer = {"", "Example: rosespread adapter < batches > replies"})
+final class AdapterCommand implements Callable<Integer> {
+    @Override
+    public Integer call() {
+        return adapt();
+    }
+
+    /**
+     * Serves the simulator until it closes standard input. Needs no picocli, as {@link Main} calls
+     * it directly.
+     *
+     * @return one of {@link ExitCodes}
+     */
+    static int adapt() {
+        try {
+            new SimulatorAdapter(System.in, System.out).run();
+            return ExitCodes.DONE;
+        } catch (WireException | IOException e) {
+            System.err.println("rosespread adapter: " + e.getMessage());
+            return ExitCodes.FAILED;
+        }
+    }
+}
--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -1,5 +1,6 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -10,7 +11,7 @@
 import picocli.CommandLine.Spec;
 import rosespread.audit.AuditLog;
 
-/** Checks an audit log's chain. */
+/** Verifies the hash chain of an audit log. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
@@ -29,18 +30,16 @@
     private Path file;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException {
         if (!Files.isRegularFile(file)) {
             throw new ParameterException(spec.commandLine(), file + " is not a file");
         }
         AuditLog.Verdict verdict = AuditLog.check(file);
-        if (verdict.fault().isEmpty()) {
-            spec.commandLine()
-                    .getOut()
-                    .println(verdict.lines() + " lines, chain " + verdict.chain());
-            return 0;
+        if (!verdict.fault().isEmpty()) {
+            spec.commandLine().getErr().println(file + ": " + verdict.fault());
+            return ExitCodes.FAILED;
         }
-        spec.commandLine().getErr().println(file + ": " + verdict.fault());
-        return 1;
+        spec.commandLine().getOut().println(verdict.lines() + " lines, chain " + verdict.chain());
+        return ExitCodes.DONE;
     }
 }
--- a/src/main/java/rosespread/cli/ControllerCommand.java
+++ b/src/main/java/rosespread/cli/ControllerCommand.java
@@ -9,22 +9,25 @@
 import rosespread.controller.Controller;
 import rosespread.validation.TableChangeValidator;
 
-/** Runs one conductor until it is told to stop. */
+/** Runs one controller on the project's own channel until the process is told to stop. */
 @Command(
-        name = "conductor",
+        name = "controller",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Runs a conductor. Without settings it waits: PUT /v1/settings on the control address.",
+                "Runs a controller. Without settings it waits: PUT /v1/settings on the control address.",
         footer = {
             "",
-            "Example: rosespread conductor --name c1 --state ./c1 --listen 127.0.0.1:7400"
+            "Example: rosespread controller --name c1 --state ./c1 --listen 127.0.0.1:7400"
                     + " --control 127.0.0.1:7401"
         })
-public final class ControllerCommand implements Callable<Integer> {
+final class ControllerCommand implements Callable<Integer> {
+    // The endpoint list knows controllers that were given no name by this one.
+    private static final String DEFAULT_NAME = "conductor";
+
     @Option(
             names = "--name",
-            defaultValue = "conductor",
+            defaultValue = DEFAULT_NAME,
             description = "How it calls itself to the server list (${DEFAULT-VALUE}).")
     private String name;
 
@@ -48,6 +51,6 @@
     @Override
     public Integer call() throws Exception {
         Daemon.run(name, state, listen, control, Controller.MODULE, new TableChangeValidator());
-        return 0;
+        return ExitCodes.DONE;
     }
 }
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -1,11 +1,8 @@
 package rosespread.cli;
 
-import java.io.IOException;
 import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import rosespread.adapter.SimulatorAdapter;
-import rosespread.adapter.WireException;
 
 /** The program: one subcommand a job. */
 @Command(
@@ -16,14 +13,14 @@
         synopsisSubcommandLabel = "SUBCOMMAND",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
-            "0:done; for a rehearsal, all rules kept",
+            "0:done; for a scenario, all rules kept",
             "1:it failed while running",
             "2:bad input, named with its place",
-            "3:a rehearsal broke a rule"
+            "3:a scenario broke a rule"
         },
-        footer = {"", "Example: rosespread rehearse bad-day --seed 7"},
+        footer = {"", "Example: rosespread scenario bad-day --seed 7"},
         subcommands = {
-            Main.AdapterCommand.class,
+            AdapterCommand.class,
             ServeCommand.class,
             ControllerCommand.class,
             TableCommand.class,
@@ -36,12 +33,16 @@
     private Main() {}
 
     /**
-     * The adapter and serve are started often and by programs, so they go past the reading of
-     * arguments.
+     * Runs the subcommand that the arguments name and ends the process with its exit code.
+     *
+     * <p>The adapter and serve are started often and by programs; without further arguments they
+     * are called directly, which saves the time and memory that picocli takes.
+     *
+     * @param args the subcommand and its arguments
      */
     public static void main(String[] args) {
         if (args.length == 1 && args[0].equals("adapter")) {
-            System.exit(adapter());
+            System.exit(AdapterCommand.adapt());
         }
         if (args.length == 1 && args[0].equals("serve")) {
             System.exit(ServeCommand.serve());
@@ -49,47 +50,43 @@
         System.exit(run(args));
     }
 
-    static int run(String... args) {
+    private static int run(String... args) {
         return run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args);
     }
 
+    /**
+     * Runs a subcommand within this process.
+     *
+     * @param out stands for standard output
+     * @param err stands for standard error
+     * @return one of {@link ExitCodes}
+     */
     static int run(PrintWriter out, PrintWriter err, String... args) {
-        CommandLine line = new CommandLine(new Main());
-        line.setOut(out);
-        line.setErr(err);
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionExceptionHandler(
-                (e, command, parsed) -> {
-                    command.getErr().println(command.getCommandName() + ": " + e.getMessage());
-                    return 1;
-                });
+        CommandLine program = program(out, err);
         if (args.length == 0) {
-            line.usage(err);
-            return 2;
+            program.usage(err);
+            return ExitCodes.BAD_INPUT;
         }
-        return line.execute(args);
+        FormerNames.usedIn(args).ifPresent(name -> err.println(name.notice()));
+        return program.execute(args);
     }
 
-    private static int adapter() {
-        try {
-            new SimulatorAdapter(System.in, System.out).run();
-            return 0;
-        } catch (WireException | IOException e) {
-            System.err.println("rosespread adapter: " + e.getMessage());
-            return 1;
-        }
+    /**
+     * Settings of the command line reach the subcommands that it has by then, so they come last.
+     */
+    private static CommandLine program(PrintWriter out, PrintWriter err) {
+        CommandLine program = new CommandLine(new Main());
+        FormerNames.addTo(program);
+        program.setOut(out);
+        program.setErr(err);
+        program.setCaseInsensitiveEnumValuesAllowed(true);
+        program.setExecutionExceptionHandler(Main::printFailure);
+        return program;
     }
 
-    @Command(
-            name = "adapter",
-            mixinStandardHelpOptions = true,
-            description =
-                    "Decides on the simulator's wire, from standard input to standard output.",
-            footer = {"", "Example: rosespread adapter < batches > replies"})
-    static final class AdapterCommand implements java.util.concurrent.Callable<Integer> {
-        @Override
-        public Integer call() {
-            return adapter();
-        }
+    private static int printFailure(
+            Exception failure, CommandLine command, CommandLine.ParseResult arguments) {
+        command.getErr().println(command.getCommandName() + ": " + failure.getMessage());
+        return ExitCodes.FAILED;
     }
 }
--- a/src/main/java/rosespread/cli/ScenarioCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -13,9 +13,9 @@
 import rosespread.scenario.ScenarioException;
 import rosespread.scenario.ScenarioRun;
 
-/** Plays a scripted day on loopback and judges the five rules from the sockets. */
+/** Runs a fault scenario on loopback and judges the five rules from what passed on the sockets. */
 @Command(
-        name = "rehearse",
+        name = "scenario",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
@@ -27,7 +27,7 @@
             "2:bad input",
             "3:a rule was broken"
         },
-        footer = {"", "Example: rosespread rehearse bad-day --seed 7 --out day.json"})
+        footer = {"", "Example: rosespread scenario bad-day --seed 7 --out day.json"})
 final class ScenarioCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "SCENARIO",
@@ -45,27 +45,35 @@
     @Option(
             names = "--no-conductor",
             description = "Proxies keep their starting tables, for comparison.")
-    private boolean noConductor;
+    private boolean withoutController;
 
     @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
         try {
-            Report report =
-                    ScenarioRun.play(
-                            scenario,
-                            new ScenarioRun.Options(
-                                    seed, !noConductor, Main.class.getName(), List.of()));
-            if (out != null) {
-                Files.writeString(out, report.json());
-            }
-            spec.commandLine().getOut().print(report.text());
-            spec.commandLine().getOut().flush();
-            return report.kept() ? 0 : 3;
+            return print(run());
         } catch (ScenarioException e) {
             spec.commandLine().getErr().println(e.getMessage());
-            return 2;
+            return ExitCodes.BAD_INPUT;
         }
     }
+
+    private Report run() throws Exception {
+        String controllerClass = Main.class.getName();
+        List<String> controllerArguments = List.of();
+        return ScenarioRun.play(
+                scenario,
+                new ScenarioRun.Options(
+                        seed, !withoutController, controllerClass, controllerArguments));
+    }
+
+    private int print(Report report) throws Exception {
+        if (out != null) {
+            Files.writeString(out, report.json());
+        }
+        spec.commandLine().getOut().print(report.text());
+        spec.commandLine().getOut().flush();
+        return report.kept() ? ExitCodes.DONE : ExitCodes.RULE_BROKEN;
+    }
 }
--- /dev/null
+++ b/src/main/java/rosespread/cli/TestbedSettingsCommand.java
@@ -0,0 +1,18 @@
+package rosespread.cli;
+
+import picocli.CommandLine.Command;
+import rosespread.scenario.OpenSite;
+
+/** Prints the settings that fit a scenario's fakes, as JSON. */
+@Command(
+        name = "settings",
+        mixinStandardHelpOptions = true,
+        description = "Prints the settings for a controller of this site.",
+        footer = {"", "Example: rosespread testbed settings quiet-day --list-port 8500"})
+final class TestbedSettingsCommand extends TestbedSubcommand {
+    @Override
+    void run(TestbedOptions arguments) throws Exception {
+        System.out.println(
+                OpenSite.settings(arguments.scenario(), arguments.seed(), arguments.listPort()));
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/cli/TestbedSiteCommand.java
@@ -0,0 +1,32 @@
+package rosespread.cli;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import rosespread.scenario.OpenSite;
+
+/** Runs a scenario's fakes for the scenario's time, or without controllers until it is stopped. */
+@Command(
+        name = "site",
+        mixinStandardHelpOptions = true,
+        description = "Runs nodes and list; with controllers, proxies and clients too, for a day.",
+        footer = {"", "Example: rosespread testbed site quiet-day --conductor 127.0.0.1:7400"})
+final class TestbedSiteCommand extends TestbedSubcommand {
+    @Option(
+            names = "--conductor",
+            converter = AddressConverter.class,
+            paramLabel = "<conductors>",
+            description = "Where proxies dial; may be given several times.")
+    private List<InetSocketAddress> controllers = List.of();
+
+    @Override
+    void run(TestbedOptions arguments) throws Exception {
+        OpenSite.run(
+                arguments.scenario(),
+                arguments.seed(),
+                arguments.listPort(),
+                controllers,
+                System.out);
+    }
+}
