--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -3,12 +3,9 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import rosespread.audit.AuditLog;
 
 /** Verifies the hash chain of an audit log. */
@@ -23,23 +20,21 @@
             "2:bad input"
         },
         footer = {"", "Example: rosespread audit ./state/audit.log"})
-final class AuditCommand implements Callable<Integer> {
-    @Spec private CommandSpec spec;
-
+final class AuditCommand extends PrintingCommand {
     @Parameters(paramLabel = "FILE")
     private Path file;
 
     @Override
-    public Integer call() throws IOException {
+    int execute() throws IOException {
         if (!Files.isRegularFile(file)) {
-            throw new ParameterException(spec.commandLine(), file + " is not a file");
+            throw new ParameterException(spec().commandLine(), file + " is not a file");
         }
         AuditLog.Verdict verdict = AuditLog.check(file);
         if (!verdict.fault().isEmpty()) {
-            spec.commandLine().getErr().println(file + ": " + verdict.fault());
+            err().println(file + ": " + verdict.fault());
             return ExitCodes.FAILED;
         }
-        spec.commandLine().getOut().println(verdict.lines() + " lines, chain " + verdict.chain());
+        out().println(verdict.lines() + " lines, chain " + verdict.chain());
         return ExitCodes.DONE;
     }
 }
--- a/src/main/java/rosespread/cli/FleetDrainCommand.java
+++ b/src/main/java/rosespread/cli/FleetDrainCommand.java
@@ -15,7 +15,6 @@
         description = "Takes a node out of all tables until it is undrained or gone from the list.",
         footer = {"", "Example: rosespread fleet drain node-3 --fleet 127.0.0.1:7401 --wait 10"})
 final class FleetDrainCommand extends FleetNodeCommand {
-    private static final double NANOS_PER_SECOND = 1e9;
     private static final Duration QUIET_PERIOD = Duration.ofSeconds(2);
     private static final long POLL_MILLIS = 200;
 
@@ -40,12 +39,12 @@
     private int awaitEmpty(Fleet fleet) throws InterruptedException {
         EmptyNodeCheck check = new EmptyNodeCheck(node(), QUIET_PERIOD);
         long startNanos = System.nanoTime();
-        long deadlineNanos = startNanos + (long) (waitSeconds * NANOS_PER_SECOND);
+        long deadlineNanos = startNanos + Seconds.toDuration(waitSeconds).toNanos();
         List<DrainBlocker> blockers;
         do {
             blockers = check.blockers(fleet.ask("GET", "/v1/nodes", ""));
             if (blockers.isEmpty()) {
-                double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+                double seconds = Seconds.ofNanos(System.nanoTime() - startNanos);
                 out().printf("%s is empty after %.1f s%n", node(), seconds);
                 return ExitCodes.DONE;
             }
--- a/src/main/java/rosespread/cli/FleetLogCommand.java
+++ b/src/main/java/rosespread/cli/FleetLogCommand.java
@@ -17,7 +17,7 @@
 
     @Override
     void print(List<FleetResponse> responses) {
-        printFailures(responses);
+        responses.forEach(this::printFailure);
         responses.stream()
                 .flatMap(
                         response ->
--- a/src/main/java/rosespread/cli/FleetNodesCommand.java
+++ b/src/main/java/rosespread/cli/FleetNodesCommand.java
@@ -21,7 +21,7 @@
 
     @Override
     void print(List<FleetResponse> responses) {
-        printFailures(responses);
+        responses.forEach(this::printFailure);
         long answered = responses.stream().filter(FleetResponse::isOk).count();
         addressesByNodeAndRow(responses)
                 .forEach((node, addressesByRow) -> printNode(node, addressesByRow, answered));
--- a/src/main/java/rosespread/cli/FleetOptions.java
+++ b/src/main/java/rosespread/cli/FleetOptions.java
@@ -10,7 +10,6 @@
 
 /** Options of every command on a fleet: which controllers, who acts, how long, how to print. */
 final class FleetOptions {
-    private static final double NANOS_PER_SECOND = 1e9;
     private static final int MAX_TIMEOUT_SECONDS = 600;
 
     @Option(
@@ -56,7 +55,7 @@
                             + "; allowed: over 0 to "
                             + MAX_TIMEOUT_SECONDS);
         }
-        return new Fleet(addresses, operator, (long) (timeoutSeconds * NANOS_PER_SECOND));
+        return new Fleet(addresses, operator, Seconds.toDuration(timeoutSeconds).toNanos());
     }
 
     boolean isJson() {
--- a/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
@@ -23,8 +23,6 @@
             "Example: rosespread fleet settings apply --fleet 127.0.0.1:7401 < fleet.json"
         })
 final class FleetSettingsApplyCommand extends FleetSubcommand {
-    private static final double NANOS_PER_SECOND = 1e9;
-
     @Option(names = "--dry-run", description = "Only checks them at every conductor.")
     private boolean dryRun;
 
@@ -49,8 +47,7 @@
     }
 
     private Completion apply(Fleet fleet, String settings) throws InterruptedException {
-        Duration resubscribeTimeout =
-                Duration.ofNanos((long) (resubscribeTimeoutSeconds * NANOS_PER_SECOND));
+        Duration resubscribeTimeout = Seconds.toDuration(resubscribeTimeoutSeconds);
         StagedSettingsRollout rollout =
                 new StagedSettingsRollout(fleet, resubscribeTimeout, this::print);
         return rollout.run(settings, UUID.randomUUID().toString());
--- a/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
@@ -35,7 +35,7 @@
 
     private void print(FleetResponse response, JsonNode desired) {
         if (!response.isOk() && !response.isNotFound()) {
-            printFailures(List.of(response));
+            printFailure(response);
             return;
         }
         // A controller without settings answers "not found": then every field is a new one.
--- a/src/main/java/rosespread/cli/ScenarioCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -3,12 +3,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import rosespread.scenario.Report;
 import rosespread.scenario.ScenarioException;
 import rosespread.scenario.ScenarioRun;
@@ -28,7 +25,7 @@
             "3:a rule was broken"
         },
         footer = {"", "Example: rosespread scenario bad-day --seed 7 --out day.json"})
-final class ScenarioCommand implements Callable<Integer> {
+final class ScenarioCommand extends PrintingCommand {
     @Parameters(
             paramLabel = "SCENARIO",
             description =
@@ -39,22 +36,20 @@
     @Option(names = "--seed", defaultValue = "1", description = "Draws the day (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--out", description = "Where the report goes as JSON.")
-    private Path out;
+    @Option(names = "--out", paramLabel = "<out>", description = "Where the report goes as JSON.")
+    private Path reportFile;
 
     @Option(
             names = "--no-conductor",
             description = "Proxies keep their starting tables, for comparison.")
     private boolean withoutController;
 
-    @Spec private CommandSpec spec;
-
     @Override
-    public Integer call() throws Exception {
+    int execute() throws Exception {
         try {
             return print(run());
         } catch (ScenarioException e) {
-            spec.commandLine().getErr().println(e.getMessage());
+            err().println(e.getMessage());
             return ExitCodes.BAD_INPUT;
         }
     }
@@ -69,11 +64,10 @@
     }
 
     private int print(Report report) throws Exception {
-        if (out != null) {
-            Files.writeString(out, report.json());
+        if (reportFile != null) {
+            Files.writeString(reportFile, report.json());
         }
-        spec.commandLine().getOut().print(report.text());
-        spec.commandLine().getOut().flush();
+        out().print(report.text());
         return report.kept() ? ExitCodes.DONE : ExitCodes.RULE_BROKEN;
     }
 }
--- a/src/main/java/rosespread/cli/TableChangeCommand.java
+++ b/src/main/java/rosespread/cli/TableChangeCommand.java
@@ -17,7 +17,7 @@
     abstract String action();
 
     @Override
-    final int run() throws IOException {
+    final int execute() throws IOException {
         FleetResponse response = post("/v1/tables/" + table + "/" + action());
         String text = isJson() ? response.body().toPrettyString() : text(response);
         (response.isOk() ? out() : err()).println(text);
--- a/src/main/java/rosespread/cli/TableDiffCommand.java
+++ b/src/main/java/rosespread/cli/TableDiffCommand.java
@@ -27,7 +27,7 @@
     private long to;
 
     @Override
-    int run() throws IOException {
+    int execute() throws IOException {
         FleetResponse response = get("/v1/tables/" + table + "/diff?from=" + from + "&to=" + to);
         if (!response.isOk()) {
             err().println(response.detail());
--- a/src/main/java/rosespread/cli/TableListCommand.java
+++ b/src/main/java/rosespread/cli/TableListCommand.java
@@ -15,7 +15,7 @@
     private static final String ROW = "%5d %8d %6d %9s %8d  %s%n";
 
     @Override
-    int run() throws IOException {
+    int execute() throws IOException {
         JsonNode tables = tables();
         if (isJson()) {
             out().println(tables.toPrettyString());
--- a/src/main/java/rosespread/cli/TableShowCommand.java
+++ b/src/main/java/rosespread/cli/TableShowCommand.java
@@ -22,7 +22,7 @@
     private int number;
 
     @Override
-    int run() throws IOException {
+    int execute() throws IOException {
         Optional<JsonNode> table = find(tables());
         if (table.isEmpty()) {
             err().println("no table " + number);
--- a/src/main/java/rosespread/cli/TestbedSubcommand.java
+++ b/src/main/java/rosespread/cli/TestbedSubcommand.java
@@ -1,15 +1,11 @@
 package rosespread.cli;
 
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Mixin;
-import picocli.CommandLine.Model.CommandSpec;
-import picocli.CommandLine.Spec;
 import rosespread.scenario.ScenarioException;
 
 /** A command on a scenario's fakes. */
-abstract class TestbedSubcommand implements Callable<Integer> {
+abstract class TestbedSubcommand extends PrintingCommand {
     @Mixin private TestbedOptions options;
-    @Spec private CommandSpec spec;
 
     /**
      * Does the command's work.
@@ -20,13 +16,13 @@
     abstract void run(TestbedOptions arguments) throws Exception;
 
     @Override
-    public final Integer call() throws Exception {
+    final int execute() throws Exception {
         options.validate();
         try {
             run(options);
             return ExitCodes.DONE;
         } catch (ScenarioException e) {
-            spec.commandLine().getErr().println(e.getMessage());
+            err().println(e.getMessage());
             return ExitCodes.BAD_INPUT;
         }
     }
