--- a/src/test/java/rosespread/bench/RoundTimes.java
+++ b/src/test/java/rosespread/bench/RoundTimes.java
@@ -15,19 +15,23 @@
 public final class RoundTimes {
     private static final int RUNS = 5;
     private static final int SECONDS = 60;
+    private static final int PROXIES = 800;
+    private static final int SECONDS_BETWEEN_RESTARTS = 6;
+    private static final int RESTARTED_NODES = 2;
+    private static final double NANOS_PER_MICRO = 1e3;
 
     private RoundTimes() {}
 
     public static void main(String[] args) {
-        run();
+        roundNanos();
         double[] worst = new double[RUNS];
         double[] joining = new double[RUNS];
         double[] mean = new double[RUNS];
         for (int i = 0; i < RUNS; i++) {
-            long[] times = run();
-            worst[i] = Arrays.stream(times).max().orElseThrow() / 1e3;
-            joining[i] = times[0] / 1e3;
-            mean[i] = Arrays.stream(times).average().orElseThrow() / 1e3;
+            long[] nanos = roundNanos();
+            worst[i] = Arrays.stream(nanos).max().orElseThrow() / NANOS_PER_MICRO;
+            joining[i] = nanos[0] / NANOS_PER_MICRO;
+            mean[i] = Arrays.stream(nanos).average().orElseThrow() / NANOS_PER_MICRO;
         }
         System.out.printf(
                 Locale.ROOT,
@@ -42,15 +46,15 @@
         return values[RUNS / 2];
     }
 
-    /** The first round is the one in which all proxies join. */
-    private static long[] run() {
+    /** The CPU times of one run's rounds; the first is the one in which all proxies join. */
+    private static long[] roundNanos() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         FleetSimulator fleet =
                 new FleetSimulator(Deployment.LARGE, 1, threads::getCurrentThreadCpuTime);
-        fleet.join(0, 800);
+        fleet.join(0, PROXIES);
         for (int second = 0; second < SECONDS; second++) {
-            if (second % 6 == 5) {
-                fleet.restart(second, second + 2);
+            if (second % SECONDS_BETWEEN_RESTARTS == SECONDS_BETWEEN_RESTARTS - 1) {
+                fleet.restart(second, second + RESTARTED_NODES);
             }
             fleet.run(1);
         }
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -29,8 +29,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * What a change of three lines costs by the size of its table, and what a whole table costs beside
- * it. Run as docs/results.md says; no part of the build.
+ * What a change of three weight entries costs by the size of its table, and what a full update
+ * costs beside it. Run as docs/results.md says; no part of the build.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -39,125 +39,128 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class TableBench {
-    private static final int CHANGED = 3;
+    private static final TableId TABLE = new TableId(1);
+    private static final int CHANGED_ENTRIES = 3;
+
+    /** Has no factor in common with the tables' sizes, so that all nodes take their turn. */
+    private static final int NODE_STRIDE = 37;
 
     @Param({"100", "1000", "10000"})
     private int nodes;
 
     private final List<NodeId> ids = new ArrayList<>();
-    private final Map<NodeId, Double> lines = new TreeMap<>();
+    private final Map<NodeId, Double> weights = new TreeMap<>();
     private final Map<NodeId, Double> delta = new TreeMap<>();
-    private final Map<NodeId, TableChangeValidator.NodeFact> facts = new TreeMap<>();
+    private int changes;
+
     private VersionHistory history;
-    private TableVersion parent;
-    private Frame.Lines deltaFrame;
-    private Frame.Bind wholeFrame;
-    private byte[] whole;
-    private final Map<NodeId, Double> out = new TreeMap<>();
-    private final Map<NodeId, Double> wanted = new TreeMap<>();
+    private TableVersion firstVersion;
+    private Frame.Lines deltaUpdate;
+    private Frame.Bind fullUpdate;
+    private byte[] encodedFullUpdate;
+
+    private final Map<NodeId, TableChangeValidator.NodeFact> facts = new TreeMap<>();
+    private final Map<NodeId, Double> published = new TreeMap<>();
+    private final Map<NodeId, Double> desired = new TreeMap<>();
     private final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
-    private TableChangeValidator gate;
-    private int turn;
+    private TableChangeValidator validator;
 
     @Setup
     public void fill() {
+        fillWeights();
+        published.putAll(weights);
+        desired.putAll(weights);
+        validator = new TableChangeValidator();
+        history = new VersionHistory(TABLE, 0);
+        firstVersion = history.commit(weights, TableVersion.Cause.MODULE, 0);
+        nextDelta();
+        history.commit(delta, TableVersion.Cause.MODULE, 1);
+        long digest = history.current().digest();
+        deltaUpdate = new Frame.Lines(TABLE, 1, 2, digest, entries(delta));
+        fullUpdate =
+                new Frame.Bind(
+                        TABLE, 2, digest, List.of(new MethodId(0)), entries(weights), List.of());
+        encodedFullUpdate = FrameWriter.bytes(fullUpdate);
+    }
+
+    private void fillWeights() {
         for (int i = 0; i < nodes; i++) {
             NodeId id = ListedNode.id("node-" + i, "127.0.0.1", 8000 + i);
             ids.add(id);
-            lines.put(id, 1 + i % 7 / 7.0);
+            weights.put(id, 1 + i % 7 / 7.0);
             facts.put(id, new TableChangeValidator.NodeFact(NodeState.READY, 1, true));
         }
-        out.putAll(lines);
-        wanted.putAll(lines);
-        gate = new TableChangeValidator();
-        history = new VersionHistory(new TableId(1), 0);
-        parent = history.commit(lines, TableVersion.Cause.MODULE, 0);
-        change();
-        history.commit(delta, TableVersion.Cause.MODULE, 1);
-        deltaFrame = new Frame.Lines(new TableId(1), 1, 2, history.current().digest(), all(delta));
-        wholeFrame =
-                new Frame.Bind(
-                        new TableId(1),
-                        2,
-                        history.current().digest(),
-                        List.of(new MethodId(0)),
-                        all(lines),
-                        List.of());
-        whole = FrameWriter.bytes(wholeFrame);
     }
 
-    private static List<Frame.Line> all(Map<NodeId, Double> lines) {
-        List<Frame.Line> all = new ArrayList<>();
-        lines.forEach((node, weight) -> all.add(new Frame.Line(node, weight)));
-        return all;
+    private static List<Frame.Line> entries(Map<NodeId, Double> weights) {
+        List<Frame.Line> entries = new ArrayList<>();
+        weights.forEach((node, weight) -> entries.add(new Frame.Line(node, weight)));
+        return entries;
     }
 
-    private void change() {
+    private void nextDelta() {
         delta.clear();
-        for (int i = 0; i < CHANGED; i++) {
-            turn++;
-            delta.put(ids.get(turn * 37 % nodes), 1 + turn % 1000 / 1000.0);
+        for (int i = 0; i < CHANGED_ENTRIES; i++) {
+            changes++;
+            delta.put(ids.get(changes * NODE_STRIDE % nodes), 1 + changes % 1000 / 1000.0);
         }
     }
 
-    /** Commits a change of three lines and digests it. */
+    private TableChangeValidator.ValidationContext context() {
+        return new TableChangeValidator.ValidationContext(
+                facts, 1, false, Double.POSITIVE_INFINITY);
+    }
+
+    /** Commits a change and digests it. */
     @Benchmark
     public TableVersion commit() {
-        change();
-        return parent.with(delta, TableVersion.Cause.MODULE, turn);
+        nextDelta();
+        return firstVersion.with(delta, TableVersion.Cause.MODULE, changes);
     }
 
-    /** The difference of two versions that lie apart by one. */
+    /** Compares two versions that follow one another. */
     @Benchmark
     public Object diff() {
         return history.difference(1, 2);
     }
 
-    /** The digest of a whole table, as a proxy works it out once. */
+    /** Digests a full table, as a proxy does once. */
     @Benchmark
-    public long digestOfAllLines() {
-        return TableDigest.of(lines);
+    public long digestOfAllEntries() {
+        return TableDigest.of(weights);
     }
 
+    /** Encodes a change as a frame. */
     @Benchmark
     public byte[] encodeDelta() {
-        return FrameWriter.bytes(deltaFrame);
+        return FrameWriter.bytes(deltaUpdate);
     }
 
+    /** Encodes a full table as a frame. */
     @Benchmark
-    public byte[] encodeWhole() {
-        return FrameWriter.bytes(wholeFrame);
+    public byte[] encodeFullUpdate() {
+        return FrameWriter.bytes(fullUpdate);
     }
 
+    /** Compresses the frame of a full table. */
     @Benchmark
-    public byte[] packWhole() {
-        return FrameWriter.packed(whole);
+    public byte[] compressFullUpdate() {
+        return FrameWriter.packed(encodedFullUpdate);
     }
 
-    /** The gate's look at a whole table, as after a change of the list. */
+    /** Validates a full table, as after a change of the endpoint list. */
     @Benchmark
-    public Object judgeWhole() {
-        return gate.validate(
-                lines,
-                wanted,
-                new TableChangeValidator.ValidationContext(
-                        facts, 1, false, Double.POSITIVE_INFINITY));
+    public Object validateFullTable() {
+        return validator.validate(weights, desired, context());
     }
 
-    /** The gate's look at a change of three lines. */
+    /** Validates a change, as in most rounds. */
     @Benchmark
-    public Object judge() {
-        change();
-        wanted.putAll(delta);
-        Object verdict =
-                gate.validate(
-                        standing,
-                        out,
-                        wanted,
-                        delta,
-                        new TableChangeValidator.ValidationContext(
-                                facts, 1, false, Double.POSITIVE_INFINITY));
-        out.putAll(delta);
-        return verdict;
+    public Object validateDelta() {
+        nextDelta();
+        desired.putAll(delta);
+        Object result = validator.validate(standing, published, desired, delta, context());
+        published.putAll(delta);
+        return result;
     }
 }
--- a/src/test/java/rosespread/bench/TableSizes.java
+++ b/src/test/java/rosespread/bench/TableSizes.java
@@ -15,75 +15,86 @@
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
 
-/** Prints bytes on the wire and bytes that a version keeps in memory, by the size of a table. */
+/**
+ * Prints bytes on the wire and bytes that a version keeps in memory, by the size of a table. The
+ * former are exact, the latter are measured between two garbage collections.
+ */
 public final class TableSizes {
+    private static final TableId TABLE = new TableId(1);
+    private static final int[] NODES = {100, 1_000, 10_000};
+    private static final int ZONES = 3;
+    private static final int PORT = 8080;
     private static final int VERSIONS = 256;
-    private static final int CHANGED = 3;
+    private static final int CHANGED_ENTRIES = 3;
+    private static final int COLLECTIONS = 4;
 
     private TableSizes() {}
 
     public static void main(String[] args) {
         System.out.println(
                 "nodes | delta | whole | packed | with names | packed | bytes a version");
-        for (int nodes : new int[] {100, 1000, 10_000}) {
-            Random random = new Random(1);
-            Map<NodeId, Double> lines = new TreeMap<>();
-            ByteArrayOutputStream named = new ByteArrayOutputStream();
-            for (int i = 0; i < nodes; i++) {
-                String host = "10.0." + i / 250 + "." + i % 250;
-                NodeId id = ListedNode.id("node-" + i, host, 8080);
-                lines.put(id, 0.5 + random.nextDouble());
-                named.writeBytes(
-                        FrameWriter.bytes(new Frame.Node(id, host, 8080, "zone-" + i % 3)));
-            }
-            List<Frame.Line> all = new ArrayList<>();
-            lines.forEach((node, weight) -> all.add(new Frame.Line(node, weight)));
-            byte[] whole =
-                    FrameWriter.bytes(
-                            new Frame.Bind(
-                                    new TableId(1),
-                                    1,
-                                    1,
-                                    List.of(new MethodId(0)),
-                                    all,
-                                    List.of()));
-            named.writeBytes(whole);
-            byte[] delta =
-                    FrameWriter.bytes(
-                            new Frame.Lines(new TableId(1), 1, 2, 1, all.subList(0, CHANGED)));
-            System.out.printf(
-                    "%d | %d | %d | %d | %d | %d | %d%n",
-                    nodes,
-                    delta.length,
-                    whole.length,
-                    FrameWriter.packed(whole).length,
-                    named.size(),
-                    FrameWriter.packed(named.toByteArray()).length,
-                    perVersion(lines, random));
+        for (int nodes : NODES) {
+            System.out.println(row(nodes));
+        }
+    }
+
+    private static String row(int nodes) {
+        Random random = new Random(1);
+        Map<NodeId, Double> weights = new TreeMap<>();
+        ByteArrayOutputStream addressesAndTable = new ByteArrayOutputStream();
+        for (int i = 0; i < nodes; i++) {
+            String host = "10.0." + i / 250 + "." + i % 250;
+            NodeId id = ListedNode.id("node-" + i, host, PORT);
+            weights.put(id, 0.5 + random.nextDouble());
+            addressesAndTable.writeBytes(
+                    FrameWriter.bytes(new Frame.Node(id, host, PORT, "zone-" + i % ZONES)));
         }
+        List<Frame.Line> entries = new ArrayList<>();
+        weights.forEach((node, weight) -> entries.add(new Frame.Line(node, weight)));
+        byte[] table = fullUpdate(entries);
+        addressesAndTable.writeBytes(table);
+        return String.format(
+                "%d | %d | %d | %d | %d | %d | %d",
+                nodes,
+                deltaUpdate(entries).length,
+                table.length,
+                FrameWriter.packed(table).length,
+                addressesAndTable.size(),
+                FrameWriter.packed(addressesAndTable.toByteArray()).length,
+                bytesPerVersion(weights, random));
+    }
+
+    private static byte[] fullUpdate(List<Frame.Line> entries) {
+        return FrameWriter.bytes(
+                new Frame.Bind(TABLE, 1, 1, List.of(new MethodId(0)), entries, List.of()));
+    }
+
+    private static byte[] deltaUpdate(List<Frame.Line> entries) {
+        return FrameWriter.bytes(
+                new Frame.Lines(TABLE, 1, 2, 1, entries.subList(0, CHANGED_ENTRIES)));
     }
 
-    private static long perVersion(Map<NodeId, Double> lines, Random random) {
-        List<NodeId> ids = new ArrayList<>(lines.keySet());
-        VersionHistory history = new VersionHistory(new TableId(1), 0);
-        history.commit(lines, TableVersion.Cause.MODULE, 0);
-        long before = used();
+    private static long bytesPerVersion(Map<NodeId, Double> weights, Random random) {
+        List<NodeId> ids = new ArrayList<>(weights.keySet());
+        VersionHistory history = new VersionHistory(TABLE, 0);
+        history.commit(weights, TableVersion.Cause.MODULE, 0);
+        long before = usedBytes();
         for (int i = 1; i < VERSIONS; i++) {
-            Map<NodeId, Double> change = new TreeMap<>();
-            for (int k = 0; k < CHANGED; k++) {
-                change.put(ids.get(random.nextInt(ids.size())), random.nextDouble());
+            Map<NodeId, Double> delta = new TreeMap<>();
+            for (int k = 0; k < CHANGED_ENTRIES; k++) {
+                delta.put(ids.get(random.nextInt(ids.size())), random.nextDouble());
             }
-            history.commit(change, TableVersion.Cause.MODULE, 0);
+            history.commit(delta, TableVersion.Cause.MODULE, 0);
         }
-        long bytes = (used() - before) / (VERSIONS - 1);
+        long bytes = (usedBytes() - before) / (VERSIONS - 1);
         if (history.versions().size() != VERSIONS) {
-            throw new IllegalStateException("not all versions are kept");
+            throw new IllegalStateException("not all versions are stored");
         }
         return bytes;
     }
 
-    private static long used() {
-        for (int i = 0; i < 4; i++) {
+    private static long usedBytes() {
+        for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
