--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -94,9 +94,7 @@
             String body,
             String... headers) {
         HttpHeaders allHeaders =
-                HttpHeaders.of(headers)
-                        .add("host", controller.getHostString() + ":" + controller.getPort())
-                        .add("x-operator", operator);
+                HttpHeaders.of(headers).add("host", text(controller)).add("x-operator", operator);
         HttpMessage.Request request =
                 new HttpMessage.Request(
                         verb, path, allHeaders, body.getBytes(StandardCharsets.UTF_8));
@@ -105,6 +103,11 @@
         return future.response;
     }
 
+    /** A control address as HOST:PORT, with the host as it was given. */
+    static String text(InetSocketAddress controller) {
+        return controller.getHostString() + ":" + controller.getPort();
+    }
+
     @Override
     public void close() {
         http.close();
--- a/src/main/java/rosespread/fleet/FleetResponse.java
+++ b/src/main/java/rosespread/fleet/FleetResponse.java
@@ -53,6 +53,6 @@
 
     /** The control address as HOST:PORT, the way the operator gave it. */
     public String address() {
-        return controller.getHostString() + ":" + controller.getPort();
+        return Fleet.text(controller);
     }
 }
--- a/src/main/java/rosespread/fleet/StagedSettingsRollout.java
+++ b/src/main/java/rosespread/fleet/StagedSettingsRollout.java
@@ -111,8 +111,7 @@
             }
             Thread.sleep(POLL_MILLIS);
         }
-        String address = controller.getHostString() + ":" + controller.getPort();
-        listener.accept(new RolloutEvent.ProxiesMissing(address, proxies));
+        listener.accept(new RolloutEvent.ProxiesMissing(Fleet.text(controller), proxies));
         return false;
     }
 
