--- a/src/main/java/rosespread/cli/ControllerCommand.java
+++ b/src/main/java/rosespread/cli/ControllerCommand.java
@@ -1,5 +1,6 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
@@ -49,7 +50,7 @@
     private InetSocketAddress control;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, InterruptedException {
         Daemon.run(name, state, listen, control, Controller.MODULE, new TableChangeValidator());
         return ExitCodes.DONE;
     }
--- a/src/main/java/rosespread/cli/ScenarioCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -1,5 +1,6 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -45,7 +46,7 @@
     private boolean withoutController;
 
     @Override
-    int execute() throws Exception {
+    int execute() throws IOException {
         try {
             return print(run());
         } catch (ScenarioException e) {
@@ -54,7 +55,7 @@
         }
     }
 
-    private Report run() throws Exception {
+    private Report run() throws IOException, ScenarioException {
         String controllerClass = Main.class.getName();
         List<String> controllerArguments = List.of();
         return ScenarioRun.play(
@@ -63,7 +64,7 @@
                         seed, !withoutController, controllerClass, controllerArguments));
     }
 
-    private int print(Report report) throws Exception {
+    private int print(Report report) throws IOException {
         if (reportFile != null) {
             Files.writeString(reportFile, report.json());
         }
--- a/src/main/java/rosespread/cli/TestbedSettingsCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSettingsCommand.java
@@ -1,7 +1,9 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import picocli.CommandLine.Command;
 import rosespread.scenario.OpenSite;
+import rosespread.scenario.ScenarioException;
 
 /** Prints the settings that fit a scenario's fakes, as JSON. */
 @Command(
@@ -11,7 +13,7 @@
         footer = {"", "Example: rosespread testbed settings quiet-day --list-port 8500"})
 final class TestbedSettingsCommand extends TestbedSubcommand {
     @Override
-    void run(TestbedOptions arguments) throws Exception {
+    void run(TestbedOptions arguments) throws IOException, ScenarioException {
         System.out.println(
                 OpenSite.settings(arguments.scenario(), arguments.seed(), arguments.listPort()));
     }
--- a/src/main/java/rosespread/cli/TestbedSiteCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSiteCommand.java
@@ -1,10 +1,12 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import rosespread.scenario.OpenSite;
+import rosespread.scenario.ScenarioException;
 
 /** Runs a scenario's fakes for the scenario's time, or without controllers until it is stopped. */
 @Command(
@@ -21,7 +23,7 @@
     private List<InetSocketAddress> controllers = List.of();
 
     @Override
-    void run(TestbedOptions arguments) throws Exception {
+    void run(TestbedOptions arguments) throws IOException, ScenarioException, InterruptedException {
         OpenSite.run(
                 arguments.scenario(),
                 arguments.seed(),
--- a/src/main/java/rosespread/cli/TestbedSubcommand.java
+++ b/src/main/java/rosespread/cli/TestbedSubcommand.java
@@ -1,5 +1,6 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import picocli.CommandLine.Mixin;
 import rosespread.scenario.ScenarioException;
 
@@ -11,12 +12,15 @@
      * Does the command's work.
      *
      * @param arguments the checked arguments
+     * @throws IOException if a file cannot be read or a port cannot be had
      * @throws ScenarioException if the scenario is unknown or malformed
+     * @throws InterruptedException if interrupted while the fakes run
      */
-    abstract void run(TestbedOptions arguments) throws Exception;
+    abstract void run(TestbedOptions arguments)
+            throws IOException, ScenarioException, InterruptedException;
 
     @Override
-    final int execute() throws Exception {
+    final int execute() throws IOException, InterruptedException {
         options.validate();
         try {
             run(options);
