--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -1,16 +1,14 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import rosespread.audit.AuditLog;
 
-/** Checks an audit log's chain. */
+/** Verifies the hash chain of an audit log. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
@@ -22,25 +20,21 @@
             "2:bad input"
         },
         footer = {"", "Example: rosespread audit ./state/audit.log"})
-final class AuditCommand implements Callable<Integer> {
-    @Spec private CommandSpec spec;
-
+final class AuditCommand extends PrintingCommand {
     @Parameters(paramLabel = "FILE")
     private Path file;
 
     @Override
-    public Integer call() throws Exception {
+    int execute() throws IOException {
         if (!Files.isRegularFile(file)) {
-            throw new ParameterException(spec.commandLine(), file + " is not a file");
+            throw new ParameterException(spec().commandLine(), file + " is not a file");
         }
         AuditLog.Verdict verdict = AuditLog.check(file);
-        if (verdict.fault().isEmpty()) {
-            spec.commandLine()
-                    .getOut()
-                    .println(verdict.lines() + " lines, chain " + verdict.chain());
-            return 0;
+        if (!verdict.fault().isEmpty()) {
+            err().println(file + ": " + verdict.fault());
+            return ExitCodes.FAILED;
         }
-        spec.commandLine().getErr().println(file + ": " + verdict.fault());
-        return 1;
+        out().println(verdict.lines() + " lines, chain " + verdict.chain());
+        return ExitCodes.DONE;
     }
 }
--- a/src/main/java/rosespread/cli/RehearseCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -1,21 +1,19 @@
 package rosespread.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import rosespread.scenario.Report;
 import rosespread.scenario.ScenarioException;
 import rosespread.scenario.ScenarioRun;
 
-/** Plays a scripted day on loopback and judges the five rules from the sockets. */
+/** Runs a fault scenario on loopback and judges the five rules from what passed on the sockets. */
 @Command(
-        name = "rehearse",
+        name = "scenario",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
@@ -27,8 +25,8 @@
             "2:bad input",
             "3:a rule was broken"
         },
-        footer = {"", "Example: rosespread rehearse bad-day --seed 7 --out day.json"})
-final class RehearseCommand implements Callable<Integer> {
+        footer = {"", "Example: rosespread scenario bad-day --seed 7 --out day.json"})
+final class ScenarioCommand extends PrintingCommand {
     @Parameters(
             paramLabel = "SCENARIO",
             description =
@@ -39,33 +37,38 @@
     @Option(names = "--seed", defaultValue = "1", description = "Draws the day (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--out", description = "Where the report goes as JSON.")
-    private Path out;
+    @Option(names = "--out", paramLabel = "<out>", description = "Where the report goes as JSON.")
+    private Path reportFile;
 
     @Option(
             names = "--no-conductor",
             description = "Proxies keep their starting tables, for comparison.")
-    private boolean noConductor;
-
-    @Spec private CommandSpec spec;
+    private boolean withoutController;
 
     @Override
-    public Integer call() throws Exception {
+    int execute() throws IOException {
         try {
-            Report report =
-                    ScenarioRun.play(
-                            scenario,
-                            new ScenarioRun.Options(
-                                    seed, !noConductor, Main.class.getName(), List.of()));
-            if (out != null) {
-                Files.writeString(out, report.json());
-            }
-            spec.commandLine().getOut().print(report.text());
-            spec.commandLine().getOut().flush();
-            return report.kept() ? 0 : 3;
+            return print(run());
         } catch (ScenarioException e) {
-            spec.commandLine().getErr().println(e.getMessage());
-            return 2;
+            err().println(e.getMessage());
+            return ExitCodes.BAD_INPUT;
+        }
+    }
+
+    private Report run() throws IOException, ScenarioException {
+        String controllerClass = Main.class.getName();
+        List<String> controllerArguments = List.of();
+        return ScenarioRun.play(
+                scenario,
+                new ScenarioRun.Options(
+                        seed, !withoutController, controllerClass, controllerArguments));
+    }
+
+    private int print(Report report) throws IOException {
+        if (reportFile != null) {
+            Files.writeString(reportFile, report.json());
         }
+        out().print(report.text());
+        return report.kept() ? ExitCodes.DONE : ExitCodes.RULE_BROKEN;
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/cli/TestbedCommand.java
@@ -0,0 +1,18 @@
+package rosespread.cli;
+
+import picocli.CommandLine.Command;
+
+/** Groups the subcommands that surround controllers started by hand with fakes. */
+@Command(
+        name = "testbed",
+        mixinStandardHelpOptions = true,
+        synopsisSubcommandLabel = "SUBCOMMAND",
+        description =
+                "Fakes of nodes, list, proxies and clients, for a controller started by hand.",
+        subcommands = {TestbedSiteCommand.class, TestbedSettingsCommand.class},
+        footer = {
+            "",
+            "Example: rosespread testbed settings quiet-day |"
+                    + " curl -X PUT -d @- 127.0.0.1:7401/v1/settings"
+        })
+final class TestbedCommand extends CommandGroup {}
