--- a/src/main/java/rosespread/controller/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -83,7 +83,7 @@
         }
 
         @Override
-        public long unwritten() {
+        public long writeBufferBytes() {
             return session.getScheduledWriteBytes();
         }
 
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public String remote() {
+        public String remoteAddress() {
             return remote;
         }
     }
@@ -112,14 +112,14 @@
             Holder holder = new Holder();
             session.setAttribute(LINK, holder);
             ProxySession.Transport wire = new SessionWire(session);
-            inbox.put(now -> holder.link = core.opened(now, wire));
+            inbox.put(now -> holder.link = core.sessionOpened(now, wire));
         }
 
         @Override
         public void messageReceived(IoSession session, Object message) {
             Holder holder = (Holder) session.getAttribute(LINK);
             Frame frame = (Frame) message;
-            EventQueue.Event event = now -> core.frame(now, holder.link, frame);
+            EventQueue.Event event = now -> core.frameReceived(now, holder.link, frame);
             if (frame instanceof Frame.Sums || frame instanceof Frame.Offered) {
                 inbox.putReport(event);
             } else {
@@ -130,7 +130,7 @@
         @Override
         public void sessionClosed(IoSession session) {
             Holder holder = (Holder) session.getAttribute(LINK);
-            inbox.put(now -> core.closed(now, holder.link));
+            inbox.put(now -> core.sessionClosed(now, holder.link));
         }
 
         @Override
@@ -139,7 +139,10 @@
             for (Throwable at = cause; at != null && holder != null; at = at.getCause()) {
                 if (at instanceof FrameException e) {
                     session.suspendRead();
-                    inbox.put(now -> core.garbled(now, holder.link, e.reason(), e.getMessage()));
+                    inbox.put(
+                            now ->
+                                    core.protocolViolated(
+                                            now, holder.link, e.reason(), e.getMessage()));
                     return;
                 }
             }
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -81,7 +81,7 @@
                     });
     private final HttpClient http =
             new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
-    private final PeerDrains peers;
+    private final PeerDrainPoller peers;
     private final Thread thread;
     private final EventLoop loop;
     private volatile ControllerStatus state;
@@ -107,8 +107,10 @@
         this.book = new TableRegistry(store);
         this.core = new ControllerState(new Outside(), gate, book, System::currentTimeMillis);
         this.server = new ChannelServer(2, inbox, core);
-        this.state = core.state();
-        this.peers = new PeerDrains(http, timer, words -> inbox.put(now -> core.hear(now, words)));
+        this.state = core.status();
+        this.peers =
+                new PeerDrainPoller(
+                        http, timer, words -> inbox.put(now -> core.mergeDrains(now, words)));
         this.loop = new EventLoop(inbox, core::runDue, this::undecided);
         this.thread =
                 new Thread(
@@ -132,7 +134,7 @@
      */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
         book.restore(store.open());
-        state = core.state();
+        state = core.status();
         thread.start();
         try {
             Optional<Snapshot.Saved> saved = snapshot.load();
@@ -140,7 +142,7 @@
                 FleetSettings settings = SettingsReader.read(saved.get().text());
                 inForce = saved.get();
                 take(settings);
-                peers.pull(PEERS_NANOS);
+                peers.poll(PEERS_NANOS);
                 LOG.info("settings taken from the snapshot");
             } else {
                 LOG.info("waiting for settings");
@@ -187,7 +189,7 @@
         settingsTrouble = "";
         inForce = next;
         take(settings);
-        peers.pull(0);
+        peers.poll(0);
         LOG.atInfo()
                 .addKeyValue("revision", next.revision())
                 .addKeyValue("by", by)
@@ -220,8 +222,8 @@
                                     System::nanoTime,
                                     new SplittableRandom(settings.seed() ^ name.hashCode()),
                                     new ListEars());
-                    core.apply(now, settings);
-                    peers.follow(settings.peers());
+                    core.applySettings(now, settings);
+                    peers.setPeers(settings.peers());
                     if (!at.onDemand()) {
                         list.follow();
                     }
@@ -263,7 +265,7 @@
                                         case PIN -> core.pin(now, id);
                                         case RELEASE -> core.release(now, id);
                                     };
-                            last[0] = book.last();
+                            last[0] = book.lastSequence();
                             return told;
                         });
         return new Outcome(
@@ -288,7 +290,7 @@
                 decide(
                         now -> {
                             DrainResult told = core.drain(now, call);
-                            last[0] = book.last();
+                            last[0] = book.lastSequence();
                             return told;
                         });
         store.await(last[0], ACT_SECONDS * 1_000_000_000L);
@@ -320,7 +322,7 @@
      */
     public ControllerStatus state() {
         try {
-            state = decide(now -> core.state());
+            state = decide(now -> core.status());
         } catch (IOException e) {
             LOG.warn("an older state is shown: {}", e.getMessage());
         }
@@ -367,12 +369,12 @@
     private final class ListEars implements NodeListClient.Follower {
         @Override
         public void whole(List<ListedNode> nodes) {
-            inbox.put(now -> core.list(now, nodes));
+            inbox.put(now -> core.nodesListed(now, nodes));
         }
 
         @Override
         public void unavailable(String why) {
-            inbox.put(now -> core.listUnavailable(now, why));
+            inbox.put(now -> core.nodeListUnavailable(now, why));
         }
     }
 
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -63,7 +63,7 @@
     private final Environment world;
     private final TableChangeValidator gate;
     private final TableRegistry book;
-    private final TableViews views;
+    private final TableStatusReader views;
     private final LongSupplier wallMillis;
     private final Set<ProxySession> links = new LinkedHashSet<>();
     private final TreeMap<ProxyId, ProxySession> joined = new TreeMap<>();
@@ -119,7 +119,7 @@
             TableRegistry book,
             LongSupplier wallMillis) {
         this.book = book;
-        this.views = new TableViews(book, nodes);
+        this.views = new TableStatusReader(book, nodes);
         this.world = world;
         this.gate = gate;
         this.wallMillis = wallMillis;
@@ -135,7 +135,7 @@
      * here on, so all streams are closed and a fresh module begins, as after a restart; proxies
      * keep their tables and rejoin.
      */
-    public void apply(long time, FleetSettings next) {
+    public void applySettings(long time, FleetSettings next) {
         now = time;
         settings = next;
         zones.clear();
@@ -173,7 +173,7 @@
                         new DurabilityTimeout(settings.drainGrace()));
         number = runDue == null ? number : runDue.number();
         lastCause = now;
-        book.moduleBegins();
+        book.policyRestarted();
         factsChange();
         runDue =
                 new TableUpdateWriter(
@@ -187,14 +187,14 @@
 
     // ---- streams ----
 
-    public ProxySession opened(long time, ProxySession.Transport wire) {
+    public ProxySession sessionOpened(long time, ProxySession.Transport wire) {
         now = time;
         ProxySession link = new ProxySession(wire, now);
         links.add(link);
         return link;
     }
 
-    public void frame(long time, ProxySession link, Frame frame) {
+    public void frameReceived(long time, ProxySession link, Frame frame) {
         now = time;
         if (link.closed) {
             return;
@@ -205,7 +205,7 @@
                 link.wire.write(FrameWriter.bytes(new Frame.KeepAlive(alive.number(), true)));
             }
         } else if (frame instanceof Frame.Close) {
-            closed(now, link);
+            sessionClosed(now, link);
         } else if (!link.greeted) {
             greet(link, frame);
         } else if (!link.joined()) {
@@ -214,7 +214,7 @@
             installed(link, installed.number());
         } else if (frame instanceof Frame.Sums met) {
             link.reportedAt = now;
-            sums.take(link.proxy, link.zone, known(met));
+            sums.add(link.proxy, link.zone, known(met));
         } else if (frame instanceof Frame.Missed missed) {
             counts.missed++;
             if (link.bound.containsKey(missed.table())) {
@@ -289,10 +289,10 @@
         LOG.atInfo()
                 .addKeyValue("proxy", link.name)
                 .addKeyValue("zone", join.zone())
-                .addKeyValue("from", link.wire.remote())
+                .addKeyValue("from", link.wire.remoteAddress())
                 .log("proxy joined");
         long wall = wallMillis.getAsLong();
-        join.held().forEach(held -> book.met(held.table(), held.version(), wall));
+        join.held().forEach(held -> book.raiseAbove(held.table(), held.version(), wall));
         rounds.add(observer -> observer.proxyJoined(id, link.zone, join.rate()));
     }
 
@@ -301,7 +301,7 @@
      * one.
      */
     private void installed(ProxySession link, long answered) {
-        ProxySession.Marked found =
+        ProxySession.UnacknowledgedMessage found =
                 link.marks.stream().filter(m -> m.number() == answered).findFirst().orElse(null);
         if (found == null) {
             counts.strayAnswers++;
@@ -311,9 +311,9 @@
             link.marks.removeFirst();
         }
         link.marks.removeFirst();
-        long took = now - found.orderedAt();
-        if (found.mark() >= 0) {
-            rounds.add(observer -> observer.acknowledged(link.proxy, found.mark(), took));
+        long took = now - found.orderedAtNanos();
+        if (found.token() >= 0) {
+            rounds.add(observer -> observer.acknowledged(link.proxy, found.token(), took));
         }
     }
 
@@ -354,7 +354,7 @@
     }
 
     /** The stream broke, a moment or a while ago. */
-    public void closed(long time, ProxySession link) {
+    public void sessionClosed(long time, ProxySession link) {
         now = time;
         if (!link.closed) {
             close(link, null, "the stream closed");
@@ -362,7 +362,7 @@
     }
 
     /** The stream brought what is not the protocol. */
-    public void garbled(long time, ProxySession link, Frame.Reason reason, String text) {
+    public void protocolViolated(long time, ProxySession link, Frame.Reason reason, String text) {
         now = time;
         close(link, reason, text);
     }
@@ -380,11 +380,11 @@
             rounds.add(observer -> observer.proxyLeft(id));
         }
         if (channel != null) {
-            channel.drop(link);
+            channel.discard(link);
         }
         LOG.atInfo()
                 .addKeyValue("proxy", link.name)
-                .addKeyValue("from", link.wire.remote())
+                .addKeyValue("from", link.wire.remoteAddress())
                 .addKeyValue("reason", reason)
                 .log("stream closed: " + text);
         link.wire.close(reason == null ? Frame.Reason.STOPPING : reason, text);
@@ -393,7 +393,7 @@
     // ---- list and probes ----
 
     /** The list told of all nodes. */
-    public void list(long time, List<ListedNode> all) {
+    public void nodesListed(long time, List<ListedNode> all) {
         now = time;
         listKnown = true;
         counts.lists++;
@@ -415,7 +415,7 @@
             // given.
             if (word.on() && before.contains(word.node()) && !told.containsKey(word.node())) {
                 long stamp = book.drains().nextStamp();
-                book.take(
+                book.applyDrain(
                         new Drain(
                                 word.node(),
                                 word.name(),
@@ -519,7 +519,7 @@
         return places.get(name);
     }
 
-    public void listUnavailable(long time, String why) {
+    public void nodeListUnavailable(long time, String why) {
         now = time;
         counts.listFailures++;
         if (counts.listTrouble.isEmpty()) {
@@ -552,13 +552,13 @@
             sumsAt = now + settings.reportPeriod();
             LoadReportAggregator gathered = sums;
             sums = new LoadReportAggregator();
-            rounds.add(gathered::handTo);
+            rounds.add(gathered::deliverTo);
         }
         long next = Math.min(sumsAt, rounds.runDue(now, player));
         if (book.log().wantsImage()) {
-            book.log().image(book.image());
+            book.log().image(book.snapshot());
         }
-        next = Math.min(next, channel.pump(now));
+        next = Math.min(next, channel.sendDue(now));
         return Math.min(next, keepAlive());
     }
 
@@ -589,9 +589,12 @@
                         "nothing heard for " + (now - link.heardAt) / 1_000_000 + " ms");
             } else if (!link.joined() && now - link.openedAt > JOIN_WITHIN) {
                 close(link, Frame.Reason.SILENT, "not joined in time");
-            } else if (link.wire.unwritten() > UNWRITTEN_MOST) {
+            } else if (link.wire.writeBufferBytes() > UNWRITTEN_MOST) {
                 counts.slow++;
-                close(link, Frame.Reason.SLOW, link.wire.unwritten() + " bytes were not read");
+                close(
+                        link,
+                        Frame.Reason.SLOW,
+                        link.wire.writeBufferBytes() + " bytes were not read");
             } else if (link.joined() && now - link.keptAt >= every) {
                 link.keptAt = now;
                 link.wire.write(FrameWriter.bytes(new Frame.KeepAlive(now, false)));
@@ -613,7 +616,7 @@
     }
 
     /** What there is to see, as it is now. */
-    public ControllerStatus state() {
+    public ControllerStatus status() {
         return ControllerStatus.of(
                 settings,
                 joined.values(),
@@ -630,11 +633,11 @@
     }
 
     private ControllerStatus.Storage storage() {
-        DurabilityTimeout patience = channel == null ? null : channel.patience();
+        DurabilityTimeout patience = channel == null ? null : channel.durabilityTimeout();
         return new ControllerStatus.Storage(
                 book.log().trouble(),
                 patience != null && patience.late(),
-                Math.max(0, book.last() - book.log().durable()),
+                Math.max(0, book.lastSequence() - book.log().durable()),
                 patience == null ? 0 : patience.unkept(),
                 book.log().bytes());
     }
@@ -720,7 +723,7 @@
         if (!against.isEmpty()) {
             return new DrainResult(DrainResult.Kind.GUARDED, drains.revision(), against);
         }
-        book.take(
+        book.applyDrain(
                 new Drain(
                         node.id(),
                         node.name(),
@@ -738,11 +741,12 @@
     }
 
     /** Takes words up that other conductors have; tells how many change anything. */
-    public int hear(long time, List<Drain> words) {
+    public int mergeDrains(long time, List<Drain> words) {
         now = time;
         int changes = 0;
         for (Drain word : words) {
-            if (word.after(book.drains().latest(word.node()).orElse(null)) && book.take(word)) {
+            if (word.after(book.drains().latest(word.node()).orElse(null))
+                    && book.applyDrain(word)) {
                 changes++;
                 LOG.atInfo()
                         .addKeyValue("node", word.name())
--- a/src/main/java/rosespread/controller/LoadReportAggregator.java
+++ b/src/main/java/rosespread/controller/LoadReportAggregator.java
@@ -31,7 +31,7 @@
 
     private final TreeMap<ZoneId, Zone> zones = new TreeMap<>();
 
-    void take(ProxyId proxy, ZoneId id, Frame.Sums sums) {
+    void add(ProxyId proxy, ZoneId id, Frame.Sums sums) {
         Zone zone = zones.computeIfAbsent(id, z -> new Zone());
         zone.proxies.add(proxy);
         zone.covers += sums.coversMicros() * 1000;
@@ -51,7 +51,7 @@
     }
 
     /** Hands over all that was gathered. */
-    void handTo(EventHandler observer) {
+    void deliverTo(EventHandler observer) {
         for (Map.Entry<ZoneId, Zone> entry : zones.entrySet()) {
             Zone zone = entry.getValue();
             long covers = zone.covers / zone.proxies.size();
--- a/src/main/java/rosespread/controller/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -25,12 +25,12 @@
             ProxySession link,
             List<byte[]> frames,
             int lines,
-            ProxySession.Marked marked,
+            ProxySession.UnacknowledgedMessage marked,
             long after) {}
 
     private final double linesPerSecond;
     private final TableLog log;
-    private final DurabilityTimeout patience;
+    private final DurabilityTimeout durabilityTimeout;
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
     private long freeAt = Long.MIN_VALUE;
     private long lines;
@@ -41,17 +41,17 @@
     PacedChannel(double linesPerSecond, TableLog log, DurabilityTimeout patience) {
         this.linesPerSecond = linesPerSecond;
         this.log = log;
-        this.patience = patience;
+        this.durabilityTimeout = patience;
     }
 
     /**
      * @param after the sequence that must be kept before the message leaves
      */
-    void offer(
+    void enqueue(
             ProxySession link,
             List<byte[]> frames,
             int count,
-            ProxySession.Marked marked,
+            ProxySession.UnacknowledgedMessage marked,
             long after) {
         queue.addLast(new Waiting(link, frames, count, marked, after));
         lines += count;
@@ -62,20 +62,20 @@
      * Lets out what is due by now; returns when the next is due, the largest number if nothing
      * waits.
      */
-    long pump(long now) {
+    long sendDue(long now) {
         while (!queue.isEmpty()) {
             Waiting head = queue.peekFirst();
             long due =
-                    Math.max(freeAt, head.marked.orderedAt())
+                    Math.max(freeAt, head.marked.orderedAtNanos())
                             + (long) (head.lines / linesPerSecond * SECOND);
             if (due > now) {
                 return due;
             }
-            if (!patience.mayLeave(
+            if (!durabilityTimeout.mayLeave(
                     head.after,
                     log.durable(),
                     !log.trouble().isEmpty(),
-                    now - head.marked.orderedAt())) {
+                    now - head.marked.orderedAtNanos())) {
                 held = true;
                 return now + LOOK_EVERY;
             }
@@ -91,7 +91,7 @@
     }
 
     private void write(Waiting message, long now) {
-        long queued = (now - message.marked.orderedAt()) / 1000;
+        long queued = (now - message.marked.orderedAtNanos()) / 1000;
         byte[] mark =
                 FrameWriter.bytes(
                         new Frame.Mark(
@@ -111,13 +111,13 @@
             at += frame.length;
         }
         System.arraycopy(mark, 0, all, at, mark.length);
-        ProxySession.Marked marked = message.marked;
+        ProxySession.UnacknowledgedMessage marked = message.marked;
         message.link.marks.addLast(
-                new ProxySession.Marked(
+                new ProxySession.UnacknowledgedMessage(
                         marked.number(),
                         marked.round(),
-                        marked.mark(),
-                        marked.orderedAt(),
+                        marked.token(),
+                        marked.orderedAtNanos(),
                         message.lines,
                         now));
         message.link.messages++;
@@ -126,7 +126,7 @@
     }
 
     /** What waits for a stream that is gone is lost, as what was on its way. */
-    void drop(ProxySession link) {
+    void discard(ProxySession link) {
         for (Iterator<Waiting> i = queue.iterator(); i.hasNext(); ) {
             Waiting message = i.next();
             if (message.link == link) {
@@ -136,19 +136,19 @@
         }
     }
 
-    long linesWaiting() {
+    long queuedEntries() {
         return lines;
     }
 
-    long mostWaiting() {
+    long maxQueuedEntries() {
         return most;
     }
 
-    DurabilityTimeout patience() {
-        return patience;
+    DurabilityTimeout durabilityTimeout() {
+        return durabilityTimeout;
     }
 
-    long messagesLeft() {
+    long messagesSent() {
         return left;
     }
 }
--- a/src/main/java/rosespread/controller/PeerDrains.java
+++ b/src/main/java/rosespread/controller/PeerDrainPoller.java
@@ -18,8 +18,8 @@
  * Asks other conductors for operators' words on nodes: at a start before proxies can dial, as a
  * conductor that was down may have missed a drain, and every few seconds after.
  */
-final class PeerDrains {
-    private static final Logger LOG = LoggerFactory.getLogger(PeerDrains.class);
+final class PeerDrainPoller {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerDrainPoller.class);
     private static final long TIMEOUT = 1_000_000_000L;
     private static final long EVERY_MILLIS = 2_000;
 
@@ -27,19 +27,19 @@
     private final Consumer<List<Drain>> ears;
     private volatile List<InetSocketAddress> peers = List.of();
 
-    PeerDrains(HttpClient http, ScheduledExecutorService timer, Consumer<List<Drain>> ears) {
+    PeerDrainPoller(HttpClient http, ScheduledExecutorService timer, Consumer<List<Drain>> ears) {
         this.http = http;
         this.ears = ears;
         timer.scheduleWithFixedDelay(
-                () -> pull(0), EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
+                () -> poll(0), EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    void follow(List<InetSocketAddress> next) {
+    void setPeers(List<InetSocketAddress> next) {
         peers = next;
     }
 
     /** Asks all; waits so many nanoseconds for their answers. */
-    void pull(long nanos) {
+    void poll(long nanos) {
         List<InetSocketAddress> all = peers;
         CountDownLatch open = new CountDownLatch(all.size());
         for (InetSocketAddress peer : all) {
--- a/src/main/java/rosespread/controller/ProxySession.java
+++ b/src/main/java/rosespread/controller/ProxySession.java
@@ -18,20 +18,26 @@
         void write(byte[] frames);
 
         /** Bytes handed over that the socket has not taken. */
-        long unwritten();
+        long writeBufferBytes();
 
         /** Says why and closes. */
         void close(Frame.Reason reason, String text);
 
-        String remote();
+        String remoteAddress();
     }
 
     /** A message that was written and is not answered yet. */
-    record Marked(long number, long round, int mark, long orderedAt, int lines, long writtenAt) {}
+    record UnacknowledgedMessage(
+            long number,
+            long round,
+            int token,
+            long orderedAtNanos,
+            int entries,
+            long writtenAtNanos) {}
 
     final Transport wire;
     final long openedAt;
-    final ArrayDeque<Marked> marks = new ArrayDeque<>();
+    final ArrayDeque<UnacknowledgedMessage> marks = new ArrayDeque<>();
     final Set<NodeId> told = new TreeSet<>();
     final TreeMap<TableId, Set<MethodId>> bound = new TreeMap<>();
     boolean greeted;
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -32,8 +32,8 @@
 
     private final Map<NodeId, ListedNode> nodes;
     private final Map<MethodId, Frame.Tries> tries;
-    private final Map<TableId, byte[]> lines = new HashMap<>();
-    private final Map<TableId, byte[]> levels = new HashMap<>();
+    private final Map<TableId, byte[]> delta = new HashMap<>();
+    private final Map<TableId, byte[]> admissionLimits = new HashMap<>();
     private final Map<Whole, byte[]> wholes = new HashMap<>();
 
     RoundFrames(Map<NodeId, ListedNode> nodes, Map<MethodId, Frame.Tries> tries) {
@@ -45,20 +45,20 @@
         return FrameWriter.bytes(new Frame.Node(node.id(), node.host(), node.port(), node.zone()));
     }
 
-    byte[] lines(Frame.Lines delta) {
-        return lines.computeIfAbsent(delta.table(), t -> FrameWriter.bytes(delta));
+    byte[] delta(Frame.Lines delta) {
+        return this.delta.computeIfAbsent(delta.table(), t -> FrameWriter.bytes(delta));
     }
 
-    byte[] levels(TableId table, Map<MethodId, Double> ordered) {
-        return levels.computeIfAbsent(
-                table, t -> FrameWriter.bytes(new Frame.Levels(table, levels(ordered))));
+    byte[] admissionLimits(TableId table, Map<MethodId, Double> ordered) {
+        return admissionLimits.computeIfAbsent(
+                table, t -> FrameWriter.bytes(new Frame.Levels(table, admissionLimits(ordered))));
     }
 
     /**
      * @param named whether the nodes are named before their lines, for a stream that knows none of
      *     them
      */
-    byte[] bind(VersionHistory history, Set<MethodId> methods, boolean named, boolean packed) {
+    byte[] fullTable(VersionHistory history, Set<MethodId> methods, boolean named, boolean packed) {
         TableId table = history.current().table();
         return wholes.computeIfAbsent(
                 new Whole(table, methods, named, packed && Packing.isAvailable()),
@@ -93,11 +93,11 @@
                                 version.digest(),
                                 List.copyOf(key.methods),
                                 all,
-                                levels(history.levels()))));
+                                admissionLimits(history.levels()))));
         return frames.toByteArray();
     }
 
-    private List<Frame.Level> levels(Map<MethodId, Double> ordered) {
+    private List<Frame.Level> admissionLimits(Map<MethodId, Double> ordered) {
         List<Frame.Level> all = new ArrayList<>(ordered.size());
         ordered.forEach(
                 (method, admitted) ->
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -93,7 +93,7 @@
 
     private final DrainRegistry drains = new DrainRegistry();
     private long layout;
-    private long last;
+    private long lastSequence;
 
     public TableRegistry(TableLog log) {
         this.log = log;
@@ -110,11 +110,11 @@
             table.pending.putAll(kept.pending());
             tables.put(table.id, table);
         }
-        moduleBegins();
+        policyRestarted();
     }
 
     /** A fresh module begins: tables stay as they are until it orders lines of them. */
-    void moduleBegins() {
+    void policyRestarted() {
         for (Table table : tables.values()) {
             table.wanted.clear();
             table.methods.clear();
@@ -136,7 +136,7 @@
             return;
         }
         layout = next;
-        last = log.append(new LogEntry.LaidOut(next));
+        lastSequence = log.append(new LogEntry.LaidOut(next));
         for (Table table : tables.values()) {
             table.history.forget();
             table.hold = PinState.NONE;
@@ -151,7 +151,7 @@
     }
 
     /** The table if there is one. */
-    Table find(TableId id) {
+    Table existing(TableId id) {
         return tables.get(id);
     }
 
@@ -160,8 +160,8 @@
     }
 
     /** The sequence of the last thing that was appended. */
-    long last() {
-        return last;
+    long lastSequence() {
+        return lastSequence;
     }
 
     TableLog log() {
@@ -174,7 +174,7 @@
         TableVersion before = table.out();
         TableVersion next = table.history.commit(delta, cause, wallMillis);
         if (next != before) {
-            last = log.append(new LogEntry.Committed(next));
+            lastSequence = log.append(new LogEntry.Committed(next));
         }
         return next;
     }
@@ -183,7 +183,7 @@
      * Holds a table or lets go of it; {@code pending} is what it has to change to come to {@code
      * to}.
      */
-    void hold(Table table, PinState hold, long to, Map<NodeId, Double> pending) {
+    void setPin(Table table, PinState hold, long to, Map<NodeId, Double> pending) {
         table.pending.clear();
         table.pending.putAll(pending);
         boolean lasts = to > 0 || hold.lasting() != table.hold.lasting() || to != table.to;
@@ -193,7 +193,7 @@
             table.history.keep(to, true);
         }
         if (lasts && !table.history.isEmpty()) {
-            last =
+            lastSequence =
                     log.append(
                             new LogEntry.Holding(
                                     table.id, hold.lasting(), to, new TreeMap<>(pending)));
@@ -204,7 +204,7 @@
      * A proxy holds this number of a table, of another conductor or of a past that was not kept:
      * numbers go on beyond it, so that none goes backwards for it.
      */
-    void met(TableId id, long held, long wallMillis) {
+    void raiseAbove(TableId id, long held, long wallMillis) {
         Table table = tables.get(id);
         long known = table == null ? floors.getOrDefault(id, 0L) : table.out().number();
         if (held > NUMBER_MOST || held <= known) {
@@ -218,7 +218,8 @@
             table.history = fresh;
             table.sent = number;
         } else if (table != null) {
-            last = log.append(new LogEntry.Committed(table.history.renumber(number, wallMillis)));
+            lastSequence =
+                    log.append(new LogEntry.Committed(table.history.renumber(number, wallMillis)));
         }
     }
 
@@ -227,13 +228,13 @@
     }
 
     /** Takes an operator's word on a node; tells whether it changes anything. */
-    boolean take(Drain word) {
+    boolean applyDrain(Drain word) {
         boolean changes = drains.apply(word);
-        last = log.append(new LogEntry.Drained(word));
+        lastSequence = log.append(new LogEntry.Drained(word));
         return changes;
     }
 
-    StoreSnapshot image() {
+    StoreSnapshot snapshot() {
         List<TableSnapshot> all = new ArrayList<>();
         tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
         return new StoreSnapshot(layout, all, drains.all());
--- a/src/main/java/rosespread/controller/TableViews.java
+++ b/src/main/java/rosespread/controller/TableStatusReader.java
@@ -12,11 +12,11 @@
 import rosespread.discovery.ListedNode;
 
 /** Tables and versions by the nodes' names, for those who look from outside. */
-final class TableViews {
+final class TableStatusReader {
     private final TableRegistry book;
     private final Map<NodeId, ListedNode> nodes;
 
-    TableViews(TableRegistry book, Map<NodeId, ListedNode> nodes) {
+    TableStatusReader(TableRegistry book, Map<NodeId, ListedNode> nodes) {
         this.book = book;
         this.nodes = nodes;
     }
@@ -30,7 +30,7 @@
 
     /** One table as it will be once what it has to send has left. */
     Optional<ControllerStatus.Table> one(TableId id) {
-        return Optional.ofNullable(book.find(id))
+        return Optional.ofNullable(book.existing(id))
                 .map(
                         table -> {
                             Map<NodeId, Double> lines = new TreeMap<>(table.out().lines());
@@ -82,7 +82,7 @@
      * kept.
      */
     Optional<ControllerStatus.Difference> difference(TableId id, long from, long to) {
-        Table table = book.find(id);
+        Table table = book.existing(id);
         return table == null
                 ? Optional.empty()
                 : table.history
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -211,7 +211,7 @@
      * one; what is in flight is overtaken, as the stream is ordered. Returns why not, or nothing.
      */
     String rollback(TableId id, long version, long now, long wallMillis) {
-        Table table = book.find(id);
+        Table table = book.existing(id);
         if (table == null) {
             return "no table " + id.value();
         }
@@ -221,7 +221,7 @@
         }
         Map<NodeId, Double> lines =
                 effects.listKnown() ? gate.kept(target.lines(), scene(table)) : target.lines();
-        book.hold(table, PinState.PINNED, version, table.out().changesTo(lines));
+        book.setPin(table, PinState.PINNED, version, table.out().changesTo(lines));
         effects.log(
                 "table "
                         + id.value()
@@ -235,21 +235,21 @@
     }
 
     String pin(TableId id) {
-        Table table = book.find(id);
+        Table table = book.existing(id);
         if (table == null || table.history.isEmpty()) {
             return "no table " + id.value() + (table == null ? "" : " yet");
         }
-        book.hold(table, PinState.PINNED, 0, Map.of());
+        book.setPin(table, PinState.PINNED, 0, Map.of());
         effects.log("table " + id.value() + " is held at version " + table.out().number());
         return "";
     }
 
     String release(TableId id) {
-        Table table = book.find(id);
+        Table table = book.existing(id);
         if (table == null || table.hold != PinState.PINNED) {
             return "table " + id.value() + " is not held";
         }
-        book.hold(table, PinState.RELEASING, 0, Map.of());
+        book.setPin(table, PinState.RELEASING, 0, Map.of());
         effects.log("table " + id.value() + " follows the module again, step by step");
         return "";
     }
@@ -274,7 +274,7 @@
                         limits.linesPerSecond(),
                         grace,
                         limits.queueLimit(),
-                        channel.linesWaiting() + committed,
+                        channel.queuedEntries() + committed,
                         users(table.id).size(),
                         linesPerMessage + 1));
     }
@@ -294,9 +294,10 @@
                                                 .filter(
                                                         m ->
                                                                 ChannelCapacity.overdue(
-                                                                        now - m.writtenAt(),
+                                                                        now - m.writtenAtNanos(),
                                                                         limits.longestWay()))
-                                                .mapToLong(ProxySession.Marked::lines)
+                                                .mapToLong(
+                                                        ProxySession.UnacknowledgedMessage::entries)
                                                 .sum())
                         .filter(lines -> lines > 0)
                         .toArray();
@@ -427,7 +428,7 @@
         TableVersion next = book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
         table.pending.keySet().removeAll(delta.keySet());
         if (table.to > 0 && delta.size() == all.size()) {
-            book.hold(table, PinState.PINNED, 0, Map.of());
+            book.setPin(table, PinState.PINNED, 0, Map.of());
         }
         return next;
     }
@@ -443,7 +444,7 @@
         Map<NodeId, Double> delta = fitting(table, out.changesTo(aim), scene, now);
         table.steppedAt = due ? now : table.steppedAt;
         if (!table.awaited && out.changesTo(table.wanted).isEmpty()) {
-            book.hold(table, PinState.NONE, 0, Map.of());
+            book.setPin(table, PinState.NONE, 0, Map.of());
             effects.log(
                     "table " + table.id.value() + " follows the module at version " + out.number());
         }
@@ -520,7 +521,7 @@
         int fit =
                 ChannelCapacity.lines(
                         limits.queueLimit(),
-                        channel.linesWaiting() + overdue + committed,
+                        channel.queuedEntries() + overdue + committed,
                         users.size(),
                         linesPerMessage + 1,
                         drain);
@@ -556,11 +557,11 @@
                     // went out.
                     message.due |= mark >= 0 && changed.containsKey(table);
                     if (deltas.containsKey(table)) {
-                        message.lines(frames.lines(deltas.get(table)), deltas.get(table));
+                        message.lines(frames.delta(deltas.get(table)), deltas.get(table));
                     }
                     if (leveled.containsKey(table)) {
                         message.add(
-                                frames.levels(table, leveled.get(table)),
+                                frames.admissionLimits(table, leveled.get(table)),
                                 leveled.get(table).size());
                     }
                 }
@@ -600,7 +601,7 @@
             } else if (lines
                     <= ChannelCapacity.lines(
                             limits.queueLimit(),
-                            channel.linesWaiting() + overdue + committed,
+                            channel.queuedEntries() + overdue + committed,
                             1,
                             linesPerMessage + 1,
                             true)) {
@@ -630,7 +631,7 @@
             message.tell(new TreeSet<>(named));
         }
         message.add(
-                frames.bind(history, methods, fresh, link.unpacks),
+                frames.fullTable(history, methods, fresh, link.unpacks),
                 1 + named.size() + history.levels().size());
         for (NodeId node : withdrawn) {
             if (named.contains(node)) {
@@ -682,12 +683,13 @@
         void send(long now) {
             if (!frames.isEmpty() || due) {
                 link.written.addLast(now);
-                channel.offer(
+                channel.enqueue(
                         link,
                         frames,
                         lines + linesPerMessage + 1,
-                        new ProxySession.Marked(++number, round, mark, now, lines, now),
-                        book.last());
+                        new ProxySession.UnacknowledgedMessage(
+                                ++number, round, mark, now, lines, now),
+                        book.lastSequence());
             }
         }
     }
--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public long unwritten() {
+        public long writeBufferBytes() {
             return 0;
         }
 
@@ -66,7 +66,7 @@
         }
 
         @Override
-        public String remote() {
+        public String remoteAddress() {
             return "memory";
         }
     }
@@ -76,7 +76,7 @@
             @Override
             public Policy newPolicy(FleetSettings settings, long seed) {
                 return (time, feed, orders) -> {
-                    feed.deliverTo(new SilentObserver());
+                    feed.deliverTo(new NoOpEventHandler());
                     Consumer<PolicyActions> once = script;
                     script = o -> {};
                     once.accept(orders);
@@ -99,7 +99,7 @@
                         new TableChangeValidator(),
                         new TableRegistry(new MemoryLog(StoreSnapshot.EMPTY)),
                         () -> 1_700_000_000_000L + now / MILLI);
-        core.apply(
+        core.applySettings(
                 now,
                 SettingsReader.read(
                         SettingsTest.GOOD.replace(
@@ -107,7 +107,7 @@
         for (int i = 0; i < NODES; i++) {
             nodes.add(node(i, EventHandler.NodeState.READY));
         }
-        core.list(now, nodes);
+        core.nodesListed(now, nodes);
         pass(50);
     }
 
@@ -140,9 +140,9 @@
 
     private ProxySession join(
             String stream, String proxy, String zone, boolean unpacks, Frame.Holding... held) {
-        ProxySession link = core.opened(now, new Stream(stream));
-        core.frame(now, link, new Frame.Hello(Frame.VERSION, proxy, List.of()));
-        core.frame(now, link, new Frame.Join(proxy, zone, 5, unpacks, List.of(held)));
+        ProxySession link = core.sessionOpened(now, new Stream(stream));
+        core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, proxy, List.of()));
+        core.frameReceived(now, link, new Frame.Join(proxy, zone, 5, unpacks, List.of(held)));
         pass(20);
         return link;
     }
@@ -238,12 +238,12 @@
     }
 
     private void recovery(ProxySession missing) {
-        core.frame(now, missing, new Frame.Missed(new TableId(1), 1));
+        core.frameReceived(now, missing, new Frame.Missed(new TableId(1), 1));
         pass(300);
         assertEquals("", core.rollback(now, new TableId(2), 1025));
         pass(300);
         nodes.set(5, node(5, EventHandler.NodeState.DRAINING));
-        core.list(now, nodes);
+        core.nodesListed(now, nodes);
         pass(300);
         join("p0 second stream", "p0", "a", true);
         order(
@@ -251,7 +251,7 @@
                     bind(orders, 0, 1, 0);
                     bind(orders, 0, 2, 1);
                 });
-        core.frame(now, missing, new Frame.KeepAlive(3, false));
+        core.frameReceived(now, missing, new Frame.KeepAlive(3, false));
         pass(3000);
     }
 
--- a/src/test/java/rosespread/controller/ControllerStateTest.java
+++ b/src/test/java/rosespread/controller/ControllerStateTest.java
@@ -160,7 +160,7 @@
         }
 
         @Override
-        public long unwritten() {
+        public long writeBufferBytes() {
             return unwritten;
         }
 
@@ -170,7 +170,7 @@
         }
 
         @Override
-        public String remote() {
+        public String remoteAddress() {
             return "memory";
         }
 
@@ -189,7 +189,7 @@
 
     @BeforeEach
     void settings() throws SettingsException {
-        core.apply(now, SettingsReader.read(SettingsTest.GOOD));
+        core.applySettings(now, SettingsReader.read(SettingsTest.GOOD));
         pass(20);
         told.clear();
     }
@@ -206,14 +206,14 @@
     }
 
     private ProxySession join(Stream stream, Frame.Join join) {
-        ProxySession link = core.opened(now, stream);
-        core.frame(now, link, new Frame.Hello(Frame.VERSION, join.proxy(), List.of()));
-        core.frame(now, link, join);
+        ProxySession link = core.sessionOpened(now, stream);
+        core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, join.proxy(), List.of()));
+        core.frameReceived(now, link, join);
         return link;
     }
 
     private void list(EventHandler.NodeState state, long startedMillis) {
-        core.list(
+        core.nodesListed(
                 now,
                 List.of(
                         new ListedNode(
@@ -243,7 +243,7 @@
                             EventHandler.NodeState.READY,
                             0));
         }
-        core.list(now, all);
+        core.nodesListed(now, all);
         Stream packs = new Stream();
         Stream plain = new Stream();
         join(packs, new Frame.Join("p", "a", 5, true, List.of()));
@@ -290,7 +290,7 @@
                             EventHandler.NodeState.READY,
                             0));
         }
-        core.list(now, all);
+        core.nodesListed(now, all);
         List<Stream> streams = new ArrayList<>();
         List<ProxySession> joined = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -329,20 +329,20 @@
                         }
                     });
             for (int i = 0; i < streams.size(); i++) {
-                core.frame(now, joined.get(i), new Frame.KeepAlive(1, true));
+                core.frameReceived(now, joined.get(i), new Frame.KeepAlive(1, true));
             }
         }
         assertTrue(
-                core.state().mostLinesWaiting() <= 1500,
-                core.state().mostLinesWaiting() + " lines");
+                core.status().mostLinesWaiting() <= 1500,
+                core.status().mostLinesWaiting() + " lines");
         assertTrue(
-                core.state().tables().stream()
+                core.status().tables().stream()
                         .anyMatch(t -> t.refused().containsKey("TOO_MANY_LINES")));
         // A drain goes first, also now.
         list(EventHandler.NodeState.DRAINING, 0);
         pass(1500);
         assertTrue(
-                core.state().tables().stream()
+                core.status().tables().stream()
                         .allMatch(t -> t.lines().keySet().stream().noneMatch("n"::equals)));
     }
 
@@ -368,7 +368,7 @@
         assertEquals(Frame.Tries.AFTER_PROOF, bind.levels().get(0).tries());
         assertEquals(10 + 1 + 3, stream.mark().lines());
         long sentAt = now;
-        core.frame(now, link, new Frame.Installed(stream.mark().number()));
+        core.frameReceived(now, link, new Frame.Installed(stream.mark().number()));
         list(EventHandler.NodeState.DRAINING, 0);
         ordered(
                 orders -> {
@@ -413,10 +413,10 @@
         pass(130);
         long left = streams.stream().filter(s -> s.count(f -> f instanceof Frame.Mark) > 0).count();
         assertTrue(left >= 9 && left <= 12, left + " of 20 have left after some 140 ms");
-        assertEquals((20 - left) * 13, core.state().linesWaiting());
+        assertEquals((20 - left) * 13, core.status().linesWaiting());
         pass(150);
         assertEquals(13, streams.get(19).mark().waiting());
-        assertEquals(260, core.state().mostLinesWaiting());
+        assertEquals(260, core.status().mostLinesWaiting());
         assertTrue(streams.get(19).mark().queuedMicros() >= 255_000);
     }
 
@@ -434,16 +434,16 @@
         ordered(bind);
         pass(50);
         long number = first.mark().number();
-        core.closed(now, link);
+        core.sessionClosed(now, link);
         Stream second = new Stream();
         ProxySession again = join(second, "p");
-        core.frame(now, again, new Frame.Installed(number));
+        core.frameReceived(now, again, new Frame.Installed(number));
         pass(20);
         assertFalse(told.stream().anyMatch(t -> t.startsWith("installed")), told.toString());
-        assertEquals(1, core.state().strayAnswers());
+        assertEquals(1, core.status().strayAnswers());
         ordered(bind);
         pass(50);
-        core.frame(now, again, new Frame.Installed(second.mark().number()));
+        core.frameReceived(now, again, new Frame.Installed(second.mark().number()));
         pass(20);
         assertTrue(told.stream().anyMatch(t -> t.startsWith("installed 9 by 0")), told.toString());
     }
@@ -471,8 +471,8 @@
         ProxySession goodLink = join(good, "good");
         for (int i = 0; i < 30; i++) {
             pass(100);
-            core.frame(now, slowLink, new Frame.KeepAlive(1, true));
-            core.frame(now, goodLink, new Frame.KeepAlive(1, true));
+            core.frameReceived(now, slowLink, new Frame.KeepAlive(1, true));
+            core.frameReceived(now, goodLink, new Frame.KeepAlive(1, true));
             slow.unwritten = i > 20 ? 5L << 20 : 0;
         }
         assertTrue(silent.closed.startsWith("SILENT"), silent.closed);
@@ -496,20 +496,21 @@
         Stream other = new Stream();
         ProxySession otherLink = join(other, "other");
         Stream stream = new Stream();
-        ProxySession link = core.opened(now, stream);
+        ProxySession link = core.sessionOpened(now, stream);
         switch (fault) {
-            case "version" -> core.frame(now, link, new Frame.Hello(9, "p", List.of()));
-            case "order" -> core.frame(now, link, new Frame.Join("p", "a", 1));
+            case "version" -> core.frameReceived(now, link, new Frame.Hello(9, "p", List.of()));
+            case "order" -> core.frameReceived(now, link, new Frame.Join("p", "a", 1));
             case "late" -> {
                 for (int i = 0; i < 60; i++) {
                     pass(100);
-                    core.frame(now, otherLink, new Frame.KeepAlive(1, true));
+                    core.frameReceived(now, otherLink, new Frame.KeepAlive(1, true));
                 }
             }
             default -> {
-                core.frame(now, link, new Frame.Hello(Frame.VERSION, "p", List.of()));
-                core.frame(now, link, new Frame.Join("p", fault.equals("zone") ? "z" : "a", 1));
-                core.frame(
+                core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, "p", List.of()));
+                core.frameReceived(
+                        now, link, new Frame.Join("p", fault.equals("zone") ? "z" : "a", 1));
+                core.frameReceived(
                         now,
                         link,
                         fault.equals("kind")
@@ -528,7 +529,7 @@
         ProxySession one = join(new Stream(), "p1");
         ProxySession two = join(new Stream(), "p2");
         for (ProxySession link : List.of(one, one, two, two)) {
-            core.frame(
+            core.frameReceived(
                     now,
                     link,
                     new Frame.Sums(
@@ -541,7 +542,7 @@
         assertEquals(
                 List.of("sums 16/4 over 2000 at 0.5"),
                 told.stream().filter(t -> t.startsWith("sums")).toList());
-        assertEquals(4, core.state().sumsOfUnknownNodes());
+        assertEquals(4, core.status().sumsOfUnknownNodes());
     }
 
     @Test
@@ -572,18 +573,18 @@
         assertEquals(
                 List.of("probed PASSED", "fresh planner", "list CACHED", "node READY", "joined 0"),
                 told.subList(0, 5));
-        assertEquals(1, core.state().moduleFaults());
+        assertEquals(1, core.status().moduleFaults());
     }
 
     @Test
     void aListThatIsUnavailableIsToldAndTheLastOneStays() {
         list(EventHandler.NodeState.READY, 0);
         pass(15);
-        core.listUnavailable(now, "silent");
+        core.nodeListUnavailable(now, "silent");
         pass(15);
         assertEquals(
                 List.of("list FULL", "node READY", "list UNAVAILABLE"),
                 told.stream().filter(t -> t.startsWith("list") || t.startsWith("node")).toList());
-        assertEquals(1, core.state().nodes().size());
+        assertEquals(1, core.status().nodes().size());
     }
 }
--- a/src/test/java/rosespread/controller/MemoryLog.java
+++ b/src/test/java/rosespread/controller/MemoryLog.java
@@ -10,36 +10,36 @@
 
 /** A disk in memory that keeps what it is told to keep. */
 final class MemoryLog implements TableLog {
-    final LogReplay kept;
-    private final List<LogEntry> waiting = new ArrayList<>();
+    final LogReplay replay;
+    private final List<LogEntry> notDurable = new ArrayList<>();
     private long appended;
     private long durable;
-    boolean stands;
+    boolean stalled;
     String trouble = "";
 
     MemoryLog(StoreSnapshot image) {
-        kept = new LogReplay(image);
+        replay = new LogReplay(image);
     }
 
     @Override
     public long append(LogEntry entry) {
-        waiting.add(entry);
+        notDurable.add(entry);
         appended++;
-        if (!stands) {
-            keep();
+        if (!stalled) {
+            makeDurable();
         }
         return appended;
     }
 
-    void keep() {
+    void makeDurable() {
         try {
-            for (LogEntry entry : waiting) {
-                kept.take(entry);
+            for (LogEntry entry : notDurable) {
+                replay.take(entry);
             }
         } catch (StoreException e) {
             throw new AssertionError(e);
         }
-        waiting.clear();
+        notDurable.clear();
         durable = appended;
     }
 
--- a/src/test/java/rosespread/controller/SilentObserver.java
+++ b/src/test/java/rosespread/controller/NoOpEventHandler.java
@@ -8,7 +8,7 @@
 import rosespread.api.ZoneId;
 
 /** Hears everything and does nothing. */
-class SilentObserver implements EventHandler {
+class NoOpEventHandler implements EventHandler {
     @Override
     public void listStarted(NodeListKind kind) {}
 
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -43,9 +43,9 @@
         boolean answers = true;
 
         Proxy(String name, List<Frame.Holding> held) {
-            link = core.opened(now, this);
-            core.frame(now, link, new Frame.Hello(Frame.VERSION, name, List.of()));
-            core.frame(now, link, new Frame.Join(name, "a", 5, false, held));
+            link = core.sessionOpened(now, this);
+            core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, name, List.of()));
+            core.frameReceived(now, link, new Frame.Join(name, "a", 5, false, held));
         }
 
         @Override
@@ -62,7 +62,8 @@
                                                 versions.put(delta.table(), delta.to()),
                                                 delta.from());
                                     } else if (frame instanceof Frame.Mark mark && answers) {
-                                        core.frame(now, link, new Frame.Installed(mark.number()));
+                                        core.frameReceived(
+                                                now, link, new Frame.Installed(mark.number()));
                                     }
                                 })
                         .feed(ByteBuffer.wrap(bytes));
@@ -76,7 +77,7 @@
         }
 
         @Override
-        public long unwritten() {
+        public long writeBufferBytes() {
             return 0;
         }
 
@@ -84,7 +85,7 @@
         public void close(Frame.Reason reason, String text) {}
 
         @Override
-        public String remote() {
+        public String remoteAddress() {
             return "memory";
         }
     }
@@ -105,7 +106,7 @@
                             @Override
                             public Policy newPolicy(FleetSettings of, long seed) {
                                 return (time, feed, orders) -> {
-                                    feed.deliverTo(new SilentObserver());
+                                    feed.deliverTo(new NoOpEventHandler());
                                     Consumer<PolicyActions> once = script;
                                     script = o -> {};
                                     once.accept(orders);
@@ -121,7 +122,7 @@
                         new TableChangeValidator(),
                         book,
                         () -> 1_700_000_000_000L + now / MILLI);
-        core.apply(now, SettingsReader.read(settings));
+        core.applySettings(now, SettingsReader.read(settings));
         pass(20);
     }
 
@@ -132,7 +133,7 @@
 
     /** Ends outright; all that was not kept is lost. */
     private void restart() throws SettingsException {
-        begin(disk.kept.image(), SettingsTest.GOOD);
+        begin(disk.replay.image(), SettingsTest.GOOD);
     }
 
     private void pass(long millis) {
@@ -161,7 +162,7 @@
                             EventHandler.NodeState.READY,
                             0));
         }
-        core.list(now, all);
+        core.nodesListed(now, all);
         pass(20);
     }
 
@@ -184,7 +185,7 @@
         Proxy proxy = new Proxy(name, List.of(held));
         order(
                 orders -> {
-                    for (int i = 0; i < core.state().proxies(); i++) {
+                    for (int i = 0; i < core.status().proxies(); i++) {
                         orders.subscribe(new ProxyId(i), List.of(new MethodId(0)), TABLE);
                     }
                 });
@@ -202,14 +203,14 @@
         weights(1, 1);
         Proxy proxy = bound("p");
         long before = proxy.messages();
-        disk.stands = true;
+        disk.stalled = true;
         weights(1, 0.7);
         pass(PATIENCE - 100);
         assertEquals(before, proxy.messages());
-        disk.keep();
+        disk.makeDurable();
         pass(5);
         assertEquals(before + 1, proxy.messages());
-        assertEquals(0, core.state().storage().unkeptMessages());
+        assertEquals(0, core.status().storage().unkeptMessages());
     }
 
     @Test
@@ -218,20 +219,20 @@
         weights(1, 1);
         Proxy proxy = bound("p");
         long before = proxy.messages();
-        disk.stands = true;
+        disk.stalled = true;
         weights(1, 0.7);
         pass(PATIENCE + 20);
         assertEquals(before + 1, proxy.messages());
-        assertTrue(core.state().storage().late());
+        assertTrue(core.status().storage().late());
         weights(1, 0.8);
         pass(40);
         assertEquals(before + 2, proxy.messages(), "the next does not wait again");
-        disk.stands = false;
-        disk.keep();
+        disk.stalled = false;
+        disk.makeDurable();
         weights(1, 0.9);
         pass(40);
-        assertTrue(!core.state().storage().late());
-        assertEquals(2, core.state().storage().unkeptMessages());
+        assertTrue(!core.status().storage().late());
+        assertEquals(2, core.status().storage().unkeptMessages());
     }
 
     @Test
@@ -240,12 +241,12 @@
         weights(1, 1);
         Proxy proxy = bound("p");
         long before = proxy.messages();
-        disk.stands = true;
+        disk.stalled = true;
         disk.trouble = "No space left on device";
         weights(1, 0.7);
         pass(40);
         assertEquals(before + 1, proxy.messages());
-        assertEquals("No space left on device", core.state().storage().trouble());
+        assertEquals("No space left on device", core.status().storage().trouble());
     }
 
     @Test
@@ -285,19 +286,21 @@
         pass(100);
         proxy.answers = false;
         for (int i = 0; i < 90; i++) {
-            proxy.link.marks.addLast(new ProxySession.Marked(1 + i, 1, -1, now, 30, now));
+            proxy.link.marks.addLast(
+                    new ProxySession.UnacknowledgedMessage(1 + i, 1, -1, now, 30, now));
         }
         for (int i = 0; i < 8; i++) {
             pass(100);
-            core.frame(now, proxy.link, new Frame.KeepAlive(1, true));
+            core.frameReceived(now, proxy.link, new Frame.KeepAlive(1, true));
         }
         assertEquals("", core.rollback(now, TABLE, first));
         pass(200);
-        assertEquals(0.5, core.state().tables().get(0).lines().get("n0"), "nothing of it left yet");
+        assertEquals(
+                0.5, core.status().tables().get(0).lines().get("n0"), "nothing of it left yet");
         proxy.link.marks.clear();
         order(orders -> {});
         pass(100);
-        assertEquals(1.0, core.state().tables().get(0).lines().get("n0"));
+        assertEquals(1.0, core.status().tables().get(0).lines().get("n0"));
     }
 
     /** A drain ends with its node; a list that has not told of the node yet ends nothing. */
@@ -307,7 +310,7 @@
         assertEquals(
                 DrainResult.Kind.DONE,
                 core.drain(now, new DrainRequest("n1", true, "o", "c", -1, true)).kind());
-        core.hear(now, List.of(new Drain(id(2), "n2", true, 9, "p", "d", 0)));
+        core.mergeDrains(now, List.of(new Drain(id(2), "n2", true, 9, "p", "d", 0)));
         list(0, 1);
         assertEquals(List.of("n1", "n2"), drained());
         list(0);
@@ -316,7 +319,7 @@
         assertEquals(List.of("n2"), drained());
         assertEquals(
                 "DRAINING",
-                core.state().nodes().stream()
+                core.status().nodes().stream()
                         .filter(n -> n.name().equals("n2"))
                         .findFirst()
                         .orElseThrow()
@@ -392,7 +395,7 @@
         weights(1, 0.5);
         pass(50);
         assertEquals(now + 1, first.versions.get(TABLE));
-        assertEquals(0, core.state().missedDeltas());
+        assertEquals(0, core.status().missedDeltas());
     }
 
     @Test
@@ -420,12 +423,12 @@
         weights(1, 0.5);
         core.pin(now, TABLE);
         long version = table().version();
-        core.apply(
+        core.applySettings(
                 now,
                 SettingsReader.read(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod")));
         assertEquals("PINNED", table().held(), "the same settings change nothing");
         begin(
-                disk.kept.image(),
+                disk.replay.image(),
                 SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -68,9 +68,9 @@
             message.clear();
             answers.clear();
             open = true;
-            link = core.opened(now, this);
-            core.frame(now, link, new Frame.Hello(Frame.VERSION, name, List.of()));
-            core.frame(
+            link = core.sessionOpened(now, this);
+            core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, name, List.of()));
+            core.frameReceived(
                     now,
                     link,
                     new Frame.Join(
@@ -138,11 +138,11 @@
         void answer() {
             List<Frame> all = List.copyOf(answers);
             answers.clear();
-            all.forEach(frame -> core.frame(now, link, frame));
+            all.forEach(frame -> core.frameReceived(now, link, frame));
         }
 
         @Override
-        public long unwritten() {
+        public long writeBufferBytes() {
             return 0;
         }
 
@@ -152,7 +152,7 @@
         }
 
         @Override
-        public String remote() {
+        public String remoteAddress() {
             return name;
         }
     }
@@ -183,7 +183,7 @@
                             @Override
                             public Policy newPolicy(FleetSettings settings, long seed) {
                                 return (time, feed, orders) -> {
-                                    feed.deliverTo(new SilentObserver());
+                                    feed.deliverTo(new NoOpEventHandler());
                                     while (!scripts.isEmpty()) {
                                         scripts.poll().accept(orders);
                                     }
@@ -199,7 +199,7 @@
                         new TableChangeValidator(),
                         book,
                         () -> 1_700_000_000_000L + now / MILLI);
-        core.apply(
+        core.applySettings(
                 now,
                 SettingsReader.read(
                         SettingsTest.GOOD
@@ -218,7 +218,7 @@
                 all.add(new ListedNode(id(i), "n" + i, "127.0.0.1", 80, "a", "k", 1, states[i], 0));
             }
         }
-        core.list(now, all);
+        core.nodesListed(now, all);
     }
 
     private void pass(long millis) {
@@ -260,7 +260,7 @@
     }
 
     private ControllerStatus.Table table() {
-        return core.state().tables().get(0);
+        return core.status().tables().get(0);
     }
 
     private static Map<String, Double> named(Map<NodeId, Double> lines) {
@@ -283,7 +283,7 @@
         weights(1, 0.9, 0.8);
         pass(100);
         assertEquals(Map.of("n0", 1.0, "n1", 0.9, "n2", 0.8), named(follower.lines));
-        assertEquals(1, core.state().missedDeltas());
+        assertEquals(1, core.status().missedDeltas());
     }
 
     @Test
@@ -350,7 +350,7 @@
     }
 
     private void goBack(Random random) {
-        if (!core.state().tables().isEmpty()) {
+        if (!core.status().tables().isEmpty()) {
             List<ControllerStatus.Version> kept = table().versions();
             core.rollback(now, TABLE, kept.get(random.nextInt(kept.size())).number());
         }
@@ -375,14 +375,14 @@
                 case 3 -> goBack(random);
                 case 4 -> core.release(now, TABLE);
                 case 8 -> {
-                    conductor(log.kept.image());
+                    conductor(log.replay.image());
                     list();
                     followers.forEach(Follower::dial);
                 }
                 case 9 -> {
-                    log.stands = !log.stands;
-                    log.trouble = log.stands && random.nextBoolean() ? "full" : "";
-                    log.keep();
+                    log.stalled = !log.stalled;
+                    log.trouble = log.stalled && random.nextBoolean() ? "full" : "";
+                    log.makeDurable();
                 }
                 case 5 ->
                         weights(
@@ -395,7 +395,7 @@
                 case 6 -> {
                     if (!followers.isEmpty()) {
                         Follower gone = followers.get(random.nextInt(followers.size()));
-                        core.closed(now, gone.link);
+                        core.sessionClosed(now, gone.link);
                         gone.dial();
                     }
                 }
