--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -256,20 +256,22 @@
     public Outcome act(TableAct act, int table, long version) throws IOException {
         TableId id = new TableId(table);
         long[] last = new long[1];
-        String why =
+        TableActResult result =
                 decide(
                         now -> {
-                            String told =
+                            TableActResult done =
                                     switch (act) {
                                         case ROLLBACK -> core.rollback(now, id, version);
                                         case PIN -> core.pin(now, id);
                                         case RELEASE -> core.release(now, id);
                                     };
                             last[0] = book.lastSequence();
-                            return told;
+                            return done;
                         });
-        return new Outcome(
-                why, why.isEmpty() && store.await(last[0], ACT_SECONDS * 1_000_000_000L));
+        if (result instanceof TableActResult.Rejected rejected) {
+            return new Outcome(rejected.detail(), false);
+        }
+        return new Outcome("", store.await(last[0], ACT_SECONDS * 1_000_000_000L));
     }
 
     /** A table as it is at this moment, with what it still has to send. */
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -46,6 +46,9 @@
         void watchNodes();
     }
 
+    private static final TableActResult NO_SETTINGS =
+            new TableActResult.Rejected(TableActResult.Reason.NO_SETTINGS, "no settings yet");
+
     private static final Logger LOG = LoggerFactory.getLogger(ControllerState.class);
     private static final long JOIN_WITHIN = 5_000_000_000L;
 
@@ -83,7 +86,8 @@
     private LoadReportAggregator sums = new LoadReportAggregator();
     private FleetSettings settings;
     private Policy planner;
-    private TableUpdateWriter runDue;
+    private TableUpdateWriter writer;
+    private final Acts acts = new Acts();
     private PacedChannel channel;
     private long number;
     private long now;
@@ -142,7 +146,7 @@
         kinds.clear();
         next.zones().forEach(zone -> zones.put(zone, zones.size()));
         next.kinds().forEach(kind -> kinds.put(kind, kinds.size()));
-        book.layout(layout(next));
+        book.setLayout(layout(next));
         begin("settings were applied");
     }
 
@@ -171,13 +175,16 @@
                         settings.channel().linesPerSecond(),
                         book.log(),
                         new DurabilityTimeout(settings.drainGrace()));
-        number = runDue == null ? number : runDue.number();
+        number = writer == null ? number : writer.lastNumber();
         lastCause = now;
         book.policyRestarted();
         factsChange();
-        runDue =
+        writer =
                 new TableUpdateWriter(
-                        joined, nodes, channel, settings, gate, book, number, new Acts());
+                        new TableUpdateWriter.Context(joined, nodes, book, gate, acts, acts, acts),
+                        settings,
+                        channel,
+                        number);
         planner = world.newPolicy(settings, settings.seed());
         sumsAt = now + settings.reportPeriod();
         if (listKnown) {
@@ -196,30 +203,29 @@
 
     public void frameReceived(long time, ProxySession link, Frame frame) {
         now = time;
-        if (link.closed) {
+        if (link.isClosed()) {
             return;
         }
-        link.heardAt = now;
+        link.frameReceivedAt(now);
         if (frame instanceof Frame.KeepAlive alive) {
             if (!alive.answer()) {
-                link.wire.write(FrameWriter.bytes(new Frame.KeepAlive(alive.number(), true)));
+                link.transport()
+                        .write(FrameWriter.bytes(new Frame.KeepAlive(alive.number(), true)));
             }
         } else if (frame instanceof Frame.Close) {
             sessionClosed(now, link);
-        } else if (!link.greeted) {
+        } else if (!link.isGreeted()) {
             greet(link, frame);
-        } else if (!link.joined()) {
+        } else if (!link.isJoined()) {
             join(link, frame);
         } else if (frame instanceof Frame.Installed installed) {
             installed(link, installed.number());
         } else if (frame instanceof Frame.Sums met) {
-            link.reportedAt = now;
-            sums.add(link.proxy, link.zone, known(met));
+            link.loadReportedAt(now);
+            sums.add(link.proxy(), link.zone(), known(met));
         } else if (frame instanceof Frame.Missed missed) {
             counts.missed++;
-            if (link.bound.containsKey(missed.table())) {
-                link.owes.add(missed.table());
-            }
+            link.requireFullUpdate(missed.table());
         } else if (frame instanceof Frame.Offered offered) {
             offered(link, offered);
         } else {
@@ -241,10 +247,12 @@
         } else if (settings == null) {
             close(link, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
         } else {
-            link.greeted = true;
-            link.wire.write(
-                    FrameWriter.bytes(
-                            new Frame.Hello(Frame.VERSION, "conductor", settings.methodNames())));
+            link.greeted();
+            link.transport()
+                    .write(
+                            FrameWriter.bytes(
+                                    new Frame.Hello(
+                                            Frame.VERSION, "conductor", settings.methodNames())));
         }
     }
 
@@ -279,21 +287,18 @@
             return;
         }
         ProxyId id = before == null ? new ProxyId(free) : before;
-        link.proxy = id;
-        link.name = join.proxy();
-        link.unpacks = join.unpacks();
-        link.zone = new ZoneId(zones.get(join.zone()));
+        link.join(id, join.proxy(), new ZoneId(zones.get(join.zone())), join.unpacks());
         joined.put(id, link);
-        byName.put(link.name, id);
+        byName.put(link.name(), id);
         counts.joins++;
         LOG.atInfo()
-                .addKeyValue("proxy", link.name)
+                .addKeyValue("proxy", link.name())
                 .addKeyValue("zone", join.zone())
-                .addKeyValue("from", link.wire.remoteAddress())
+                .addKeyValue("from", link.transport().remoteAddress())
                 .log("proxy joined");
         long wall = wallMillis.getAsLong();
         join.held().forEach(held -> book.raiseAbove(held.table(), held.version(), wall));
-        rounds.add(observer -> observer.proxyJoined(id, link.zone, join.rate()));
+        rounds.add(observer -> observer.proxyJoined(id, link.zone(), join.rate()));
     }
 
     /**
@@ -301,19 +306,14 @@
      * one.
      */
     private void installed(ProxySession link, long answered) {
-        ProxySession.UnacknowledgedMessage found =
-                link.marks.stream().filter(m -> m.number() == answered).findFirst().orElse(null);
+        ProxySession.UnacknowledgedMessage found = link.acknowledge(answered).orElse(null);
         if (found == null) {
             counts.strayAnswers++;
             return;
         }
-        while (link.marks.peekFirst() != found) {
-            link.marks.removeFirst();
-        }
-        link.marks.removeFirst();
         long took = now - found.orderedAtNanos();
         if (found.token() >= 0) {
-            rounds.add(observer -> observer.acknowledged(link.proxy, found.token(), took));
+            rounds.add(observer -> observer.acknowledged(link.proxy(), found.token(), took));
         }
     }
 
@@ -346,7 +346,7 @@
             rounds.add(
                     observer ->
                             observer.demandReported(
-                                    link.proxy,
+                                    link.proxy(),
                                     count.method(),
                                     count.came(),
                                     offered.coversMicros() * 1000));
@@ -356,7 +356,7 @@
     /** The stream broke, a moment or a while ago. */
     public void sessionClosed(long time, ProxySession link) {
         now = time;
-        if (!link.closed) {
+        if (!link.isClosed()) {
             close(link, null, "the stream closed");
         }
     }
@@ -368,26 +368,26 @@
     }
 
     private void close(ProxySession link, Frame.Reason reason, String text) {
-        if (link.closed) {
+        if (link.isClosed()) {
             return;
         }
-        link.closed = true;
+        link.markClosed();
         links.remove(link);
-        if (link.joined() && joined.get(link.proxy) == link) {
-            joined.remove(link.proxy);
-            byName.remove(link.name);
-            ProxyId id = link.proxy;
+        if (link.isJoined() && joined.get(link.proxy()) == link) {
+            joined.remove(link.proxy());
+            byName.remove(link.name());
+            ProxyId id = link.proxy();
             rounds.add(observer -> observer.proxyLeft(id));
         }
         if (channel != null) {
             channel.discard(link);
         }
         LOG.atInfo()
-                .addKeyValue("proxy", link.name)
-                .addKeyValue("from", link.wire.remoteAddress())
+                .addKeyValue("proxy", link.name())
+                .addKeyValue("from", link.transport().remoteAddress())
                 .addKeyValue("reason", reason)
                 .log("stream closed: " + text);
-        link.wire.close(reason == null ? Frame.Reason.STOPPING : reason, text);
+        link.transport().close(reason == null ? Frame.Reason.STOPPING : reason, text);
     }
 
     // ---- list and probes ----
@@ -445,13 +445,13 @@
         listed.clear();
         listed.putAll(next);
         nodes.putAll(listed);
-        if (runDue != null) {
+        if (writer != null) {
             nodes.keySet()
                     .removeIf(
                             id ->
                                     !listed.containsKey(id)
-                                            && !runDue.withdrawn().contains(id)
-                                            && !runDue.names(id));
+                                            && !writer.excluded().contains(id)
+                                            && !writer.hasWeightFor(id));
             starts.keySet().retainAll(nodes.keySet());
             triedAt.keySet().retainAll(nodes.keySet());
             factsChange();
@@ -566,8 +566,8 @@
     private final class Playing implements RoundScheduler.RoundHandler {
         @Override
         public void runRound(EventSource feed) {
-            planner.round(now, feed, runDue);
-            runDue.close(now, wallMillis.getAsLong());
+            planner.round(now, feed, writer);
+            writer.closeRound(new RoundTime(now, wallMillis.getAsLong()));
         }
 
         @Override
@@ -581,28 +581,30 @@
         long every = settings.channel().keepAlive();
         long next = Long.MAX_VALUE;
         for (ProxySession link : List.copyOf(links)) {
-            if (now - link.heardAt > KEEP_ALIVES_MISSED * every && link.joined()) {
+            if (now - link.receivedAtNanos() > KEEP_ALIVES_MISSED * every && link.isJoined()) {
                 counts.silent++;
                 close(
                         link,
                         Frame.Reason.SILENT,
-                        "nothing heard for " + (now - link.heardAt) / 1_000_000 + " ms");
-            } else if (!link.joined() && now - link.openedAt > JOIN_WITHIN) {
+                        "nothing heard for " + (now - link.receivedAtNanos()) / 1_000_000 + " ms");
+            } else if (!link.isJoined() && now - link.openedAtNanos() > JOIN_WITHIN) {
                 close(link, Frame.Reason.SILENT, "not joined in time");
-            } else if (link.wire.writeBufferBytes() > UNWRITTEN_MOST) {
+            } else if (link.transport().writeBufferBytes() > UNWRITTEN_MOST) {
                 counts.slow++;
                 close(
                         link,
                         Frame.Reason.SLOW,
-                        link.wire.writeBufferBytes() + " bytes were not read");
-            } else if (link.joined() && now - link.keptAt >= every) {
-                link.keptAt = now;
-                link.wire.write(FrameWriter.bytes(new Frame.KeepAlive(now, false)));
+                        link.transport().writeBufferBytes() + " bytes were not read");
+            } else if (link.isJoined() && now - link.keepAliveAtNanos() >= every) {
+                link.keepAliveSentAt(now);
+                link.transport().write(FrameWriter.bytes(new Frame.KeepAlive(now, false)));
             }
             next =
                     Math.min(
                             next,
-                            link.joined() ? link.keptAt + every : link.openedAt + JOIN_WITHIN);
+                            link.isJoined()
+                                    ? link.keepAliveAtNanos() + every
+                                    : link.openedAtNanos() + JOIN_WITHIN);
         }
         return next;
     }
@@ -624,7 +626,7 @@
                 views.all(),
                 book.drains(),
                 triedAt,
-                runDue == null ? List.<NodeId>of() : runDue.withdrawn(),
+                writer == null ? List.<NodeId>of() : writer.excluded(),
                 channel,
                 counts,
                 rounds,
@@ -770,20 +772,18 @@
 
     // ---- acts of operators on tables ----
 
-    /** See {@link TableUpdateWriter#rollback}. */
-    public String rollback(long time, TableId table, long version) {
+    /** Pins a table to the weights of a retained version. */
+    public TableActResult rollback(long time, TableId table, long version) {
         now = time;
-        return runDue == null
-                ? "no settings yet"
-                : runDue.rollback(table, version, now, wallMillis.getAsLong());
+        return writer == null
+                ? NO_SETTINGS
+                : writer.rollback(table, version, new RoundTime(now, wallMillis.getAsLong()));
     }
 
-    /**
-     * Lets a table that is held follow the module again, step by step. Returns why not, or nothing.
-     */
-    public String release(long time, TableId table) {
+    /** Lets a pinned table follow the policy again, step by step. */
+    public TableActResult release(long time, TableId table) {
         now = time;
-        return runDue == null ? "no settings yet" : runDue.release(table);
+        return writer == null ? NO_SETTINGS : writer.release(table);
     }
 
     /** A table with what it still has to send. */
@@ -796,15 +796,15 @@
         return views.difference(table, from, to);
     }
 
-    /** Holds a table at what is out now. Returns why not, or nothing. */
-    public String pin(long time, TableId table) {
+    /** Pins a table to the weights that are committed. */
+    public TableActResult pin(long time, TableId table) {
         now = time;
-        return runDue == null ? "no settings yet" : runDue.pin(table);
+        return writer == null ? NO_SETTINGS : writer.pin(table);
     }
 
-    private final class Acts implements TableUpdateWriter.Effects {
+    private final class Acts implements NodeFacts, PolicyEffects, ModeLog {
         @Override
-        public TableChangeValidator.ValidationContext scene(
+        public TableChangeValidator.ValidationContext context(
                 Set<MethodId> methods, Set<ZoneId> homes, double carried) {
             Map<NodeId, TableChangeValidator.NodeFact> facts =
                     new NodeFactsView(
@@ -817,11 +817,11 @@
                                         open(node, methods, homes));
                             });
             return new TableChangeValidator.ValidationContext(
-                    facts, factsVersion(), now - lastCause < CAUSE_LASTS, carried);
+                    facts, version(), now - lastCause < CAUSE_LASTS, carried);
         }
 
         @Override
-        public long factsVersion() {
+        public long version() {
             if (now >= warmAt) {
                 factsChange();
             }
@@ -829,7 +829,7 @@
         }
 
         @Override
-        public boolean listKnown() {
+        public boolean isListKnown() {
             return listKnown;
         }
 
@@ -865,7 +865,7 @@
         }
 
         @Override
-        public void probe(NodeId node) {
+        public void checkHealth(NodeId node) {
             ListedNode listing = nodes.get(node);
             if (listing != null) {
                 world.checkHealth(listing);
@@ -873,17 +873,17 @@
         }
 
         @Override
-        public void followList() {
+        public void watchNodes() {
             world.watchNodes();
         }
 
         @Override
-        public void wakeAfter(long nanos) {
+        public void startTimer(long nanos) {
             rounds.scheduleAt(now + nanos);
         }
 
         @Override
-        public void log(String line) {
+        public void record(String line) {
             counts.mode = line;
             LOG.atInfo().addKeyValue("mode", true).log(line);
         }
--- a/src/main/java/rosespread/controller/ControllerStatus.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -101,7 +101,7 @@
                                 links.stream()
                                         .filter(
                                                 link ->
-                                                        now - link.reportedAt
+                                                        now - link.reportedAtNanos()
                                                                 > REPORTS_MISSED
                                                                         * settings.reportPeriod())
                                         .count();
@@ -125,16 +125,16 @@
         for (ProxySession link : links) {
             proxies.add(
                     new Proxy(
-                            link.name,
-                            link.marks.size(),
-                            link.messages,
-                            (now - link.heardAt) / 1_000_000,
-                            link.bound.size()));
+                            link.name(),
+                            link.unacknowledgedMessages(),
+                            link.messagesWritten(),
+                            (now - link.receivedAtNanos()) / 1_000_000,
+                            link.subscribedTables().size()));
         }
         return new ControllerStatus(
                 settings == null ? "waiting for settings" : "serving",
                 links.size(),
-                (int) links.stream().filter(link -> !link.bound.isEmpty()).count(),
+                (int) links.stream().filter(link -> link.isSubscribed()).count(),
                 channel == null ? 0 : channel.queuedEntries(),
                 channel == null ? 0 : channel.maxQueuedEntries(),
                 channel == null ? 0 : channel.messagesSent(),
--- /dev/null
+++ b/src/main/java/rosespread/controller/DeltaSelector.java
@@ -0,0 +1,81 @@
+package rosespread.controller;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import rosespread.api.NodeId;
+import rosespread.validation.TableChangeValidator;
+
+/**
+ * Chooses which weight changes may leave now that the policy did not order in this round:
+ * rollbacks, releases, and what the validator put in the place of refused changes. They get the
+ * capacity that the policy's own messages leave.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class DeltaSelector {
+    private final RoundCapacity capacity;
+
+    DeltaSelector(RoundCapacity capacity) {
+        this.capacity = capacity;
+    }
+
+    /**
+     * Returns as many of the changes as may leave now: urgent ones first, then the largest; all of
+     * them if nobody is subscribed to the table.
+     */
+    Map<NodeId, Double> select(
+            ManagedTable table,
+            Map<NodeId, Double> delta,
+            TableChangeValidator.ValidationContext context,
+            long nowNanos) {
+        List<ProxySession> subscribers = capacity.subscribers(table.id());
+        if (subscribers.isEmpty() || delta.isEmpty()) {
+            return delta;
+        }
+        Map<NodeId, Double> committed = table.current().lines();
+        boolean urgent =
+                delta.entrySet().stream().anyMatch(change -> isUrgent(change, committed, context));
+        boolean writable =
+                subscribers.stream()
+                        .allMatch(
+                                session ->
+                                        capacity.allowsMessage(
+                                                session, nowNanos, urgent || table.isPinned()));
+        if (!writable) {
+            return Map.of();
+        }
+        Map<NodeId, Double> selected = new TreeMap<>();
+        delta.entrySet().stream()
+                .sorted(
+                        Comparator.comparing(
+                                        (Map.Entry<NodeId, Double> change) ->
+                                                !isUrgent(change, committed, context))
+                                .thenComparing(change -> -size(change, committed)))
+                .limit(capacity.entriesThatFit(subscribers.size(), urgent))
+                .forEach(change -> selected.put(change.getKey(), change.getValue()));
+        return selected;
+    }
+
+    private static double size(Map.Entry<NodeId, Double> change, Map<NodeId, Double> committed) {
+        return Math.abs(change.getValue() - committed.getOrDefault(change.getKey(), 0.0));
+    }
+
+    /**
+     * Whether a change may wait for neither capacity nor messages: the node drains or is gone, or
+     * it warms up and gets less.
+     */
+    private static boolean isUrgent(
+            Map.Entry<NodeId, Double> change,
+            Map<NodeId, Double> committed,
+            TableChangeValidator.ValidationContext context) {
+        TableChangeValidator.NodeFact fact = context.nodes().get(change.getKey());
+        if (change.getValue() == 0) {
+            return fact == null || fact.leaving();
+        }
+        return fact != null
+                && fact.warmth() < 1
+                && change.getValue() < committed.getOrDefault(change.getKey(), 0.0);
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/ModeLog.java
@@ -0,0 +1,5 @@
+package rosespread.controller;
+
+interface ModeLog {
+    void record(String line);
+}
--- a/src/main/java/rosespread/controller/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -9,139 +9,159 @@
 import rosespread.validation.DurabilityTimeout;
 
 /**
- * The conductor's way out: messages leave one after the other at the settings' pace, in lines a
- * second. A message that has left waits at most in its own stream, so a proxy that reads slowly
- * holds up nobody.
+ * Sends messages to proxies one after the other at a rate of weight entries a second, each once the
+ * log entries that it tells of are durable. A message that was sent waits at most in the buffer of
+ * its own stream, so a proxy that reads slowly delays no other.
+ *
+ * <p>Owned by the event-loop thread.
  */
 final class PacedChannel {
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /**
-     * How often a message that waits for the disk is looked at, unless the disk says so earlier.
-     */
-    private static final long LOOK_EVERY = 2_000_000L;
+    /** How often durability is looked at while a message waits for it, unless the log wakes us. */
+    private static final long DURABILITY_CHECK_NANOS = 2_000_000L;
 
-    private record Waiting(
-            ProxySession link,
+    private record QueuedMessage(
+            ProxySession session,
             List<byte[]> frames,
-            int lines,
-            ProxySession.UnacknowledgedMessage marked,
-            long after) {}
+            ProxySession.UnacknowledgedMessage header,
+            long requiredSequence) {
+        int entries() {
+            return header.entries();
+        }
 
-    private final double linesPerSecond;
+        long orderedAtNanos() {
+            return header.orderedAtNanos();
+        }
+    }
+
+    private final double entriesPerSecond;
     private final TableLog log;
     private final DurabilityTimeout durabilityTimeout;
-    private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
-    private long freeAt = Long.MIN_VALUE;
-    private long lines;
-    private long most;
-    private long left;
-    private boolean held;
-
-    PacedChannel(double linesPerSecond, TableLog log, DurabilityTimeout patience) {
-        this.linesPerSecond = linesPerSecond;
+    private final ArrayDeque<QueuedMessage> queue = new ArrayDeque<>();
+    private long freeAtNanos = Long.MIN_VALUE;
+    private long queuedEntries;
+    private long maxQueuedEntries;
+    private long messagesSent;
+    private boolean waitedForLog;
+
+    PacedChannel(double entriesPerSecond, TableLog log, DurabilityTimeout durabilityTimeout) {
+        this.entriesPerSecond = entriesPerSecond;
         this.log = log;
-        this.durabilityTimeout = patience;
+        this.durabilityTimeout = durabilityTimeout;
     }
 
     /**
-     * @param after the sequence that must be kept before the message leaves
+     * Queues a message.
+     *
+     * @param header its number and size; the time of writing is filled in once it is sent
+     * @param requiredSequence the log's sequence that must be durable before the message leaves
      */
     void enqueue(
-            ProxySession link,
+            ProxySession session,
             List<byte[]> frames,
-            int count,
-            ProxySession.UnacknowledgedMessage marked,
-            long after) {
-        queue.addLast(new Waiting(link, frames, count, marked, after));
-        lines += count;
-        most = Math.max(most, lines);
+            ProxySession.UnacknowledgedMessage header,
+            long requiredSequence) {
+        queue.addLast(new QueuedMessage(session, frames, header, requiredSequence));
+        queuedEntries += header.entries();
+        maxQueuedEntries = Math.max(maxQueuedEntries, queuedEntries);
     }
 
     /**
-     * Lets out what is due by now; returns when the next is due, the largest number if nothing
-     * waits.
+     * Sends what is due by now; returns when the next message is due, {@link Long#MAX_VALUE} if
+     * none is queued.
      */
-    long sendDue(long now) {
+    long sendDue(long nowNanos) {
         while (!queue.isEmpty()) {
-            Waiting head = queue.peekFirst();
-            long due =
-                    Math.max(freeAt, head.marked.orderedAtNanos())
-                            + (long) (head.lines / linesPerSecond * SECOND);
-            if (due > now) {
+            QueuedMessage head = queue.peekFirst();
+            long due = dueAt(head);
+            if (due > nowNanos) {
                 return due;
             }
-            if (!durabilityTimeout.mayLeave(
-                    head.after,
-                    log.durable(),
-                    !log.trouble().isEmpty(),
-                    now - head.marked.orderedAtNanos())) {
-                held = true;
-                return now + LOOK_EVERY;
+            if (!isDurable(head, nowNanos)) {
+                waitedForLog = true;
+                return nowNanos + DURABILITY_CHECK_NANOS;
             }
-            // After a wait for the disk the pace begins anew: what gathered does not leave in a
+            // After a wait for the log the pace starts from now: the backlog must not leave in a
             // burst.
-            freeAt = held ? now : due;
-            held = false;
-            write(head, now);
+            freeAtNanos = waitedForLog ? nowNanos : due;
+            waitedForLog = false;
+            send(head, nowNanos);
             queue.removeFirst();
-            lines -= head.lines;
+            queuedEntries -= head.entries();
         }
         return Long.MAX_VALUE;
     }
 
-    private void write(Waiting message, long now) {
-        long queued = (now - message.marked.orderedAtNanos()) / 1000;
+    private long dueAt(QueuedMessage message) {
+        return Math.max(freeAtNanos, message.orderedAtNanos())
+                + (long) (message.entries() / entriesPerSecond * NANOS_PER_SECOND);
+    }
+
+    private boolean isDurable(QueuedMessage message, long nowNanos) {
+        return durabilityTimeout.mayLeave(
+                message.requiredSequence(),
+                log.durable(),
+                !log.trouble().isEmpty(),
+                nowNanos - message.orderedAtNanos());
+    }
+
+    private void send(QueuedMessage message, long nowNanos) {
+        ProxySession.UnacknowledgedMessage header = message.header();
+        long queuedMicros = (nowNanos - header.orderedAtNanos()) / 1000;
         byte[] mark =
                 FrameWriter.bytes(
                         new Frame.Mark(
-                                message.marked.number(),
-                                message.marked.round(),
-                                message.lines,
-                                (int) lines,
-                                queued));
-        int length = mark.length;
-        for (byte[] frame : message.frames) {
+                                header.number(),
+                                header.round(),
+                                header.entries(),
+                                (int) queuedEntries,
+                                queuedMicros));
+        messagesSent++;
+        message.session()
+                .write(
+                        concatenate(message.frames(), mark),
+                        new ProxySession.UnacknowledgedMessage(
+                                header.number(),
+                                header.round(),
+                                header.token(),
+                                header.orderedAtNanos(),
+                                header.entries(),
+                                nowNanos));
+    }
+
+    private static byte[] concatenate(List<byte[]> frames, byte[] last) {
+        int length = last.length;
+        for (byte[] frame : frames) {
             length += frame.length;
         }
         byte[] all = new byte[length];
-        int at = 0;
-        for (byte[] frame : message.frames) {
-            System.arraycopy(frame, 0, all, at, frame.length);
-            at += frame.length;
+        int offset = 0;
+        for (byte[] frame : frames) {
+            System.arraycopy(frame, 0, all, offset, frame.length);
+            offset += frame.length;
         }
-        System.arraycopy(mark, 0, all, at, mark.length);
-        ProxySession.UnacknowledgedMessage marked = message.marked;
-        message.link.marks.addLast(
-                new ProxySession.UnacknowledgedMessage(
-                        marked.number(),
-                        marked.round(),
-                        marked.token(),
-                        marked.orderedAtNanos(),
-                        message.lines,
-                        now));
-        message.link.messages++;
-        left++;
-        message.link.wire.write(all);
+        System.arraycopy(last, 0, all, offset, last.length);
+        return all;
     }
 
-    /** What waits for a stream that is gone is lost, as what was on its way. */
-    void discard(ProxySession link) {
-        for (Iterator<Waiting> i = queue.iterator(); i.hasNext(); ) {
-            Waiting message = i.next();
-            if (message.link == link) {
-                lines -= message.lines;
-                i.remove();
+    /** Drops what is queued for a session that is closed. */
+    void discard(ProxySession session) {
+        for (Iterator<QueuedMessage> each = queue.iterator(); each.hasNext(); ) {
+            QueuedMessage message = each.next();
+            if (message.session() == session) {
+                queuedEntries -= message.entries();
+                each.remove();
             }
         }
     }
 
     long queuedEntries() {
-        return lines;
+        return queuedEntries;
     }
 
     long maxQueuedEntries() {
-        return most;
+        return maxQueuedEntries;
     }
 
     DurabilityTimeout durabilityTimeout() {
@@ -149,6 +169,6 @@
     }
 
     long messagesSent() {
-        return left;
+        return messagesSent;
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -0,0 +1,73 @@
+package rosespread.controller;
+
+import java.util.Map;
+import rosespread.api.NodeId;
+import rosespread.table.PinState;
+import rosespread.table.TableVersion;
+import rosespread.validation.TableChangeValidator;
+
+/**
+ * Commits what pinned tables send: the rest of a rollback, and the steps of a release from the
+ * pinned weights to those that the policy desires.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class PinnedTableCommitter {
+    private static final long RELEASE_STEP_INTERVAL_NANOS = 1_000_000_000L;
+
+    private final TableRegistry registry;
+    private final TableValidation validation;
+    private final DeltaSelector selector;
+    private final ModeLog modes;
+
+    PinnedTableCommitter(
+            TableRegistry registry,
+            TableValidation validation,
+            DeltaSelector selector,
+            ModeLog modes) {
+        this.registry = registry;
+        this.validation = validation;
+        this.selector = selector;
+        this.modes = modes;
+    }
+
+    /** Commits as much of a rollback as may leave now, and entries that may not stay. */
+    TableVersion commitPinned(
+            ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
+        Map<NodeId, Double> target = validation.retain(table.weightsAfterPending(), context);
+        Map<NodeId, Double> all = table.current().changesTo(target);
+        Map<NodeId, Double> delta = selector.select(table, all, context, time.nowNanos());
+        TableVersion next =
+                registry.commit(table, delta, TableVersion.Cause.ROLLBACK, time.wallMillis());
+        table.pendingCommitted(delta.keySet());
+        if (table.rollbackTarget() > 0 && delta.size() == all.size()) {
+            registry.setPin(table, PinState.PINNED, 0, Map.of());
+        }
+        return next;
+    }
+
+    /** Commits a step towards the desired weights; the last one lets the table follow again. */
+    TableVersion commitReleaseStep(
+            ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
+        TableVersion current = table.current();
+        boolean stepDue = table.isReleaseStepDue(time.nowNanos(), RELEASE_STEP_INTERVAL_NANOS);
+        Map<NodeId, Double> target =
+                stepDue && !table.isAwaitingPolicy()
+                        ? validation.stepTowardsDesired(table, context)
+                        : validation.retain(current.lines(), context);
+        Map<NodeId, Double> delta =
+                selector.select(table, current.changesTo(target), context, time.nowNanos());
+        if (stepDue) {
+            table.releaseStepped(time.nowNanos());
+        }
+        if (!table.isAwaitingPolicy() && current.changesTo(table.desired()).isEmpty()) {
+            registry.setPin(table, PinState.NONE, 0, Map.of());
+            modes.record(
+                    "table "
+                            + table.id().value()
+                            + " follows the module at version "
+                            + current.number());
+        }
+        return registry.commit(table, delta, TableVersion.Cause.ROLLBACK, time.wallMillis());
+    }
+}
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -18,73 +18,83 @@
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
 
-/** The frames of one round, each written once however many proxies it goes to. */
+/**
+ * The encoded frames of one round, each written once however many proxies it goes to. Used on the
+ * event-loop thread and dropped with the round.
+ */
 final class RoundFrames {
-    /**
-     * Below this frames are not worth packing, nor if less than a part is saved: weights hardly
-     * pack.
-     */
-    private static final int PACKED_FROM = 1024;
+    /** Frames below this size are sent as they are. */
+    private static final int MIN_COMPRESSED_BYTES = 1024;
 
-    private static final double WORTH = 0.9;
+    /** Compressed frames are sent if they are at most this part of the plain ones. */
+    private static final double MAX_COMPRESSED_RATIO = 0.9;
 
-    private record Whole(TableId table, Set<MethodId> methods, boolean named, boolean packed) {}
+    private record FullTableKey(
+            TableId table, Set<MethodId> methods, boolean introduced, boolean compressed) {}
 
     private final Map<NodeId, ListedNode> nodes;
-    private final Map<MethodId, Frame.Tries> tries;
-    private final Map<TableId, byte[]> delta = new HashMap<>();
+    private final Map<MethodId, Frame.Tries> retryConditions;
+    private final Map<TableId, byte[]> deltas = new HashMap<>();
     private final Map<TableId, byte[]> admissionLimits = new HashMap<>();
-    private final Map<Whole, byte[]> wholes = new HashMap<>();
+    private final Map<FullTableKey, byte[]> fullTables = new HashMap<>();
 
-    RoundFrames(Map<NodeId, ListedNode> nodes, Map<MethodId, Frame.Tries> tries) {
+    RoundFrames(Map<NodeId, ListedNode> nodes, Map<MethodId, Frame.Tries> retryConditions) {
         this.nodes = nodes;
-        this.tries = tries;
+        this.retryConditions = retryConditions;
     }
 
+    /** Returns the frame that introduces a node's address to a stream. */
     static byte[] node(ListedNode node) {
         return FrameWriter.bytes(new Frame.Node(node.id(), node.host(), node.port(), node.zone()));
     }
 
+    /** Returns a table's delta; a table has one in a round. */
     byte[] delta(Frame.Lines delta) {
-        return this.delta.computeIfAbsent(delta.table(), t -> FrameWriter.bytes(delta));
+        return deltas.computeIfAbsent(delta.table(), table -> FrameWriter.bytes(delta));
     }
 
-    byte[] admissionLimits(TableId table, Map<MethodId, Double> ordered) {
+    /** Returns a table's changed admission limits. */
+    byte[] admissionLimits(TableId table, Map<MethodId, Double> changed) {
         return admissionLimits.computeIfAbsent(
-                table, t -> FrameWriter.bytes(new Frame.Levels(table, admissionLimits(ordered))));
+                table, key -> FrameWriter.bytes(new Frame.Levels(key, levels(changed))));
     }
 
     /**
-     * @param named whether the nodes are named before their lines, for a stream that knows none of
-     *     them
+     * Returns a full table.
+     *
+     * @param introduced whether its nodes are introduced before it, for a stream that knows none
+     * @param compressed whether the stream accepts compressed frames
      */
-    byte[] fullTable(VersionHistory history, Set<MethodId> methods, boolean named, boolean packed) {
+    byte[] fullTable(
+            VersionHistory history, Set<MethodId> methods, boolean introduced, boolean compressed) {
         TableId table = history.current().table();
-        return wholes.computeIfAbsent(
-                new Whole(table, methods, named, packed && Packing.isAvailable()),
-                key -> {
-                    byte[] frames = whole(history, key);
-                    if (!key.packed
-                            || frames.length < PACKED_FROM
-                            || frames.length > FrameReader.FROM_CONDUCTOR) {
-                        return frames;
-                    }
-                    byte[] smaller = FrameWriter.packed(frames);
-                    return smaller.length <= WORTH * frames.length ? smaller : frames;
-                });
+        return fullTables.computeIfAbsent(
+                new FullTableKey(table, methods, introduced, compressed && Packing.isAvailable()),
+                key -> encode(history, key));
+    }
+
+    private byte[] encode(VersionHistory history, FullTableKey key) {
+        byte[] frames = encodePlain(history, key);
+        if (!key.compressed
+                || frames.length < MIN_COMPRESSED_BYTES
+                || frames.length > FrameReader.FROM_CONDUCTOR) {
+            return frames;
+        }
+        byte[] compressed = FrameWriter.packed(frames);
+        return compressed.length <= MAX_COMPRESSED_RATIO * frames.length ? compressed : frames;
     }
 
-    private byte[] whole(VersionHistory history, Whole key) {
+    private byte[] encodePlain(VersionHistory history, FullTableKey key) {
         TableVersion version = history.current();
-        TreeMap<NodeId, Double> sorted = new TreeMap<>(version.lines());
+        TreeMap<NodeId, Double> weights = new TreeMap<>(version.lines());
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
-        if (key.named) {
-            sorted.keySet().stream()
+        if (key.introduced) {
+            weights.keySet().stream()
                     .filter(nodes::containsKey)
                     .forEach(id -> frames.writeBytes(node(nodes.get(id))));
         }
-        List<Frame.Line> all = new ArrayList<>(sorted.size());
-        sorted.forEach((node, weight) -> all.add(new Frame.Line(node, weight)));
+        List<Frame.Line> entries = new ArrayList<>(weights.size());
+        weights.forEach((node, weight) -> entries.add(new Frame.Line(node, weight)));
         frames.writeBytes(
                 FrameWriter.bytes(
                         new Frame.Bind(
@@ -92,20 +102,21 @@
                                 version.number(),
                                 version.digest(),
                                 List.copyOf(key.methods),
-                                all,
-                                admissionLimits(history.levels()))));
+                                entries,
+                                levels(history.levels()))));
         return frames.toByteArray();
     }
 
-    private List<Frame.Level> admissionLimits(Map<MethodId, Double> ordered) {
-        List<Frame.Level> all = new ArrayList<>(ordered.size());
-        ordered.forEach(
+    private List<Frame.Level> levels(Map<MethodId, Double> limits) {
+        List<Frame.Level> levels = new ArrayList<>(limits.size());
+        limits.forEach(
                 (method, admitted) ->
-                        all.add(
+                        levels.add(
                                 new Frame.Level(
                                         method,
                                         admitted,
-                                        tries.getOrDefault(method, Frame.Tries.AFTER_PROOF))));
-        return all;
+                                        retryConditions.getOrDefault(
+                                                method, Frame.Tries.AFTER_PROOF))));
+        return levels;
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/controller/TableOperations.java
@@ -0,0 +1,98 @@
+package rosespread.controller;
+
+import java.util.Map;
+import java.util.Optional;
+import rosespread.api.NodeId;
+import rosespread.api.TableId;
+import rosespread.table.PinState;
+import rosespread.table.TableVersion;
+
+/**
+ * Carries out what operators order for a table: rollback, pin and release.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class TableOperations {
+    private final TableRegistry registry;
+    private final NodeFacts facts;
+    private final TableValidation validation;
+    private final ModeLog modes;
+
+    TableOperations(
+            TableRegistry registry, NodeFacts facts, TableValidation validation, ModeLog modes) {
+        this.registry = registry;
+        this.facts = facts;
+        this.validation = validation;
+        this.modes = modes;
+    }
+
+    /**
+     * Pins a table to the weights of a retained version; they are committed as newer versions as
+     * the channel has capacity. Entries for nodes that drain, are gone or unknown are left out and
+     * warming nodes bounded. A later rollback replaces an earlier one; a delta in flight is
+     * overtaken, as a stream is ordered.
+     */
+    TableActResult rollback(TableId id, long version) {
+        Optional<ManagedTable> table = registry.existing(id);
+        if (table.isEmpty()) {
+            return unknownTable(id, "");
+        }
+        Optional<TableVersion> target = table.get().history().version(version);
+        if (target.isEmpty()) {
+            return new TableActResult.Rejected(
+                    TableActResult.Reason.UNKNOWN_VERSION,
+                    "table " + id.value() + " has no version " + version + " any more");
+        }
+        rollback(table.get(), target.get());
+        return TableActResult.DONE;
+    }
+
+    private void rollback(ManagedTable table, TableVersion target) {
+        Map<NodeId, Double> weights =
+                facts.isListKnown()
+                        ? validation.retain(target.lines(), validation.context(table))
+                        : target.lines();
+        registry.setPin(
+                table, PinState.PINNED, target.number(), table.current().changesTo(weights));
+        modes.record(
+                "table "
+                        + table.id().value()
+                        + " goes back to version "
+                        + target.number()
+                        + ": "
+                        + table.pending().size()
+                        + " lines change");
+    }
+
+    /** Pins a table to the weights that are committed. */
+    TableActResult pin(TableId id) {
+        Optional<ManagedTable> table = registry.existing(id);
+        if (table.isEmpty()) {
+            return unknownTable(id, "");
+        }
+        if (table.get().history().isEmpty()) {
+            return unknownTable(id, " yet");
+        }
+        registry.setPin(table.get(), PinState.PINNED, 0, Map.of());
+        modes.record(
+                "table " + id.value() + " is held at version " + table.get().current().number());
+        return TableActResult.DONE;
+    }
+
+    /** Lets a pinned table follow the policy again, step by step. */
+    TableActResult release(TableId id) {
+        Optional<ManagedTable> table = registry.existing(id).filter(ManagedTable::isPinned);
+        if (table.isEmpty()) {
+            return new TableActResult.Rejected(
+                    TableActResult.Reason.NOT_PINNED, "table " + id.value() + " is not held");
+        }
+        registry.setPin(table.get(), PinState.RELEASING, 0, Map.of());
+        modes.record("table " + id.value() + " follows the module again, step by step");
+        return TableActResult.DONE;
+    }
+
+    private static TableActResult unknownTable(TableId id, String when) {
+        return new TableActResult.Rejected(
+                TableActResult.Reason.UNKNOWN_TABLE, "no table " + id.value() + when);
+    }
+}
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -5,13 +5,10 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import java.util.Optional;
 import java.util.TreeMap;
-import java.util.TreeSet;
-import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
-import rosespread.api.ZoneId;
 import rosespread.drain.Drain;
 import rosespread.drain.DrainRegistry;
 import rosespread.store.LogEntry;
@@ -21,145 +18,89 @@
 import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
-import rosespread.validation.TableChangeValidator;
 
 /**
- * All tables as they were committed, and how they are held. It outlives the module, and through its
- * log the process: each change is appended before any message can tell of it.
+ * All tables with their versions and pins, and the drains that operators ordered. It outlives the
+ * policy, and through its log the process: every change is appended before a message can tell of
+ * it, and {@link #lastSequence} is the entry that such a message has to wait for.
+ *
+ * <p>Restored before the event loop starts; from then on owned by the event-loop thread.
  */
 public final class TableRegistry {
     /**
-     * Numbers jump to a multiple of this beyond what a proxy holds, so that the next proxy of the
-     * same past needs no further jump.
+     * Version numbers jump to a multiple of this beyond what a proxy holds, so that the next proxy
+     * with the same past needs no further jump.
      */
-    private static final long JUMP = 1024;
+    private static final long NUMBER_JUMP = 1024;
 
-    /** No conductor comes so far; what a proxy says beyond is a mistake. */
-    private static final long NUMBER_MOST = 1L << 53;
-
-    /** A table beside its versions: what the module wants of it and how it is held. */
-    static final class Table {
-        final TableId id;
-        VersionHistory history;
-        final TreeMap<NodeId, Double> wanted = new TreeMap<>();
-        final Set<MethodId> methods = new TreeSet<>();
-        final Set<ZoneId> homes = new TreeSet<>();
-
-        /**
-         * What a pinned table still has to send; a newer change of a line overwrites the pending
-         * one.
-         */
-        final TreeMap<NodeId, Double> pending = new TreeMap<>();
-
-        PinState hold = PinState.NONE;
-
-        /** The version that it goes back to; 0 if it has arrived or goes to none. */
-        long to;
-
-        /** Whether the module that runs now has not ordered any line of it yet. */
-        boolean awaited;
-
-        /** The number that proxies which follow its deltas hold. */
-        long sent;
-
-        List<TableChangeValidator.Refusal> refusals = List.of();
-        final TreeMap<TableChangeValidator.Reason, Long> refused = new TreeMap<>();
-        long steppedAt = Long.MIN_VALUE / 2;
-
-        /** What the gate knows of the lines that are out. */
-        final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
-
-        /** When, and by which facts, a table that is held was looked at last. */
-        long lookedAt = Long.MIN_VALUE / 2;
-
-        long lookedBy = -1;
-
-        Table(TableId id, VersionHistory history) {
-            this.id = id;
-            this.history = history;
-            this.sent = history.current().number();
-        }
-
-        TableVersion out() {
-            return history.current();
-        }
-    }
+    /** No controller gets this far; a proxy that claims to hold more is mistaken. */
+    private static final long MAX_VERSION_NUMBER = 1L << 53;
 
     private final TableLog log;
-    private final TreeMap<TableId, Table> tables = new TreeMap<>();
+    private final TreeMap<TableId, ManagedTable> tables = new TreeMap<>();
 
-    /** Numbers that proxies hold of tables that are not there yet. */
-    private final TreeMap<TableId, Long> floors = new TreeMap<>();
+    /** The numbers after which tables that do not exist yet begin, as proxies hold them. */
+    private final TreeMap<TableId, Long> minimumNumbers = new TreeMap<>();
 
     private final DrainRegistry drains = new DrainRegistry();
     private long layout;
     private long lastSequence;
 
+    /** An empty registry that appends to the log. */
     public TableRegistry(TableLog log) {
         this.log = log;
     }
 
-    /** Begins with what was kept. */
-    public void restore(StoreSnapshot image) {
-        layout = image.layout();
-        image.drains().forEach(drains::apply);
-        for (TableSnapshot kept : image.tables()) {
-            Table table = new Table(kept.current().table(), new VersionHistory(kept));
-            table.hold = kept.hold();
-            table.to = kept.to();
-            table.pending.putAll(kept.pending());
-            tables.put(table.id, table);
+    /** Takes over what was persisted; called once, before anything is changed. */
+    public void restore(StoreSnapshot snapshot) {
+        layout = snapshot.layout();
+        snapshot.drains().forEach(drains::apply);
+        for (TableSnapshot persisted : snapshot.tables()) {
+            ManagedTable table = ManagedTable.restored(persisted);
+            tables.put(table.id(), table);
         }
         policyRestarted();
     }
 
-    /** A fresh module begins: tables stay as they are until it orders lines of them. */
+    /** A new policy starts: each table stays as it is until the policy sets a weight of it. */
     void policyRestarted() {
-        for (Table table : tables.values()) {
-            table.wanted.clear();
-            table.methods.clear();
-            table.homes.clear();
-            table.history.levels().clear();
-            table.standing.forget();
-            table.refusals = List.of();
-            table.hold = table.hold.lasting();
-            table.awaited = true;
-        }
+        tables.values().forEach(ManagedTable::awaitPolicy);
     }
 
     /**
-     * Tables are laid out by this from now on; if that is another way, numbers go on and nothing
-     * else.
+     * Sets the digest of what tables are laid out by. If it differs from the last one, only the
+     * numbers go on: pins and earlier versions are dropped.
      */
-    void layout(long next) {
-        if (next == layout) {
+    void setLayout(long digest) {
+        if (digest == layout) {
             return;
         }
-        layout = next;
-        lastSequence = log.append(new LogEntry.LaidOut(next));
-        for (Table table : tables.values()) {
-            table.history.forget();
-            table.hold = PinState.NONE;
-            table.to = 0;
-            table.pending.clear();
-        }
+        layout = digest;
+        lastSequence = log.append(new LogEntry.LaidOut(digest));
+        tables.values().forEach(ManagedTable::layoutChanged);
     }
 
-    Table table(TableId id) {
+    /** Returns the table, made if there was none. */
+    ManagedTable table(TableId id) {
         return tables.computeIfAbsent(
-                id, t -> new Table(t, new VersionHistory(t, floors.getOrDefault(t, 0L))));
+                id,
+                key ->
+                        new ManagedTable(
+                                key,
+                                new VersionHistory(key, minimumNumbers.getOrDefault(key, 0L))));
     }
 
-    /** The table if there is one. */
-    Table existing(TableId id) {
-        return tables.get(id);
+    /** Returns the table if there is one. */
+    Optional<ManagedTable> existing(TableId id) {
+        return Optional.ofNullable(tables.get(id));
     }
 
-    Collection<Table> tables() {
+    /** Returns a live view of all tables, in the order of their numbers. */
+    Collection<ManagedTable> tables() {
         return Collections.unmodifiableCollection(tables.values());
     }
 
-    /** The sequence of the last thing that was appended. */
+    /** Returns the log's sequence number of the last entry appended. */
     long lastSequence() {
         return lastSequence;
     }
@@ -168,11 +109,14 @@
         return log;
     }
 
-    /** Commits a change, if it truly is one. */
+    /** Commits changes, weight 0 for a removed entry; the version stays if nothing changes. */
     TableVersion commit(
-            Table table, Map<NodeId, Double> delta, TableVersion.Cause cause, long wallMillis) {
-        TableVersion before = table.out();
-        TableVersion next = table.history.commit(delta, cause, wallMillis);
+            ManagedTable table,
+            Map<NodeId, Double> delta,
+            TableVersion.Cause cause,
+            long wallMillis) {
+        TableVersion before = table.current();
+        TableVersion next = table.history().commit(delta, cause, wallMillis);
         if (next != before) {
             lastSequence = log.append(new LogEntry.Committed(next));
         }
@@ -180,46 +124,41 @@
     }
 
     /**
-     * Holds a table or lets go of it; {@code pending} is what it has to change to come to {@code
-     * to}.
+     * Pins a table, releases it, or lets it follow the policy.
+     *
+     * @param target the version that it is rolled back to, 0 if none
+     * @param pending the changes that lead there
      */
-    void setPin(Table table, PinState hold, long to, Map<NodeId, Double> pending) {
-        table.pending.clear();
-        table.pending.putAll(pending);
-        boolean lasts = to > 0 || hold.lasting() != table.hold.lasting() || to != table.to;
-        table.hold = hold;
-        table.to = to;
-        if (to > 0) {
-            table.history.keep(to, true);
-        }
-        if (lasts && !table.history.isEmpty()) {
+    void setPin(ManagedTable table, PinState pin, long target, Map<NodeId, Double> pending) {
+        boolean lasting = table.setPin(pin, target, pending);
+        if (lasting && !table.history().isEmpty()) {
             lastSequence =
                     log.append(
                             new LogEntry.Holding(
-                                    table.id, hold.lasting(), to, new TreeMap<>(pending)));
+                                    table.id(), pin.lasting(), target, new TreeMap<>(pending)));
         }
     }
 
     /**
-     * A proxy holds this number of a table, of another conductor or of a past that was not kept:
-     * numbers go on beyond it, so that none goes backwards for it.
+     * Raises a table's number above one that a proxy holds, of another controller or of a past that
+     * was not persisted, so that versions never go backwards for it.
      */
     void raiseAbove(TableId id, long held, long wallMillis) {
-        Table table = tables.get(id);
-        long known = table == null ? floors.getOrDefault(id, 0L) : table.out().number();
-        if (held > NUMBER_MOST || held <= known) {
+        ManagedTable table = tables.get(id);
+        long known = table == null ? minimumNumbers.getOrDefault(id, 0L) : table.current().number();
+        if (held > MAX_VERSION_NUMBER || held <= known) {
             return;
         }
-        long number = (held / JUMP + 1) * JUMP;
-        floors.put(id, number);
-        if (table != null && table.history.isEmpty()) {
-            VersionHistory fresh = new VersionHistory(id, number);
-            fresh.levels().putAll(table.history.levels());
-            table.history = fresh;
-            table.sent = number;
-        } else if (table != null) {
-            lastSequence =
-                    log.append(new LogEntry.Committed(table.history.renumber(number, wallMillis)));
+        long number = (held / NUMBER_JUMP + 1) * NUMBER_JUMP;
+        minimumNumbers.put(id, number);
+        if (table == null) {
+            return;
+        }
+        if (table.history().isEmpty()) {
+            table.startNumberingAfter(number);
+        } else {
+            TableVersion renumbered = table.history().renumber(number, wallMillis);
+            lastSequence = log.append(new LogEntry.Committed(renumbered));
         }
     }
 
@@ -227,16 +166,21 @@
         return drains;
     }
 
-    /** Takes an operator's word on a node; tells whether it changes anything. */
-    boolean applyDrain(Drain word) {
-        boolean changes = drains.apply(word);
-        lastSequence = log.append(new LogEntry.Drained(word));
+    /** Applies and appends a drain or its end; returns whether it changes anything. */
+    boolean applyDrain(Drain drain) {
+        boolean changes = drains.apply(drain);
+        lastSequence = log.append(new LogEntry.Drained(drain));
         return changes;
     }
 
+    /** Returns everything that has to be persisted, for a log that begins a new file. */
     StoreSnapshot snapshot() {
-        List<TableSnapshot> all = new ArrayList<>();
-        tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
-        return new StoreSnapshot(layout, all, drains.all());
+        List<TableSnapshot> persisted = new ArrayList<>();
+        for (ManagedTable table : tables.values()) {
+            table.history()
+                    .image(table.pin(), table.rollbackTarget(), table.pending())
+                    .ifPresent(persisted::add);
+        }
+        return new StoreSnapshot(layout, persisted, drains.all());
     }
 }
--- a/src/main/java/rosespread/controller/TableStatusReader.java
+++ b/src/main/java/rosespread/controller/TableStatusReader.java
@@ -8,100 +8,88 @@
 import java.util.TreeMap;
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
-import rosespread.controller.TableRegistry.Table;
 import rosespread.discovery.ListedNode;
+import rosespread.table.TableVersion;
 
-/** Tables and versions by the nodes' names, for those who look from outside. */
+/**
+ * Describes tables and versions for the control API, with nodes by their names. Called on the
+ * event-loop thread; what it returns shares nothing with the tables.
+ */
 final class TableStatusReader {
-    private final TableRegistry book;
+    private final TableRegistry registry;
     private final Map<NodeId, ListedNode> nodes;
 
-    TableStatusReader(TableRegistry book, Map<NodeId, ListedNode> nodes) {
-        this.book = book;
+    TableStatusReader(TableRegistry registry, Map<NodeId, ListedNode> nodes) {
+        this.registry = registry;
         this.nodes = nodes;
     }
 
-    /** All tables with their versions, for the state. */
+    /** Returns all tables with the weights that are committed. */
     List<ControllerStatus.Table> all() {
         List<ControllerStatus.Table> all = new ArrayList<>();
-        book.tables().forEach(table -> all.add(view(table, table.out().lines())));
+        registry.tables().forEach(table -> all.add(status(table, table.current().lines())));
         return all;
     }
 
-    /** One table as it will be once what it has to send has left. */
+    /** Returns one table with the weights as they will be once its pending changes are sent. */
     Optional<ControllerStatus.Table> one(TableId id) {
-        return Optional.ofNullable(book.existing(id))
-                .map(
-                        table -> {
-                            Map<NodeId, Double> lines = new TreeMap<>(table.out().lines());
-                            table.pending.forEach(
-                                    (node, weight) -> {
-                                        if (weight > 0) {
-                                            lines.put(node, weight);
-                                        } else {
-                                            lines.remove(node);
-                                        }
-                                    });
-                            return view(table, lines);
-                        });
+        return registry.existing(id).map(table -> status(table, table.weightsAfterPending()));
     }
 
-    private ControllerStatus.Table view(Table table, Map<NodeId, Double> lines) {
-        List<ControllerStatus.Version> versions =
-                table.history.versions().stream()
-                        .map(
-                                v ->
-                                        new ControllerStatus.Version(
-                                                v.number(),
-                                                v.cause().name(),
-                                                v.atMillis(),
-                                                v.lines().size(),
-                                                v.changes().size(),
-                                                Long.toHexString(v.digest())))
-                        .toList();
+    private ControllerStatus.Table status(ManagedTable table, Map<NodeId, Double> weights) {
         Map<String, Long> refused = new TreeMap<>();
-        table.refused.forEach((reason, count) -> refused.put(reason.name(), count));
+        table.refusalCounts().forEach((reason, count) -> refused.put(reason.name(), count));
         return new ControllerStatus.Table(
-                table.id.value(),
-                table.out().number(),
-                table.hold.name(),
-                table.refusals.stream().map(r -> r.reason() + ": " + r.figures()).toList(),
+                table.id().value(),
+                table.current().number(),
+                table.pin().name(),
+                table.refusals().stream().map(r -> r.reason() + ": " + r.figures()).toList(),
                 refused,
-                named(lines),
-                versions);
+                byName(weights),
+                table.history().versions().stream().map(TableStatusReader::status).toList());
     }
 
-    private Map<String, Double> named(Map<NodeId, Double> lines) {
+    private static ControllerStatus.Version status(TableVersion version) {
+        return new ControllerStatus.Version(
+                version.number(),
+                version.cause().name(),
+                version.atMillis(),
+                version.lines().size(),
+                version.changes().size(),
+                Long.toHexString(version.digest()));
+    }
+
+    private Map<String, Double> byName(Map<NodeId, Double> weights) {
         Map<String, Double> named = new TreeMap<>();
-        lines.forEach((node, weight) -> named.put(ListedNode.name(nodes, node), weight));
+        weights.forEach((node, weight) -> named.put(ListedNode.name(nodes, node), weight));
         return named;
     }
 
     /**
-     * What changes from one kept version to another, by the nodes' names; nothing if one is not
-     * kept.
+     * Returns what changes from one retained version to another, in the order of the nodes' names;
+     * empty if there is no such table or one of the versions is not retained.
      */
     Optional<ControllerStatus.Difference> difference(TableId id, long from, long to) {
-        Table table = book.existing(id);
-        return table == null
-                ? Optional.empty()
-                : table.history
-                        .difference(from, to)
-                        .map(
-                                changes -> {
-                                    Map<NodeId, Double> before =
-                                            table.history.version(from).orElseThrow().lines();
-                                    List<ControllerStatus.Changed> all = new ArrayList<>();
-                                    changes.forEach(
-                                            (node, weight) ->
-                                                    all.add(
-                                                            new ControllerStatus.Changed(
-                                                                    ListedNode.name(nodes, node),
-                                                                    before.getOrDefault(node, 0.0),
-                                                                    weight)));
-                                    all.sort(Comparator.comparing(ControllerStatus.Changed::node));
-                                    return new ControllerStatus.Difference(
-                                            id.value(), from, to, all);
-                                });
+        return registry.existing(id).flatMap(table -> difference(table, from, to));
+    }
+
+    private Optional<ControllerStatus.Difference> difference(
+            ManagedTable table, long from, long to) {
+        Optional<Map<NodeId, Double>> changes = table.history().difference(from, to);
+        if (changes.isEmpty()) {
+            return Optional.empty();
+        }
+        Map<NodeId, Double> before = table.history().version(from).orElseThrow().lines();
+        List<ControllerStatus.Changed> all = new ArrayList<>();
+        changes.get()
+                .forEach(
+                        (node, weight) ->
+                                all.add(
+                                        new ControllerStatus.Changed(
+                                                ListedNode.name(nodes, node),
+                                                before.getOrDefault(node, 0.0),
+                                                weight)));
+        all.sort(Comparator.comparing(ControllerStatus.Changed::node));
+        return Optional.of(new ControllerStatus.Difference(table.id().value(), from, to, all));
     }
 }
--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -240,7 +240,7 @@
     private void recovery(ProxySession missing) {
         core.frameReceived(now, missing, new Frame.Missed(new TableId(1), 1));
         pass(300);
-        assertEquals("", core.rollback(now, new TableId(2), 1025));
+        assertEquals(TableActResult.DONE, core.rollback(now, new TableId(2), 1025));
         pass(300);
         nodes.set(5, node(5, EventHandler.NodeState.DRAINING));
         core.nodesListed(now, nodes);
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -286,18 +286,19 @@
         pass(100);
         proxy.answers = false;
         for (int i = 0; i < 90; i++) {
-            proxy.link.marks.addLast(
+            proxy.link.awaitAcknowledgement(
                     new ProxySession.UnacknowledgedMessage(1 + i, 1, -1, now, 30, now));
         }
         for (int i = 0; i < 8; i++) {
             pass(100);
             core.frameReceived(now, proxy.link, new Frame.KeepAlive(1, true));
         }
-        assertEquals("", core.rollback(now, TABLE, first));
+        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
         pass(200);
         assertEquals(
                 0.5, core.status().tables().get(0).lines().get("n0"), "nothing of it left yet");
-        proxy.link.marks.clear();
+        proxy.link.acknowledge(90);
+        assertEquals(0, proxy.link.unacknowledgedMessages());
         order(orders -> {});
         pass(100);
         assertEquals(1.0, core.status().tables().get(0).lines().get("n0"));
@@ -337,7 +338,7 @@
         bound("p");
         long first = table().version();
         weights(1, 0.5, 0.5);
-        assertEquals("", core.rollback(now, TABLE, first));
+        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
         pass(100);
         restart();
         list(0, 1, 2);
@@ -345,7 +346,7 @@
         bound("p");
         assertEquals("PINNED", table().held());
         assertEquals(1.0, table().lines().get("n0"));
-        assertEquals("", core.release(now, TABLE));
+        assertEquals(TableActResult.DONE, core.release(now, TABLE));
         restart();
         assertEquals("RELEASING", table().held());
         list(0, 1, 2);
@@ -365,9 +366,9 @@
         weights(0.5, 0.6, 0.7);
         // So much was written lately that a message must wait.
         for (int i = 0; i < 40; i++) {
-            proxy.link.written.addLast(now);
+            proxy.link.messageQueuedAt(now);
         }
-        assertEquals("", core.rollback(now, TABLE, first));
+        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
         restart();
         assertEquals("PINNED", table().held());
         list(0, 1, 2);
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -292,7 +292,7 @@
         Follower follower = join("p");
         long good = table().version();
         weights(0.4, 1, 1, 1, 1.5, 1.5);
-        assertEquals("", core.rollback(now, TABLE, good));
+        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, good));
         pass(100);
         assertEquals(Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0, "n3", 1.0), named(follower.lines));
         assertTrue(table().version() > good);
@@ -305,7 +305,7 @@
                 named(follower.lines),
                 "a held table keeps drains");
         weights(0.4, 0, 1, 1, 1.5, 1.5);
-        assertEquals("", core.release(now, TABLE));
+        assertEquals(TableActResult.DONE, core.release(now, TABLE));
         pass(300);
         assertTrue(follower.lines.get(id(0)) > 0.4, "not at once: " + follower.lines);
         pass(9000);
@@ -313,9 +313,18 @@
                 Map.of("n0", 0.4, "n2", 1.0, "n3", 1.0, "n4", 1.5, "n5", 1.5),
                 named(follower.lines));
         assertEquals("NONE", table().held());
-        assertEquals("table 1 is not held", core.release(now, TABLE));
-        assertEquals("table 1 has no version 999 any more", core.rollback(now, TABLE, 999));
-        assertEquals("no table 7", core.rollback(now, new TableId(7), 1));
+        assertEquals(
+                new TableActResult.Rejected(
+                        TableActResult.Reason.NOT_PINNED, "table 1 is not held"),
+                core.release(now, TABLE));
+        assertEquals(
+                new TableActResult.Rejected(
+                        TableActResult.Reason.UNKNOWN_VERSION,
+                        "table 1 has no version 999 any more"),
+                core.rollback(now, TABLE, 999));
+        assertEquals(
+                new TableActResult.Rejected(TableActResult.Reason.UNKNOWN_TABLE, "no table 7"),
+                core.rollback(now, new TableId(7), 1));
     }
 
     @Test
@@ -327,7 +336,7 @@
         states[0] = NodeState.GONE;
         list();
         pass(20);
-        assertEquals("", core.rollback(now, TABLE, first));
+        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
         pass(100);
         assertEquals(5, follower.lines.size(), "all that can serve");
     }
