--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -1,891 +1,257 @@
 package rosespread.controller;
 
-import com.dynatrace.hash4j.hashing.Hashing;
-import java.nio.charset.StandardCharsets;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
+import java.util.function.Function;
 import java.util.function.LongSupplier;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import rosespread.api.EventHandler;
-import rosespread.api.EventSource;
-import rosespread.api.MachineTypeId;
-import rosespread.api.MethodId;
 import rosespread.api.NodeId;
-import rosespread.api.ProxyId;
 import rosespread.api.TableId;
-import rosespread.api.ZoneId;
 import rosespread.channel.Frame;
-import rosespread.channel.FrameWriter;
 import rosespread.discovery.ListedNode;
 import rosespread.drain.Drain;
-import rosespread.drain.DrainGuard;
-import rosespread.drain.DrainRegistry;
 import rosespread.eventloop.RoundScheduler;
 import rosespread.settings.FleetSettings;
-import rosespread.validation.DurabilityTimeout;
+import rosespread.store.TableLog;
 import rosespread.validation.TableChangeValidator;
 
 /**
- * The conductor without its threads and sockets: tells the module what happened and carries out its
- * orders. All of it runs on one thread; the caller brings events and the time, so that a test can
- * drive it by a clock of its own. It decides nothing: what was ordered leaves as it was ordered.
+ * The controller without its threads and sockets: brings events to the routing policy and carries
+ * out its actions as they were ordered. It decides nothing itself.
+ *
+ * <p>All methods are called on one thread, the event loop's, with the time by {@link
+ * System#nanoTime()}; so a test can drive a controller by a clock of its own.
  */
 public final class ControllerState {
-    /** What the core asks of the world outside. */
+    /** The world outside; called on the event-loop thread, no method may block. */
     public interface Environment {
+        /**
+         * Makes the policy that decides from now on.
+         *
+         * @param seed of its random numbers
+         */
         Policy newPolicy(FleetSettings settings, long seed);
 
-        /** Probes; {@link ControllerState#healthChecked} is called later. */
+        /** Starts a health check; {@link ControllerState#healthChecked} follows. */
         void checkHealth(ListedNode node);
 
+        /** Starts following the node list; {@link ControllerState#nodesListed} follows. */
         void watchNodes();
     }
 
     private static final TableActResult NO_SETTINGS =
             new TableActResult.Rejected(TableActResult.Reason.NO_SETTINGS, "no settings yet");
 
-    private static final Logger LOG = LoggerFactory.getLogger(ControllerState.class);
-    private static final long JOIN_WITHIN = 5_000_000_000L;
-
-    /** Keep-alives missed in a row that break a stream. */
-    private static final int KEEP_ALIVES_MISSED = 4;
-
-    /** A change of the list, or much unanswered, is a cause for large moves for so long. */
-    private static final long CAUSE_LASTS = 10_000_000_000L;
-
-    private static final double MUCH_UNANSWERED = 0.3;
-    private static final int LEAST_TRIES = 5;
-    private static final int PROXIES_MOST = 1 << 16;
-    private static final long UNWRITTEN_MOST = 4L << 20;
-
-    private final Environment world;
-    private final TableChangeValidator gate;
-    private final TableRegistry book;
-    private final TableStatusReader views;
-    private final LongSupplier wallMillis;
-    private final Set<ProxySession> links = new LinkedHashSet<>();
-    private final TreeMap<ProxyId, ProxySession> joined = new TreeMap<>();
-    private final TreeMap<String, ProxyId> byName = new TreeMap<>();
-    private final TreeMap<NodeId, ListedNode> nodes = new TreeMap<>();
-
-    /** What the list told last, and that with the drains of operators. */
-    private final TreeMap<NodeId, ListedNode> told = new TreeMap<>();
-
-    private final TreeMap<NodeId, ListedNode> listed = new TreeMap<>();
-    private final TreeMap<NodeId, Long> triedAt = new TreeMap<>();
-    private final TreeMap<NodeId, Start> starts = new TreeMap<>();
-    private final TreeMap<String, Integer> zones = new TreeMap<>();
-    private final TreeMap<String, Integer> kinds = new TreeMap<>();
+    private final EventClock clock;
     private final RoundScheduler rounds = new RoundScheduler();
-    private final RoundScheduler.RoundHandler player = new Playing();
-    private LoadReportAggregator sums = new LoadReportAggregator();
-    private FleetSettings settings;
-    private Policy planner;
-    private TableUpdateWriter writer;
-    private final Acts acts = new Acts();
-    private PacedChannel channel;
-    private long number;
-    private long now;
-    private long sumsAt;
-    private boolean listKnown;
-    private long factsVersion;
-    private long warmAt = Long.MAX_VALUE;
-    private long lastCause = Long.MIN_VALUE / 2;
-    private final Counts counts = new Counts();
-
-    private record Start(long millis, long nanos) {}
-
-    /** What happened since the start, for the state page. */
-    static final class Counts {
-        long joins;
-        long strayAnswers;
-        long unknownNodes;
-        long silent;
-        long missed;
-        long slow;
-        long lists;
-        long listFailures;
-        String listTrouble = "";
-        String mode = "";
-    }
+    private final FleetNames names = new FleetNames();
+    private final TableRegistry registry;
+    private final SessionRegistry sessions;
+    private final NodeFacts facts;
+    private final PolicyRunner policyRunner;
+    private final NodeListHandler nodeList;
+    private final ProxyFrameHandler frames;
+    private final KeepAliveMonitor keepAlives;
+    private final DrainHandler drains;
+    private final TableStatusReader tables;
+    private final ControllerStatusReader status;
 
     /**
-     * @param book what was committed so far; restored before the first settings
+     * A controller that waits for its settings.
+     *
+     * @param registry what was committed so far; restored before the first settings
+     * @param wallClockMillis the wall clock, for what is persisted or shown
      */
     public ControllerState(
-            Environment world,
-            TableChangeValidator gate,
-            TableRegistry book,
-            LongSupplier wallMillis) {
-        this.book = book;
-        this.views = new TableStatusReader(book, nodes);
-        this.world = world;
-        this.gate = gate;
-        this.wallMillis = wallMillis;
-        // Numbers of messages rise over restarts too, so that no answer fits a message of an
-        // earlier process.
-        this.number = wallMillis.getAsLong() << 20;
-    }
-
-    // ---- settings ----
-
-    /**
-     * Takes settings as a whole. Numbers of methods, zones and tables may mean something else from
-     * here on, so all streams are closed and a fresh module begins, as after a restart; proxies
-     * keep their tables and rejoin.
-     */
-    public void applySettings(long time, FleetSettings next) {
-        now = time;
-        settings = next;
-        zones.clear();
-        kinds.clear();
-        next.zones().forEach(zone -> zones.put(zone, zones.size()));
-        next.kinds().forEach(kind -> kinds.put(kind, kinds.size()));
-        book.setLayout(layout(next));
-        begin("settings were applied");
-    }
-
-    /** What tables are laid out by: the places, and where methods may go. */
-    private static long layout(FleetSettings settings) {
-        StringBuilder text = new StringBuilder().append(settings.zones()).append(settings.kinds());
-        settings.methods()
-                .forEach(
-                        m ->
-                                text.append('|')
-                                        .append(m.name())
-                                        .append(m.onlyKinds())
-                                        .append(m.onlyZones())
-                                        .append(m.ownZone()));
-        return Hashing.xxh3_64().hashBytesToLong(text.toString().getBytes(StandardCharsets.UTF_8));
-    }
-
-    private void begin(String why) {
-        for (ProxySession link : List.copyOf(links)) {
-            close(link, Frame.Reason.STOPPING, why);
-        }
-        rounds.restart();
-        sums = new LoadReportAggregator();
-        channel =
-                new PacedChannel(
-                        settings.channel().linesPerSecond(),
-                        book.log(),
-                        new DurabilityTimeout(settings.drainGrace()));
-        number = writer == null ? number : writer.lastNumber();
-        lastCause = now;
-        book.policyRestarted();
-        factsChange();
-        writer =
-                new TableUpdateWriter(
-                        new TableUpdateWriter.Context(joined, nodes, book, gate, acts, acts, acts),
-                        settings,
-                        channel,
-                        number);
-        planner = world.newPolicy(settings, settings.seed());
-        sumsAt = now + settings.reportPeriod();
-        if (listKnown) {
-            tellList(EventHandler.NodeListKind.CACHED);
-        }
-    }
-
-    // ---- streams ----
-
-    public ProxySession sessionOpened(long time, ProxySession.Transport wire) {
-        now = time;
-        ProxySession link = new ProxySession(wire, now);
-        links.add(link);
-        return link;
-    }
-
-    public void frameReceived(long time, ProxySession link, Frame frame) {
-        now = time;
-        if (link.isClosed()) {
-            return;
-        }
-        link.frameReceivedAt(now);
-        if (frame instanceof Frame.KeepAlive alive) {
-            if (!alive.answer()) {
-                link.transport()
-                        .write(FrameWriter.bytes(new Frame.KeepAlive(alive.number(), true)));
-            }
-        } else if (frame instanceof Frame.Close) {
-            sessionClosed(now, link);
-        } else if (!link.isGreeted()) {
-            greet(link, frame);
-        } else if (!link.isJoined()) {
-            join(link, frame);
-        } else if (frame instanceof Frame.Installed installed) {
-            installed(link, installed.number());
-        } else if (frame instanceof Frame.Sums met) {
-            link.loadReportedAt(now);
-            sums.add(link.proxy(), link.zone(), known(met));
-        } else if (frame instanceof Frame.Missed missed) {
-            counts.missed++;
-            link.requireFullUpdate(missed.table());
-        } else if (frame instanceof Frame.Offered offered) {
-            offered(link, offered);
-        } else {
-            close(
-                    link,
-                    Frame.Reason.BAD_FRAME,
-                    frame.getClass().getSimpleName() + " is not a proxy's to send");
-        }
-    }
-
-    private void greet(ProxySession link, Frame frame) {
-        if (!(frame instanceof Frame.Hello hello)) {
-            close(link, Frame.Reason.BAD_FRAME, "the first frame must be Hello");
-        } else if (hello.version() != Frame.VERSION) {
-            close(
-                    link,
-                    Frame.Reason.BAD_VERSION,
-                    "version " + hello.version() + "; this conductor speaks " + Frame.VERSION);
-        } else if (settings == null) {
-            close(link, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
-        } else {
-            link.greeted();
-            link.transport()
-                    .write(
-                            FrameWriter.bytes(
-                                    new Frame.Hello(
-                                            Frame.VERSION, "conductor", settings.methodNames())));
-        }
-    }
-
-    private void join(ProxySession link, Frame frame) {
-        if (!(frame instanceof Frame.Join join)) {
-            close(link, Frame.Reason.BAD_FRAME, "the second frame must be Join");
-            return;
-        }
-        if (!settings.zones().contains(join.zone())) {
-            close(
-                    link,
-                    Frame.Reason.BAD_JOIN,
-                    "zone \""
-                            + join.zone()
-                            + "\"; known are "
-                            + String.join(", ", settings.zones()));
-            return;
-        }
-        ProxyId before = byName.get(join.proxy());
-        if (before != null) {
-            close(
-                    joined.get(before),
-                    Frame.Reason.REPLACED,
-                    "a newer stream of proxy " + join.proxy());
-        }
-        int free = 0;
-        while (joined.containsKey(new ProxyId(free))) {
-            free++;
-        }
-        if (free >= PROXIES_MOST) {
-            close(link, Frame.Reason.FULL, PROXIES_MOST + " proxies are joined");
-            return;
-        }
-        ProxyId id = before == null ? new ProxyId(free) : before;
-        link.join(id, join.proxy(), new ZoneId(zones.get(join.zone())), join.unpacks());
-        joined.put(id, link);
-        byName.put(link.name(), id);
-        counts.joins++;
-        LOG.atInfo()
-                .addKeyValue("proxy", link.name())
-                .addKeyValue("zone", join.zone())
-                .addKeyValue("from", link.transport().remoteAddress())
-                .log("proxy joined");
-        long wall = wallMillis.getAsLong();
-        join.held().forEach(held -> book.raiseAbove(held.table(), held.version(), wall));
-        rounds.add(observer -> observer.proxyJoined(id, link.zone(), join.rate()));
-    }
-
-    /**
-     * An answer to a mark that was not written on this stream is nobody's: it may be of an earlier
-     * one.
-     */
-    private void installed(ProxySession link, long answered) {
-        ProxySession.UnacknowledgedMessage found = link.acknowledge(answered).orElse(null);
-        if (found == null) {
-            counts.strayAnswers++;
-            return;
-        }
-        long took = now - found.orderedAtNanos();
-        if (found.token() >= 0) {
-            rounds.add(observer -> observer.acknowledged(link.proxy(), found.token(), took));
-        }
-    }
-
-    private Frame.Sums known(Frame.Sums met) {
-        met.sums().stream()
-                .filter(sum -> sum.tries() > 0 && nodes.containsKey(sum.node()))
-                .forEach(sum -> triedAt.put(sum.node(), now));
-        List<Frame.Sum> known =
-                met.sums().stream().filter(sum -> nodes.containsKey(sum.node())).toList();
-        counts.unknownNodes += met.sums().size() - known.size();
-        if (known.stream()
-                .anyMatch(
-                        sum ->
-                                sum.tries() >= LEAST_TRIES
-                                        && sum.unanswered() > MUCH_UNANSWERED * sum.tries())) {
-            lastCause = now;
-        }
-        return known.size() == met.sums().size() ? met : new Frame.Sums(met.coversMicros(), known);
-    }
-
-    private void offered(ProxySession link, Frame.Offered offered) {
-        for (Frame.Count count : offered.counts()) {
-            if (count.method().value() >= settings.methods().size()) {
-                close(
-                        link,
-                        Frame.Reason.BAD_FRAME,
-                        "method " + count.method().value() + " of " + settings.methods().size());
-                return;
-            }
-            rounds.add(
-                    observer ->
-                            observer.demandReported(
-                                    link.proxy(),
-                                    count.method(),
-                                    count.came(),
-                                    offered.coversMicros() * 1000));
-        }
-    }
-
-    /** The stream broke, a moment or a while ago. */
-    public void sessionClosed(long time, ProxySession link) {
-        now = time;
-        if (!link.isClosed()) {
-            close(link, null, "the stream closed");
-        }
-    }
-
-    /** The stream brought what is not the protocol. */
-    public void protocolViolated(long time, ProxySession link, Frame.Reason reason, String text) {
-        now = time;
-        close(link, reason, text);
-    }
-
-    private void close(ProxySession link, Frame.Reason reason, String text) {
-        if (link.isClosed()) {
-            return;
-        }
-        link.markClosed();
-        links.remove(link);
-        if (link.isJoined() && joined.get(link.proxy()) == link) {
-            joined.remove(link.proxy());
-            byName.remove(link.name());
-            ProxyId id = link.proxy();
-            rounds.add(observer -> observer.proxyLeft(id));
-        }
-        if (channel != null) {
-            channel.discard(link);
-        }
-        LOG.atInfo()
-                .addKeyValue("proxy", link.name())
-                .addKeyValue("from", link.transport().remoteAddress())
-                .addKeyValue("reason", reason)
-                .log("stream closed: " + text);
-        link.transport().close(reason == null ? Frame.Reason.STOPPING : reason, text);
-    }
-
-    // ---- list and probes ----
-
-    /** The list told of all nodes. */
-    public void nodesListed(long time, List<ListedNode> all) {
-        now = time;
-        listKnown = true;
-        counts.lists++;
-        counts.listTrouble = "";
-        Set<NodeId> before = Set.copyOf(told.keySet());
-        told.clear();
-        all.forEach(node -> told.put(node.id(), node));
-        endDrainsOfGone(before);
-        relist();
-    }
-
-    /**
-     * A node that the list no longer tells of needs no drain any more; one that comes back is a
-     * fresh one.
-     */
-    private void endDrainsOfGone(Set<NodeId> before) {
-        for (Drain word : List.copyOf(book.drains().allLatest())) {
-            // Only one that was listed here: this list may be behind the one by which the word was
-            // given.
-            if (word.on() && before.contains(word.node()) && !told.containsKey(word.node())) {
-                long stamp = book.drains().nextStamp();
-                book.applyDrain(
-                        new Drain(
-                                word.node(),
-                                word.name(),
-                                false,
-                                stamp,
-                                "list",
-                                "gone-" + stamp,
-                                wallMillis.getAsLong()));
-                LOG.info(
-                        "the drain of {} by {} ends: the list no longer tells of it",
-                        word.name(),
-                        word.by());
-            }
-        }
+            Environment environment,
+            TableChangeValidator validator,
+            TableRegistry registry,
+            LongSupplier wallClockMillis) {
+        this.registry = registry;
+        this.clock = new EventClock(wallClockMillis);
+        this.sessions = new SessionRegistry(rounds);
+        ControllerCounters counters = new ControllerCounters();
+        ModeLog modes = new ModeLog();
+        NodeDirectory directory = new NodeDirectory();
+        NodeStartTimes startTimes = new NodeStartTimes(clock);
+        NodeListPublisher publisher = new NodeListPublisher(directory, startTimes, names, rounds);
+        this.facts = new NodeFacts(directory, startTimes, names, clock);
+        TableUpdateWriter.Context context =
+                new TableUpdateWriter.Context(
+                        sessions.joined(),
+                        directory.known(),
+                        registry,
+                        validator,
+                        facts,
+                        new PolicyEffects(environment, directory, rounds, clock),
+                        modes);
+        this.policyRunner =
+                new PolicyRunner(
+                        environment, context, sessions, directory, publisher, rounds, clock);
+        this.nodeList =
+                new NodeListHandler(
+                        directory,
+                        startTimes,
+                        facts,
+                        publisher,
+                        registry,
+                        policyRunner,
+                        counters,
+                        clock);
+        this.frames =
+                new ProxyFrameHandler(
+                        sessions,
+                        new SessionHandshake(
+                                sessions, policyRunner, registry, rounds, names, counters, clock),
+                        new LoadReportHandler(policyRunner, directory, facts, counters, clock),
+                        policyRunner,
+                        rounds,
+                        counters,
+                        clock);
+        this.keepAlives = new KeepAliveMonitor(sessions, counters);
+        this.drains = new DrainHandler(registry, directory, nodeList, policyRunner, clock);
+        this.tables = new TableStatusReader(registry, directory.known());
+        this.status =
+                new ControllerStatusReader(
+                        policyRunner,
+                        sessions,
+                        directory,
+                        nodeList,
+                        registry,
+                        tables,
+                        counters,
+                        modes,
+                        rounds,
+                        clock);
     }
 
     /**
-     * Works out what the module is told: the list, with nodes that operators drain as the list
-     * would say.
+     * Applies settings as a whole. Numbers of methods, zones and tables may mean something else
+     * from here on, so all streams are closed and the policy is restarted.
      */
-    private void relist() {
-        Map<NodeId, ListedNode> next = new TreeMap<>();
-        told.forEach((id, node) -> next.put(id, book.drains().drains(id) ? node.draining() : node));
-        next.values()
-                .forEach(node -> lastCause = same(listed.get(node.id()), node) ? lastCause : now);
-        lastCause = next.size() == listed.size() ? lastCause : now;
-        listed.clear();
-        listed.putAll(next);
-        nodes.putAll(listed);
-        if (writer != null) {
-            nodes.keySet()
-                    .removeIf(
-                            id ->
-                                    !listed.containsKey(id)
-                                            && !writer.excluded().contains(id)
-                                            && !writer.hasWeightFor(id));
-            starts.keySet().retainAll(nodes.keySet());
-            triedAt.keySet().retainAll(nodes.keySet());
-            factsChange();
-            tellList(EventHandler.NodeListKind.FULL);
-        }
+    public void applySettings(long nowNanos, FleetSettings settings) {
+        clock.advanceTo(nowNanos);
+        names.applySettings(settings);
+        facts.applySettings(settings);
+        registry.setLayout(FleetNames.layoutDigest(settings));
+        policyRunner.restart(settings, "settings were applied");
     }
 
-    /** Facts hold until the list tells of others or the next cold node is warm. */
-    private void factsChange() {
-        factsVersion++;
-        warmAt = Long.MAX_VALUE;
-        for (ListedNode node : nodes.values()) {
-            long up = started(node);
-            if (up != Long.MIN_VALUE && up + settings.cold().time() > now) {
-                warmAt = Math.min(warmAt, up + settings.cold().time());
-            }
-        }
+    /** A stream was opened; returns its session. */
+    public ProxySession sessionOpened(long nowNanos, ProxySession.Transport transport) {
+        clock.advanceTo(nowNanos);
+        return sessions.open(transport, nowNanos);
     }
 
-    private static boolean same(ListedNode before, ListedNode after) {
-        return before != null
-                && before.state() == after.state()
-                && before.startedMillis() == after.startedMillis();
+    /** A frame was received. */
+    public void frameReceived(long nowNanos, ProxySession session, Frame frame) {
+        clock.advanceTo(nowNanos);
+        frames.frameReceived(session, frame);
     }
 
-    private void tellList(EventHandler.NodeListKind kind) {
-        List<ListedNode> told = List.copyOf(listed.values());
-        Map<NodeId, Long> up = new TreeMap<>();
-        told.forEach(node -> up.put(node.id(), started(node)));
-        rounds.add(
-                observer -> {
-                    observer.listStarted(kind);
-                    for (ListedNode node : told) {
-                        observer.nodeListed(
-                                node.id(),
-                                new MachineTypeId(place(kinds, node.kind())),
-                                new ZoneId(place(zones, node.zone())),
-                                node.weight(),
-                                node.state(),
-                                up.get(node.id()));
-                    }
-                    observer.listCompleted();
-                });
+    /** The stream closed or broke, a moment or a while ago. */
+    public void sessionClosed(long nowNanos, ProxySession session) {
+        clock.advanceTo(nowNanos);
+        sessions.closedByPeer(session);
     }
 
-    /**
-     * Worked out once for each start that the list names: wall clock and monotone clock drift, and
-     * a start that seems to move would be taken for another one.
-     */
-    private long started(ListedNode node) {
-        if (node.startedMillis() == 0) {
-            return Long.MIN_VALUE;
-        }
-        Start known = starts.get(node.id());
-        if (known == null || known.millis() != node.startedMillis()) {
-            long age = Math.max(0, wallMillis.getAsLong() - node.startedMillis());
-            known = new Start(node.startedMillis(), now - age * 1_000_000L);
-            starts.put(node.id(), known);
-        }
-        return known.nanos();
+    /** The stream brought bytes that are not of the protocol. */
+    public void protocolViolated(
+            long nowNanos, ProxySession session, Frame.Reason reason, String text) {
+        clock.advanceTo(nowNanos);
+        sessions.close(session, reason, text);
     }
 
-    private static int place(Map<String, Integer> places, String name) {
-        places.putIfAbsent(name, places.size());
-        return places.get(name);
+    /** Discovery brought a complete list of nodes. */
+    public void nodesListed(long nowNanos, List<ListedNode> nodes) {
+        clock.advanceTo(nowNanos);
+        nodeList.nodesListed(nodes);
     }
 
-    public void nodeListUnavailable(long time, String why) {
-        now = time;
-        counts.listFailures++;
-        if (counts.listTrouble.isEmpty()) {
-            LOG.atWarn()
-                    .addKeyValue("nodes", listed.size())
-                    .log("list unavailable, the last one stays: " + why);
-        }
-        counts.listTrouble = why;
-        rounds.add(
-                observer -> {
-                    observer.listStarted(EventHandler.NodeListKind.UNAVAILABLE);
-                    observer.listCompleted();
-                });
+    /** Discovery can bring no list; the last one stays. */
+    public void nodeListUnavailable(long nowNanos, String reason) {
+        clock.advanceTo(nowNanos);
+        nodeList.unavailable(reason);
     }
 
-    public void healthChecked(long time, NodeId node, EventHandler.HealthCheckResult verdict) {
-        now = time;
-        rounds.add(observer -> observer.healthChecked(node, verdict));
+    /** A health check ended. */
+    public void healthChecked(long nowNanos, NodeId node, EventHandler.HealthCheckResult result) {
+        clock.advanceTo(nowNanos);
+        rounds.add(policy -> policy.healthChecked(node, result));
     }
 
-    // ---- the round ----
-
-    /** Does what is due; returns the time of the next thing due. */
-    public long runDue(long time) {
-        now = time;
-        if (settings == null) {
+    /** Does what is due; returns when to come back, {@link Long#MAX_VALUE} before any settings. */
+    public long runDue(long nowNanos) {
+        clock.advanceTo(nowNanos);
+        Optional<FleetSettings> settings = policyRunner.settings();
+        if (settings.isEmpty()) {
             return Long.MAX_VALUE;
         }
-        if (now >= sumsAt) {
-            sumsAt = now + settings.reportPeriod();
-            LoadReportAggregator gathered = sums;
-            sums = new LoadReportAggregator();
-            rounds.add(gathered::deliverTo);
-        }
-        long next = Math.min(sumsAt, rounds.runDue(now, player));
-        if (book.log().wantsImage()) {
-            book.log().image(book.snapshot());
+        long nextRound = policyRunner.runDue();
+        TableLog log = registry.log();
+        if (log.wantsImage()) {
+            log.image(registry.snapshot());
         }
-        next = Math.min(next, channel.sendDue(now));
-        return Math.min(next, keepAlive());
+        long nextMessage = policyRunner.channel().orElseThrow().sendDue(nowNanos);
+        long nextKeepAlive = keepAlives.check(nowNanos, settings.get().channel().keepAlive());
+        return Math.min(nextRound, Math.min(nextMessage, nextKeepAlive));
     }
 
-    /** A module that throws has lost its place: a fresh one begins, as after a restart. */
-    private final class Playing implements RoundScheduler.RoundHandler {
-        @Override
-        public void runRound(EventSource feed) {
-            planner.round(now, feed, writer);
-            writer.closeRound(new RoundTime(now, wallMillis.getAsLong()));
-        }
-
-        @Override
-        public void roundFailed(Throwable fault) {
-            LOG.error("the decision module failed and begins anew", fault);
-            begin("the decision module begins anew");
-        }
+    /** Tells all proxies that the controller stops, and closes their streams. */
+    public void stop(long nowNanos) {
+        clock.advanceTo(nowNanos);
+        sessions.closeAll(Frame.Reason.STOPPING, "the conductor stops");
     }
 
-    private long keepAlive() {
-        long every = settings.channel().keepAlive();
-        long next = Long.MAX_VALUE;
-        for (ProxySession link : List.copyOf(links)) {
-            if (now - link.receivedAtNanos() > KEEP_ALIVES_MISSED * every && link.isJoined()) {
-                counts.silent++;
-                close(
-                        link,
-                        Frame.Reason.SILENT,
-                        "nothing heard for " + (now - link.receivedAtNanos()) / 1_000_000 + " ms");
-            } else if (!link.isJoined() && now - link.openedAtNanos() > JOIN_WITHIN) {
-                close(link, Frame.Reason.SILENT, "not joined in time");
-            } else if (link.transport().writeBufferBytes() > UNWRITTEN_MOST) {
-                counts.slow++;
-                close(
-                        link,
-                        Frame.Reason.SLOW,
-                        link.transport().writeBufferBytes() + " bytes were not read");
-            } else if (link.isJoined() && now - link.keepAliveAtNanos() >= every) {
-                link.keepAliveSentAt(now);
-                link.transport().write(FrameWriter.bytes(new Frame.KeepAlive(now, false)));
-            }
-            next =
-                    Math.min(
-                            next,
-                            link.isJoined()
-                                    ? link.keepAliveAtNanos() + every
-                                    : link.openedAtNanos() + JOIN_WITHIN);
-        }
-        return next;
-    }
-
-    /** Tells all proxies that the conductor stops. */
-    public void stop(long time) {
-        now = time;
-        for (ProxySession link : List.copyOf(links)) {
-            close(link, Frame.Reason.STOPPING, "the conductor stops");
-        }
-    }
-
-    /** What there is to see, as it is now. */
+    /** Returns the status as of the last event. */
     public ControllerStatus status() {
-        return ControllerStatus.of(
-                settings,
-                joined.values(),
-                listed.values(),
-                views.all(),
-                book.drains(),
-                triedAt,
-                writer == null ? List.<NodeId>of() : writer.excluded(),
-                channel,
-                counts,
-                rounds,
-                storage(),
-                now);
-    }
-
-    private ControllerStatus.Storage storage() {
-        DurabilityTimeout patience = channel == null ? null : channel.durabilityTimeout();
-        return new ControllerStatus.Storage(
-                book.log().trouble(),
-                patience != null && patience.late(),
-                Math.max(0, book.lastSequence() - book.log().durable()),
-                patience == null ? 0 : patience.unkept(),
-                book.log().bytes());
-    }
-
-    // ---- drains ----
-
-    /**
-     * Takes an operator's call on a node up: once for each id, against the revision that it names,
-     * and not if the guard is against it.
-     */
-    public DrainResult drain(long time, DrainRequest call) {
-        now = time;
-        DrainRegistry drains = book.drains();
-        if (drains.findByRequestId(call.id()).isPresent()) {
-            return DrainResult.done(drains.revision(), true);
-        }
-        List<Drain> since = call.revision() < 0 ? List.of() : drains.changesSince(call.revision());
-        if (!since.isEmpty()) {
-            return new DrainResult(
-                    DrainResult.Kind.STALE,
-                    drains.revision(),
-                    since.stream()
-                            .map(
-                                    word ->
-                                            word.name()
-                                                    + (word.on()
-                                                            ? " was drained by "
-                                                            : " was undrained by ")
-                                                    + word.by()
-                                                    + " (revision "
-                                                    + word.stamp()
-                                                    + ")")
-                            .toList());
-        }
-        List<ListedNode> named = told.values().stream().filter(node -> call.names(node)).toList();
-        if (named.size() != 1) {
-            return named.isEmpty()
-                    ? new DrainResult(
-                            DrainResult.Kind.NO_NODE,
-                            drains.revision(),
-                            List.of("no node " + call.node() + " among " + told.size() + " listed"))
-                    : new DrainResult(
-                            DrainResult.Kind.AMBIGUOUS,
-                            drains.revision(),
-                            named.stream()
-                                    .map(
-                                            node ->
-                                                    node.name()
-                                                            + "@"
-                                                            + node.host()
-                                                            + ":"
-                                                            + node.port())
-                                    .toList());
-        }
-        ListedNode node = named.get(0);
-        List<String> against =
-                call.on() && !call.force() && settings != null
-                        ? new DrainGuard(settings.drainLeastShare())
-                                .against(
-                                        node.name(),
-                                        listed.values().stream()
-                                                .map(
-                                                        n ->
-                                                                new DrainGuard.Node(
-                                                                        n.name(),
-                                                                        n.zone(),
-                                                                        n.kind(),
-                                                                        n.weight(),
-                                                                        n.state()
-                                                                                == EventHandler
-                                                                                        .NodeState
-                                                                                        .READY))
-                                                .toList(),
-                                        settings.methods().stream()
-                                                .map(
-                                                        m ->
-                                                                new DrainGuard.Method(
-                                                                        m.name(),
-                                                                        Set.copyOf(m.onlyKinds()),
-                                                                        Set.copyOf(m.onlyZones())))
-                                                .toList())
-                        : List.of();
-        if (!against.isEmpty()) {
-            return new DrainResult(DrainResult.Kind.GUARDED, drains.revision(), against);
-        }
-        book.applyDrain(
-                new Drain(
-                        node.id(),
-                        node.name(),
-                        call.on(),
-                        drains.nextStamp(),
-                        call.by(),
-                        call.id(),
-                        wallMillis.getAsLong()));
-        LOG.atInfo()
-                .addKeyValue("node", node.name())
-                .addKeyValue("by", call.by())
-                .log((call.on() ? "drain of " : "end of the drain of ") + node.name());
-        relist();
-        return DrainResult.done(drains.revision(), false);
+        return status.read();
     }
 
-    /** Takes words up that other conductors have; tells how many change anything. */
-    public int mergeDrains(long time, List<Drain> words) {
-        now = time;
-        int changes = 0;
-        for (Drain word : words) {
-            if (word.after(book.drains().latest(word.node()).orElse(null))
-                    && book.applyDrain(word)) {
-                changes++;
-                LOG.atInfo()
-                        .addKeyValue("node", word.name())
-                        .addKeyValue("by", word.by())
-                        .log(
-                                "heard of the "
-                                        + (word.on() ? "drain of " : "end of the drain of ")
-                                        + word.name());
-            }
-        }
-        if (changes > 0 && listKnown) {
-            relist();
-        }
-        return changes;
+    /** Returns a table as it will be once its pending changes are sent; empty if there is none. */
+    public Optional<ControllerStatus.Table> table(TableId table) {
+        return tables.one(table);
     }
 
-    /** Operators' last words on nodes. */
-    public List<Drain> drains() {
-        return List.copyOf(book.drains().allLatest());
+    /** Returns what changes from one retained version to another; empty if one is unknown. */
+    public Optional<ControllerStatus.Difference> difference(TableId table, long from, long to) {
+        return tables.difference(table, from, to);
     }
 
-    // ---- acts of operators on tables ----
-
-    /** Pins a table to the weights of a retained version. */
-    public TableActResult rollback(long time, TableId table, long version) {
-        now = time;
-        return writer == null
-                ? NO_SETTINGS
-                : writer.rollback(table, version, new RoundTime(now, wallMillis.getAsLong()));
+    /** Drains a node or ends its drain, as an operator orders. */
+    public DrainResult drain(long nowNanos, DrainRequest request) {
+        clock.advanceTo(nowNanos);
+        return drains.drain(request);
     }
 
-    /** Lets a pinned table follow the policy again, step by step. */
-    public TableActResult release(long time, TableId table) {
-        now = time;
-        return writer == null ? NO_SETTINGS : writer.release(table);
+    /** Applies drains that another controller knows of; returns how many change anything. */
+    public int mergeDrains(long nowNanos, List<Drain> known) {
+        clock.advanceTo(nowNanos);
+        return drains.merge(known);
     }
 
-    /** A table with what it still has to send. */
-    public Optional<ControllerStatus.Table> table(TableId table) {
-        return views.one(table);
+    /** Returns the last drain or end of a drain of each node. */
+    public List<Drain> drains() {
+        return drains.drains();
     }
 
-    /** What changes from one kept version of a table to another. */
-    public Optional<ControllerStatus.Difference> difference(TableId table, long from, long to) {
-        return views.difference(table, from, to);
+    /** Pins a table to the weights of a retained version, see {@link TableOperations}. */
+    public TableActResult rollback(long nowNanos, TableId table, long version) {
+        return act(nowNanos, writer -> writer.rollback(table, version, clock.roundTime()));
     }
 
     /** Pins a table to the weights that are committed. */
-    public TableActResult pin(long time, TableId table) {
-        now = time;
-        return writer == null ? NO_SETTINGS : writer.pin(table);
+    public TableActResult pin(long nowNanos, TableId table) {
+        return act(nowNanos, writer -> writer.pin(table));
     }
 
-    private final class Acts implements NodeFacts, PolicyEffects, ModeLog {
-        @Override
-        public TableChangeValidator.ValidationContext context(
-                Set<MethodId> methods, Set<ZoneId> homes, double carried) {
-            Map<NodeId, TableChangeValidator.NodeFact> facts =
-                    new NodeFactsView(
-                            nodes,
-                            node -> {
-                                ListedNode is = listed.get(node.id());
-                                return new TableChangeValidator.NodeFact(
-                                        is == null ? EventHandler.NodeState.GONE : is.state(),
-                                        warmth(node),
-                                        open(node, methods, homes));
-                            });
-            return new TableChangeValidator.ValidationContext(
-                    facts, version(), now - lastCause < CAUSE_LASTS, carried);
-        }
-
-        @Override
-        public long version() {
-            if (now >= warmAt) {
-                factsChange();
-            }
-            return factsVersion;
-        }
-
-        @Override
-        public boolean isListKnown() {
-            return listKnown;
-        }
-
-        @Override
-        public ZoneId zone(ListedNode node) {
-            return new ZoneId(place(zones, node.zone()));
-        }
-
-        private double warmth(ListedNode node) {
-            long up = started(node);
-            long time = settings.cold().time();
-            return up == Long.MIN_VALUE || now - up >= time
-                    ? 1
-                    : settings.cold().share()
-                            + (1 - settings.cold().share()) * Math.max(0, now - up) / time;
-        }
-
-        /**
-         * Whether any of the table's methods may go there; a table of one zone stays in its zone.
-         */
-        private boolean open(ListedNode node, Set<MethodId> methods, Set<ZoneId> homes) {
-            ZoneId zone = new ZoneId(place(zones, node.zone()));
-            return methods.isEmpty()
-                    || methods.stream()
-                            .map(m -> settings.methods().get(m.value()))
-                            .anyMatch(
-                                    m ->
-                                            (m.onlyKinds().isEmpty()
-                                                            || m.onlyKinds().contains(node.kind()))
-                                                    && (m.onlyZones().isEmpty()
-                                                            || m.onlyZones().contains(node.zone()))
-                                                    && (!m.ownZone() || homes.contains(zone)));
-        }
-
-        @Override
-        public void checkHealth(NodeId node) {
-            ListedNode listing = nodes.get(node);
-            if (listing != null) {
-                world.checkHealth(listing);
-            }
-        }
-
-        @Override
-        public void watchNodes() {
-            world.watchNodes();
-        }
-
-        @Override
-        public void startTimer(long nanos) {
-            rounds.scheduleAt(now + nanos);
-        }
+    /** Lets a pinned table follow the policy again, step by step. */
+    public TableActResult release(long nowNanos, TableId table) {
+        return act(nowNanos, writer -> writer.release(table));
+    }
 
-        @Override
-        public void record(String line) {
-            counts.mode = line;
-            LOG.atInfo().addKeyValue("mode", true).log(line);
-        }
+    private TableActResult act(long nowNanos, Function<TableUpdateWriter, TableActResult> act) {
+        clock.advanceTo(nowNanos);
+        return policyRunner.writer().map(act).orElse(NO_SETTINGS);
     }
 }
--- a/src/main/java/rosespread/controller/ControllerStatus.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -1,15 +1,7 @@
 package rosespread.controller;
 
-import java.util.ArrayList;
-import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import rosespread.api.NodeId;
-import rosespread.discovery.ListedNode;
-import rosespread.drain.Drain;
-import rosespread.drain.DrainRegistry;
-import rosespread.eventloop.RoundScheduler;
-import rosespread.settings.FleetSettings;
 
 /** The conductor at one moment, for those who look from outside. Ages and times in milliseconds. */
 public record ControllerStatus(
@@ -63,8 +55,6 @@
             Map<String, Double> lines,
             List<Version> versions) {}
 
-    private static final int REPORTS_MISSED = 3;
-
     /** What changes from one version to another; a weight of 0 stands for no line. */
     public record Difference(int table, long from, long to, List<Changed> lines) {}
 
@@ -79,82 +69,4 @@
             long number, String cause, long atMillis, int lines, int changed, String digest) {}
 
     public record Proxy(String name, int unanswered, long messages, long heardAgoMs, int tables) {}
-
-    /** Before any settings came. */
-    static ControllerStatus of(
-            FleetSettings settings,
-            Collection<ProxySession> links,
-            Collection<ListedNode> listed,
-            List<Table> tables,
-            DrainRegistry drains,
-            Map<NodeId, Long> triedAt,
-            Collection<NodeId> withdrawn,
-            PacedChannel channel,
-            ControllerState.Counts counts,
-            RoundScheduler rounds,
-            Storage storage,
-            long now) {
-        int unheard =
-                settings == null
-                        ? 0
-                        : (int)
-                                links.stream()
-                                        .filter(
-                                                link ->
-                                                        now - link.reportedAtNanos()
-                                                                > REPORTS_MISSED
-                                                                        * settings.reportPeriod())
-                                        .count();
-        List<Node> nodeList = new ArrayList<>();
-        for (ListedNode node : listed) {
-            nodeList.add(
-                    new Node(
-                            node.name(),
-                            node.host() + ":" + node.port(),
-                            node.zone(),
-                            node.kind(),
-                            node.state().name(),
-                            withdrawn.contains(node.id()),
-                            drains.latest(node.id()).filter(Drain::on).map(Drain::by).orElse(""),
-                            triedAt.containsKey(node.id())
-                                    ? (now - triedAt.get(node.id())) / 1_000_000
-                                    : -1,
-                            unheard));
-        }
-        List<Proxy> proxies = new ArrayList<>();
-        for (ProxySession link : links) {
-            proxies.add(
-                    new Proxy(
-                            link.name(),
-                            link.unacknowledgedMessages(),
-                            link.messagesWritten(),
-                            (now - link.receivedAtNanos()) / 1_000_000,
-                            link.subscribedTables().size()));
-        }
-        return new ControllerStatus(
-                settings == null ? "waiting for settings" : "serving",
-                links.size(),
-                (int) links.stream().filter(link -> link.isSubscribed()).count(),
-                channel == null ? 0 : channel.queuedEntries(),
-                channel == null ? 0 : channel.maxQueuedEntries(),
-                channel == null ? 0 : channel.messagesSent(),
-                rounds.roundsRun(),
-                rounds.meanNanos() / 1e6,
-                rounds.maxNanos() / 1e6,
-                counts.joins,
-                counts.strayAnswers,
-                counts.unknownNodes,
-                rounds.failures(),
-                counts.missed,
-                counts.silent,
-                counts.slow,
-                counts.lists,
-                counts.listFailures,
-                counts.listTrouble,
-                counts.mode,
-                nodeList,
-                tables,
-                proxies,
-                storage);
-    }
 }
--- /dev/null
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -0,0 +1,157 @@
+package rosespread.controller;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import rosespread.api.NodeId;
+import rosespread.controller.ControllerCounters.Counter;
+import rosespread.discovery.ListedNode;
+import rosespread.drain.Drain;
+import rosespread.eventloop.RoundScheduler;
+import rosespread.settings.FleetSettings;
+import rosespread.validation.DurabilityTimeout;
+
+/**
+ * Gathers the controller's status. Called on the event-loop thread; what it returns shares nothing
+ * with the state.
+ */
+final class ControllerStatusReader {
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final long WHOLE_NANOS_PER_MILLI = 1_000_000L;
+
+    /** A proxy without a load report for so many periods may have made attempts unknown to us. */
+    private static final int MAX_MISSED_REPORTS = 3;
+
+    private static final long NO_ATTEMPT = -1;
+
+    private final PolicyRunner policyRunner;
+    private final SessionRegistry sessions;
+    private final NodeDirectory directory;
+    private final NodeListHandler nodeList;
+    private final TableRegistry registry;
+    private final TableStatusReader tables;
+    private final ControllerCounters counters;
+    private final ModeLog modes;
+    private final RoundScheduler rounds;
+    private final EventClock clock;
+
+    ControllerStatusReader(
+            PolicyRunner policyRunner,
+            SessionRegistry sessions,
+            NodeDirectory directory,
+            NodeListHandler nodeList,
+            TableRegistry registry,
+            TableStatusReader tables,
+            ControllerCounters counters,
+            ModeLog modes,
+            RoundScheduler rounds,
+            EventClock clock) {
+        this.policyRunner = policyRunner;
+        this.sessions = sessions;
+        this.directory = directory;
+        this.nodeList = nodeList;
+        this.registry = registry;
+        this.tables = tables;
+        this.counters = counters;
+        this.modes = modes;
+        this.rounds = rounds;
+        this.clock = clock;
+    }
+
+    /** Returns the status as it is now. */
+    ControllerStatus read() {
+        Optional<PacedChannel> channel = policyRunner.channel();
+        Collection<ProxySession> joined = sessions.joined().values();
+        return new ControllerStatus(
+                policyRunner.settings().isEmpty() ? "waiting for settings" : "serving",
+                joined.size(),
+                (int) joined.stream().filter(ProxySession::isSubscribed).count(),
+                channel.map(PacedChannel::queuedEntries).orElse(0L),
+                channel.map(PacedChannel::maxQueuedEntries).orElse(0L),
+                channel.map(PacedChannel::messagesSent).orElse(0L),
+                rounds.roundsRun(),
+                rounds.meanNanos() / NANOS_PER_MILLI,
+                rounds.maxNanos() / NANOS_PER_MILLI,
+                counters.value(Counter.JOINS),
+                counters.value(Counter.STRAY_ACKNOWLEDGEMENTS),
+                counters.value(Counter.UNKNOWN_NODE_REPORTS),
+                rounds.failures(),
+                counters.value(Counter.MISSED_DELTAS),
+                counters.value(Counter.SILENT_SESSIONS),
+                counters.value(Counter.SLOW_SESSIONS),
+                counters.value(Counter.NODE_LISTS),
+                counters.value(Counter.NODE_LIST_FAILURES),
+                nodeList.unavailableReason(),
+                modes.last(),
+                nodes(),
+                tables.all(),
+                joined.stream().map(this::proxy).toList(),
+                storage());
+    }
+
+    private List<ControllerStatus.Node> nodes() {
+        int unheard = policyRunner.settings().map(this::sessionsWithoutReports).orElse(0);
+        Set<NodeId> excluded =
+                policyRunner.writer().map(TableUpdateWriter::excluded).orElse(Set.of());
+        List<ControllerStatus.Node> nodes = new ArrayList<>();
+        for (ListedNode node : directory.listed()) {
+            nodes.add(
+                    new ControllerStatus.Node(
+                            node.name(),
+                            node.host() + ":" + node.port(),
+                            node.zone(),
+                            node.kind(),
+                            node.state().name(),
+                            excluded.contains(node.id()),
+                            drainedBy(node.id()),
+                            lastAttemptAgoMillis(node.id()),
+                            unheard));
+        }
+        return nodes;
+    }
+
+    private int sessionsWithoutReports(FleetSettings settings) {
+        long limitNanos = MAX_MISSED_REPORTS * settings.reportPeriod();
+        return (int)
+                sessions.joined().values().stream()
+                        .filter(
+                                session ->
+                                        clock.nowNanos() - session.reportedAtNanos() > limitNanos)
+                        .count();
+    }
+
+    private String drainedBy(NodeId node) {
+        return registry.drains().latest(node).filter(Drain::on).map(Drain::by).orElse("");
+    }
+
+    private long lastAttemptAgoMillis(NodeId node) {
+        Long attempted = directory.lastAttemptNanos(node);
+        return attempted == null ? NO_ATTEMPT : agoMillis(attempted);
+    }
+
+    private ControllerStatus.Proxy proxy(ProxySession session) {
+        return new ControllerStatus.Proxy(
+                session.name(),
+                session.unacknowledgedMessages(),
+                session.messagesWritten(),
+                agoMillis(session.receivedAtNanos()),
+                session.subscribedTables().size());
+    }
+
+    private long agoMillis(long nanos) {
+        return (clock.nowNanos() - nanos) / WHOLE_NANOS_PER_MILLI;
+    }
+
+    private ControllerStatus.Storage storage() {
+        Optional<DurabilityTimeout> timeout =
+                policyRunner.channel().map(PacedChannel::durabilityTimeout);
+        return new ControllerStatus.Storage(
+                registry.log().trouble(),
+                timeout.map(DurabilityTimeout::late).orElse(false),
+                Math.max(0, registry.lastSequence() - registry.log().durable()),
+                timeout.map(DurabilityTimeout::unkept).orElse(0L),
+                registry.log().bytes());
+    }
+}
--- a/src/main/java/rosespread/controller/DrainRequest.java
+++ b/src/main/java/rosespread/controller/DrainRequest.java
@@ -12,8 +12,13 @@
  */
 public record DrainRequest(
         String node, boolean on, String by, String id, long revision, boolean force) {
+    /** Whether the request names this node. */
     boolean names(ListedNode listed) {
-        return node.equals(listed.name())
-                || node.equals(listed.name() + "@" + listed.host() + ":" + listed.port());
+        return node.equals(listed.name()) || node.equals(qualifiedName(listed));
+    }
+
+    /** Returns the name by which a node can be told from others of its name. */
+    static String qualifiedName(ListedNode node) {
+        return node.name() + "@" + node.host() + ":" + node.port();
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -0,0 +1,64 @@
+package rosespread.controller;
+
+import rosespread.channel.Frame;
+import rosespread.channel.FrameWriter;
+import rosespread.controller.ControllerCounters.Counter;
+
+/**
+ * Sends keep-alives, and closes sessions that are silent, do not read, or do not join.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class KeepAliveMonitor {
+    /** A session that nothing was received on for so many intervals is closed. */
+    private static final int MAX_MISSED_INTERVALS = 4;
+
+    private static final long JOIN_TIMEOUT_NANOS = 5_000_000_000L;
+    private static final long MAX_WRITE_BUFFER_BYTES = 4L << 20;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+
+    private final SessionRegistry sessions;
+    private final ControllerCounters counters;
+
+    KeepAliveMonitor(SessionRegistry sessions, ControllerCounters counters) {
+        this.sessions = sessions;
+        this.counters = counters;
+    }
+
+    /** Checks all sessions; returns when to come back, {@link Long#MAX_VALUE} if there is none. */
+    long check(long nowNanos, long intervalNanos) {
+        long next = Long.MAX_VALUE;
+        for (ProxySession session : sessions.open()) {
+            check(session, nowNanos, intervalNanos);
+            next =
+                    Math.min(
+                            next,
+                            session.isJoined()
+                                    ? session.keepAliveAtNanos() + intervalNanos
+                                    : session.openedAtNanos() + JOIN_TIMEOUT_NANOS);
+        }
+        return next;
+    }
+
+    private void check(ProxySession session, long nowNanos, long intervalNanos) {
+        long silentNanos = nowNanos - session.receivedAtNanos();
+        if (session.isJoined() && silentNanos > MAX_MISSED_INTERVALS * intervalNanos) {
+            counters.increment(Counter.SILENT_SESSIONS);
+            sessions.close(
+                    session,
+                    Frame.Reason.SILENT,
+                    "nothing heard for " + silentNanos / NANOS_PER_MILLI + " ms");
+        } else if (!session.isJoined() && nowNanos - session.openedAtNanos() > JOIN_TIMEOUT_NANOS) {
+            sessions.close(session, Frame.Reason.SILENT, "not joined in time");
+        } else if (session.transport().writeBufferBytes() > MAX_WRITE_BUFFER_BYTES) {
+            counters.increment(Counter.SLOW_SESSIONS);
+            sessions.close(
+                    session,
+                    Frame.Reason.SLOW,
+                    session.transport().writeBufferBytes() + " bytes were not read");
+        } else if (session.isJoined() && nowNanos - session.keepAliveAtNanos() >= intervalNanos) {
+            session.keepAliveSentAt(nowNanos);
+            session.transport().write(FrameWriter.bytes(new Frame.KeepAlive(nowNanos, false)));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/LoadReportHandler.java
@@ -0,0 +1,62 @@
+package rosespread.controller;
+
+import java.util.List;
+import rosespread.channel.Frame;
+import rosespread.controller.ControllerCounters.Counter;
+
+/**
+ * Takes proxies' load reports: aggregates what they tell of known nodes for the policy, and notes
+ * attempts and high failure ratios.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class LoadReportHandler {
+    /** A failure ratio above this justifies large changes of tables. */
+    private static final double HIGH_FAILURE_RATIO = 0.3;
+
+    /** Below so many attempts a failure ratio says nothing. */
+    private static final int MIN_ATTEMPTS = 5;
+
+    private final PolicyRunner policyRunner;
+    private final NodeDirectory directory;
+    private final NodeFacts facts;
+    private final ControllerCounters counters;
+    private final EventClock clock;
+
+    LoadReportHandler(
+            PolicyRunner policyRunner,
+            NodeDirectory directory,
+            NodeFacts facts,
+            ControllerCounters counters,
+            EventClock clock) {
+        this.policyRunner = policyRunner;
+        this.directory = directory;
+        this.facts = facts;
+        this.counters = counters;
+        this.clock = clock;
+    }
+
+    void loadReported(ProxySession session, Frame.Sums report) {
+        session.loadReportedAt(clock.nowNanos());
+        List<Frame.Sum> known =
+                report.sums().stream()
+                        .filter(sum -> directory.known().containsKey(sum.node()))
+                        .toList();
+        int unknown = report.sums().size() - known.size();
+        counters.add(Counter.UNKNOWN_NODE_REPORTS, unknown);
+        for (Frame.Sum sum : known) {
+            if (sum.tries() > 0) {
+                directory.attempted(sum.node(), clock.nowNanos());
+            }
+        }
+        if (known.stream().anyMatch(LoadReportHandler::hasHighFailureRatio)) {
+            facts.recordLargeChangeCause();
+        }
+        Frame.Sums usable = unknown == 0 ? report : new Frame.Sums(report.coversMicros(), known);
+        policyRunner.loadReports().add(session.proxy(), session.zone(), usable);
+    }
+
+    private static boolean hasHighFailureRatio(Frame.Sum sum) {
+        return sum.tries() >= MIN_ATTEMPTS && sum.unanswered() > HIGH_FAILURE_RATIO * sum.tries();
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/NodeListHandler.java
@@ -0,0 +1,126 @@
+package rosespread.controller;
+
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import rosespread.api.EventHandler;
+import rosespread.api.NodeId;
+import rosespread.controller.ControllerCounters.Counter;
+import rosespread.discovery.ListedNode;
+import rosespread.drain.Drain;
+
+/**
+ * Takes the node lists of discovery, and works out what the policy is told: nodes that operators
+ * drain are told as discovery would tell of a draining node.
+ *
+ * <p>Owned by the event-loop thread.
+ */
+final class NodeListHandler {
+    private static final Logger LOG = LoggerFactory.getLogger(NodeListHandler.class);
+
+    /** Who ends the drain of a node that is no longer listed; stands in persisted drains. */
+    private static final String LIST_OPERATOR = "list";
+
+    private final NodeDirectory directory;
+    private final NodeStartTimes startTimes;
+    private final NodeFacts facts;
+    private final NodeListPublisher publisher;
+    private final TableRegistry registry;
+    private final PolicyRunner policyRunner;
+    private final ControllerCounters counters;
+    private final EventClock clock;
+    private String unavailableReason = "";
+
+    NodeListHandler(
+            NodeDirectory directory,
+            NodeStartTimes startTimes,
+            NodeFacts facts,
+            NodeListPublisher publisher,
+            TableRegistry registry,
+            PolicyRunner policyRunner,
+            ControllerCounters counters,
+            EventClock clock) {
+        this.directory = directory;
+        this.startTimes = startTimes;
+        this.facts = facts;
+        this.publisher = publisher;
+        this.registry = registry;
+        this.policyRunner = policyRunner;
+        this.counters = counters;
+        this.clock = clock;
+    }
+
+    /** Takes a complete list. */
+    void nodesListed(List<ListedNode> nodes) {
+        counters.increment(Counter.NODE_LISTS);
+        unavailableReason = "";
+        Set<NodeId> before = directory.replaceDiscovered(nodes);
+        endDrainsOfUnlisted(before);
+        refresh();
+    }
+
+    /**
+     * A node that is no longer listed needs no drain; one that comes back is a new one. Only nodes
+     * that were listed here count: this list may be behind the one by which the drain was ordered.
+     */
+    private void endDrainsOfUnlisted(Set<NodeId> listedBefore) {
+        for (Drain drain : List.copyOf(registry.drains().allLatest())) {
+            if (drain.on()
+                    && listedBefore.contains(drain.node())
+                    && !directory.isDiscovered(drain.node())) {
+                endDrain(drain);
+            }
+        }
+    }
+
+    private void endDrain(Drain drain) {
+        long stamp = registry.drains().nextStamp();
+        registry.applyDrain(
+                new Drain(
+                        drain.node(),
+                        drain.name(),
+                        false,
+                        stamp,
+                        LIST_OPERATOR,
+                        "gone-" + stamp,
+                        clock.wallMillis()));
+        LOG.atInfo()
+                .addKeyValue("node", drain.name())
+                .addKeyValue("operator", drain.by())
+                .log("drain ended: the node is no longer listed");
+    }
+
+    /** Works the listed nodes out anew, as the list or drains changed, and publishes them. */
+    void refresh() {
+        if (directory.refreshListed(registry.drains()::drains)) {
+            facts.recordLargeChangeCause();
+        }
+        policyRunner.writer().ifPresent(this::publish);
+    }
+
+    private void publish(TableUpdateWriter writer) {
+        directory.forgetUnlisted(id -> writer.excluded().contains(id) || writer.hasWeightFor(id));
+        startTimes.retain(directory.known().keySet());
+        facts.changed();
+        publisher.publish(EventHandler.NodeListKind.FULL);
+    }
+
+    /** No list can be had; the last one stays. */
+    void unavailable(String reason) {
+        counters.increment(Counter.NODE_LIST_FAILURES);
+        if (unavailableReason.isEmpty()) {
+            LOG.atWarn()
+                    .addKeyValue("reason", reason)
+                    .addKeyValue("count", directory.listed().size())
+                    .log("node list unavailable; keeping the last one");
+        }
+        unavailableReason = reason;
+        publisher.publishUnavailable();
+    }
+
+    /** Returns why no list can be had, empty if the last one came. */
+    String unavailableReason() {
+        return unavailableReason;
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/NodeListPublisher.java
@@ -0,0 +1,62 @@
+package rosespread.controller;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import rosespread.api.EventHandler;
+import rosespread.api.NodeId;
+import rosespread.discovery.ListedNode;
+import rosespread.eventloop.RoundScheduler;
+
+/**
+ * Tells the policy of the listed nodes, as an event of its next round.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class NodeListPublisher {
+    private final NodeDirectory directory;
+    private final NodeStartTimes startTimes;
+    private final FleetNames names;
+    private final RoundScheduler rounds;
+
+    NodeListPublisher(
+            NodeDirectory directory,
+            NodeStartTimes startTimes,
+            FleetNames names,
+            RoundScheduler rounds) {
+        this.directory = directory;
+        this.startTimes = startTimes;
+        this.names = names;
+        this.rounds = rounds;
+    }
+
+    /** Publishes the listed nodes as they are now. */
+    void publish(EventHandler.NodeListKind kind) {
+        List<ListedNode> nodes = List.copyOf(directory.listed());
+        Map<NodeId, Long> started = new TreeMap<>();
+        nodes.forEach(node -> started.put(node.id(), startTimes.startedNanos(node)));
+        rounds.add(
+                policy -> {
+                    policy.listStarted(kind);
+                    for (ListedNode node : nodes) {
+                        policy.nodeListed(
+                                node.id(),
+                                names.machineType(node.kind()),
+                                names.zone(node.zone()),
+                                node.weight(),
+                                node.state(),
+                                started.get(node.id()));
+                    }
+                    policy.listCompleted();
+                });
+    }
+
+    /** Publishes that no list can be had; the last one stays. */
+    void publishUnavailable() {
+        rounds.add(
+                policy -> {
+                    policy.listStarted(EventHandler.NodeListKind.UNAVAILABLE);
+                    policy.listCompleted();
+                });
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -0,0 +1,120 @@
+package rosespread.controller;
+
+import java.util.Optional;
+import rosespread.channel.Frame;
+import rosespread.channel.FrameWriter;
+import rosespread.controller.ControllerCounters.Counter;
+import rosespread.eventloop.RoundScheduler;
+
+/**
+ * Takes the frames of proxies and passes each on by its type and by how far the session's handshake
+ * has come. A frame that a proxy may not send closes its session and no other.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class ProxyFrameHandler {
+    private static final long NANOS_PER_MICRO = 1000L;
+
+    private final SessionRegistry sessions;
+    private final SessionHandshake handshake;
+    private final LoadReportHandler loadReports;
+    private final PolicyRunner policyRunner;
+    private final RoundScheduler rounds;
+    private final ControllerCounters counters;
+    private final EventClock clock;
+
+    ProxyFrameHandler(
+            SessionRegistry sessions,
+            SessionHandshake handshake,
+            LoadReportHandler loadReports,
+            PolicyRunner policyRunner,
+            RoundScheduler rounds,
+            ControllerCounters counters,
+            EventClock clock) {
+        this.sessions = sessions;
+        this.handshake = handshake;
+        this.loadReports = loadReports;
+        this.policyRunner = policyRunner;
+        this.rounds = rounds;
+        this.counters = counters;
+        this.clock = clock;
+    }
+
+    /** Takes a frame; one of a closed session is dropped. */
+    void frameReceived(ProxySession session, Frame frame) {
+        if (session.isClosed()) {
+            return;
+        }
+        session.frameReceivedAt(clock.nowNanos());
+        if (frame instanceof Frame.KeepAlive keepAlive) {
+            keepAliveReceived(session, keepAlive);
+        } else if (frame instanceof Frame.Close) {
+            sessions.closedByPeer(session);
+        } else if (!session.isGreeted()) {
+            handshake.greet(session, frame);
+        } else if (!session.isJoined()) {
+            handshake.join(session, frame);
+        } else {
+            joinedFrameReceived(session, frame);
+        }
+    }
+
+    private static void keepAliveReceived(ProxySession session, Frame.KeepAlive keepAlive) {
+        if (!keepAlive.answer()) {
+            session.transport()
+                    .write(FrameWriter.bytes(new Frame.KeepAlive(keepAlive.number(), true)));
+        }
+    }
+
+    private void joinedFrameReceived(ProxySession session, Frame frame) {
+        if (frame instanceof Frame.Installed installed) {
+            acknowledged(session, installed.number());
+        } else if (frame instanceof Frame.Sums report) {
+            loadReports.loadReported(session, report);
+        } else if (frame instanceof Frame.Missed missed) {
+            counters.increment(Counter.MISSED_DELTAS);
+            session.requireFullUpdate(missed.table());
+        } else if (frame instanceof Frame.Offered offered) {
+            demandReported(session, offered);
+        } else {
+            // The text is part of the protocol; the frames' types have the protocol's names.
+            sessions.close(
+                    session,
+                    Frame.Reason.BAD_FRAME,
+                    frame.getClass().getSimpleName() + " is not a proxy's to send");
+        }
+    }
+
+    /** One that was not expected on this stream is nobody's: it may be of an earlier stream. */
+    private void acknowledged(ProxySession session, long number) {
+        Optional<ProxySession.UnacknowledgedMessage> found = session.acknowledge(number);
+        if (found.isEmpty()) {
+            counters.increment(Counter.STRAY_ACKNOWLEDGEMENTS);
+            return;
+        }
+        ProxySession.UnacknowledgedMessage message = found.get();
+        long latencyNanos = clock.nowNanos() - message.orderedAtNanos();
+        if (message.token() >= 0) {
+            rounds.add(
+                    policy -> policy.acknowledged(session.proxy(), message.token(), latencyNanos));
+        }
+    }
+
+    private void demandReported(ProxySession session, Frame.Offered offered) {
+        int methods = policyRunner.settings().orElseThrow().methods().size();
+        long coversNanos = offered.coversMicros() * NANOS_PER_MICRO;
+        for (Frame.Count count : offered.counts()) {
+            if (count.method().value() >= methods) {
+                sessions.close(
+                        session,
+                        Frame.Reason.BAD_FRAME,
+                        "method " + count.method().value() + " of " + methods);
+                return;
+            }
+            rounds.add(
+                    policy ->
+                            policy.demandReported(
+                                    session.proxy(), count.method(), count.came(), coversNanos));
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -0,0 +1,123 @@
+package rosespread.controller;
+
+import java.util.Optional;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import rosespread.api.ProxyId;
+import rosespread.api.ZoneId;
+import rosespread.channel.Frame;
+import rosespread.channel.FrameWriter;
+import rosespread.controller.ControllerCounters.Counter;
+import rosespread.eventloop.RoundScheduler;
+import rosespread.settings.FleetSettings;
+
+/**
+ * The first two frames of a session: Hello agrees on the protocol's version, Join names the proxy,
+ * its zone and the versions that it holds. The texts of rejections are part of the protocol.
+ *
+ * <p>Used on the event-loop thread.
+ */
+final class SessionHandshake {
+    private static final Logger LOG = LoggerFactory.getLogger(SessionHandshake.class);
+    private static final int MAX_PROXIES = 1 << 16;
+
+    /** How the controller names itself in its Hello. */
+    private static final String CONTROLLER_NAME = "conductor";
+
+    private final SessionRegistry sessions;
+    private final PolicyRunner policyRunner;
+    private final TableRegistry registry;
+    private final RoundScheduler rounds;
+    private final FleetNames names;
+    private final ControllerCounters counters;
+    private final EventClock clock;
+
+    SessionHandshake(
+            SessionRegistry sessions,
+            PolicyRunner policyRunner,
+            TableRegistry registry,
+            RoundScheduler rounds,
+            FleetNames names,
+            ControllerCounters counters,
+            EventClock clock) {
+        this.sessions = sessions;
+        this.policyRunner = policyRunner;
+        this.registry = registry;
+        this.rounds = rounds;
+        this.names = names;
+        this.counters = counters;
+        this.clock = clock;
+    }
+
+    /** Takes the first frame of a session. */
+    void greet(ProxySession session, Frame frame) {
+        Optional<FleetSettings> settings = policyRunner.settings();
+        if (!(frame instanceof Frame.Hello hello)) {
+            sessions.close(session, Frame.Reason.BAD_FRAME, "the first frame must be Hello");
+        } else if (hello.version() != Frame.VERSION) {
+            sessions.close(
+                    session,
+                    Frame.Reason.BAD_VERSION,
+                    "version " + hello.version() + "; this conductor speaks " + Frame.VERSION);
+        } else if (settings.isEmpty()) {
+            sessions.close(
+                    session, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
+        } else {
+            session.greeted();
+            session.transport()
+                    .write(
+                            FrameWriter.bytes(
+                                    new Frame.Hello(
+                                            Frame.VERSION,
+                                            CONTROLLER_NAME,
+                                            settings.get().methodNames())));
+        }
+    }
+
+    /** Takes the second frame of a session. */
+    void join(ProxySession session, Frame frame) {
+        if (!(frame instanceof Frame.Join join)) {
+            sessions.close(session, Frame.Reason.BAD_FRAME, "the second frame must be Join");
+            return;
+        }
+        FleetSettings settings = policyRunner.settings().orElseThrow();
+        if (!settings.zones().contains(join.zone())) {
+            sessions.close(
+                    session,
+                    Frame.Reason.BAD_JOIN,
+                    "zone \""
+                            + join.zone()
+                            + "\"; known are "
+                            + String.join(", ", settings.zones()));
+            return;
+        }
+        Optional<ProxySession> replaced = sessions.findJoined(join.proxy());
+        replaced.ifPresent(
+                older ->
+                        sessions.close(
+                                older,
+                                Frame.Reason.REPLACED,
+                                "a newer stream of proxy " + join.proxy()));
+        ProxyId free = sessions.lowestFreeId();
+        if (free.value() >= MAX_PROXIES) {
+            sessions.close(session, Frame.Reason.FULL, MAX_PROXIES + " proxies are joined");
+            return;
+        }
+        accept(session, join, replaced.map(ProxySession::proxy).orElse(free));
+    }
+
+    private void accept(ProxySession session, Frame.Join join, ProxyId id) {
+        ZoneId zone = names.zone(join.zone());
+        session.join(id, join.proxy(), zone, join.unpacks());
+        sessions.addJoined(session);
+        counters.increment(Counter.JOINS);
+        LOG.atInfo()
+                .addKeyValue("proxy", session.name())
+                .addKeyValue("zone", join.zone())
+                .addKeyValue("remote", session.transport().remoteAddress())
+                .log("proxy joined");
+        long wallMillis = clock.wallMillis();
+        join.held().forEach(held -> registry.raiseAbove(held.table(), held.version(), wallMillis));
+        rounds.add(policy -> policy.proxyJoined(id, zone, join.rate()));
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/controller/SessionRegistry.java
@@ -0,0 +1,122 @@
+package rosespread.controller;
+
+import java.util.Collections;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import rosespread.api.ProxyId;
+import rosespread.channel.Frame;
+import rosespread.eventloop.RoundScheduler;
+
+/**
+ * The open sessions, and those of them that have joined by the number and name of their proxy. A
+ * proxy has at most one joined session, and a number only while it has one.
+ *
+ * <p>Owned by the event-loop thread.
+ */
+final class SessionRegistry {
+    private static final Logger LOG = LoggerFactory.getLogger(SessionRegistry.class);
+
+    private final RoundScheduler rounds;
+    private final Set<ProxySession> open = new LinkedHashSet<>();
+    private final TreeMap<ProxyId, ProxySession> joined = new TreeMap<>();
+    private final Map<ProxyId, ProxySession> joinedView = Collections.unmodifiableMap(joined);
+    private final TreeMap<String, ProxyId> idsByName = new TreeMap<>();
+    private PacedChannel channel;
+
+    SessionRegistry(RoundScheduler rounds) {
+        this.rounds = rounds;
+    }
+
+    /** Sets the channel in which messages of closed sessions are discarded. */
+    void useChannel(PacedChannel next) {
+        channel = next;
+    }
+
+    ProxySession open(ProxySession.Transport transport, long nowNanos) {
+        ProxySession session = new ProxySession(transport, nowNanos);
+        open.add(session);
+        return session;
+    }
+
+    /** Returns a copy of the open sessions in the order in which they were opened. */
+    List<ProxySession> open() {
+        return List.copyOf(open);
+    }
+
+    /** Returns a live view of the joined sessions in the order of their numbers. */
+    Map<ProxyId, ProxySession> joined() {
+        return joinedView;
+    }
+
+    Optional<ProxySession> findJoined(String proxyName) {
+        return Optional.ofNullable(idsByName.get(proxyName)).map(joined::get);
+    }
+
+    /** Returns the lowest number that no joined proxy has. */
+    ProxyId lowestFreeId() {
+        int free = 0;
+        while (joined.containsKey(new ProxyId(free))) {
+            free++;
+        }
+        return new ProxyId(free);
+    }
+
+    /** Adds a session whose Join was accepted, under its number and name. */
+    void addJoined(ProxySession session) {
+        joined.put(session.proxy(), session);
+        idsByName.put(session.name(), session.proxy());
+    }
+
+    /** Tells the proxy why and closes; does nothing if the session is closed. */
+    void close(ProxySession session, Frame.Reason reason, String text) {
+        if (remove(session)) {
+            logClosed(session, reason.name(), text);
+            session.transport().close(reason, text);
+        }
+    }
+
+    /** The stream was closed or broke; does nothing if the session is closed. */
+    void closedByPeer(ProxySession session) {
+        if (remove(session)) {
+            String text = "the stream closed";
+            logClosed(session, "CLOSED_BY_PEER", text);
+            session.transport().close(Frame.Reason.STOPPING, text);
+        }
+    }
+
+    void closeAll(Frame.Reason reason, String text) {
+        open().forEach(session -> close(session, reason, text));
+    }
+
+    private boolean remove(ProxySession session) {
+        if (!session.markClosed()) {
+            return false;
+        }
+        open.remove(session);
+        if (session.isJoined() && joined.get(session.proxy()) == session) {
+            joined.remove(session.proxy());
+            idsByName.remove(session.name());
+            ProxyId id = session.proxy();
+            rounds.add(policy -> policy.proxyLeft(id));
+        }
+        if (channel != null) {
+            channel.discard(session);
+        }
+        return true;
+    }
+
+    private static void logClosed(ProxySession session, String reason, String text) {
+        LOG.atInfo()
+                .addKeyValue("proxy", session.name())
+                .addKeyValue("remote", session.transport().remoteAddress())
+                .addKeyValue("reason", reason)
+                .addKeyValue("detail", text)
+                .log("proxy session closed");
+    }
+}
