--- a/src/main/java/rosespread/controller/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -3,6 +3,8 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import org.apache.mina.core.future.CloseFuture;
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
@@ -15,45 +17,52 @@
 import rosespread.eventloop.EventQueue;
 
 /**
- * The proxies' side of the conductor's sockets: turns what happens there into events for the inbox.
+ * The proxies' side of the controller's sockets: turns what happens there into events of the event
+ * loop.
+ *
+ * <p>Its handler runs on MINA's I/O threads and only enqueues. Load and demand reports may be
+ * dropped while the queue is too full; for other events the I/O thread waits.
  */
 final class ChannelServer implements AutoCloseable {
-    private static final String LINK = "link";
-    private static final int CLOSE_MILLIS = 500;
+    private static final String SESSION_ATTRIBUTE = "session";
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final long CLOSE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final NioSocketAcceptor acceptor;
-    private final EventQueue inbox;
-    private final ControllerState core;
+    private final EventQueue queue;
+    private final ControllerState state;
 
-    /** Filled in on the decision thread, read there only. */
-    private static final class Holder {
-        private ProxySession link;
+    /** Links a socket to its session; read and written on the event-loop thread only. */
+    private static final class SessionHolder {
+        private ProxySession session;
     }
 
-    ChannelServer(int threads, EventQueue inbox, ControllerState core) {
-        this.inbox = inbox;
-        this.core = core;
+    /**
+     * @param threads the number of I/O threads
+     */
+    ChannelServer(int threads, EventQueue queue, ControllerState state) {
+        this.queue = queue;
+        this.state = state;
         acceptor = new NioSocketAcceptor(threads);
         acceptor.setReuseAddress(true);
-        // Else unbinding closes all streams at once, and a proxy may not be told why.
+        // Unbinding would close all streams at once, and proxies could not be told why.
         acceptor.setCloseOnDeactivation(false);
-        acceptor.setBacklog(1024);
+        acceptor.setBacklog(ACCEPT_BACKLOG);
         acceptor.getSessionConfig().setTcpNoDelay(true);
         acceptor.getFilterChain()
                 .addLast(
                         "frames",
                         new ProtocolCodecFilter(new ChannelCodec(FrameReader.FROM_PROXY, 0)));
-        acceptor.setHandler(new Sessions());
+        acceptor.setHandler(new FrameHandler());
     }
 
+    /** Listens for proxies; returns the address. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
         acceptor.bind(address);
         return acceptor.getLocalAddress();
     }
 
-    /**
-     * What was written before, such as why it closes, leaves first if the peer reads it in time.
-     */
+    /** Closes all streams; what was written leaves first if the peer reads it in time. */
     @Override
     public void close() {
         acceptor.unbind();
@@ -61,30 +70,31 @@
                 acceptor.getManagedSessions().values().stream()
                         .map(IoSession::closeOnFlush)
                         .toList();
-        long until = System.nanoTime() + CLOSE_MILLIS * 1_000_000L;
-        for (CloseFuture each : closing) {
-            each.awaitUninterruptibly(Math.max(1, (until - System.nanoTime()) / 1_000_000));
+        long deadline = System.nanoTime() + CLOSE_TIMEOUT_NANOS;
+        for (CloseFuture future : closing) {
+            long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            future.awaitUninterruptibly(Math.max(1, leftMillis));
         }
         acceptor.dispose(false);
     }
 
-    private static final class SessionWire implements ProxySession.Transport {
-        private final IoSession session;
-        private final String remote;
+    private static final class SocketTransport implements ProxySession.Transport {
+        private final IoSession socket;
+        private final String remoteAddress;
 
-        SessionWire(IoSession session) {
-            this.session = session;
-            this.remote = String.valueOf(session.getRemoteAddress());
+        SocketTransport(IoSession socket) {
+            this.socket = socket;
+            this.remoteAddress = String.valueOf(socket.getRemoteAddress());
         }
 
         @Override
         public void write(byte[] frames) {
-            session.write(frames);
+            socket.write(frames);
         }
 
         @Override
         public long writeBufferBytes() {
-            return session.getScheduledWriteBytes();
+            return socket.getScheduledWriteBytes();
         }
 
         /** A peer that does not read would never take the reason: it is closed without. */
@@ -92,61 +102,73 @@
         public void close(Frame.Reason reason, String text) {
             if (reason == Frame.Reason.SLOW
                     || reason == Frame.Reason.SILENT
-                    || !session.isConnected()) {
-                session.closeNow();
+                    || !socket.isConnected()) {
+                socket.closeNow();
             } else {
-                session.write(new Frame.Close(reason, text));
-                session.closeOnFlush();
+                socket.write(new Frame.Close(reason, text));
+                socket.closeOnFlush();
             }
         }
 
         @Override
         public String remoteAddress() {
-            return remote;
+            return remoteAddress;
         }
     }
 
-    private final class Sessions extends IoHandlerAdapter {
+    private final class FrameHandler extends IoHandlerAdapter {
         @Override
-        public void sessionOpened(IoSession session) {
-            Holder holder = new Holder();
-            session.setAttribute(LINK, holder);
-            ProxySession.Transport wire = new SessionWire(session);
-            inbox.put(now -> holder.link = core.sessionOpened(now, wire));
+        public void sessionOpened(IoSession socket) {
+            SessionHolder holder = new SessionHolder();
+            socket.setAttribute(SESSION_ATTRIBUTE, holder);
+            ProxySession.Transport transport = new SocketTransport(socket);
+            queue.put(now -> holder.session = state.sessionOpened(now, transport));
         }
 
         @Override
-        public void messageReceived(IoSession session, Object message) {
-            Holder holder = (Holder) session.getAttribute(LINK);
+        public void messageReceived(IoSession socket, Object message) {
+            SessionHolder holder = holder(socket);
             Frame frame = (Frame) message;
-            EventQueue.Event event = now -> core.frameReceived(now, holder.link, frame);
+            EventQueue.Event event = now -> state.frameReceived(now, holder.session, frame);
             if (frame instanceof Frame.Sums || frame instanceof Frame.Offered) {
-                inbox.putReport(event);
+                queue.putReport(event);
             } else {
-                inbox.put(event);
+                queue.put(event);
             }
         }
 
         @Override
-        public void sessionClosed(IoSession session) {
-            Holder holder = (Holder) session.getAttribute(LINK);
-            inbox.put(now -> core.sessionClosed(now, holder.link));
+        public void sessionClosed(IoSession socket) {
+            SessionHolder holder = holder(socket);
+            queue.put(now -> state.sessionClosed(now, holder.session));
         }
 
         @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            Holder holder = (Holder) session.getAttribute(LINK);
-            for (Throwable at = cause; at != null && holder != null; at = at.getCause()) {
-                if (at instanceof FrameException e) {
-                    session.suspendRead();
-                    inbox.put(
-                            now ->
-                                    core.protocolViolated(
-                                            now, holder.link, e.reason(), e.getMessage()));
-                    return;
+        public void exceptionCaught(IoSession socket, Throwable cause) {
+            SessionHolder holder = holder(socket);
+            Optional<FrameException> violation = violation(cause);
+            if (holder == null || violation.isEmpty()) {
+                socket.closeNow();
+                return;
+            }
+            FrameException e = violation.get();
+            socket.suspendRead();
+            queue.put(
+                    now -> state.protocolViolated(now, holder.session, e.reason(), e.getMessage()));
+        }
+
+        private static SessionHolder holder(IoSession socket) {
+            return (SessionHolder) socket.getAttribute(SESSION_ATTRIBUTE);
+        }
+
+        /** Returns what the decoder threw, which MINA wraps. */
+        private static Optional<FrameException> violation(Throwable thrown) {
+            for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
+                if (cause instanceof FrameException e) {
+                    return Optional.of(e);
                 }
             }
-            session.closeNow();
+            return Optional.empty();
         }
     }
 }
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -6,19 +6,14 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.TimeoutException;
 import java.util.function.LongFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import rosespread.api.TableId;
-import rosespread.discovery.HealthChecker;
 import rosespread.discovery.ListedNode;
-import rosespread.discovery.NodeListClient;
 import rosespread.drain.Drain;
 import rosespread.eventloop.EventLoop;
 import rosespread.eventloop.EventQueue;
@@ -27,131 +22,137 @@
 import rosespread.policy.RoutingPolicy;
 import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
-import rosespread.settings.SettingsReader;
 import rosespread.settings.Snapshot;
 import rosespread.store.LogOutput;
 import rosespread.store.TableStore;
 import rosespread.validation.TableChangeValidator;
 
 /**
- * The running conductor: one decision thread round a {@link ControllerState}, fed through a
- * lock-free inbox by MINA's I/O threads. Nothing else calls the core, and nothing blocks that
- * thread.
+ * A running controller: one event-loop thread around a {@link ControllerState}, fed through a
+ * lock-free queue by the I/O threads of the channel server and of the HTTP client. Nothing else
+ * calls the state, and nothing blocks that thread.
+ *
+ * <p>Public methods may be called by any thread; those that need the event loop wait for it.
  */
 public final class Controller implements AutoCloseable {
-    /** Makes the planner; the module by default, something worse in experiments. */
+    /** Makes the policy: the routing policy, or in experiments something worse. */
     @FunctionalInterface
     public interface Planning {
+        /**
+         * Makes a policy for these settings.
+         *
+         * @param seed of its random numbers
+         */
         Policy planner(FleetSettings settings, long seed);
     }
 
+    /** Makes the routing policy. */
     public static final Planning MODULE =
             (settings, seed) -> {
-                RoutingPolicy brain =
+                RoutingPolicy policy =
                         new RoutingPolicy(settings.module(), new SplittableRandom(seed));
-                return brain::round;
+                return policy::round;
             };
 
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final long ACT_SECONDS = 2;
+    private static final long DURABILITY_TIMEOUT_NANOS =
+            TimeUnit.SECONDS.toNanos(EventLoopCaller.TIMEOUT_SECONDS);
 
-    /**
-     * How long a start waits for what other conductors know; a dead one must not hold it up for
-     * long.
-     */
-    private static final long PEERS_NANOS = 500_000_000L;
+    /** How long a start waits for the drains of other controllers; a dead one must not block it. */
+    private static final long PEER_TIMEOUT_NANOS = 500_000_000L;
 
-    private static final int CONNECT_MILLIS = 500;
-    private static final int IDLE_SECONDS = 10;
+    private static final int CHANNEL_THREADS = 2;
+    private static final int HTTP_THREADS = 1;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
+    private static final int IDLE_TIMEOUT_SECONDS = 10;
+    private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
     private final String name;
-    private final Planning planning;
-    private final Snapshot snapshot;
-    private final EventQueue inbox = new EventQueue();
+    private final EventQueue queue = new EventQueue();
+    private final EventLoopCaller eventLoop = new EventLoopCaller(queue);
     private final TableStore store;
-    private final TableRegistry book;
-    private final ControllerState core;
+    private final TableRegistry registry;
+    private final ControllerState state;
     private final ChannelServer server;
-    private final ScheduledExecutorService timer =
-            Executors.newSingleThreadScheduledExecutor(
-                    task -> {
-                        Thread thread = new Thread(task, "conductor-timer");
-                        thread.setDaemon(true);
-                        return thread;
-                    });
+    private final ScheduledExecutorService timer = newTimer();
     private final HttpClient http =
-            new HttpClient(1, HttpLimits.LARGE, CONNECT_MILLIS, IDLE_SECONDS);
+            new HttpClient(
+                    HTTP_THREADS, HttpLimits.LARGE, CONNECT_TIMEOUT_MILLIS, IDLE_TIMEOUT_SECONDS);
+    private final NodeClients nodeClients;
     private final PeerDrainPoller peers;
-    private final Thread thread;
+    private final SettingsHolder settings;
     private final EventLoop loop;
-    private volatile ControllerStatus state;
-    private volatile String settingsTrouble = "";
-    private volatile Snapshot.Saved inForce;
-    private NodeListClient list;
-    private HealthChecker prober;
+    private final Thread thread;
+    private volatile ControllerStatus lastStatus;
+    private volatile boolean listening;
 
     /**
-     * @param folder where the snapshot of the settings is; made if it is not there
+     * A controller that does nothing until it is started.
+     *
+     * @param name how it names itself to other services
+     * @param folder where settings and tables are persisted; made if it is not there
+     * @param planning makes its policy
+     * @param gate checks the policy's changes of tables
      */
     public Controller(String name, Path folder, Planning planning, TableChangeValidator gate) {
         this.name = name;
-        this.planning = planning;
-        this.snapshot = new Snapshot(folder);
-        // The store wakes the decision thread, as messages may wait for what is now kept.
+        // The store wakes the event loop, as messages may wait for what is durable now.
         this.store =
                 new TableStore(
                         folder,
                         LogOutput.DISK,
                         System::currentTimeMillis,
-                        () -> inbox.put(now -> {}));
-        this.book = new TableRegistry(store);
-        this.core = new ControllerState(new Outside(), gate, book, System::currentTimeMillis);
-        this.server = new ChannelServer(2, inbox, core);
-        this.state = core.status();
+                        () -> queue.put(now -> {}));
+        this.registry = new TableRegistry(store);
+        this.state =
+                new ControllerState(
+                        new ClientEnvironment(planning), gate, registry, System::currentTimeMillis);
+        this.lastStatus = state.status();
+        this.server = new ChannelServer(CHANNEL_THREADS, queue, state);
+        this.nodeClients = new NodeClients(name, http, timer, queue, state);
         this.peers =
                 new PeerDrainPoller(
-                        http, timer, words -> inbox.put(now -> core.mergeDrains(now, words)));
-        this.loop = new EventLoop(inbox, core::runDue, this::undecided);
-        this.thread =
-                new Thread(
-                        () -> {
-                            loop.run();
-                            core.stop(System.nanoTime());
-                            inbox.close();
-                        },
-                        "decisions");
+                        http, timer, drains -> queue.put(now -> state.mergeDrains(now, drains)));
+        this.settings = new SettingsHolder(folder, this::applySettings);
+        this.loop = new EventLoop(queue, state::runDue, this::eventLoopEnded);
+        this.thread = new Thread(this::runEventLoop, "event-loop");
     }
 
-    /** Nobody decides any more: proxies must not take it for alive. */
-    private void undecided() {
-        LOG.error("the decision thread ended: no proxy is listened to any more");
+    private static ScheduledExecutorService newTimer() {
+        return Executors.newSingleThreadScheduledExecutor(
+                task -> {
+                    Thread thread = new Thread(task, "controller-timer");
+                    thread.setDaemon(true);
+                    return thread;
+                });
+    }
+
+    private void runEventLoop() {
+        loop.run();
+        state.stop(System.nanoTime());
+        queue.close();
+    }
+
+    /** The event loop ended though nobody stopped it: proxies must not take us for alive. */
+    private void eventLoopEnded() {
+        LOG.error("event loop failed; closing the channel server");
         server.close();
     }
 
     /**
-     * Starts and listens for proxies; returns the address. Takes the settings saved last, if they
-     * are whole.
+     * Restores what was persisted and listens for proxies. Without whole settings in the folder it
+     * waits for {@link #apply}.
+     *
+     * @return the address that it listens on
+     * @throws IOException if it cannot listen, or the folder is in use by another controller
      */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
-        book.restore(store.open());
-        state = core.status();
+        registry.restore(store.open());
+        lastStatus = state.status();
         thread.start();
-        try {
-            Optional<Snapshot.Saved> saved = snapshot.load();
-            if (saved.isPresent()) {
-                FleetSettings settings = SettingsReader.read(saved.get().text());
-                inForce = saved.get();
-                take(settings);
-                peers.poll(PEERS_NANOS);
-                LOG.info("settings taken from the snapshot");
-            } else {
-                LOG.info("waiting for settings");
-            }
-        } catch (IOException | SettingsException e) {
-            settingsTrouble = "snapshot refused: " + e.getMessage();
-            LOG.error("waiting for settings; {}", settingsTrouble);
-        }
+        settings.restore();
         InetSocketAddress bound = server.listen(address);
+        listening = true;
         LOG.atInfo().addKeyValue("address", bound).log("listening for proxies");
         return bound;
     }
@@ -165,196 +166,159 @@
     public record Applied(boolean done, Optional<Snapshot.Saved> inForce) {}
 
     /**
-     * Applies settings and saves them; they hold as a whole or not at all. Those of a call that was
-     * made before do nothing, nor those made against another revision than the one in force
-     * (negative: any).
+     * Applies settings and saves them; they hold as a whole or not at all. A call whose id was seen
+     * last does nothing, nor does one against a revision that is not in force.
      *
+     * @param by the operator
+     * @param call the id of the call
+     * @param revision the revision that the call is made against, negative for any
      * @throws SettingsException if they are at fault; nothing has changed then
      * @throws IOException if they could not be saved; nothing has changed then
      */
-    public synchronized Applied apply(String text, String by, String call, long revision)
+    public Applied apply(String text, String by, String call, long revision)
             throws SettingsException, IOException {
-        long known = inForce == null ? 0 : inForce.revision();
-        if (inForce != null && inForce.call().equals(call)) {
-            return new Applied(true, Optional.of(inForce));
-        }
-        FleetSettings settings = SettingsReader.read(text);
-        if (revision >= 0 && revision != known) {
-            return new Applied(false, Optional.ofNullable(inForce));
-        }
-        Snapshot.Saved next =
-                new Snapshot.Saved(text, known + 1, by, call, System.currentTimeMillis());
-        Optional<Path> aside = snapshot.save(next);
-        aside.ifPresent(path -> LOG.warn("the damaged snapshot was set aside as {}", path));
-        settingsTrouble = "";
-        inForce = next;
-        take(settings);
-        peers.poll(0);
-        LOG.atInfo()
-                .addKeyValue("revision", next.revision())
-                .addKeyValue("by", by)
-                .log("settings applied and saved");
-        return new Applied(true, Optional.of(next));
+        return settings.apply(text, by, call, revision);
+    }
+
+    /** Drains that this controller missed must be known before proxies can dial. */
+    private void applySettings(FleetSettings next) {
+        applyOnEventLoop(next);
+        peers.poll(listening ? 0 : PEER_TIMEOUT_NANOS);
     }
 
-    private void take(FleetSettings settings) {
-        CompletableFuture<Void> taken = new CompletableFuture<>();
-        inbox.put(
+    private void applyOnEventLoop(FleetSettings next) {
+        eventLoop.run(
                 now -> {
-                    if (list != null) {
-                        list.close();
+                    nodeClients.applySettings(next);
+                    state.applySettings(now, next);
+                    peers.setPeers(next.peers());
+                    if (!next.list().onDemand()) {
+                        nodeClients.watchNodes();
                     }
-                    FleetSettings.Catalogue at = settings.list();
-                    prober =
-                            new HealthChecker(
-                                    http, settings.probes().path(), settings.probes().timeout());
-                    list =
-                            new NodeListClient(
-                                    http,
-                                    new InetSocketAddress(at.host(), at.port()),
-                                    at.service(),
-                                    "rosespread/" + name,
-                                    at.block(),
-                                    at.silentAfter(),
-                                    at.backwardsAfter(),
-                                    at.onDemand(),
-                                    timer,
-                                    System::nanoTime,
-                                    new SplittableRandom(settings.seed() ^ name.hashCode()),
-                                    new ListEars());
-                    core.applySettings(now, settings);
-                    peers.setPeers(settings.peers());
-                    if (!at.onDemand()) {
-                        list.follow();
-                    }
-                    taken.complete(null);
                 });
-        taken.join();
     }
 
     /** What an operator may do with a table. */
     public enum TableAct {
+        /** Go back to a retained version and stay there. */
         ROLLBACK,
+        /** Stay at the committed version. */
         PIN,
+        /** Follow the policy again, step by step. */
         RELEASE
     }
 
     /**
-     * What came of an act.
+     * What came of an act on a table.
      *
-     * @param why it could not be; empty if it was done
-     * @param kept whether it is on the disk, so that a restart knows of it
+     * @param why it could not be done; empty if it was done
+     * @param kept whether it is durable, so that a restart knows of it
      */
     public record Outcome(String why, boolean kept) {}
 
     /**
-     * Acts on a table; {@code version} is the one to go back to. Waits until the act is kept, as
-     * long as the disk has no trouble.
+     * Acts on a table. Waits until the act is durable, unless the disk has a problem.
      *
-     * @throws IOException if the decision thread does not take it up in time
+     * @param version the one to roll back to; other acts ignore it
+     * @throws IOException if the event loop does not take it up in time
      */
     public Outcome act(TableAct act, int table, long version) throws IOException {
         TableId id = new TableId(table);
-        long[] last = new long[1];
-        TableActResult result =
-                decide(
-                        now -> {
-                            TableActResult done =
-                                    switch (act) {
-                                        case ROLLBACK -> core.rollback(now, id, version);
-                                        case PIN -> core.pin(now, id);
-                                        case RELEASE -> core.release(now, id);
-                                    };
-                            last[0] = book.lastSequence();
-                            return done;
-                        });
-        if (result instanceof TableActResult.Rejected rejected) {
+        Logged<TableActResult> logged =
+                callLogged(
+                        now ->
+                                switch (act) {
+                                    case ROLLBACK -> state.rollback(now, id, version);
+                                    case PIN -> state.pin(now, id);
+                                    case RELEASE -> state.release(now, id);
+                                });
+        if (logged.result() instanceof TableActResult.Rejected rejected) {
             return new Outcome(rejected.detail(), false);
         }
-        return new Outcome("", store.await(last[0], ACT_SECONDS * 1_000_000_000L));
+        return new Outcome("", awaitDurable(logged));
     }
 
-    /** A table as it is at this moment, with what it still has to send. */
+    /** Returns a table as it will be once its pending changes are sent; empty if there is none. */
     public Optional<ControllerStatus.Table> table(int table) throws IOException {
-        return decide(now -> core.table(new TableId(table)));
+        return eventLoop.call(now -> state.table(new TableId(table)));
     }
 
-    /** What changes from one kept version of a table to another. */
+    /** Returns what changes from one retained version to another; empty if one is unknown. */
     public Optional<ControllerStatus.Difference> difference(int table, long from, long to)
             throws IOException {
-        return decide(now -> core.difference(new TableId(table), from, to));
+        return eventLoop.call(now -> state.difference(new TableId(table), from, to));
     }
 
-    /** Takes a call on a node up; waits until it is kept as long as the disk has no trouble. */
+    /**
+     * Drains a node or ends its drain. Waits until that is durable, unless the disk has a problem.
+     */
     public DrainResult drain(DrainRequest call) throws IOException {
-        long[] last = new long[1];
-        DrainResult outcome =
-                decide(
-                        now -> {
-                            DrainResult told = core.drain(now, call);
-                            last[0] = book.lastSequence();
-                            return told;
-                        });
-        store.await(last[0], ACT_SECONDS * 1_000_000_000L);
-        return outcome;
+        Logged<DrainResult> logged = callLogged(now -> state.drain(now, call));
+        awaitDurable(logged);
+        return logged.result();
     }
 
-    /** Operators' last words on nodes, and the revision that they come to. */
+    /** Returns the last drain or end of a drain of each node. */
     public List<Drain> drains() throws IOException {
-        return decide(now -> core.drains());
+        return eventLoop.call(now -> state.drains());
     }
 
-    private <T> T decide(LongFunction<T> what) throws IOException {
-        CompletableFuture<T> done = new CompletableFuture<>();
-        inbox.put(now -> done.complete(what.apply(now)));
-        try {
-            return done.get(ACT_SECONDS, TimeUnit.SECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
-        } catch (ExecutionException | TimeoutException e) {
-            throw new IOException(
-                    "the conductor did not take it up within " + ACT_SECONDS + " s", e);
-        }
+    /** A result and the log entry that it has to wait for. */
+    private record Logged<T>(T result, long sequence) {}
+
+    private <T> Logged<T> callLogged(LongFunction<T> call) throws IOException {
+        return eventLoop.call(
+                now -> {
+                    T result = call.apply(now);
+                    return new Logged<>(result, registry.lastSequence());
+                });
+    }
+
+    private boolean awaitDurable(Logged<?> logged) {
+        return store.await(logged.sequence(), DURABILITY_TIMEOUT_NANOS);
     }
 
     /**
-     * The state as it is now; that of the last time it was asked for if the decision thread does
-     * not answer. It is gathered only when asked for, as it grows with the fleet.
+     * Returns the status as it is now, or the last one that was read if the event loop does not
+     * answer. It is gathered only when asked for, as it grows with the fleet.
      */
     public ControllerStatus state() {
         try {
-            state = decide(now -> core.status());
+            lastStatus = eventLoop.call(now -> state.status());
         } catch (IOException e) {
-            LOG.warn("an older state is shown: {}", e.getMessage());
+            LOG.atWarn()
+                    .addKeyValue("reason", e.getMessage())
+                    .log("event loop did not answer; returning the last status");
         }
-        return state;
+        return lastStatus;
     }
 
-    /** How it calls itself. */
+    /** Returns how it names itself. */
     public String name() {
         return name;
     }
 
+    /** Returns the reports that were dropped as the event queue was too full. */
     public long reportsDropped() {
-        return inbox.droppedReports();
+        return queue.droppedReports();
     }
 
-    /** Why a snapshot was refused; empty if none was. */
+    /** Returns why the settings' snapshot was refused; empty if it was not. */
     public String settingsTrouble() {
-        return settingsTrouble;
+        return settings.problem();
     }
 
-    /** The settings in force as they were given. */
+    /** Returns the settings in force as they were given. */
     public Optional<Snapshot.Saved> settings() {
-        return Optional.ofNullable(inForce);
+        return settings.inForce();
     }
 
+    /** Tells proxies that it stops, and closes everything that it opened. */
     @Override
     public void close() {
         loop.stop();
         try {
-            thread.join(2_000);
+            thread.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -364,23 +328,17 @@
         try {
             store.close();
         } catch (IOException e) {
-            LOG.error("the tables' file could not be closed: {}", e.toString());
+            LOG.atError().setCause(e).log("table log could not be closed");
         }
     }
 
-    private final class ListEars implements NodeListClient.Follower {
-        @Override
-        public void whole(List<ListedNode> nodes) {
-            inbox.put(now -> core.nodesListed(now, nodes));
-        }
+    private final class ClientEnvironment implements ControllerState.Environment {
+        private final Planning planning;
 
-        @Override
-        public void unavailable(String why) {
-            inbox.put(now -> core.nodeListUnavailable(now, why));
+        ClientEnvironment(Planning planning) {
+            this.planning = planning;
         }
-    }
 
-    private final class Outside implements ControllerState.Environment {
         @Override
         public Policy newPolicy(FleetSettings settings, long seed) {
             return planning.planner(settings, seed);
@@ -388,14 +346,12 @@
 
         @Override
         public void checkHealth(ListedNode node) {
-            prober.check(
-                    node.address(),
-                    verdict -> inbox.put(now -> core.healthChecked(now, node.id(), verdict)));
+            nodeClients.checkHealth(node);
         }
 
         @Override
         public void watchNodes() {
-            list.follow();
+            nodeClients.watchNodes();
         }
     }
 }
--- a/src/main/java/rosespread/controller/ControllerStatus.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The conductor at one moment, for those who look from outside. Ages and times in milliseconds. */
+/**
+ * The controller at one moment. Its components are the fields of {@code GET /v1/state}, which
+ * docs/api/openapi.yaml describes: their names do not change. Ages and times are in milliseconds.
+ */
 public record ControllerStatus(
         String phase,
         int proxies,
@@ -31,9 +34,12 @@
         Storage storage) {
 
     /**
-     * @param drainedBy the operator who drains it, empty if none; @param triedAgoMs since the last
-     *     report of a try there, -1 if there was none; @param unheard proxies without a report for
-     *     three periods, from which it cannot be known
+     * A listed node.
+     *
+     * @param withdrawn whether proxies are told to send nothing to it
+     * @param drainedBy the operator who drains it, empty if none
+     * @param triedAgoMs since the last report of an attempt there, -1 if there was none
+     * @param unheard proxies without a report for three periods, whose attempts are unknown
      */
     public record Node(
             String name,
@@ -46,6 +52,16 @@
             long triedAgoMs,
             int unheard) {}
 
+    /**
+     * A table.
+     *
+     * @param version the number that is committed
+     * @param held how it is pinned
+     * @param refusals why the policy's weights are refused now
+     * @param refused how often that happened, by reason
+     * @param lines the weights by the nodes' names
+     * @param versions those retained
+     */
     public record Table(
             int table,
             long version,
@@ -55,18 +71,35 @@
             Map<String, Double> lines,
             List<Version> versions) {}
 
-    /** What changes from one version to another; a weight of 0 stands for no line. */
+    /** What changes from one version to another. */
     public record Difference(int table, long from, long to, List<Changed> lines) {}
 
+    /** A weight that changes; 0 stands for no entry. */
     public record Changed(String node, double before, double after) {}
 
-    /** How versions and acts are kept; {@code waiting} entries are not on the disk yet. */
+    /**
+     * How versions and acts are persisted.
+     *
+     * @param trouble why nothing can be persisted, empty if it can
+     * @param late whether messages leave without waiting for the log
+     * @param waiting entries that are not durable yet
+     * @param unkeptMessages messages that left before their entries were durable
+     * @param bytes of the log file
+     */
     public record Storage(
             String trouble, boolean late, long waiting, long unkeptMessages, long bytes) {}
 
-    /** A version that can be gone back to. */
+    /** A version that a table can be rolled back to. */
     public record Version(
             long number, String cause, long atMillis, int lines, int changed, String digest) {}
 
+    /**
+     * A joined proxy.
+     *
+     * @param unanswered messages that it has not acknowledged
+     * @param messages messages written to it
+     * @param heardAgoMs since the last frame from it
+     * @param tables the tables that it is subscribed to
+     */
     public record Proxy(String name, int unanswered, long messages, long heardAgoMs, int tables) {}
 }
--- a/src/main/java/rosespread/controller/DrainJson.java
+++ b/src/main/java/rosespread/controller/DrainJson.java
@@ -10,64 +10,79 @@
 import rosespread.api.NodeId;
 import rosespread.drain.Drain;
 
-/** Operators' words on nodes as conductors tell them to each other: {@code {"words":[...]}}. */
+/**
+ * The JSON in which controllers exchange operators' drains: {@code {"words":[...]}}, node ids in
+ * hexadecimal digits.
+ */
 public final class DrainJson {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int WORDS_MOST = 8192;
-    private static final long STAMP_MOST = 1L << 53;
-    private static final int TEXT_MOST = 255;
+    private static final int MAX_DRAINS = 8192;
+    private static final long MAX_STAMP = 1L << 53;
+    private static final int MAX_TEXT_LENGTH = 255;
+    private static final int HEX = 16;
+    private static final String NODE_ID_PATTERN = "[0-9a-f]{1,16}";
 
     private DrainJson() {}
 
-    public static ObjectNode write(List<Drain> words) {
-        ObjectNode all = JSON.createObjectNode();
-        ArrayNode each = all.putArray("words");
-        words.forEach(
-                word ->
-                        each.addObject()
-                                .put("node", Long.toHexString(word.node().value()))
-                                .put("name", word.name())
-                                .put("on", word.on())
-                                .put("stamp", word.stamp())
-                                .put("by", word.by())
-                                .put("call", word.call())
-                                .put("at", word.atMillis()));
-        return all;
+    /** Writes drains in their order. */
+    public static ObjectNode write(List<Drain> drains) {
+        ObjectNode document = JSON.createObjectNode();
+        ArrayNode words = document.putArray("words");
+        for (Drain drain : drains) {
+            words.addObject()
+                    .put("node", Long.toHexString(drain.node().value()))
+                    .put("name", drain.name())
+                    .put("on", drain.on())
+                    .put("stamp", drain.stamp())
+                    .put("by", drain.by())
+                    .put("call", drain.call())
+                    .put("at", drain.atMillis());
+        }
+        return document;
     }
 
     /**
-     * @throws IOException if it is not that; the message names the word
+     * Reads drains; texts that are too long are cut.
+     *
+     * @throws IOException if it is not that JSON; the message names the entry at fault
      */
     public static List<Drain> read(byte[] json) throws IOException {
         JsonNode words = JSON.readTree(json).path("words");
-        if (!words.isArray() || words.size() > WORDS_MOST) {
-            throw new IOException("field words is no array of at most " + WORDS_MOST);
+        if (!words.isArray() || words.size() > MAX_DRAINS) {
+            throw new IOException("field words is no array of at most " + MAX_DRAINS);
         }
-        List<Drain> all = new ArrayList<>();
+        List<Drain> drains = new ArrayList<>();
         for (int i = 0; i < words.size(); i++) {
             JsonNode word = words.get(i);
-            long stamp = word.path("stamp").asLong(-1);
-            if (stamp < 0
-                    || stamp > STAMP_MOST
-                    || !word.path("on").isBoolean()
-                    || !word.path("node").asText().matches("[0-9a-f]{1,16}")) {
+            if (!isDrain(word)) {
                 throw new IOException("words[" + i + "] is not a word on a node: " + word);
             }
-            all.add(
-                    new Drain(
-                            new NodeId(Long.parseUnsignedLong(word.path("node").asText(), 16)),
-                            text(word, "name"),
-                            word.path("on").asBoolean(),
-                            stamp,
-                            text(word, "by"),
-                            text(word, "call"),
-                            word.path("at").asLong()));
+            drains.add(read(word));
         }
-        return all;
+        return drains;
+    }
+
+    private static boolean isDrain(JsonNode word) {
+        long stamp = word.path("stamp").asLong(-1);
+        return stamp >= 0
+                && stamp <= MAX_STAMP
+                && word.path("on").isBoolean()
+                && word.path("node").asText().matches(NODE_ID_PATTERN);
+    }
+
+    private static Drain read(JsonNode word) {
+        return new Drain(
+                new NodeId(Long.parseUnsignedLong(word.path("node").asText(), HEX)),
+                text(word, "name"),
+                word.path("on").asBoolean(),
+                word.path("stamp").asLong(),
+                text(word, "by"),
+                text(word, "call"),
+                word.path("at").asLong());
     }
 
     private static String text(JsonNode word, String field) {
         String text = word.path(field).asText();
-        return text.length() > TEXT_MOST ? text.substring(0, TEXT_MOST) : text;
+        return text.length() > MAX_TEXT_LENGTH ? text.substring(0, MAX_TEXT_LENGTH) : text;
     }
 }
--- a/src/main/java/rosespread/controller/DrainRequest.java
+++ b/src/main/java/rosespread/controller/DrainRequest.java
@@ -3,12 +3,14 @@
 import rosespread.discovery.ListedNode;
 
 /**
- * An operator's call to drain a node or to end that.
+ * An operator's request to drain a node or to end a drain.
  *
- * @param node a name, or name@host:port where several have the name
- * @param revision the last one that the operator has seen; negative for whatever it is
- * @param id repeated calls of one id are one
- * @param force whether the guard is passed over
+ * @param node a name, or name@host:port where several nodes have the name
+ * @param on whether the node is to drain
+ * @param by the operator
+ * @param id of the request; repeated requests of one id count once
+ * @param revision the last one that the operator has seen; negative for any
+ * @param force whether the guard's objections are overridden
  */
 public record DrainRequest(
         String node, boolean on, String by, String id, long revision, boolean force) {
--- a/src/main/java/rosespread/controller/DrainResult.java
+++ b/src/main/java/rosespread/controller/DrainResult.java
@@ -2,22 +2,34 @@
 
 import java.util.List;
 
-/** What came of a call on a node; {@code told} says why not, or what changed since its revision. */
+/**
+ * What came of an operator's request to drain a node or to end a drain.
+ *
+ * @param revision of all drains after the request
+ * @param told why it was rejected, or what changed since its revision; empty if it was done
+ */
 public record DrainResult(Kind kind, long revision, List<String> told) {
-    /** REPEATED: a call of this id was taken up before. */
+    /** How a request ended. */
     public enum Kind {
+        /** It was done. */
         DONE,
+        /** A request of the same id was done before. */
         REPEATED,
+        /** No listed node has the name. */
         NO_NODE,
+        /** Several listed nodes have the name. */
         AMBIGUOUS,
+        /** Drains changed since the revision that it names. */
         STALE,
+        /** The guard objects: too little would be left. */
         GUARDED
     }
 
-    static DrainResult done(long revision, boolean before) {
-        return new DrainResult(before ? Kind.REPEATED : Kind.DONE, revision, List.of());
+    static DrainResult done(long revision, boolean repeated) {
+        return new DrainResult(repeated ? Kind.REPEATED : Kind.DONE, revision, List.of());
     }
 
+    /** Whether the drain is as requested, by this request or an earlier one of its id. */
     public boolean isDone() {
         return kind == Kind.DONE || kind == Kind.REPEATED;
     }
--- /dev/null
+++ b/src/main/java/rosespread/controller/NodeClients.java
@@ -0,0 +1,88 @@
+package rosespread.controller;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.ScheduledExecutorService;
+import rosespread.discovery.HealthChecker;
+import rosespread.discovery.ListedNode;
+import rosespread.discovery.NodeListClient;
+import rosespread.eventloop.EventQueue;
+import rosespread.http.HttpClient;
+import rosespread.settings.FleetSettings;
+
+/**
+ * The clients of discovery and of nodes' health checks for the settings in force. Results come back
+ * as events of the event loop.
+ *
+ * <p>Used on the event-loop thread; the clients' callbacks run on I/O threads and only enqueue.
+ */
+final class NodeClients {
+    private final String controllerName;
+    private final HttpClient http;
+    private final ScheduledExecutorService timer;
+    private final EventQueue queue;
+    private final ControllerState state;
+    private NodeListClient nodeList;
+    private HealthChecker healthChecker;
+
+    NodeClients(
+            String controllerName,
+            HttpClient http,
+            ScheduledExecutorService timer,
+            EventQueue queue,
+            ControllerState state) {
+        this.controllerName = controllerName;
+        this.http = http;
+        this.timer = timer;
+        this.queue = queue;
+        this.state = state;
+    }
+
+    /** Replaces the clients by ones for these settings, which do nothing yet. */
+    void applySettings(FleetSettings settings) {
+        if (nodeList != null) {
+            nodeList.close();
+        }
+        healthChecker =
+                new HealthChecker(http, settings.probes().path(), settings.probes().timeout());
+        FleetSettings.Catalogue catalogue = settings.list();
+        nodeList =
+                new NodeListClient(
+                        http,
+                        new InetSocketAddress(catalogue.host(), catalogue.port()),
+                        catalogue.service(),
+                        "rosespread/" + controllerName,
+                        catalogue.block(),
+                        catalogue.silentAfter(),
+                        catalogue.backwardsAfter(),
+                        catalogue.onDemand(),
+                        timer,
+                        System::nanoTime,
+                        new SplittableRandom(settings.seed() ^ controllerName.hashCode()),
+                        new ListFollower());
+    }
+
+    /** Starts following the node list. */
+    void watchNodes() {
+        nodeList.follow();
+    }
+
+    void checkHealth(ListedNode node) {
+        healthChecker.check(
+                node.address(),
+                result -> queue.put(now -> state.healthChecked(now, node.id(), result)));
+    }
+
+    private final class ListFollower implements NodeListClient.Follower {
+        @Override
+        public void whole(List<ListedNode> nodes) {
+            queue.put(now -> state.nodesListed(now, nodes));
+        }
+
+        @Override
+        public void unavailable(String reason) {
+            queue.put(now -> state.nodeListUnavailable(now, reason));
+        }
+    }
+}
--- a/src/main/java/rosespread/controller/NodeFactsView.java
+++ b/src/main/java/rosespread/controller/NodeFactsView.java
@@ -10,53 +10,67 @@
 import rosespread.discovery.ListedNode;
 import rosespread.validation.TableChangeValidator;
 
-/** What is known of nodes, worked out for those that are asked for: a small change asks for few. */
+/**
+ * The facts of all known nodes, each worked out as it is asked for: a small change asks for few.
+ *
+ * <p>A live, read-only view for the event-loop thread.
+ */
 final class NodeFactsView extends AbstractMap<NodeId, TableChangeValidator.NodeFact> {
     private final Map<NodeId, ListedNode> nodes;
-    private final Function<ListedNode, TableChangeValidator.NodeFact> fact;
+    private final Function<ListedNode, TableChangeValidator.NodeFact> factOf;
 
     NodeFactsView(
             Map<NodeId, ListedNode> nodes,
-            Function<ListedNode, TableChangeValidator.NodeFact> fact) {
+            Function<ListedNode, TableChangeValidator.NodeFact> factOf) {
         this.nodes = nodes;
-        this.fact = fact;
+        this.factOf = factOf;
     }
 
     @Override
-    public TableChangeValidator.NodeFact get(Object node) {
-        ListedNode listed = nodes.get(node);
-        return listed == null ? null : fact.apply(listed);
+    public TableChangeValidator.NodeFact get(Object id) {
+        ListedNode node = nodes.get(id);
+        return node == null ? null : factOf.apply(node);
     }
 
     @Override
-    public boolean containsKey(Object node) {
-        return nodes.containsKey(node);
+    public boolean containsKey(Object id) {
+        return nodes.containsKey(id);
     }
 
     @Override
     public Set<Entry<NodeId, TableChangeValidator.NodeFact>> entrySet() {
-        return new AbstractSet<>() {
-            @Override
-            public Iterator<Entry<NodeId, TableChangeValidator.NodeFact>> iterator() {
-                Iterator<Entry<NodeId, ListedNode>> each = nodes.entrySet().iterator();
-                return new Iterator<>() {
-                    @Override
-                    public boolean hasNext() {
-                        return each.hasNext();
-                    }
-
-                    @Override
-                    public Entry<NodeId, TableChangeValidator.NodeFact> next() {
-                        Entry<NodeId, ListedNode> next = each.next();
-                        return Map.entry(next.getKey(), fact.apply(next.getValue()));
-                    }
-                };
-            }
-
-            @Override
-            public int size() {
-                return nodes.size();
-            }
-        };
+        return new EntrySet();
+    }
+
+    private final class EntrySet extends AbstractSet<Entry<NodeId, TableChangeValidator.NodeFact>> {
+        @Override
+        public Iterator<Entry<NodeId, TableChangeValidator.NodeFact>> iterator() {
+            return new EntryIterator(nodes.entrySet().iterator());
+        }
+
+        @Override
+        public int size() {
+            return nodes.size();
+        }
+    }
+
+    private final class EntryIterator
+            implements Iterator<Entry<NodeId, TableChangeValidator.NodeFact>> {
+        private final Iterator<Entry<NodeId, ListedNode>> entries;
+
+        EntryIterator(Iterator<Entry<NodeId, ListedNode>> entries) {
+            this.entries = entries;
+        }
+
+        @Override
+        public boolean hasNext() {
+            return entries.hasNext();
+        }
+
+        @Override
+        public Entry<NodeId, TableChangeValidator.NodeFact> next() {
+            Entry<NodeId, ListedNode> entry = entries.next();
+            return Map.entry(entry.getKey(), factOf.apply(entry.getValue()));
+        }
     }
 }
--- a/src/main/java/rosespread/controller/PeerDrainPoller.java
+++ b/src/main/java/rosespread/controller/PeerDrainPoller.java
@@ -15,77 +15,103 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Asks other conductors for operators' words on nodes: at a start before proxies can dial, as a
- * conductor that was down may have missed a drain, and every few seconds after.
+ * Polls other controllers for the drains that operators ordered there: at a start, as a controller
+ * that was down may have missed one, and at an interval.
+ *
+ * <p>Safe for use by any thread; the listener is called on I/O threads.
  */
 final class PeerDrainPoller {
     private static final Logger LOG = LoggerFactory.getLogger(PeerDrainPoller.class);
-    private static final long TIMEOUT = 1_000_000_000L;
-    private static final long EVERY_MILLIS = 2_000;
+    private static final long REQUEST_TIMEOUT_NANOS = 1_000_000_000L;
+    private static final long INTERVAL_MILLIS = 2_000;
+    private static final String PATH = "/v1/drains";
+    private static final int STATUS_OK = 200;
 
     private final HttpClient http;
-    private final Consumer<List<Drain>> ears;
+    private final Consumer<List<Drain>> listener;
     private volatile List<InetSocketAddress> peers = List.of();
 
-    PeerDrainPoller(HttpClient http, ScheduledExecutorService timer, Consumer<List<Drain>> ears) {
+    /**
+     * @param listener takes the drains that a peer knows of, if there are any
+     */
+    PeerDrainPoller(
+            HttpClient http, ScheduledExecutorService timer, Consumer<List<Drain>> listener) {
         this.http = http;
-        this.ears = ears;
+        this.listener = listener;
         timer.scheduleWithFixedDelay(
-                () -> poll(0), EVERY_MILLIS, EVERY_MILLIS, TimeUnit.MILLISECONDS);
+                () -> poll(0), INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
+    /** Sets the control addresses of the peers. */
     void setPeers(List<InetSocketAddress> next) {
         peers = next;
     }
 
-    /** Asks all; waits so many nanoseconds for their answers. */
-    void poll(long nanos) {
-        List<InetSocketAddress> all = peers;
-        CountDownLatch open = new CountDownLatch(all.size());
-        for (InetSocketAddress peer : all) {
-            http.call(
-                    peer,
-                    new HttpMessage.Request(
-                            "GET",
-                            "/v1/drains",
-                            HttpHeaders.of("host", peer.getHostString() + ":" + peer.getPort()),
-                            new byte[0]),
-                    TIMEOUT,
-                    new HttpClient.Taker() {
-                        @Override
-                        public void answered(HttpMessage.Response answer) {
-                            if (answer.status() == 200) {
-                                take(peer, answer);
-                            }
-                            open.countDown();
-                        }
+    /**
+     * Polls all peers.
+     *
+     * @param timeoutNanos how long their responses are waited for; 0 not to wait
+     */
+    void poll(long timeoutNanos) {
+        List<InetSocketAddress> polled = peers;
+        CountDownLatch pending = new CountDownLatch(polled.size());
+        polled.forEach(peer -> request(peer, pending));
+        if (timeoutNanos > 0) {
+            await(pending, polled.size(), timeoutNanos);
+        }
+    }
 
-                        @Override
-                        public void failed(HttpClient.Failure failure, String detail) {
-                            open.countDown();
+    private void request(InetSocketAddress peer, CountDownLatch pending) {
+        HttpMessage.Request request =
+                new HttpMessage.Request(
+                        "GET",
+                        PATH,
+                        HttpHeaders.of("host", peer.getHostString() + ":" + peer.getPort()),
+                        new byte[0]);
+        http.call(
+                peer,
+                request,
+                REQUEST_TIMEOUT_NANOS,
+                new HttpClient.Taker() {
+                    @Override
+                    public void answered(HttpMessage.Response response) {
+                        if (response.status() == STATUS_OK) {
+                            read(peer, response);
                         }
-                    });
-        }
+                        pending.countDown();
+                    }
+
+                    @Override
+                    public void failed(HttpClient.Failure failure, String detail) {
+                        pending.countDown();
+                    }
+                });
+    }
+
+    private static void await(CountDownLatch pending, int peers, long timeoutNanos) {
         try {
-            if (nanos > 0 && !open.await(nanos, TimeUnit.NANOSECONDS)) {
-                LOG.warn(
-                        "{} of {} peers did not tell their drains in time",
-                        open.getCount(),
-                        all.size());
+            if (!pending.await(timeoutNanos, TimeUnit.NANOSECONDS)) {
+                LOG.atWarn()
+                        .addKeyValue("count", pending.getCount())
+                        .addKeyValue("peers", peers)
+                        .log("peers did not return their drains in time");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void take(InetSocketAddress peer, HttpMessage.Response answer) {
+    private void read(InetSocketAddress peer, HttpMessage.Response response) {
         try {
-            List<Drain> words = DrainJson.read(answer.body());
-            if (!words.isEmpty()) {
-                ears.accept(words);
+            List<Drain> drains = DrainJson.read(response.body());
+            if (!drains.isEmpty()) {
+                listener.accept(drains);
             }
         } catch (IOException e) {
-            LOG.warn("peer {} told drains that cannot be read: {}", peer, e.getMessage());
+            LOG.atWarn()
+                    .addKeyValue("remote", peer)
+                    .addKeyValue("reason", e.getMessage())
+                    .log("peer returned malformed drains");
         }
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/controller/SettingsHolder.java
@@ -0,0 +1,99 @@
+package rosespread.controller;
+
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import rosespread.settings.FleetSettings;
+import rosespread.settings.SettingsException;
+import rosespread.settings.SettingsReader;
+import rosespread.settings.Snapshot;
+
+/**
+ * The settings in force and their snapshot on disk. Settings are changed by one thread at a time;
+ * what is in force can be read by any thread.
+ */
+final class SettingsHolder {
+    private static final Logger LOG = LoggerFactory.getLogger(SettingsHolder.class);
+
+    private final Snapshot snapshot;
+    private final Consumer<FleetSettings> listener;
+    private volatile Snapshot.Saved inForce;
+    private volatile String problem = "";
+
+    /**
+     * @param folder where the snapshot is
+     * @param listener takes settings as they come into force, on the caller's thread
+     */
+    SettingsHolder(Path folder, Consumer<FleetSettings> listener) {
+        this.snapshot = new Snapshot(folder);
+        this.listener = listener;
+    }
+
+    /** Brings the settings that were saved last into force, if they are whole. */
+    synchronized void restore() {
+        try {
+            Optional<Snapshot.Saved> saved = snapshot.load();
+            if (saved.isEmpty()) {
+                LOG.info("waiting for settings");
+                return;
+            }
+            FleetSettings settings = SettingsReader.read(saved.get().text());
+            inForce = saved.get();
+            listener.accept(settings);
+            LOG.atInfo()
+                    .addKeyValue("revision", saved.get().revision())
+                    .log("settings restored from the snapshot");
+        } catch (IOException | SettingsException e) {
+            problem = "snapshot refused: " + e.getMessage();
+            LOG.atError().addKeyValue("reason", problem).log("waiting for settings");
+        }
+    }
+
+    /** See {@link Controller#apply}. */
+    synchronized Controller.Applied apply(
+            String text, String operator, String requestId, long expectedRevision)
+            throws SettingsException, IOException {
+        if (inForce != null && inForce.call().equals(requestId)) {
+            return new Controller.Applied(true, Optional.of(inForce));
+        }
+        FleetSettings settings = SettingsReader.read(text);
+        long revision = inForce == null ? 0 : inForce.revision();
+        if (expectedRevision >= 0 && expectedRevision != revision) {
+            return new Controller.Applied(false, Optional.ofNullable(inForce));
+        }
+        Snapshot.Saved next =
+                new Snapshot.Saved(
+                        text, revision + 1, operator, requestId, System.currentTimeMillis());
+        save(next);
+        problem = "";
+        inForce = next;
+        listener.accept(settings);
+        LOG.atInfo()
+                .addKeyValue("revision", next.revision())
+                .addKeyValue("operator", operator)
+                .log("settings applied");
+        return new Controller.Applied(true, Optional.of(next));
+    }
+
+    private void save(Snapshot.Saved next) throws IOException {
+        Optional<Path> setAside = snapshot.save(next);
+        setAside.ifPresent(
+                path ->
+                        LOG.atWarn()
+                                .addKeyValue("path", path)
+                                .log("damaged settings snapshot set aside"));
+    }
+
+    /** Returns the settings in force as they were given, empty before any. */
+    Optional<Snapshot.Saved> inForce() {
+        return Optional.ofNullable(inForce);
+    }
+
+    /** Returns why the snapshot was refused; empty if it was not or settings were applied since. */
+    String problem() {
+        return problem;
+    }
+}
