--- /dev/null
+++ b/src/test/java/rosespread/controller/TableDeliveryTest.java
@@ -0,0 +1,220 @@
+package rosespread.controller;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import rosespread.api.EventHandler.NodeState;
+import rosespread.api.MethodId;
+import rosespread.api.NodeId;
+import rosespread.api.PolicyActions;
+import rosespread.api.ProxyId;
+import rosespread.api.TableId;
+import rosespread.channel.Frame;
+import rosespread.discovery.ListedNode;
+import rosespread.settings.SettingsException;
+import rosespread.settings.SettingsTest;
+import rosespread.store.StoreSnapshot;
+
+/** How tables reach proxies: full and as deltas, compressed, at the pace and within the limits. */
+class TableDeliveryTest {
+    private static final TableId TABLE = ControllerFixture.TABLE;
+    private static final List<MethodId> BOTH_METHODS = List.of(new MethodId(0), new MethodId(1));
+    private static final NodeId NODE = ControllerFixture.node("n", 80, NodeState.READY, 0).id();
+
+    private final RecordingEventHandler recorder = new RecordingEventHandler();
+    private final ControllerFixture fixture = ControllerFixture.withFixedWallClock(recorder);
+
+    @BeforeEach
+    void start() throws SettingsException {
+        recorder.useClockOf(fixture);
+        fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        fixture.pass(20);
+        recorder.events().clear();
+    }
+
+    private ProxySession join(RecordingTransport transport, String name) {
+        return fixture.join(transport, new Frame.Join(name, "a", 5));
+    }
+
+    private void list(NodeState state) {
+        fixture.list(List.of(ControllerFixture.node("n", 80, state, 0)));
+    }
+
+    private static List<ListedNode> readyNodes(int count) {
+        List<ListedNode> nodes = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            nodes.add(ControllerFixture.node("n" + i, 80 + i, NodeState.READY, 0));
+        }
+        return nodes;
+    }
+
+    /** What a full table costs a proxy that decompresses, against one that does not. */
+    @Test
+    void largeFullTablesAreCompressedForProxiesThatDecompress() {
+        List<ListedNode> nodes = readyNodes(300);
+        fixture.list(nodes);
+        RecordingTransport compressed = new RecordingTransport();
+        RecordingTransport plain = new RecordingTransport();
+        fixture.join(compressed, new Frame.Join("p", "a", 5, true, List.of()));
+        join(plain, "q");
+        fixture.order(
+                actions -> {
+                    nodes.forEach(node -> actions.setWeight(TABLE, node.id(), 1));
+                    actions.subscribe(new ProxyId(0), BOTH_METHODS, TABLE);
+                    actions.subscribe(new ProxyId(1), BOTH_METHODS, TABLE);
+                },
+                15);
+        fixture.pass(900);
+        assertEquals(binds(plain), binds(compressed));
+        assertEquals(300, compressed.count(Frame.Node.class));
+        assertTrue(
+                compressed.bytes() * 1.5 < plain.bytes(),
+                compressed.bytes() + " of " + plain.bytes());
+        // A delta goes as it is, and its nodes are known.
+        int before = compressed.bytes();
+        fixture.order(actions -> actions.setWeight(TABLE, nodes.get(0).id(), 0.5), 15);
+        fixture.pass(100);
+        assertTrue(compressed.bytes() > before);
+        assertEquals(300, compressed.count(Frame.Node.class), "no node is introduced twice");
+    }
+
+    private static List<Frame> binds(RecordingTransport transport) {
+        return transport.frames().stream().filter(Frame.Bind.class::isInstance).toList();
+    }
+
+    /**
+     * A policy that changes every weight of all tables again and again: each change is small,
+     * together they are not.
+     */
+    @Test
+    void changesOfManyTablesTogetherKeepTheQueueShort() {
+        List<ListedNode> nodes = readyNodes(30);
+        fixture.list(nodes);
+        List<ProxySession> sessions = new ArrayList<>();
+        for (int i = 0; i < 20; i++) {
+            sessions.add(join(new RecordingTransport(), "p" + i));
+            int proxy = i;
+            fixture.order(actions -> subscribeToTwoTables(actions, proxy, nodes), 15);
+            fixture.pass(150);
+        }
+        for (int round = 1; round <= 100; round++) {
+            double weight = 1 + round / 1e5;
+            boolean acknowledged = round % 30 == 0;
+            fixture.order(actions -> changeAllTables(actions, nodes, weight, acknowledged), 15);
+            sessions.forEach(s -> fixture.receive(s, new Frame.KeepAlive(1, true)));
+        }
+        assertTrue(
+                fixture.status().mostLinesWaiting() <= 1500,
+                fixture.status().mostLinesWaiting() + " lines");
+        assertTrue(
+                fixture.status().tables().stream()
+                        .anyMatch(table -> table.refused().containsKey("TOO_MANY_LINES")));
+        // A drain goes first, also now.
+        list(NodeState.DRAINING);
+        fixture.pass(1500);
+        assertTrue(
+                fixture.status().tables().stream()
+                        .allMatch(t -> t.lines().keySet().stream().noneMatch("n"::equals)));
+    }
+
+    private static void subscribeToTwoTables(
+            PolicyActions actions, int proxy, List<ListedNode> nodes) {
+        int shard = proxy / 10 * 2;
+        TableId first = new TableId(1 + shard);
+        TableId second = new TableId(2 + shard);
+        nodes.forEach(node -> actions.setWeight(first, node.id(), 1));
+        nodes.forEach(node -> actions.setWeight(second, node.id(), 1));
+        actions.subscribe(new ProxyId(proxy), List.of(new MethodId(0)), first);
+        actions.subscribe(new ProxyId(proxy), List.of(new MethodId(1)), second);
+    }
+
+    private static void changeAllTables(
+            PolicyActions actions, List<ListedNode> nodes, double weight, boolean acknowledged) {
+        for (int table = 1; table <= 4; table++) {
+            for (ListedNode node : nodes) {
+                actions.setWeight(new TableId(table), node.id(), weight);
+            }
+        }
+        if (acknowledged) {
+            actions.requestAcknowledgement(1);
+        }
+    }
+
+    @Test
+    void aProxyGetsOneMessageARoundWithAFullTableFirstAndThenDeltas() {
+        RecordingTransport transport = new RecordingTransport();
+        list(NodeState.READY);
+        ProxySession session = join(transport, "p");
+        fixture.order(
+                actions -> {
+                    actions.setWeight(TABLE, NODE, 0.5);
+                    actions.setAdmissionLimit(TABLE, new MethodId(0), 7);
+                    actions.subscribe(new ProxyId(0), BOTH_METHODS, TABLE);
+                    actions.requestAcknowledgement(3);
+                },
+                15);
+        fixture.pass(50);
+        assertEquals(
+                List.of("Hello", "Node", "Bind", "Mark"),
+                transport.frames().stream().map(f -> f.getClass().getSimpleName()).toList());
+        Frame.Bind bind = (Frame.Bind) transport.frames().get(2);
+        assertEquals(List.of(new Frame.Line(NODE, 0.5)), bind.lines());
+        assertEquals(Frame.Tries.AFTER_PROOF, bind.levels().get(0).tries());
+        assertEquals(10 + 1 + 3, transport.lastMark().lines());
+        fixture.receive(session, new Frame.Installed(transport.lastMark().number()));
+        list(NodeState.DRAINING);
+        fixture.order(
+                actions -> {
+                    actions.setWeight(TABLE, NODE, 0);
+                    actions.requestAcknowledgement(4);
+                },
+                15);
+        assertTrue(
+                recorder.events().stream().anyMatch(t -> t.matches("installed 3 by 0 in [0-9]+")),
+                recorder.events().toString());
+        fixture.pass(50);
+        assertEquals(1, transport.count(TableDeliveryTest::isDeltaThatRemovesNode));
+        assertEquals(1, transport.count(Frame.Node.class), "a node is introduced once a stream");
+    }
+
+    private static boolean isDeltaThatRemovesNode(Frame frame) {
+        return frame instanceof Frame.Lines delta
+                && delta.from() == 1
+                && delta.to() == 2
+                && delta.digest() == 0
+                && delta.lines().equals(List.of(new Frame.Line(NODE, 0)));
+    }
+
+    @Test
+    void messagesLeaveAtThePaceOfTheSettingsAndCountWhatIsQueued() {
+        List<RecordingTransport> transports = new ArrayList<>();
+        for (int i = 0; i < 20; i++) {
+            transports.add(new RecordingTransport());
+            join(transports.get(i), "p" + i);
+        }
+        list(NodeState.READY);
+        fixture.pass(15);
+        fixture.order(
+                actions -> {
+                    actions.setWeight(TABLE, NODE, 1);
+                    for (int i = 0; i < 20; i++) {
+                        actions.subscribe(new ProxyId(i), List.of(new MethodId(0)), TABLE);
+                    }
+                    actions.requestAcknowledgement(1);
+                },
+                15);
+        // 13 entries each at 1000 entries a second: 13 ms a message, in order.
+        fixture.pass(130);
+        long left = transports.stream().filter(t -> t.count(Frame.Mark.class) > 0).count();
+        assertTrue(left >= 9 && left <= 12, left + " of 20 have left after some 140 ms");
+        assertEquals((20 - left) * 13, fixture.status().linesWaiting());
+        fixture.pass(150);
+        assertEquals(13, transports.get(19).lastMark().waiting());
+        assertEquals(260, fixture.status().mostLinesWaiting());
+        assertTrue(transports.get(19).lastMark().queuedMicros() >= 255_000);
+    }
+}
