--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -3,272 +3,168 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.nio.ByteBuffer;
-import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rosespread.api.EventHandler;
+import rosespread.api.EventHandler.NodeState;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 import rosespread.channel.Frame;
-import rosespread.channel.FrameException;
-import rosespread.channel.FrameReader;
-import rosespread.discovery.ListedNode;
 import rosespread.drain.Drain;
-import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
-import rosespread.settings.SettingsReader;
 import rosespread.settings.SettingsTest;
 import rosespread.store.StoreSnapshot;
-import rosespread.validation.TableChangeValidator;
 
-/** Messages wait for the disk but not for long, and a conductor goes on from what was kept. */
+/** Messages wait for the disk but not for long, and a restart goes on from what was persisted. */
 class RecoveryTest {
-    private static final long MILLI = 1_000_000L;
-    private static final TableId TABLE = new TableId(1);
+    private static final TableId TABLE = ControllerFixture.TABLE;
 
-    /** The settings' drain grace is 2 s; a tenth of it is waited. */
-    private static final long PATIENCE = 200;
+    /** The settings' drain timeout is 2 s; messages wait a tenth of it for the disk. */
+    private static final long DURABILITY_TIMEOUT_MILLIS = 200;
 
-    private final class Proxy implements ProxySession.Transport {
-        final List<Frame> frames = new ArrayList<>();
-        final TreeMap<TableId, Long> versions = new TreeMap<>();
-        ProxySession link;
-        boolean answers = true;
+    private final ControllerFixture fixture = ControllerFixture.withRunningWallClock();
 
-        Proxy(String name, List<Frame.Holding> held) {
-            link = core.sessionOpened(now, this);
-            core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, name, List.of()));
-            core.frameReceived(now, link, new Frame.Join(name, "a", 5, false, held));
-        }
-
-        @Override
-        public void write(byte[] bytes) {
-            try {
-                new FrameReader(
-                                1 << 20,
-                                frame -> {
-                                    frames.add(frame);
-                                    if (frame instanceof Frame.Bind bind) {
-                                        versions.put(bind.table(), bind.version());
-                                    } else if (frame instanceof Frame.Lines delta) {
-                                        assertEquals(
-                                                versions.put(delta.table(), delta.to()),
-                                                delta.from());
-                                    } else if (frame instanceof Frame.Mark mark && answers) {
-                                        core.frameReceived(
-                                                now, link, new Frame.Installed(mark.number()));
-                                    }
-                                })
-                        .feed(ByteBuffer.wrap(bytes));
-            } catch (FrameException e) {
-                throw new AssertionError(e);
-            }
-        }
-
-        long messages() {
-            return frames.stream().filter(f -> f instanceof Frame.Mark).count();
-        }
-
-        @Override
-        public long writeBufferBytes() {
-            return 0;
-        }
-
-        @Override
-        public void close(Frame.Reason reason, String text) {}
-
-        @Override
-        public String remoteAddress() {
-            return "memory";
-        }
-    }
-
-    private Consumer<PolicyActions> script = orders -> {};
-    private MemoryLog disk;
-    private ControllerState core;
-    private long now = 1_000_000 * MILLI;
-
-    /** A conductor that has begun with this, as a process does. */
-    private void begin(StoreSnapshot image, String settings) throws SettingsException {
-        disk = new MemoryLog(image);
-        TableRegistry book = new TableRegistry(disk);
-        book.restore(image);
-        core =
-                new ControllerState(
-                        new ControllerState.Environment() {
-                            @Override
-                            public Policy newPolicy(FleetSettings of, long seed) {
-                                return (time, feed, orders) -> {
-                                    feed.deliverTo(new NoOpEventHandler());
-                                    Consumer<PolicyActions> once = script;
-                                    script = o -> {};
-                                    once.accept(orders);
-                                };
-                            }
-
-                            @Override
-                            public void checkHealth(ListedNode node) {}
-
-                            @Override
-                            public void watchNodes() {}
-                        },
-                        new TableChangeValidator(),
-                        book,
-                        () -> 1_700_000_000_000L + now / MILLI);
-        core.applySettings(now, SettingsReader.read(settings));
-        pass(20);
+    @BeforeEach
+    void start() throws SettingsException {
+        start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
     }
 
-    @BeforeEach
-    void begin() throws SettingsException {
-        begin(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+    private void start(StoreSnapshot persisted, String settings) throws SettingsException {
+        fixture.start(persisted, settings);
+        fixture.pass(20);
     }
 
-    /** Ends outright; all that was not kept is lost. */
-    private void restart() throws SettingsException {
-        begin(disk.replay.image(), SettingsTest.GOOD);
+    /** The process ends outright; all that was not durable is lost. */
+    private void restart(String settings) throws SettingsException {
+        fixture.restart(settings);
+        fixture.pass(20);
     }
 
-    private void pass(long millis) {
-        for (long end = now + millis * MILLI; now < end; ) {
-            now += 5 * MILLI;
-            core.runDue(now);
-        }
+    private MemoryLog disk() {
+        return fixture.log();
     }
 
     private static NodeId id(int node) {
-        return ListedNode.id("n" + node, "127.0.0.1", 80);
+        return ControllerFixture.id(node);
     }
 
     private void list(int... ready) {
-        List<ListedNode> all = new ArrayList<>();
-        for (int i : ready) {
-            all.add(
-                    new ListedNode(
-                            id(i),
-                            "n" + i,
-                            "127.0.0.1",
-                            80,
-                            "a",
-                            "k",
-                            1,
-                            EventHandler.NodeState.READY,
-                            0));
-        }
-        core.nodesListed(now, all);
-        pass(20);
+        fixture.list(
+                Arrays.stream(ready)
+                        .mapToObj(node -> ControllerFixture.node(node, NodeState.READY))
+                        .toList());
+        fixture.pass(20);
     }
 
-    private void order(Consumer<PolicyActions> orders) {
-        script = orders;
-        core.healthChecked(now, id(0), EventHandler.HealthCheckResult.PASSED);
-        pass(20);
+    private void order(Consumer<PolicyActions> actions) {
+        fixture.order(actions, 20);
     }
 
     private void weights(double... weights) {
         order(
-                orders -> {
+                actions -> {
                     for (int i = 0; i < weights.length; i++) {
-                        orders.setWeight(TABLE, id(i), weights[i]);
+                        actions.setWeight(TABLE, id(i), weights[i]);
                     }
                 });
     }
 
-    private Proxy bound(String name, Frame.Holding... held) {
-        Proxy proxy = new Proxy(name, List.of(held));
+    /** A proxy that has joined with these versions; all proxies are subscribed anew. */
+    private AcknowledgingProxy subscribed(String name, Frame.Holding... held) {
+        AcknowledgingProxy proxy = new AcknowledgingProxy(fixture, name, List.of(held));
         order(
-                orders -> {
-                    for (int i = 0; i < core.status().proxies(); i++) {
-                        orders.subscribe(new ProxyId(i), List.of(new MethodId(0)), TABLE);
+                actions -> {
+                    for (int i = 0; i < fixture.status().proxies(); i++) {
+                        actions.subscribe(new ProxyId(i), List.of(new MethodId(0)), TABLE);
                     }
                 });
-        pass(200);
+        fixture.pass(200);
         return proxy;
     }
 
     private ControllerStatus.Table table() {
-        return core.table(TABLE).orElseThrow();
+        return fixture.state().table(TABLE).orElseThrow();
     }
 
     @Test
-    void aMessageWaitsUntilWhatItTellsIsKept() {
+    void aMessageWaitsUntilWhatItTellsIsDurable() {
         list(0, 1);
         weights(1, 1);
-        Proxy proxy = bound("p");
+        AcknowledgingProxy proxy = subscribed("p");
         long before = proxy.messages();
-        disk.stalled = true;
+        disk().stalled = true;
         weights(1, 0.7);
-        pass(PATIENCE - 100);
+        fixture.pass(DURABILITY_TIMEOUT_MILLIS - 100);
         assertEquals(before, proxy.messages());
-        disk.makeDurable();
-        pass(5);
+        disk().makeDurable();
+        fixture.pass(5);
         assertEquals(before + 1, proxy.messages());
-        assertEquals(0, core.status().storage().unkeptMessages());
+        assertEquals(0, fixture.status().storage().unkeptMessages());
     }
 
     @Test
-    void aSlowMemoryLogDelaysNothingForLongAndIsWaitedForOnce() {
+    void aSlowDiskDelaysMessagesOnceAndNotForLong() {
         list(0, 1);
         weights(1, 1);
-        Proxy proxy = bound("p");
+        AcknowledgingProxy proxy = subscribed("p");
         long before = proxy.messages();
-        disk.stalled = true;
+        disk().stalled = true;
         weights(1, 0.7);
-        pass(PATIENCE + 20);
+        fixture.pass(DURABILITY_TIMEOUT_MILLIS + 20);
         assertEquals(before + 1, proxy.messages());
-        assertTrue(core.status().storage().late());
+        assertTrue(fixture.status().storage().late());
         weights(1, 0.8);
-        pass(40);
+        fixture.pass(40);
         assertEquals(before + 2, proxy.messages(), "the next does not wait again");
-        disk.stalled = false;
-        disk.makeDurable();
+        disk().stalled = false;
+        disk().makeDurable();
         weights(1, 0.9);
-        pass(40);
-        assertTrue(!core.status().storage().late());
-        assertEquals(2, core.status().storage().unkeptMessages());
+        fixture.pass(40);
+        assertTrue(!fixture.status().storage().late());
+        assertEquals(2, fixture.status().storage().unkeptMessages());
     }
 
     @Test
-    void aBrokenMemoryLogDelaysNothing() {
+    void aBrokenDiskDelaysNothing() {
         list(0, 1);
         weights(1, 1);
-        Proxy proxy = bound("p");
+        AcknowledgingProxy proxy = subscribed("p");
         long before = proxy.messages();
-        disk.stalled = true;
-        disk.trouble = "No space left on device";
+        disk().stalled = true;
+        disk().trouble = "No space left on device";
         weights(1, 0.7);
-        pass(40);
+        fixture.pass(40);
         assertEquals(before + 1, proxy.messages());
-        assertEquals("No space left on device", core.status().storage().trouble());
+        assertEquals("No space left on device", fixture.status().storage().trouble());
     }
 
     @Test
-    void goesOnFromWhatWasKept() throws SettingsException {
+    void aRestartGoesOnFromWhatWasPersisted() throws SettingsException {
         list(0, 1, 2);
         weights(1, 1, 1);
-        bound("p");
+        subscribed("p");
         weights(1, 0.7, 1);
         long version = table().version();
-        long digestOf = table().versions().size();
-        restart();
+        long versions = table().versions().size();
+        restart(SettingsTest.GOOD);
         assertEquals(version, table().version());
-        assertEquals(digestOf, table().versions().size());
+        assertEquals(versions, table().versions().size());
         // Before the list is known nothing moves; then what is not listed any more goes.
-        pass(500);
+        fixture.pass(500);
         assertEquals(3, table().lines().size());
         list(0, 1);
-        pass(50);
+        fixture.pass(50);
         assertEquals(2, table().lines().size());
         weights(1, 0.7);
-        Proxy again = bound("p", new Frame.Holding(TABLE, version));
-        assertTrue(again.versions.get(TABLE) >= version);
+        AcknowledgingProxy again = subscribed("p", new Frame.Holding(TABLE, version));
+        assertTrue(again.version(TABLE) >= version);
         assertEquals("NONE", table().held());
     }
 
@@ -277,41 +173,47 @@
      * is empty.
      */
     @Test
-    void aRollbackWaitsWhileMostProxiesOweAnswers() {
+    void aRollbackWaitsWhileMostAcknowledgementsAreOverdue() {
         list(0, 1, 2);
         weights(1, 1, 1);
-        Proxy proxy = bound("p");
+        AcknowledgingProxy proxy = subscribed("p");
         long first = table().version();
         weights(0.5, 0.6, 0.7);
-        pass(100);
-        proxy.answers = false;
+        fixture.pass(100);
+        proxy.stopAcknowledging();
         for (int i = 0; i < 90; i++) {
-            proxy.link.awaitAcknowledgement(
-                    new ProxySession.UnacknowledgedMessage(1 + i, 1, -1, now, 30, now));
+            proxy.session()
+                    .awaitAcknowledgement(
+                            new ProxySession.UnacknowledgedMessage(
+                                    1 + i, 1, -1, fixture.nowNanos(), 30, fixture.nowNanos()));
         }
         for (int i = 0; i < 8; i++) {
-            pass(100);
-            core.frameReceived(now, proxy.link, new Frame.KeepAlive(1, true));
+            fixture.pass(100);
+            fixture.receive(proxy.session(), new Frame.KeepAlive(1, true));
         }
-        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
-        pass(200);
+        assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
+        fixture.pass(200);
         assertEquals(
-                0.5, core.status().tables().get(0).lines().get("n0"), "nothing of it left yet");
-        proxy.link.acknowledge(90);
-        assertEquals(0, proxy.link.unacknowledgedMessages());
-        order(orders -> {});
-        pass(100);
-        assertEquals(1.0, core.status().tables().get(0).lines().get("n0"));
+                0.5, fixture.status().tables().get(0).lines().get("n0"), "nothing of it left yet");
+        proxy.session().acknowledge(90);
+        assertEquals(0, proxy.session().unacknowledgedMessages());
+        order(actions -> {});
+        fixture.pass(100);
+        assertEquals(1.0, fixture.status().tables().get(0).lines().get("n0"));
     }
 
     /** A drain ends with its node; a list that has not told of the node yet ends nothing. */
     @Test
-    void aDrainEndsWhenItsNodeIsGone() {
+    void aDrainEndsAsItsNodeIsNoLongerListed() {
         list(0, 1);
         assertEquals(
                 DrainResult.Kind.DONE,
-                core.drain(now, new DrainRequest("n1", true, "o", "c", -1, true)).kind());
-        core.mergeDrains(now, List.of(new Drain(id(2), "n2", true, 9, "p", "d", 0)));
+                fixture.state()
+                        .drain(fixture.nowNanos(), new DrainRequest("n1", true, "o", "c", -1, true))
+                        .kind());
+        fixture.state()
+                .mergeDrains(
+                        fixture.nowNanos(), List.of(new Drain(id(2), "n2", true, 9, "p", "d", 0)));
         list(0, 1);
         assertEquals(List.of("n1", "n2"), drained());
         list(0);
@@ -320,7 +222,7 @@
         assertEquals(List.of("n2"), drained());
         assertEquals(
                 "DRAINING",
-                core.status().nodes().stream()
+                fixture.status().nodes().stream()
                         .filter(n -> n.name().equals("n2"))
                         .findFirst()
                         .orElseThrow()
@@ -328,30 +230,34 @@
     }
 
     private List<String> drained() {
-        return core.drains().stream().filter(Drain::on).map(Drain::name).sorted().toList();
+        return fixture.state().drains().stream()
+                .filter(Drain::on)
+                .map(Drain::name)
+                .sorted()
+                .toList();
     }
 
     @Test
-    void holdsOutliveTheProcess() throws SettingsException {
+    void pinsOutliveTheProcess() throws SettingsException {
         list(0, 1, 2);
         weights(1, 1, 1);
-        bound("p");
+        subscribed("p");
         long first = table().version();
         weights(1, 0.5, 0.5);
-        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
-        pass(100);
-        restart();
+        assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
+        fixture.pass(100);
+        restart(SettingsTest.GOOD);
         list(0, 1, 2);
         weights(0.2, 0.3, 1);
-        bound("p");
+        subscribed("p");
         assertEquals("PINNED", table().held());
         assertEquals(1.0, table().lines().get("n0"));
-        assertEquals(TableActResult.DONE, core.release(now, TABLE));
-        restart();
+        assertEquals(TableActResult.DONE, fixture.release(TABLE));
+        restart(SettingsTest.GOOD);
         assertEquals("RELEASING", table().held());
         list(0, 1, 2);
         weights(0.2, 0.3, 1);
-        pass(9000);
+        fixture.pass(9000);
         assertEquals("NONE", table().held());
         assertEquals(0.3, table().lines().get("n1"));
     }
@@ -362,75 +268,73 @@
         list(0, 1, 2);
         weights(1, 1, 1);
         long first = table().version();
-        Proxy proxy = bound("p");
+        AcknowledgingProxy proxy = subscribed("p");
         weights(0.5, 0.6, 0.7);
         // So much was written lately that a message must wait.
         for (int i = 0; i < 40; i++) {
-            proxy.link.messageQueuedAt(now);
+            proxy.session().messageQueuedAt(fixture.nowNanos());
         }
-        assertEquals(TableActResult.DONE, core.rollback(now, TABLE, first));
-        restart();
+        assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
+        restart(SettingsTest.GOOD);
         assertEquals("PINNED", table().held());
         list(0, 1, 2);
-        pass(50);
-        assertEquals(
-                new TreeMap<>(java.util.Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0)), table().lines());
+        fixture.pass(50);
+        assertEquals(new TreeMap<>(Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0)), table().lines());
     }
 
     @Test
-    void numbersGoOnBeyondWhatAProxyHoldsFromElsewhere() {
+    void versionsGoOnBeyondThoseThatAProxyHoldsFromElsewhere() {
         list(0, 1);
         weights(1, 1);
-        Proxy first = bound("p");
-        long low = first.versions.get(TABLE);
-        Proxy stranger =
-                bound("q", new Frame.Holding(TABLE, 5000), new Frame.Holding(new TableId(77), 9));
-        assertTrue(stranger.versions.get(TABLE) > 5000, stranger.versions.toString());
-        assertEquals(stranger.versions.get(TABLE), first.versions.get(TABLE));
-        assertTrue(first.versions.get(TABLE) > low);
-        long now = stranger.versions.get(TABLE);
-        Proxy third = bound("r", new Frame.Holding(TABLE, 5100));
-        assertEquals(now, third.versions.get(TABLE), "one jump is enough for proxies of one past");
-        bound("s", new Frame.Holding(TABLE, Long.MAX_VALUE));
-        assertEquals(now, table().version(), "a number that none can have come to is passed over");
+        AcknowledgingProxy first = subscribed("p");
+        long low = first.version(TABLE);
+        AcknowledgingProxy other =
+                subscribed(
+                        "q", new Frame.Holding(TABLE, 5000), new Frame.Holding(new TableId(77), 9));
+        assertTrue(other.version(TABLE) > 5000, "version " + other.version(TABLE));
+        assertEquals(other.version(TABLE), first.version(TABLE));
+        assertTrue(first.version(TABLE) > low);
+        long raised = other.version(TABLE);
+        AcknowledgingProxy third = subscribed("r", new Frame.Holding(TABLE, 5100));
+        assertEquals(raised, third.version(TABLE), "one jump is enough for proxies of one past");
+        subscribed("s", new Frame.Holding(TABLE, Long.MAX_VALUE));
+        assertEquals(
+                raised, table().version(), "a number that none can have come to is passed over");
         weights(1, 0.5);
-        pass(50);
-        assertEquals(now + 1, first.versions.get(TABLE));
-        assertEquals(0, core.status().missedDeltas());
+        fixture.pass(50);
+        assertEquals(raised + 1, first.version(TABLE));
+        assertEquals(0, fixture.status().missedDeltas());
     }
 
     @Test
-    void numbersBeginBeyondWhatProxiesHoldIfNothingWasKept() throws SettingsException {
-        begin(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+    void versionsBeginBeyondThoseThatProxiesHoldIfNothingWasPersisted() throws SettingsException {
+        start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
         list(0, 1);
-        Proxy proxy = new Proxy("p", List.of(new Frame.Holding(TABLE, 700)));
+        AcknowledgingProxy proxy =
+                new AcknowledgingProxy(fixture, "p", List.of(new Frame.Holding(TABLE, 700)));
         order(
-                orders -> {
-                    orders.setWeight(TABLE, id(0), 1);
-                    orders.subscribe(new ProxyId(0), List.of(new MethodId(0)), TABLE);
+                actions -> {
+                    actions.setWeight(TABLE, id(0), 1);
+                    actions.subscribe(new ProxyId(0), List.of(new MethodId(0)), TABLE);
                 });
-        pass(100);
-        assertTrue(proxy.versions.get(TABLE) > 700);
+        fixture.pass(100);
+        assertTrue(proxy.version(TABLE) > 700);
     }
 
     /**
      * Other methods or zones make other tables: holds and old versions would mean something else.
      */
     @Test
-    void otherSettingsLetGoOfHoldsButNotOfNumbers() throws SettingsException {
+    void otherSettingsDropPinsButNotVersionNumbers() throws SettingsException {
         list(0, 1);
         weights(1, 1);
-        bound("p");
+        subscribed("p");
         weights(1, 0.5);
-        core.pin(now, TABLE);
+        fixture.pin(TABLE);
         long version = table().version();
-        core.applySettings(
-                now,
-                SettingsReader.read(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod")));
+        fixture.applySettings(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod"));
         assertEquals("PINNED", table().held(), "the same settings change nothing");
-        begin(
-                disk.replay.image(),
-                SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
+        restart(SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
         assertEquals(1, table().versions().size());
