--- /dev/null
+++ b/src/test/java/rosespread/controller/StoredStateFixture.java
@@ -0,0 +1,152 @@
+package rosespread.controller;
+
+import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
+import ch.qos.logback.classic.spi.ILoggingEvent;
+import ch.qos.logback.core.read.ListAppender;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.io.TempDir;
+import org.slf4j.LoggerFactory;
+import rosespread.api.NodeId;
+import rosespread.audit.AuditLog;
+import rosespread.store.LogOutput;
+import rosespread.store.StoreSnapshot;
+import rosespread.store.TableStore;
+import rosespread.table.TableSnapshot;
+import rosespread.table.TableVersion;
+
+/**
+ * A copy of a state directory that an earlier version wrote: the test resource {@code stored/v1},
+ * which a whole process wrote over two restarts. Expected values are the recorded ones, never
+ * computed anew.
+ */
+abstract class StoredStateFixture {
+    static final String TABLES = "tables-000003.log";
+    static final String AUDIT = "audit.log";
+    static final String SETTINGS = "settings.json";
+    static final int AUDIT_LINES = 28;
+    static final int TABLES_BYTES = 4699;
+    static final int AUDIT_BYTES = 6018;
+    static final String AUDIT_CHAIN =
+            "5703763dcae16b29c54b1fcdbf554e1a6a63fcecd9c3d012e4123450beca3591";
+    static final long WALL = 1_700_000_000_000L;
+
+    private static final Logger ROOT =
+            (Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
+
+    private final ListAppender<ILoggingEvent> logged = new ListAppender<>();
+
+    @TempDir Path folder;
+
+    @BeforeEach
+    void copy() throws IOException {
+        for (String name : List.of(TABLES, AUDIT, SETTINGS)) {
+            Files.write(folder.resolve(name), resource("v1/" + name));
+        }
+        logged.start();
+        ROOT.addAppender(logged);
+    }
+
+    @AfterEach
+    void listenNoMore() {
+        ROOT.detachAppender(logged);
+    }
+
+    /** Warnings and errors that name the folder. */
+    List<String> warned() {
+        return List.copyOf(logged.list).stream()
+                .filter(e -> e.getLevel().isGreaterOrEqual(Level.WARN))
+                .map(e -> e.getLevel() + " " + e.getFormattedMessage())
+                .filter(text -> text.contains(folder.toString()))
+                .toList();
+    }
+
+    static byte[] resource(String name) throws IOException {
+        try (InputStream in =
+                StoredStateFixture.class.getResourceAsStream("/rosespread/stored/" + name)) {
+            return in.readAllBytes();
+        }
+    }
+
+    static String text(String name) throws IOException {
+        return new String(resource(name), StandardCharsets.UTF_8);
+    }
+
+    Path file(String name) {
+        return folder.resolve(name);
+    }
+
+    void cut(String name, int bytes) throws IOException {
+        byte[] all = Files.readAllBytes(file(name));
+        Files.write(file(name), Arrays.copyOf(all, all.length - bytes));
+    }
+
+    void add(String name, String garbage) throws IOException {
+        Files.writeString(file(name), garbage, StandardOpenOption.APPEND);
+    }
+
+    TableStore store(Path at) {
+        return new TableStore(at, LogOutput.DISK, () -> WALL, () -> {});
+    }
+
+    StoreSnapshot restored() throws IOException {
+        try (TableStore store = store(folder)) {
+            return store.open();
+        }
+    }
+
+    /** One line for each table and each of its versions, with all weights. */
+    static String tables(StoreSnapshot image) {
+        StringBuilder all = new StringBuilder();
+        for (TableSnapshot table : image.tables()) {
+            all.append(table.hold().name())
+                    .append(" to ")
+                    .append(table.to())
+                    .append(" kept ")
+                    .append(table.kept())
+                    .append(" pending ")
+                    .append(weights(table.pending()))
+                    .append('\n');
+            for (TableVersion v : table.versions()) {
+                all.append("  ")
+                        .append(v.table().value())
+                        .append(" version ")
+                        .append(v.number())
+                        .append(" after ")
+                        .append(v.parent())
+                        .append(' ')
+                        .append(v.cause().name())
+                        .append(" at ")
+                        .append(v.atMillis())
+                        .append(' ')
+                        .append(Long.toHexString(v.digest()))
+                        .append(' ')
+                        .append(weights(v.lines()))
+                        .append('\n');
+            }
+        }
+        return all.toString();
+    }
+
+    static Map<String, Double> weights(Map<NodeId, Double> lines) {
+        Map<String, Double> named = new TreeMap<>();
+        lines.forEach((node, weight) -> named.put(Long.toHexString(node.value()), weight));
+        return named;
+    }
+
+    static AuditLog.Act act() {
+        return new AuditLog.Act(
+                "eve", "control.example", "POST /v1/tables/1/release", "free-1", "200 done");
+    }
+}
