--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -92,9 +92,9 @@
      * @param name how it names itself to other services
      * @param folder where settings and tables are persisted; made if it is not there
      * @param planning makes its policy
-     * @param gate checks the policy's changes of tables
+     * @param validator checks the policy's changes of tables
      */
-    public Controller(String name, Path folder, Planning planning, TableChangeValidator gate) {
+    public Controller(String name, Path folder, Planning planning, TableChangeValidator validator) {
         this.name = name;
         // The store wakes the event loop, as messages may wait for what is durable now.
         this.store =
@@ -106,7 +106,10 @@
         this.registry = new TableRegistry(store);
         this.state =
                 new ControllerState(
-                        new ClientEnvironment(planning), gate, registry, System::currentTimeMillis);
+                        new ClientEnvironment(planning),
+                        validator,
+                        registry,
+                        System::currentTimeMillis);
         this.lastStatus = state.status();
         this.server = new ChannelServer(CHANNEL_THREADS, queue, state);
         this.nodeClients = new NodeClients(name, http, timer, queue, state);
--- a/src/test/java/rosespread/controller/ControllerFixture.java
+++ b/src/test/java/rosespread/controller/ControllerFixture.java
@@ -80,7 +80,7 @@
 
     /** Restarts from what is durable; all else is lost, and so are the streams. */
     void restart(String settings) throws SettingsException {
-        start(log.replay.image(), settings);
+        start(log.persisted(), settings);
     }
 
     void applySettings(String settings) throws SettingsException {
--- a/src/test/java/rosespread/controller/MemoryLog.java
+++ b/src/test/java/rosespread/controller/MemoryLog.java
@@ -8,17 +8,17 @@
 import rosespread.store.StoreSnapshot;
 import rosespread.store.TableLog;
 
-/** A disk in memory that keeps what it is told to keep. */
+/** A log in memory that makes entries durable at once, or not while a test stalls it. */
 final class MemoryLog implements TableLog {
-    final LogReplay replay;
+    private final LogReplay durableEntries;
     private final List<LogEntry> notDurable = new ArrayList<>();
     private long appended;
     private long durable;
-    boolean stalled;
-    String trouble = "";
+    private boolean stalled;
+    private String trouble = "";
 
-    MemoryLog(StoreSnapshot image) {
-        replay = new LogReplay(image);
+    MemoryLog(StoreSnapshot persisted) {
+        durableEntries = new LogReplay(persisted);
     }
 
     @Override
@@ -31,10 +31,32 @@
         return appended;
     }
 
+    /** From now on nothing becomes durable by itself. */
+    void stall() {
+        stalled = true;
+    }
+
+    /** As {@link #stall}, and the log says why. */
+    void fail(String reason) {
+        stalled = true;
+        trouble = reason;
+    }
+
+    /** From now on entries become durable at once; those before wait for {@link #makeDurable}. */
+    void resume() {
+        stalled = false;
+        trouble = "";
+    }
+
+    boolean isStalled() {
+        return stalled;
+    }
+
+    /** Makes all entries so far durable. */
     void makeDurable() {
         try {
             for (LogEntry entry : notDurable) {
-                replay.take(entry);
+                durableEntries.take(entry);
             }
         } catch (StoreException e) {
             throw new AssertionError(e);
@@ -43,6 +65,11 @@
         durable = appended;
     }
 
+    /** Returns what a restart finds. */
+    StoreSnapshot persisted() {
+        return durableEntries.image();
+    }
+
     @Override
     public long durable() {
         return durable;
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -99,7 +99,7 @@
         weights(1, 1);
         AcknowledgingProxy proxy = subscribed("p");
         long before = proxy.messages();
-        disk().stalled = true;
+        disk().stall();
         weights(1, 0.7);
         fixture.pass(DURABILITY_TIMEOUT_MILLIS - 100);
         assertEquals(before, proxy.messages());
@@ -115,7 +115,7 @@
         weights(1, 1);
         AcknowledgingProxy proxy = subscribed("p");
         long before = proxy.messages();
-        disk().stalled = true;
+        disk().stall();
         weights(1, 0.7);
         fixture.pass(DURABILITY_TIMEOUT_MILLIS + 20);
         assertEquals(before + 1, proxy.messages());
@@ -123,7 +123,7 @@
         weights(1, 0.8);
         fixture.pass(40);
         assertEquals(before + 2, proxy.messages(), "the next does not wait again");
-        disk().stalled = false;
+        disk().resume();
         disk().makeDurable();
         weights(1, 0.9);
         fixture.pass(40);
@@ -137,8 +137,7 @@
         weights(1, 1);
         AcknowledgingProxy proxy = subscribed("p");
         long before = proxy.messages();
-        disk().stalled = true;
-        disk().trouble = "No space left on device";
+        disk().fail("No space left on device");
         weights(1, 0.7);
         fixture.pass(40);
         assertEquals(before + 1, proxy.messages());
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -255,8 +255,13 @@
 
     private void stallOrRepairDisk(Random random) {
         MemoryLog log = fixture.log();
-        log.stalled = !log.stalled;
-        log.trouble = log.stalled && random.nextBoolean() ? "full" : "";
+        if (log.isStalled()) {
+            log.resume();
+        } else if (random.nextBoolean()) {
+            log.fail("full");
+        } else {
+            log.stall();
+        }
         log.makeDurable();
     }
 
