--- a/src/test/java/rosespread/controller/ControllerFixture.java
+++ b/src/test/java/rosespread/controller/ControllerFixture.java
@@ -13,6 +13,7 @@
 import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
 import rosespread.settings.SettingsReader;
+import rosespread.settings.SettingsTest;
 import rosespread.store.StoreSnapshot;
 import rosespread.validation.TableChangeValidator;
 
@@ -29,8 +30,8 @@
     private static final String HOST = "127.0.0.1";
     private static final int PORT = 80;
 
-    private final EventHandler policyEvents;
-    private final Consumer<String> environmentCalls;
+    private final RecordingEventHandler recorder = new RecordingEventHandler(this::nowNanos);
+    private final boolean records;
     private final LongUnaryOperator wallMillis;
     private final ArrayDeque<Consumer<PolicyActions>> orders = new ArrayDeque<>();
     private Runnable afterStep = () -> {};
@@ -38,24 +39,30 @@
     private MemoryLog log;
     private ControllerState state;
 
-    private ControllerFixture(
-            EventHandler policyEvents,
-            Consumer<String> environmentCalls,
-            LongUnaryOperator wallMillis) {
-        this.policyEvents = policyEvents;
-        this.environmentCalls = environmentCalls;
+    private ControllerFixture(boolean records, LongUnaryOperator wallMillis) {
+        this.records = records;
         this.wallMillis = wallMillis;
     }
 
     /** Its wall clock goes with the test's clock; nothing is recorded. */
     static ControllerFixture withRunningWallClock() {
-        return new ControllerFixture(
-                new NoOpEventHandler(), call -> {}, now -> WALL_MILLIS + now / MILLI);
+        return new ControllerFixture(false, now -> WALL_MILLIS + now / MILLI);
     }
 
-    /** Its wall clock stands still; events and calls to the environment are recorded. */
-    static ControllerFixture withFixedWallClock(RecordingEventHandler recorder) {
-        return new ControllerFixture(recorder, recorder.events()::add, now -> WALL_MILLIS);
+    /**
+     * Has good settings and a wall clock that stands still; the policy's events from here on and
+     * calls to the environment are recorded.
+     */
+    static ControllerFixture startedAndRecording() throws SettingsException {
+        ControllerFixture fixture = new ControllerFixture(true, now -> WALL_MILLIS);
+        fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        fixture.pass(20);
+        fixture.recorder.events().clear();
+        return fixture;
+    }
+
+    RecordingEventHandler recorder() {
+        return recorder;
     }
 
     /** Called after each step of the clock. */
@@ -127,6 +134,11 @@
         return session;
     }
 
+    /** Opens a session and joins as a proxy of this name that holds no tables. */
+    ProxySession join(ProxySession.Transport transport, String name) {
+        return join(transport, new Frame.Join(name, "a", 5));
+    }
+
     /** A frame comes from a proxy. */
     void receive(ProxySession session, Frame frame) {
         state.frameReceived(nowNanos, session, frame);
@@ -157,6 +169,11 @@
         return node("n" + node, PORT, nodeState, 0);
     }
 
+    /** The node n, which tests list by itself. */
+    static ListedNode singleNode(EventHandler.NodeState nodeState, long startedMillis) {
+        return node("n", PORT, nodeState, startedMillis);
+    }
+
     static ListedNode node(
             String name, int port, EventHandler.NodeState nodeState, long startedMillis) {
         return new ListedNode(
@@ -171,12 +188,18 @@
                 startedMillis);
     }
 
+    private void record(String call) {
+        if (records) {
+            recorder.events().add(call);
+        }
+    }
+
     private final class ScriptedEnvironment implements ControllerState.Environment {
         @Override
         public Policy newPolicy(FleetSettings settings, long seed) {
-            environmentCalls.accept("fresh planner");
+            record("fresh planner");
             return (now, events, actions) -> {
-                events.deliverTo(policyEvents);
+                events.deliverTo(records ? recorder : new NoOpEventHandler());
                 while (!orders.isEmpty()) {
                     orders.poll().accept(actions);
                 }
@@ -185,12 +208,12 @@
 
         @Override
         public void checkHealth(ListedNode node) {
-            environmentCalls.accept("probe " + node.name());
+            record("probe " + node.name());
         }
 
         @Override
         public void watchNodes() {
-            environmentCalls.accept("follow");
+            record("follow");
         }
     }
 }
--- a/src/test/java/rosespread/controller/ControllerStateTest.java
+++ b/src/test/java/rosespread/controller/ControllerStateTest.java
@@ -10,37 +10,27 @@
 import rosespread.api.NodeId;
 import rosespread.channel.Frame;
 import rosespread.settings.SettingsException;
-import rosespread.settings.SettingsTest;
-import rosespread.store.StoreSnapshot;
 
 /** What the policy is told: load reports, node lists and starts, and how it is restarted. */
 class ControllerStateTest {
-    private static final NodeId NODE = ControllerFixture.node("n", 80, NodeState.READY, 0).id();
+    private static final NodeId NODE = ControllerFixture.singleNode(NodeState.READY, 0).id();
 
-    private final RecordingEventHandler recorder = new RecordingEventHandler();
-    private final ControllerFixture fixture = ControllerFixture.withFixedWallClock(recorder);
+    private ControllerFixture fixture;
 
     @BeforeEach
     void start() throws SettingsException {
-        recorder.useClockOf(fixture);
-        fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
-        fixture.pass(20);
-        recorder.events().clear();
-    }
-
-    private ProxySession join(RecordingTransport transport, String name) {
-        return fixture.join(transport, new Frame.Join(name, "a", 5));
+        fixture = ControllerFixture.startedAndRecording();
     }
 
     private void list(NodeState state, long startedMillis) {
-        fixture.list(List.of(ControllerFixture.node("n", 80, state, startedMillis)));
+        fixture.list(List.of(ControllerFixture.singleNode(state, startedMillis)));
     }
 
     @Test
     void loadReportsOfAZoneAreAddedUpOverTheTimeThatTheyCover() {
         list(NodeState.READY, 0);
-        ProxySession one = join(new RecordingTransport(), "p1");
-        ProxySession two = join(new RecordingTransport(), "p2");
+        ProxySession one = fixture.join(new RecordingTransport(), "p1");
+        ProxySession two = fixture.join(new RecordingTransport(), "p2");
         for (ProxySession session : List.of(one, one, two, two)) {
             fixture.receive(
                     session,
@@ -51,7 +41,7 @@
                                     new Frame.Sum(new NodeId(99), 1, 0, 1, 1))));
         }
         fixture.pass(1100);
-        assertEquals(List.of("sums 16/4 over 2000 at 0.5"), recorder.events("sums"));
+        assertEquals(List.of("sums 16/4 over 2000 at 0.5"), fixture.recorder().events("sums"));
         assertEquals(4, fixture.status().sumsOfUnknownNodes());
     }
 
@@ -62,27 +52,28 @@
         list(NodeState.DRAINING, ControllerFixture.WALL_MILLIS - 3000);
         fixture.pass(15);
         assertEquals(
-                List.of("node READY up 3005", "node DRAINING up 3505"), recorder.events("node"));
+                List.of("node READY up 3005", "node DRAINING up 3505"),
+                fixture.recorder().events("node"));
     }
 
     @Test
     void aFailedPolicyIsRestartedAndProxiesRejoin() {
         RecordingTransport transport = new RecordingTransport();
         list(NodeState.READY, 0);
-        join(transport, "p");
+        fixture.join(transport, "p");
         fixture.pass(15);
-        recorder.events().clear();
+        fixture.recorder().events().clear();
         fixture.order(
                 actions -> {
                     throw new IllegalStateException("broken on purpose");
                 },
                 15);
         assertTrue(transport.closed().contains("begins anew"), transport.closed());
-        join(new RecordingTransport(), "p");
+        fixture.join(new RecordingTransport(), "p");
         fixture.pass(1200);
         assertEquals(
                 List.of("probed PASSED", "fresh planner", "list CACHED", "node READY", "joined 0"),
-                recorder.events().subList(0, 5));
+                fixture.recorder().events().subList(0, 5));
         assertEquals(1, fixture.status().moduleFaults());
     }
 
@@ -94,7 +85,7 @@
         fixture.pass(15);
         assertEquals(
                 List.of("list FULL", "node READY", "list UNAVAILABLE"),
-                recorder.events("list", "node"));
+                fixture.recorder().events("list", "node"));
         assertEquals(1, fixture.status().nodes().size());
     }
 }
--- a/src/test/java/rosespread/controller/ProxySessionTest.java
+++ b/src/test/java/rosespread/controller/ProxySessionTest.java
@@ -18,27 +18,17 @@
 import rosespread.channel.Frame;
 import rosespread.discovery.ListedNode;
 import rosespread.settings.SettingsException;
-import rosespread.settings.SettingsTest;
-import rosespread.store.StoreSnapshot;
 
 /** Sessions of proxies: handshake, keep-alive, acknowledgements, and what closes them. */
 class ProxySessionTest {
-    private static final ListedNode LISTED = ControllerFixture.node("n", 80, NodeState.READY, 0);
+    private static final ListedNode LISTED = ControllerFixture.singleNode(NodeState.READY, 0);
     private static final NodeId NODE = LISTED.id();
 
-    private final RecordingEventHandler recorder = new RecordingEventHandler();
-    private final ControllerFixture fixture = ControllerFixture.withFixedWallClock(recorder);
+    private ControllerFixture fixture;
 
     @BeforeEach
     void start() throws SettingsException {
-        recorder.useClockOf(fixture);
-        fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
-        fixture.pass(20);
-        recorder.events().clear();
-    }
-
-    private ProxySession join(RecordingTransport transport, String name) {
-        return fixture.join(transport, new Frame.Join(name, "a", 5));
+        fixture = ControllerFixture.startedAndRecording();
     }
 
     private void keepAlive(ProxySession session) {
@@ -49,7 +39,7 @@
     void acknowledgementsOfAnEarlierStreamAreDropped() {
         fixture.list(List.of(LISTED));
         RecordingTransport first = new RecordingTransport();
-        ProxySession session = join(first, "p");
+        ProxySession session = fixture.join(first, "p");
         Consumer<PolicyActions> subscribe =
                 actions -> {
                     actions.setWeight(ControllerFixture.TABLE, NODE, 1);
@@ -62,27 +52,32 @@
         long number = first.lastMark().number();
         fixture.state().sessionClosed(fixture.nowNanos(), session);
         RecordingTransport second = new RecordingTransport();
-        ProxySession again = join(second, "p");
+        ProxySession again = fixture.join(second, "p");
         fixture.receive(again, new Frame.Installed(number));
         fixture.pass(20);
-        assertEquals(List.of(), recorder.events("installed"));
+        assertEquals(List.of(), fixture.recorder().events("installed"));
         assertEquals(1, fixture.status().strayAnswers());
         fixture.order(subscribe, 15);
         fixture.pass(50);
         fixture.receive(again, new Frame.Installed(second.lastMark().number()));
         fixture.pass(20);
-        assertEquals(1, recorder.events("installed 9 by 0").size(), recorder.events().toString());
+        assertEquals(
+                1,
+                fixture.recorder().events("installed 9 by 0").size(),
+                fixture.recorder().events().toString());
     }
 
     @Test
     void aNewerStreamOfAProxyReplacesTheOlderOne() {
         RecordingTransport old = new RecordingTransport();
-        join(old, "p");
+        fixture.join(old, "p");
         fixture.pass(15);
-        join(new RecordingTransport(), "p");
+        fixture.join(new RecordingTransport(), "p");
         fixture.pass(15);
         assertTrue(old.closed().startsWith("REPLACED"), old.closed());
-        assertEquals(List.of("joined 0", "left 0", "joined 0"), recorder.events("joined", "left"));
+        assertEquals(
+                List.of("joined 0", "left 0", "joined 0"),
+                fixture.recorder().events("joined", "left"));
     }
 
     @Test
@@ -90,9 +85,9 @@
         RecordingTransport silent = new RecordingTransport();
         RecordingTransport slow = new RecordingTransport();
         RecordingTransport good = new RecordingTransport();
-        join(silent, "silent");
-        ProxySession slowSession = join(slow, "slow");
-        ProxySession goodSession = join(good, "good");
+        fixture.join(silent, "silent");
+        ProxySession slowSession = fixture.join(slow, "slow");
+        ProxySession goodSession = fixture.join(good, "good");
         for (int i = 0; i < 30; i++) {
             fixture.pass(100);
             keepAlive(slowSession);
@@ -118,7 +113,7 @@
             })
     void aSessionThatViolatesTheProtocolIsClosedAndNoOther(String fault, String reason) {
         RecordingTransport other = new RecordingTransport();
-        ProxySession otherSession = join(other, "other");
+        ProxySession otherSession = fixture.join(other, "other");
         RecordingTransport transport = new RecordingTransport();
         ProxySession session = fixture.state().sessionOpened(fixture.nowNanos(), transport);
         violate(session, fault, otherSession);
--- a/src/test/java/rosespread/controller/RecordingEventHandler.java
+++ b/src/test/java/rosespread/controller/RecordingEventHandler.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import rosespread.api.EventHandler;
+import java.util.function.LongSupplier;
 import rosespread.api.MachineTypeId;
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
@@ -10,13 +10,15 @@
 import rosespread.api.ZoneId;
 
 /** Records the policy's events as texts, with the time of the fixture. */
-final class RecordingEventHandler implements EventHandler {
+final class RecordingEventHandler extends NoOpEventHandler {
     private final List<String> events = new ArrayList<>();
-    private ControllerFixture fixture;
+    private final LongSupplier clock;
 
-    /** Sets whose clock ages are counted from. */
-    void useClockOf(ControllerFixture next) {
-        fixture = next;
+    /**
+     * @param clock the time that ages are counted to, in nanoseconds
+     */
+    RecordingEventHandler(LongSupplier clock) {
+        this.clock = clock;
     }
 
     List<String> events() {
@@ -43,13 +45,10 @@
             double weight,
             NodeState state,
             long started) {
-        long upMillis = (fixture.nowNanos() - started) / ControllerFixture.MILLI;
+        long upMillis = (clock.getAsLong() - started) / ControllerFixture.MILLI;
         events.add("node " + state + (started == Long.MIN_VALUE ? "" : " up " + upMillis));
     }
 
-    @Override
-    public void listCompleted() {}
-
     @Override
     public void proxyJoined(ProxyId proxy, ZoneId zone, double rate) {
         events.add("joined " + proxy.value());
--- a/src/test/java/rosespread/controller/TableDeliveryTest.java
+++ b/src/test/java/rosespread/controller/TableDeliveryTest.java
@@ -16,32 +16,22 @@
 import rosespread.channel.Frame;
 import rosespread.discovery.ListedNode;
 import rosespread.settings.SettingsException;
-import rosespread.settings.SettingsTest;
-import rosespread.store.StoreSnapshot;
 
 /** How tables reach proxies: full and as deltas, compressed, at the pace and within the limits. */
 class TableDeliveryTest {
     private static final TableId TABLE = ControllerFixture.TABLE;
     private static final List<MethodId> BOTH_METHODS = List.of(new MethodId(0), new MethodId(1));
-    private static final NodeId NODE = ControllerFixture.node("n", 80, NodeState.READY, 0).id();
+    private static final NodeId NODE = ControllerFixture.singleNode(NodeState.READY, 0).id();
 
-    private final RecordingEventHandler recorder = new RecordingEventHandler();
-    private final ControllerFixture fixture = ControllerFixture.withFixedWallClock(recorder);
+    private ControllerFixture fixture;
 
     @BeforeEach
     void start() throws SettingsException {
-        recorder.useClockOf(fixture);
-        fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
-        fixture.pass(20);
-        recorder.events().clear();
-    }
-
-    private ProxySession join(RecordingTransport transport, String name) {
-        return fixture.join(transport, new Frame.Join(name, "a", 5));
+        fixture = ControllerFixture.startedAndRecording();
     }
 
     private void list(NodeState state) {
-        fixture.list(List.of(ControllerFixture.node("n", 80, state, 0)));
+        fixture.list(List.of(ControllerFixture.singleNode(state, 0)));
     }
 
     private static List<ListedNode> readyNodes(int count) {
@@ -60,7 +50,7 @@
         RecordingTransport compressed = new RecordingTransport();
         RecordingTransport plain = new RecordingTransport();
         fixture.join(compressed, new Frame.Join("p", "a", 5, true, List.of()));
-        join(plain, "q");
+        fixture.join(plain, "q");
         fixture.order(
                 actions -> {
                     nodes.forEach(node -> actions.setWeight(TABLE, node.id(), 1));
@@ -96,7 +86,7 @@
         fixture.list(nodes);
         List<ProxySession> sessions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            sessions.add(join(new RecordingTransport(), "p" + i));
+            sessions.add(fixture.join(new RecordingTransport(), "p" + i));
             int proxy = i;
             fixture.order(actions -> subscribeToTwoTables(actions, proxy, nodes), 15);
             fixture.pass(150);
@@ -148,7 +138,7 @@
     void aProxyGetsOneMessageARoundWithAFullTableFirstAndThenDeltas() {
         RecordingTransport transport = new RecordingTransport();
         list(NodeState.READY);
-        ProxySession session = join(transport, "p");
+        ProxySession session = fixture.join(transport, "p");
         fixture.order(
                 actions -> {
                     actions.setWeight(TABLE, NODE, 0.5);
@@ -174,8 +164,9 @@
                 },
                 15);
         assertTrue(
-                recorder.events().stream().anyMatch(t -> t.matches("installed 3 by 0 in [0-9]+")),
-                recorder.events().toString());
+                fixture.recorder().events().stream()
+                        .anyMatch(t -> t.matches("installed 3 by 0 in [0-9]+")),
+                fixture.recorder().events().toString());
         fixture.pass(50);
         assertEquals(1, transport.count(TableDeliveryTest::isDeltaThatRemovesNode));
         assertEquals(1, transport.count(Frame.Node.class), "a node is introduced once a stream");
@@ -194,7 +185,7 @@
         List<RecordingTransport> transports = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             transports.add(new RecordingTransport());
-            join(transports.get(i), "p" + i);
+            fixture.join(transports.get(i), "p" + i);
         }
         list(NodeState.READY);
         fixture.pass(15);
