--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -70,13 +70,13 @@
         this.registry = registry;
         this.clock = new EventClock(wallClockMillis);
         this.sessions = new SessionRegistry(rounds);
-        ControllerCounters counters = new ControllerCounters();
-        ModeLog modes = new ModeLog();
+        LoopContext context =
+                new LoopContext(clock, rounds, new ControllerCounters(), new ModeLog());
         NodeDirectory directory = new NodeDirectory();
         NodeStartTimes startTimes = new NodeStartTimes(clock);
         NodeListPublisher publisher = new NodeListPublisher(directory, startTimes, names, rounds);
         this.facts = new NodeFacts(directory, startTimes, names, clock);
-        TableUpdateWriter.Context context =
+        TableUpdateWriter.Context writerContext =
                 new TableUpdateWriter.Context(
                         sessions.joined(),
                         directory.known(),
@@ -84,45 +84,25 @@
                         validator,
                         facts,
                         new PolicyEffects(environment, directory, rounds, clock),
-                        modes);
+                        context.modes());
         this.policyRunner =
                 new PolicyRunner(
-                        environment, context, sessions, directory, publisher, rounds, clock);
+                        environment, writerContext, sessions, directory, publisher, rounds, clock);
         this.nodeList =
-                new NodeListHandler(
-                        directory,
-                        startTimes,
-                        facts,
-                        publisher,
-                        registry,
-                        policyRunner,
-                        counters,
-                        clock);
+                new NodeListHandler(directory, facts, publisher, registry, policyRunner, context);
         this.frames =
                 new ProxyFrameHandler(
                         sessions,
-                        new SessionHandshake(
-                                sessions, policyRunner, registry, rounds, names, counters, clock),
-                        new LoadReportHandler(policyRunner, directory, facts, counters, clock),
+                        new SessionHandshake(sessions, policyRunner, registry, names, context),
+                        new LoadReportHandler(policyRunner, directory, facts, context),
                         policyRunner,
-                        rounds,
-                        counters,
-                        clock);
-        this.keepAlives = new KeepAliveMonitor(sessions, counters);
+                        context);
+        this.keepAlives = new KeepAliveMonitor(sessions, context.counters());
         this.drains = new DrainHandler(registry, directory, nodeList, policyRunner, clock);
         this.tables = new TableStatusReader(registry, directory.known());
         this.status =
                 new ControllerStatusReader(
-                        policyRunner,
-                        sessions,
-                        directory,
-                        nodeList,
-                        registry,
-                        tables,
-                        counters,
-                        modes,
-                        rounds,
-                        clock);
+                        policyRunner, sessions, directory, nodeList, registry, tables, context);
     }
 
     /**
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -9,7 +9,6 @@
 import rosespread.controller.ControllerCounters.Counter;
 import rosespread.discovery.ListedNode;
 import rosespread.drain.Drain;
-import rosespread.eventloop.RoundScheduler;
 import rosespread.settings.FleetSettings;
 import rosespread.validation.DurabilityTimeout;
 
@@ -32,10 +31,7 @@
     private final NodeListHandler nodeList;
     private final TableRegistry registry;
     private final TableStatusReader tables;
-    private final ControllerCounters counters;
-    private final ModeLog modes;
-    private final RoundScheduler rounds;
-    private final EventClock clock;
+    private final LoopContext context;
 
     ControllerStatusReader(
             PolicyRunner policyRunner,
@@ -44,20 +40,14 @@
             NodeListHandler nodeList,
             TableRegistry registry,
             TableStatusReader tables,
-            ControllerCounters counters,
-            ModeLog modes,
-            RoundScheduler rounds,
-            EventClock clock) {
+            LoopContext context) {
         this.policyRunner = policyRunner;
         this.sessions = sessions;
         this.directory = directory;
         this.nodeList = nodeList;
         this.registry = registry;
         this.tables = tables;
-        this.counters = counters;
-        this.modes = modes;
-        this.rounds = rounds;
-        this.clock = clock;
+        this.context = context;
     }
 
     /** Returns the status as it is now. */
@@ -71,20 +61,20 @@
                 channel.map(PacedChannel::queuedEntries).orElse(0L),
                 channel.map(PacedChannel::maxQueuedEntries).orElse(0L),
                 channel.map(PacedChannel::messagesSent).orElse(0L),
-                rounds.roundsRun(),
-                rounds.meanNanos() / NANOS_PER_MILLI,
-                rounds.maxNanos() / NANOS_PER_MILLI,
-                counters.value(Counter.JOINS),
-                counters.value(Counter.STRAY_ACKNOWLEDGEMENTS),
-                counters.value(Counter.UNKNOWN_NODE_REPORTS),
-                rounds.failures(),
-                counters.value(Counter.MISSED_DELTAS),
-                counters.value(Counter.SILENT_SESSIONS),
-                counters.value(Counter.SLOW_SESSIONS),
-                counters.value(Counter.NODE_LISTS),
-                counters.value(Counter.NODE_LIST_FAILURES),
+                context.rounds().roundsRun(),
+                context.rounds().meanNanos() / NANOS_PER_MILLI,
+                context.rounds().maxNanos() / NANOS_PER_MILLI,
+                context.counters().value(Counter.JOINS),
+                context.counters().value(Counter.STRAY_ACKNOWLEDGEMENTS),
+                context.counters().value(Counter.UNKNOWN_NODE_REPORTS),
+                context.rounds().failures(),
+                context.counters().value(Counter.MISSED_DELTAS),
+                context.counters().value(Counter.SILENT_SESSIONS),
+                context.counters().value(Counter.SLOW_SESSIONS),
+                context.counters().value(Counter.NODE_LISTS),
+                context.counters().value(Counter.NODE_LIST_FAILURES),
                 nodeList.unavailableReason(),
-                modes.last(),
+                context.modes().last(),
                 nodes(),
                 tables.all(),
                 joined.stream().map(this::proxy).toList(),
@@ -118,7 +108,8 @@
                 sessions.joined().values().stream()
                         .filter(
                                 session ->
-                                        clock.nowNanos() - session.reportedAtNanos() > limitNanos)
+                                        context.clock().nowNanos() - session.reportedAtNanos()
+                                                > limitNanos)
                         .count();
     }
 
@@ -127,8 +118,7 @@
     }
 
     private long lastAttemptAgoMillis(NodeId node) {
-        Long attempted = directory.lastAttemptNanos(node);
-        return attempted == null ? NO_ATTEMPT : agoMillis(attempted);
+        return directory.lastAttemptNanos(node).map(this::agoMillis).orElse(NO_ATTEMPT);
     }
 
     private ControllerStatus.Proxy proxy(ProxySession session) {
@@ -141,7 +131,7 @@
     }
 
     private long agoMillis(long nanos) {
-        return (clock.nowNanos() - nanos) / WHOLE_NANOS_PER_MILLI;
+        return (context.clock().nowNanos() - nanos) / WHOLE_NANOS_PER_MILLI;
     }
 
     private ControllerStatus.Storage storage() {
--- a/src/main/java/rosespread/controller/LoadReportHandler.java
+++ b/src/main/java/rosespread/controller/LoadReportHandler.java
@@ -20,33 +20,30 @@
     private final PolicyRunner policyRunner;
     private final NodeDirectory directory;
     private final NodeFacts facts;
-    private final ControllerCounters counters;
-    private final EventClock clock;
+    private final LoopContext context;
 
     LoadReportHandler(
             PolicyRunner policyRunner,
             NodeDirectory directory,
             NodeFacts facts,
-            ControllerCounters counters,
-            EventClock clock) {
+            LoopContext context) {
         this.policyRunner = policyRunner;
         this.directory = directory;
         this.facts = facts;
-        this.counters = counters;
-        this.clock = clock;
+        this.context = context;
     }
 
     void loadReported(ProxySession session, Frame.Sums report) {
-        session.loadReportedAt(clock.nowNanos());
+        session.loadReportedAt(context.clock().nowNanos());
         List<Frame.Sum> known =
                 report.sums().stream()
                         .filter(sum -> directory.known().containsKey(sum.node()))
                         .toList();
         int unknown = report.sums().size() - known.size();
-        counters.add(Counter.UNKNOWN_NODE_REPORTS, unknown);
+        context.counters().add(Counter.UNKNOWN_NODE_REPORTS, unknown);
         for (Frame.Sum sum : known) {
             if (sum.tries() > 0) {
-                directory.attempted(sum.node(), clock.nowNanos());
+                directory.attempted(sum.node(), context.clock().nowNanos());
             }
         }
         if (known.stream().anyMatch(LoadReportHandler::hasHighFailureRatio)) {
--- a/src/main/java/rosespread/controller/ModeLog.java
+++ b/src/main/java/rosespread/controller/ModeLog.java
@@ -15,7 +15,7 @@
 
     private String last = "";
 
-    void record(String change) {
+    void report(String change) {
         last = change;
         LOG.atInfo().addKeyValue("mode", true).log(change);
     }
--- a/src/main/java/rosespread/controller/NodeDirectory.java
+++ b/src/main/java/rosespread/controller/NodeDirectory.java
@@ -4,6 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
@@ -97,8 +98,8 @@
         lastAttempts.put(id, nowNanos);
     }
 
-    /** Returns when an attempt at a node was last reported, null if none was. */
-    Long lastAttemptNanos(NodeId id) {
-        return lastAttempts.get(id);
+    /** Returns when an attempt at a node was last reported, empty if none was. */
+    Optional<Long> lastAttemptNanos(NodeId id) {
+        return Optional.ofNullable(lastAttempts.get(id));
     }
 }
--- a/src/main/java/rosespread/controller/NodeFacts.java
+++ b/src/main/java/rosespread/controller/NodeFacts.java
@@ -50,6 +50,12 @@
         lastCauseNanos = clock.nowNanos();
     }
 
+    /** Nodes came or went. */
+    void nodesChanged() {
+        startTimes.retain(directory.known().keySet());
+        changed();
+    }
+
     /** Facts changed otherwise than that a node has warmed further. */
     void changed() {
         version++;
--- a/src/main/java/rosespread/controller/NodeListHandler.java
+++ b/src/main/java/rosespread/controller/NodeListHandler.java
@@ -23,37 +23,31 @@
     private static final String LIST_OPERATOR = "list";
 
     private final NodeDirectory directory;
-    private final NodeStartTimes startTimes;
     private final NodeFacts facts;
     private final NodeListPublisher publisher;
     private final TableRegistry registry;
     private final PolicyRunner policyRunner;
-    private final ControllerCounters counters;
-    private final EventClock clock;
+    private final LoopContext context;
     private String unavailableReason = "";
 
     NodeListHandler(
             NodeDirectory directory,
-            NodeStartTimes startTimes,
             NodeFacts facts,
             NodeListPublisher publisher,
             TableRegistry registry,
             PolicyRunner policyRunner,
-            ControllerCounters counters,
-            EventClock clock) {
+            LoopContext context) {
         this.directory = directory;
-        this.startTimes = startTimes;
         this.facts = facts;
         this.publisher = publisher;
         this.registry = registry;
         this.policyRunner = policyRunner;
-        this.counters = counters;
-        this.clock = clock;
+        this.context = context;
     }
 
     /** Takes a complete list. */
     void nodesListed(List<ListedNode> nodes) {
-        counters.increment(Counter.NODE_LISTS);
+        context.counters().increment(Counter.NODE_LISTS);
         unavailableReason = "";
         Set<NodeId> before = directory.replaceDiscovered(nodes);
         endDrainsOfUnlisted(before);
@@ -84,7 +78,7 @@
                         stamp,
                         LIST_OPERATOR,
                         "gone-" + stamp,
-                        clock.wallMillis()));
+                        context.clock().wallMillis()));
         LOG.atInfo()
                 .addKeyValue("node", drain.name())
                 .addKeyValue("operator", drain.by())
@@ -101,14 +95,13 @@
 
     private void publish(TableUpdateWriter writer) {
         directory.forgetUnlisted(id -> writer.excluded().contains(id) || writer.hasWeightFor(id));
-        startTimes.retain(directory.known().keySet());
-        facts.changed();
+        facts.nodesChanged();
         publisher.publish(EventHandler.NodeListKind.FULL);
     }
 
     /** No list can be had; the last one stays. */
     void unavailable(String reason) {
-        counters.increment(Counter.NODE_LIST_FAILURES);
+        context.counters().increment(Counter.NODE_LIST_FAILURES);
         if (unavailableReason.isEmpty()) {
             LOG.atWarn()
                     .addKeyValue("reason", reason)
--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -62,7 +62,7 @@
         }
         if (!table.isAwaitingPolicy() && current.changesTo(table.desired()).isEmpty()) {
             registry.setPin(table, PinState.NONE, 0, Map.of());
-            modes.record(
+            modes.report(
                     "table "
                             + table.id().value()
                             + " follows the module at version "
--- a/src/main/java/rosespread/controller/ProxyFrameHandler.java
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -4,7 +4,6 @@
 import rosespread.channel.Frame;
 import rosespread.channel.FrameWriter;
 import rosespread.controller.ControllerCounters.Counter;
-import rosespread.eventloop.RoundScheduler;
 
 /**
  * Takes the frames of proxies and passes each on by its type and by how far the session's handshake
@@ -19,25 +18,19 @@
     private final SessionHandshake handshake;
     private final LoadReportHandler loadReports;
     private final PolicyRunner policyRunner;
-    private final RoundScheduler rounds;
-    private final ControllerCounters counters;
-    private final EventClock clock;
+    private final LoopContext context;
 
     ProxyFrameHandler(
             SessionRegistry sessions,
             SessionHandshake handshake,
             LoadReportHandler loadReports,
             PolicyRunner policyRunner,
-            RoundScheduler rounds,
-            ControllerCounters counters,
-            EventClock clock) {
+            LoopContext context) {
         this.sessions = sessions;
         this.handshake = handshake;
         this.loadReports = loadReports;
         this.policyRunner = policyRunner;
-        this.rounds = rounds;
-        this.counters = counters;
-        this.clock = clock;
+        this.context = context;
     }
 
     /** Takes a frame; one of a closed session is dropped. */
@@ -45,7 +38,7 @@
         if (session.isClosed()) {
             return;
         }
-        session.frameReceivedAt(clock.nowNanos());
+        session.frameReceivedAt(context.clock().nowNanos());
         if (frame instanceof Frame.KeepAlive keepAlive) {
             keepAliveReceived(session, keepAlive);
         } else if (frame instanceof Frame.Close) {
@@ -72,7 +65,7 @@
         } else if (frame instanceof Frame.Sums report) {
             loadReports.loadReported(session, report);
         } else if (frame instanceof Frame.Missed missed) {
-            counters.increment(Counter.MISSED_DELTAS);
+            context.counters().increment(Counter.MISSED_DELTAS);
             session.requireFullUpdate(missed.table());
         } else if (frame instanceof Frame.Offered offered) {
             demandReported(session, offered);
@@ -89,14 +82,17 @@
     private void acknowledged(ProxySession session, long number) {
         Optional<ProxySession.UnacknowledgedMessage> found = session.acknowledge(number);
         if (found.isEmpty()) {
-            counters.increment(Counter.STRAY_ACKNOWLEDGEMENTS);
+            context.counters().increment(Counter.STRAY_ACKNOWLEDGEMENTS);
             return;
         }
         ProxySession.UnacknowledgedMessage message = found.get();
-        long latencyNanos = clock.nowNanos() - message.orderedAtNanos();
+        long latencyNanos = context.clock().nowNanos() - message.orderedAtNanos();
         if (message.token() >= 0) {
-            rounds.add(
-                    policy -> policy.acknowledged(session.proxy(), message.token(), latencyNanos));
+            context.rounds()
+                    .add(
+                            policy ->
+                                    policy.acknowledged(
+                                            session.proxy(), message.token(), latencyNanos));
         }
     }
 
@@ -111,10 +107,14 @@
                         "method " + count.method().value() + " of " + methods);
                 return;
             }
-            rounds.add(
-                    policy ->
-                            policy.demandReported(
-                                    session.proxy(), count.method(), count.came(), coversNanos));
+            context.rounds()
+                    .add(
+                            policy ->
+                                    policy.demandReported(
+                                            session.proxy(),
+                                            count.method(),
+                                            count.came(),
+                                            coversNanos));
         }
     }
 }
--- a/src/main/java/rosespread/controller/SessionHandshake.java
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -8,7 +8,6 @@
 import rosespread.channel.Frame;
 import rosespread.channel.FrameWriter;
 import rosespread.controller.ControllerCounters.Counter;
-import rosespread.eventloop.RoundScheduler;
 import rosespread.settings.FleetSettings;
 
 /**
@@ -27,26 +26,20 @@
     private final SessionRegistry sessions;
     private final PolicyRunner policyRunner;
     private final TableRegistry registry;
-    private final RoundScheduler rounds;
     private final FleetNames names;
-    private final ControllerCounters counters;
-    private final EventClock clock;
+    private final LoopContext context;
 
     SessionHandshake(
             SessionRegistry sessions,
             PolicyRunner policyRunner,
             TableRegistry registry,
-            RoundScheduler rounds,
             FleetNames names,
-            ControllerCounters counters,
-            EventClock clock) {
+            LoopContext context) {
         this.sessions = sessions;
         this.policyRunner = policyRunner;
         this.registry = registry;
-        this.rounds = rounds;
         this.names = names;
-        this.counters = counters;
-        this.clock = clock;
+        this.context = context;
     }
 
     /** Takes the first frame of a session. */
@@ -110,14 +103,14 @@
         ZoneId zone = names.zone(join.zone());
         session.join(id, join.proxy(), zone, join.unpacks());
         sessions.addJoined(session);
-        counters.increment(Counter.JOINS);
+        context.counters().increment(Counter.JOINS);
         LOG.atInfo()
                 .addKeyValue("proxy", session.name())
                 .addKeyValue("zone", join.zone())
                 .addKeyValue("remote", session.transport().remoteAddress())
                 .log("proxy joined");
-        long wallMillis = clock.wallMillis();
+        long wallMillis = context.clock().wallMillis();
         join.held().forEach(held -> registry.raiseAbove(held.table(), held.version(), wallMillis));
-        rounds.add(policy -> policy.proxyJoined(id, zone, join.rate()));
+        context.rounds().add(policy -> policy.proxyJoined(id, zone, join.rate()));
     }
 }
--- a/src/main/java/rosespread/controller/TableOperations.java
+++ b/src/main/java/rosespread/controller/TableOperations.java
@@ -54,7 +54,7 @@
                         : target.lines();
         registry.setPin(
                 table, PinState.PINNED, target.number(), table.current().changesTo(weights));
-        modes.record(
+        modes.report(
                 "table "
                         + table.id().value()
                         + " goes back to version "
@@ -74,7 +74,7 @@
             return unknownTable(id, " yet");
         }
         registry.setPin(table.get(), PinState.PINNED, 0, Map.of());
-        modes.record(
+        modes.report(
                 "table " + id.value() + " is held at version " + table.get().current().number());
         return TableActResult.DONE;
     }
@@ -87,7 +87,7 @@
                     TableActResult.Reason.NOT_PINNED, "table " + id.value() + " is not held");
         }
         registry.setPin(table.get(), PinState.RELEASING, 0, Map.of());
-        modes.record("table " + id.value() + " follows the module again, step by step");
+        modes.report("table " + id.value() + " follows the module again, step by step");
         return TableActResult.DONE;
     }
 
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -131,7 +131,7 @@
 
     @Override
     public void log(String line) {
-        modes.record(line);
+        modes.report(line);
     }
 
     /** Closes a round: commits what was ordered and queues one message for each proxy concerned. */
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -92,7 +92,7 @@
         }
         for (TableChangeValidator.Refusal refusal : refusals) {
             table.countRefusal(refusal.reason());
-            modes.record(
+            modes.report(
                     "table "
                             + table.id().value()
                             + " after version "
@@ -105,7 +105,7 @@
                             + names(refusal.lines()));
         }
         if (refusals.isEmpty()) {
-            modes.record("table " + table.id().value() + " passes its checks again");
+            modes.report("table " + table.id().value() + " passes its checks again");
         }
     }
 
