--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -37,17 +37,17 @@
 public final class Controller implements AutoCloseable {
     /** Makes the policy: the routing policy, or in experiments something worse. */
     @FunctionalInterface
-    public interface Planning {
+    public interface PolicyFactory {
         /**
          * Makes a policy for these settings.
          *
          * @param seed of its random numbers
          */
-        Policy planner(FleetSettings settings, long seed);
+        Policy newPolicy(FleetSettings settings, long seed);
     }
 
     /** Makes the routing policy. */
-    public static final Planning MODULE =
+    public static final PolicyFactory ROUTING_POLICY =
             (settings, seed) -> {
                 RoutingPolicy policy =
                         new RoutingPolicy(settings.module(), new SplittableRandom(seed));
@@ -91,10 +91,11 @@
      *
      * @param name how it names itself to other services
      * @param folder where settings and tables are persisted; made if it is not there
-     * @param planning makes its policy
+     * @param policies makes its policy
      * @param validator checks the policy's changes of tables
      */
-    public Controller(String name, Path folder, Planning planning, TableChangeValidator validator) {
+    public Controller(
+            String name, Path folder, PolicyFactory policies, TableChangeValidator validator) {
         this.name = name;
         // The store wakes the event loop, as messages may wait for what is durable now.
         this.store =
@@ -106,7 +107,7 @@
         this.registry = new TableRegistry(store);
         this.state =
                 new ControllerState(
-                        new ClientEnvironment(planning),
+                        new ClientEnvironment(policies),
                         validator,
                         registry,
                         System::currentTimeMillis);
@@ -336,15 +337,15 @@
     }
 
     private final class ClientEnvironment implements ControllerState.Environment {
-        private final Planning planning;
+        private final PolicyFactory policies;
 
-        ClientEnvironment(Planning planning) {
-            this.planning = planning;
+        ClientEnvironment(PolicyFactory policies) {
+            this.policies = policies;
         }
 
         @Override
         public Policy newPolicy(FleetSettings settings, long seed) {
-            return planning.planner(settings, seed);
+            return policies.newPolicy(settings, seed);
         }
 
         @Override
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -105,7 +105,7 @@
      * never asks for other than the channel's default, after proof that the first attempt had no
      * effect.
      */
-    public void furtherTries(MethodId method, Frame.Tries when) {
+    public void setRetryCondition(MethodId method, Frame.Tries when) {
         messages.setRetryCondition(method, when);
     }
 
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -60,7 +60,8 @@
         String settings =
                 SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()));
         Controller conductor =
-                new Controller("race", folder, Controller.MODULE, new TableChangeValidator());
+                new Controller(
+                        "race", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         conductor.start(ANY);
         Path log = folder.resolve("audit.log");
         Random random = new Random(1);
--- a/src/test/java/rosespread/cli/FleetCommandTest.java
+++ b/src/test/java/rosespread/cli/FleetCommandTest.java
@@ -76,7 +76,8 @@
         for (int i = 0; i < CONDUCTORS; i++) {
             Path state = folder.resolve("c" + i);
             Controller conductor =
-                    new Controller("c" + i, state, Controller.MODULE, new TableChangeValidator());
+                    new Controller(
+                            "c" + i, state, Controller.ROUTING_POLICY, new TableChangeValidator());
             conductor.start(ANY);
             AuditLog audit = new AuditLog(state.resolve("audit.log"), System::currentTimeMillis);
             AdminServer control = new AdminServer(conductor, audit);
--- a/src/test/java/rosespread/controller/ControllerTest.java
+++ b/src/test/java/rosespread/controller/ControllerTest.java
@@ -147,7 +147,8 @@
     }
 
     private static Controller newController(Path folder) {
-        return new Controller("late", folder, Controller.MODULE, new TableChangeValidator());
+        return new Controller(
+                "late", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
     }
 
     /** Leaves a folder with settings that name peers, one of them dead, and without any tables. */
--- a/src/test/java/rosespread/controller/LoopbackController.java
+++ b/src/test/java/rosespread/controller/LoopbackController.java
@@ -76,7 +76,9 @@
 
     /** Starts a process on the folder. */
     void start() throws IOException {
-        controller = new Controller("test", folder, Controller.MODULE, new TableChangeValidator());
+        controller =
+                new Controller(
+                        "test", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         channelAddress = controller.start(ANY_PORT);
         admin = new AdminServer(controller);
         adminAddress = admin.listen(ANY_PORT);
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -103,7 +103,8 @@
     @Test
     void aProcessGoesOnFromIt() throws Exception {
         try (Controller conductor =
-                new Controller("c", folder, Controller.MODULE, new TableChangeValidator())) {
+                new Controller(
+                        "c", folder, Controller.ROUTING_POLICY, new TableChangeValidator())) {
             conductor.start(ANY);
             assertEquals("", conductor.settingsTrouble());
             assertEquals(2, conductor.settings().orElseThrow().revision());
--- a/src/test/java/rosespread/scenario/FaultyController.java
+++ b/src/test/java/rosespread/scenario/FaultyController.java
@@ -116,7 +116,7 @@
             for (Map.Entry<TableId, Set<NodeId>> table : lines.entrySet()) {
                 if (fault == Fault.REPEATS && !before.contains(table.getKey())) {
                     for (int m = 0; m < settings.methods().size(); m++) {
-                        out.furtherTries(new MethodId(m), Frame.Tries.AFTER_ANY_FAILURE);
+                        out.setRetryCondition(new MethodId(m), Frame.Tries.AFTER_ANY_FAILURE);
                         out.setAdmissionLimit(
                                 table.getKey(), new MethodId(m), Double.POSITIVE_INFINITY);
                     }
