--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -144,7 +144,7 @@
     }
 
     /**
-     * Restores what was persisted and listens for proxies. Without whole settings in the folder it
+     * Restores what was persisted and listens for proxies. Without valid settings in the folder it
      * waits for {@link #apply}.
      *
      * @return the address that it listens on
@@ -170,8 +170,8 @@
     public record Applied(boolean done, Optional<Snapshot.Saved> inForce) {}
 
     /**
-     * Applies settings and saves them; they hold as a whole or not at all. A call whose id was seen
-     * last does nothing, nor does one against a revision that is not in force.
+     * Applies settings and saves them; they are applied as a whole or not at all. A call whose id
+     * was seen last does nothing, nor does one against a revision that is not in force.
      *
      * @param by the operator
      * @param call the id of the call
--- a/src/main/java/rosespread/controller/ControllerStatus.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -36,7 +36,7 @@
     /**
      * A listed node.
      *
-     * @param withdrawn whether proxies are told to send nothing to it
+     * @param withdrawn whether it is excluded at proxies
      * @param drainedBy the operator who drains it, empty if none
      * @param triedAgoMs since the last report of an attempt there, -1 if there was none
      * @param unheard proxies without a report for three periods, whose attempts are unknown
--- a/src/main/java/rosespread/controller/KeepAliveMonitor.java
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -57,7 +57,7 @@
                     Frame.Reason.SLOW,
                     session.transport().writeBufferBytes() + " bytes were not read");
         } else if (session.isJoined() && nowNanos - session.keepAliveAtNanos() >= intervalNanos) {
-            session.keepAliveSentAt(nowNanos);
+            session.recordKeepAliveSent(nowNanos);
             session.transport().write(FrameWriter.bytes(new Frame.KeepAlive(nowNanos, false)));
         }
     }
--- a/src/main/java/rosespread/controller/LoadReportHandler.java
+++ b/src/main/java/rosespread/controller/LoadReportHandler.java
@@ -34,7 +34,7 @@
     }
 
     void loadReported(ProxySession session, Frame.Sums report) {
-        session.loadReportedAt(context.clock().nowNanos());
+        session.recordLoadReport(context.clock().nowNanos());
         List<Frame.Sum> known =
                 report.sums().stream()
                         .filter(sum -> directory.known().containsKey(sum.node()))
@@ -43,7 +43,7 @@
         context.counters().add(Counter.UNKNOWN_NODE_REPORTS, unknown);
         for (Frame.Sum sum : known) {
             if (sum.tries() > 0) {
-                directory.attempted(sum.node(), context.clock().nowNanos());
+                directory.recordAttempt(sum.node(), context.clock().nowNanos());
             }
         }
         if (known.stream().anyMatch(LoadReportHandler::hasHighFailureRatio)) {
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -176,7 +176,7 @@
         return weights;
     }
 
-    void pendingCommitted(Set<NodeId> nodes) {
+    void removePending(Set<NodeId> nodes) {
         pending.keySet().removeAll(nodes);
     }
 
@@ -210,7 +210,7 @@
         return sentVersion;
     }
 
-    void sent(long version) {
+    void markSent(long version) {
         sentVersion = version;
     }
 
@@ -225,13 +225,13 @@
     }
 
     /** Takes the validator's answer: last good weights stay until what is desired passes. */
-    void validated(List<TableChangeValidator.Refusal> result) {
+    void recordValidation(List<TableChangeValidator.Refusal> result) {
         refusals = result;
         pin = result.isEmpty() ? PinState.NONE : PinState.REFUSED;
     }
 
     /** What was held back is caught up with before the policy's changes go out as they come. */
-    void catchUpLater() {
+    void deferCatchUp() {
         pin = PinState.REFUSED;
     }
 
@@ -247,7 +247,7 @@
         return nowNanos - releaseStepAtNanos >= intervalNanos;
     }
 
-    void releaseStepped(long nowNanos) {
+    void markReleaseStep(long nowNanos) {
         releaseStepAtNanos = nowNanos;
     }
 
@@ -262,7 +262,7 @@
                 || nowNanos - reviewedAtNanos >= intervalNanos;
     }
 
-    void reviewed(long nowNanos, long factsVersion) {
+    void markReviewed(long nowNanos, long factsVersion) {
         reviewedAtNanos = nowNanos;
         reviewedFacts = factsVersion;
     }
--- a/src/main/java/rosespread/controller/NodeDirectory.java
+++ b/src/main/java/rosespread/controller/NodeDirectory.java
@@ -94,7 +94,7 @@
     }
 
     /** A proxy reported an attempt at a node. */
-    void attempted(NodeId id, long nowNanos) {
+    void recordAttempt(NodeId id, long nowNanos) {
         lastAttempts.put(id, nowNanos);
     }
 
--- a/src/main/java/rosespread/controller/NodeFacts.java
+++ b/src/main/java/rosespread/controller/NodeFacts.java
@@ -40,7 +40,7 @@
         this.clock = clock;
     }
 
-    /** Sets what nodes are judged by; {@link #changed} has to follow. */
+    /** Sets what nodes are judged by; {@link #invalidate} has to follow. */
     void applySettings(FleetSettings next) {
         settings = next;
     }
@@ -50,14 +50,14 @@
         lastCauseNanos = clock.nowNanos();
     }
 
-    /** Nodes came or went. */
-    void nodesChanged() {
+    /** Nodes came or went: forgets those that are no longer known. */
+    void retainKnownNodes() {
         startTimes.retain(directory.known().keySet());
-        changed();
+        invalidate();
     }
 
-    /** Facts changed otherwise than that a node has warmed further. */
-    void changed() {
+    /** Raises the version, as facts changed otherwise than that a node has warmed further. */
+    void invalidate() {
         version++;
         nextWarmNanos = Long.MAX_VALUE;
         for (ListedNode node : directory.known().values()) {
@@ -72,7 +72,7 @@
     /** Returns a number that rises as facts change, also as the next node becomes warm. */
     long version() {
         if (clock.nowNanos() >= nextWarmNanos) {
-            changed();
+            invalidate();
         }
         return version;
     }
--- a/src/main/java/rosespread/controller/NodeListHandler.java
+++ b/src/main/java/rosespread/controller/NodeListHandler.java
@@ -95,7 +95,7 @@
 
     private void publish(TableUpdateWriter writer) {
         directory.forgetUnlisted(id -> writer.excluded().contains(id) || writer.hasWeightFor(id));
-        facts.nodesChanged();
+        facts.retainKnownNodes();
         publisher.publish(EventHandler.NodeListKind.FULL);
     }
 
--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -39,7 +39,7 @@
         Map<NodeId, Double> delta = selector.select(table, all, context, time.nowNanos());
         TableVersion next =
                 registry.commit(table, delta, TableVersion.Cause.ROLLBACK, time.wallMillis());
-        table.pendingCommitted(delta.keySet());
+        table.removePending(delta.keySet());
         if (table.rollbackTarget() > 0 && delta.size() == all.size()) {
             registry.setPin(table, PinState.PINNED, 0, Map.of());
         }
@@ -58,7 +58,7 @@
         Map<NodeId, Double> delta =
                 selector.select(table, current.changesTo(target), context, time.nowNanos());
         if (stepDue) {
-            table.releaseStepped(time.nowNanos());
+            table.markReleaseStep(time.nowNanos());
         }
         if (!table.isAwaitingPolicy() && current.changesTo(table.desired()).isEmpty()) {
             registry.setPin(table, PinState.NONE, 0, Map.of());
--- a/src/main/java/rosespread/controller/PolicyRunner.java
+++ b/src/main/java/rosespread/controller/PolicyRunner.java
@@ -59,7 +59,7 @@
         this.firstNumber = clock.wallMillis() << 20;
     }
 
-    /** Restarts the policy with these settings; the texts of the reason go to proxies. */
+    /** Restarts the policy with these settings; proxies get the reason in their Close frames. */
     void restart(FleetSettings next, String reason) {
         settings = next;
         restart(reason);
@@ -77,7 +77,7 @@
         sessions.useChannel(channel);
         context.facts().recordLargeChangeCause();
         context.registry().policyRestarted();
-        context.facts().changed();
+        context.facts().invalidate();
         long lastNumber = writer == null ? firstNumber : writer.lastNumber();
         writer = new TableUpdateWriter(context, settings, channel, lastNumber);
         policy = environment.newPolicy(settings, settings.seed());
--- a/src/main/java/rosespread/controller/ProxyFrameHandler.java
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -38,7 +38,7 @@
         if (session.isClosed()) {
             return;
         }
-        session.frameReceivedAt(context.clock().nowNanos());
+        session.recordFrameReceived(context.clock().nowNanos());
         if (frame instanceof Frame.KeepAlive keepAlive) {
             keepAliveReceived(session, keepAlive);
         } else if (frame instanceof Frame.Close) {
--- a/src/main/java/rosespread/controller/ProxySession.java
+++ b/src/main/java/rosespread/controller/ProxySession.java
@@ -23,7 +23,7 @@
 public final class ProxySession {
     /** The outgoing half of a stream. Called on the event-loop thread; no method may block. */
     public interface Transport {
-        /** Hands over whole frames to be sent. */
+        /** Hands over complete frames to be sent. */
         void write(byte[] frames);
 
         /** Returns the bytes handed over that the socket has not taken. */
@@ -89,7 +89,7 @@
     }
 
     /** The proxy's Hello was accepted. */
-    void greeted() {
+    void markGreeted() {
         greeted = true;
     }
 
@@ -140,7 +140,7 @@
         return closed;
     }
 
-    void frameReceivedAt(long nowNanos) {
+    void recordFrameReceived(long nowNanos) {
         receivedAtNanos = nowNanos;
     }
 
@@ -148,7 +148,7 @@
         return receivedAtNanos;
     }
 
-    void keepAliveSentAt(long nowNanos) {
+    void recordKeepAliveSent(long nowNanos) {
         keepAliveAtNanos = nowNanos;
     }
 
@@ -156,7 +156,7 @@
         return keepAliveAtNanos;
     }
 
-    void loadReportedAt(long nowNanos) {
+    void recordLoadReport(long nowNanos) {
         reportedAtNanos = nowNanos;
     }
 
@@ -166,7 +166,7 @@
     }
 
     /** Counts a message towards the session's message limit, from the moment it is queued. */
-    void messageQueuedAt(long nowNanos) {
+    void recordMessageQueued(long nowNanos) {
         messageTimes.addLast(nowNanos);
     }
 
@@ -265,12 +265,12 @@
         return !pendingFullUpdates.isEmpty();
     }
 
-    /** Returns a copy of the tables that must be sent whole, in their order. */
+    /** Returns a copy of the tables that must be sent in full, in their order. */
     List<TableId> pendingFullUpdates() {
         return List.copyOf(pendingFullUpdates);
     }
 
-    void fullUpdateSettled(TableId table) {
+    void clearFullUpdate(TableId table) {
         pendingFullUpdates.remove(table);
     }
 
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -69,7 +69,7 @@
      *
      * @param messageCounted whether the message that carries it was counted as the round started
      */
-    void committed(int entries, boolean messageCounted, int subscribers) {
+    void reserve(int entries, boolean messageCounted, int subscribers) {
         committedEntries +=
                 (entries + (messageCounted ? 0 : entriesPerMessage + 1.0)) * subscribers;
     }
--- a/src/main/java/rosespread/controller/RoundMessageWriter.java
+++ b/src/main/java/rosespread/controller/RoundMessageWriter.java
@@ -54,7 +54,7 @@
         return lastNumber;
     }
 
-    /** Returns a live view of the nodes that proxies are told to send nothing to. */
+    /** Returns a live view of the nodes that are excluded at proxies. */
     Set<NodeId> excluded() {
         return excluded;
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Returns the tables that a proxy is sent whole, with the methods that follow them. */
+    /** Returns the tables that a proxy is sent in full, with the methods that follow them. */
     private Map<TableId, Set<MethodId>> fullTables(
             ProxySession session, RoundActions actions, long nowNanos) {
         Map<TableId, Set<MethodId>> tables =
@@ -102,14 +102,14 @@
         return tables;
     }
 
-    /** Tables that a proxy could not follow are sent whole as far as the queue has capacity. */
+    /** Tables that a proxy could not follow are sent in full as far as the queue has capacity. */
     private void addPendingFullUpdates(ProxySession session, Map<TableId, Set<MethodId>> tables) {
         for (TableId id : session.pendingFullUpdates()) {
             if (!session.isSubscribed(id) || tables.containsKey(id)) {
-                session.fullUpdateSettled(id);
+                session.clearFullUpdate(id);
             } else if (registry.table(id).current().lines().size()
                     <= capacity.entriesThatFit(1, true)) {
-                session.fullUpdateSettled(id);
+                session.clearFullUpdate(id);
                 tables.put(id, session.subscribedMethods(id));
             }
         }
@@ -175,7 +175,7 @@
     }
 
     private void enqueue(ProxyMessage message, int token, long nowNanos) {
-        message.session().messageQueuedAt(nowNanos);
+        message.session().recordMessageQueued(nowNanos);
         lastNumber++;
         channel.enqueue(
                 message.session(),
--- a/src/main/java/rosespread/controller/SessionHandshake.java
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -56,7 +56,7 @@
             sessions.close(
                     session, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
         } else {
-            session.greeted();
+            session.markGreeted();
             session.transport()
                     .write(
                             FrameWriter.bytes(
@@ -110,7 +110,11 @@
                 .addKeyValue("remote", session.transport().remoteAddress())
                 .log("proxy joined");
         long wallMillis = context.clock().wallMillis();
-        join.held().forEach(held -> registry.raiseAbove(held.table(), held.version(), wallMillis));
+        join.held()
+                .forEach(
+                        held ->
+                                registry.raiseNumberAbove(
+                                        held.table(), held.version(), wallMillis));
         context.rounds().add(policy -> policy.proxyJoined(id, zone, join.rate()));
     }
 }
--- a/src/main/java/rosespread/controller/SettingsHolder.java
+++ b/src/main/java/rosespread/controller/SettingsHolder.java
@@ -32,7 +32,7 @@
         this.listener = listener;
     }
 
-    /** Brings the settings that were saved last into force, if they are whole. */
+    /** Brings the settings that were saved last into force, if they are valid. */
     synchronized void restore() {
         try {
             Optional<Snapshot.Saved> saved = snapshot.load();
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -55,8 +55,8 @@
             if (next.number() != table.sentVersion()) {
                 Frame.Lines delta = delta(table, next, next != before);
                 deltas.put(table.id(), delta);
-                table.sent(next.number());
-                capacity.committed(
+                table.markSent(next.number());
+                capacity.reserve(
                         delta.lines().size(),
                         actions.requestsAcknowledgement() && actions.changesWeights(table.id()),
                         capacity.subscribers(table.id()).size());
@@ -85,7 +85,7 @@
                                 && table.isReviewDue(
                                         nowNanos, REVIEW_INTERVAL_NANOS, facts.version());
         if (due) {
-            table.reviewed(nowNanos, facts.version());
+            table.markReviewed(nowNanos, facts.version());
         }
         return due;
     }
@@ -141,7 +141,7 @@
         Map<NodeId, Double> all = table.current().changesTo(weights);
         Map<NodeId, Double> selected = selector.select(table, all, context, nowNanos);
         if (selected.size() < all.size()) {
-            table.catchUpLater();
+            table.deferCatchUp();
         }
         return selected;
     }
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -143,7 +143,7 @@
      * Raises a table's number above one that a proxy holds, of another controller or of a past that
      * was not persisted, so that versions never go backwards for it.
      */
-    void raiseAbove(TableId id, long held, long wallMillis) {
+    void raiseNumberAbove(TableId id, long held, long wallMillis) {
         ManagedTable table = tables.get(id);
         long known = table == null ? minimumNumbers.getOrDefault(id, 0L) : table.current().number();
         if (held > MAX_VERSION_NUMBER || held <= known) {
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -70,7 +70,7 @@
                         changes,
                         context);
         report(table, result.refusals());
-        table.validated(result.refusals());
+        table.recordValidation(result.refusals());
         return result;
     }
 
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -271,7 +271,7 @@
         weights(0.5, 0.6, 0.7);
         // So much was written lately that a message must wait.
         for (int i = 0; i < 40; i++) {
-            proxy.session().messageQueuedAt(fixture.nowNanos());
+            proxy.session().recordMessageQueued(fixture.nowNanos());
         }
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
         restart(SettingsTest.GOOD);
