--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -397,12 +397,12 @@
     private static HttpMessage.Response faults(SettingsException e) {
         ObjectNode told = ProblemDetails.members(422, "Settings not applied", e.getMessage());
         ArrayNode faults = told.putArray("faults");
-        e.faults()
+        e.invalidFields()
                 .forEach(
                         fault ->
                                 faults.addObject()
                                         .put("field", fault.field())
-                                        .put("value", fault.value())
+                                        .put("value", fault.found())
                                         .put("allowed", fault.allowed()));
         return ProblemDetails.answer(told);
     }
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -50,7 +50,7 @@
     public static final PolicyFactory ROUTING_POLICY =
             (settings, seed) -> {
                 RoutingPolicy policy =
-                        new RoutingPolicy(settings.module(), new SplittableRandom(seed));
+                        new RoutingPolicy(settings.policySettings(), new SplittableRandom(seed));
                 return policy::round;
             };
 
--- a/src/main/java/rosespread/controller/NodeClients.java
+++ b/src/main/java/rosespread/controller/NodeClients.java
@@ -65,7 +65,7 @@
 
     /** Starts following the node list. */
     void watchNodes() {
-        nodeList.follow();
+        nodeList.start();
     }
 
     void checkHealth(ListedNode node) {
@@ -74,14 +74,14 @@
                 result -> queue.put(now -> state.healthChecked(now, node.id(), result)));
     }
 
-    private final class ListFollower implements NodeListClient.Follower {
+    private final class ListFollower implements NodeListClient.Listener {
         @Override
-        public void whole(List<ListedNode> nodes) {
+        public void nodeListReceived(List<ListedNode> nodes) {
             queue.put(now -> state.nodesListed(now, nodes));
         }
 
         @Override
-        public void unavailable(String reason) {
+        public void nodeListUnavailable(String reason) {
             queue.put(now -> state.nodeListUnavailable(now, reason));
         }
     }
--- a/src/main/java/rosespread/controller/NodeFacts.java
+++ b/src/main/java/rosespread/controller/NodeFacts.java
@@ -115,7 +115,7 @@
     private double warmUpRatio(ListedNode node) {
         long started = startTimes.startedNanos(node);
         long now = clock.nowNanos();
-        FleetSettings.Cold warmUp = settings.cold();
+        FleetSettings.WarmUp warmUp = settings.cold();
         return started == NodeStartTimes.LONG_AGO || now - started >= warmUp.time()
                 ? 1
                 : warmUp.share()
--- a/src/main/java/rosespread/discovery/HealthChecker.java
+++ b/src/main/java/rosespread/discovery/HealthChecker.java
@@ -7,7 +7,7 @@
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
 
-/** Probes a node by one GET; 429 and 503 are a push-back, other statuses from 400 on an abort. */
+/** HealthChecks a node by one GET; 429 and 503 are a push-back, other statuses from 400 on an abort. */
 public final class HealthChecker {
     private final HttpClient http;
     private final String path;
--- a/src/main/java/rosespread/scenario/ScenarioReader.java
+++ b/src/main/java/rosespread/scenario/ScenarioReader.java
@@ -70,7 +70,7 @@
             throw new ScenarioException(file + ": " + e.getMessage());
         } catch (SettingsException e) {
             throw new ScenarioException(
-                    e.faults().stream()
+                    e.invalidFields().stream()
                             .map(
                                     fault ->
                                             file
@@ -79,7 +79,7 @@
                                                     + ": field "
                                                     + fault.field()
                                                     + " is "
-                                                    + fault.value()
+                                                    + fault.found()
                                                     + "; allowed: "
                                                     + fault.allowed())
                             .collect(Collectors.joining("\n")));
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -23,14 +23,14 @@
         List<String> kinds,
         List<Method> methods,
         Catalogue list,
-        Probes probes,
+        HealthChecks probes,
         PolicySettings.Throttle levels,
         Channel channel,
         long reportPeriod,
         long drainGrace,
         double drainLeastShare,
         List<InetSocketAddress> peers,
-        Cold cold) {
+        WarmUp cold) {
 
     public record Method(
             String name,
@@ -54,7 +54,7 @@
             long silentAfter,
             long backwardsAfter) {}
 
-    public record Probes(boolean allowed, String path, long timeout) {}
+    public record HealthChecks(boolean allowed, String path, long timeout) {}
 
     /** The pace and limits of the channel; a message limit of 0 is none. */
     public record Channel(
@@ -71,10 +71,10 @@
      * How nodes warm up: how long at most, from what share of their size, and over what window they
      * fall.
      */
-    public record Cold(long time, double share, long window) {}
+    public record WarmUp(long time, double share, long window) {}
 
     /** What the decision module is told. */
-    public PolicySettings module() {
+    public PolicySettings policySettings() {
         return new PolicySettings(
                 methods.stream().map(this::method).toList(),
                 zones.size(),
--- a/src/main/java/rosespread/settings/JsonFields.java
+++ b/src/main/java/rosespread/settings/JsonFields.java
@@ -17,20 +17,20 @@
 
     private final String path;
     private final JsonNode node;
-    private final List<SettingsException.Fault> faults;
+    private final List<SettingsException.InvalidField> faults;
     private final Set<String> known = new TreeSet<>();
 
     public JsonFields(JsonNode node) {
         this("", node, new ArrayList<>());
     }
 
-    private JsonFields(String path, JsonNode node, List<SettingsException.Fault> faults) {
+    private JsonFields(String path, JsonNode node, List<SettingsException.InvalidField> faults) {
         this.path = path;
         this.node = node;
         this.faults = faults;
         if (!node.isObject() && !node.isMissingNode()) {
             faults.add(
-                    new SettingsException.Fault(
+                    new SettingsException.InvalidField(
                             path.isEmpty() ? "(whole)" : path, shown(node), "an object"));
         }
     }
@@ -42,7 +42,7 @@
                         name -> {
                             if (!known.contains(name)) {
                                 faults.add(
-                                        new SettingsException.Fault(
+                                        new SettingsException.InvalidField(
                                                 at(name),
                                                 shown(node.get(name)),
                                                 "no such field; known are "
@@ -114,7 +114,7 @@
                 all.add(entry.asText());
             } else {
                 faults.add(
-                        new SettingsException.Fault(
+                        new SettingsException.InvalidField(
                                 at(name) + "[" + i + "]",
                                 shown(entry),
                                 among == null
@@ -183,7 +183,7 @@
 
     public void fault(String name, String allowed) {
         JsonNode value = node.path(name);
-        faults.add(new SettingsException.Fault(at(name), shown(value), allowed));
+        faults.add(new SettingsException.InvalidField(at(name), shown(value), allowed));
     }
 
     private String at(String name) {
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -40,7 +40,7 @@
                                     + e.getLocation().getColumnNr();
             throw new SettingsException(
                     List.of(
-                            new SettingsException.Fault(
+                            new SettingsException.InvalidField(
                                     "(whole)", place, "JSON: " + e.getOriginalMessage())));
         }
     }
@@ -52,7 +52,7 @@
         List<String> kinds = all.texts("kinds", 1, 64, null);
         List<FleetSettings.Method> methods = methods(all, kinds, zones);
         FleetSettings.Catalogue list = list(all.object("list"));
-        FleetSettings.Probes probes = probes(all.object("probes"));
+        FleetSettings.HealthChecks probes = probes(all.object("probes"));
         String levels = all.text("levels", "none", "share|rate|none", "share, rate or none");
         FleetSettings.Channel channel = channel(all.object("channel"));
         long period = all.millis("reportPeriodMs", Double.NaN, 10, 60_000);
@@ -60,8 +60,8 @@
         double leastShare = all.number("drainLeastShare", 0.5, 0, 1);
         List<InetSocketAddress> peers = peers(all);
         JsonFields cold = all.object("cold");
-        FleetSettings.Cold warming =
-                new FleetSettings.Cold(
+        FleetSettings.WarmUp warming =
+                new FleetSettings.WarmUp(
                         cold.millis("timeMs", Double.NaN, 0, DAY),
                         cold.number("share", Double.NaN, 0.01, 1),
                         cold.millis("windowMs", Double.NaN, 0, DAY));
@@ -140,9 +140,9 @@
         return read;
     }
 
-    private static FleetSettings.Probes probes(JsonFields probes) {
-        FleetSettings.Probes read =
-                new FleetSettings.Probes(
+    private static FleetSettings.HealthChecks probes(JsonFields probes) {
+        FleetSettings.HealthChecks read =
+                new FleetSettings.HealthChecks(
                         probes.flag("allowed", false),
                         probes.text(
                                 "path",
--- a/src/test/java/rosespread/discovery/NodeListClientTest.java
+++ b/src/test/java/rosespread/discovery/NodeListClientTest.java
@@ -68,9 +68,9 @@
                         timer,
                         clock::get,
                         new SplittableRandom(1),
-                        new NodeListClient.Follower() {
+                        new NodeListClient.Listener() {
                             @Override
-                            public void whole(List<ListedNode> nodes) {
+                            public void nodeListReceived(List<ListedNode> nodes) {
                                 heard.add(
                                         nodes.stream()
                                                 .map(n -> n.name() + " " + n.state())
@@ -79,11 +79,11 @@
                             }
 
                             @Override
-                            public void unavailable(String why) {
+                            public void nodeListUnavailable(String why) {
                                 heard.add("unavailable: " + why);
                             }
                         });
-        client.follow();
+        client.start();
     }
 
     private static String entry(String name, String checks) {
--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -60,7 +60,7 @@
         String firstLate = "";
 
         /**
-         * Cold nodes that were pushed over, and the most that one bore, in times of what it could
+         * WarmUp nodes that were pushed over, and the most that one bore, in times of what it could
          * do.
          */
         final Set<NodeId> fallen = new TreeSet<>();
--- a/src/test/java/rosespread/scenario/FaultyController.java
+++ b/src/test/java/rosespread/scenario/FaultyController.java
@@ -81,7 +81,7 @@
     }
 
     private static Policy planner(Fault fault, FleetSettings fleet, long seed) {
-        PolicySettings settings = fleet.module();
+        PolicySettings settings = fleet.policySettings();
         RoutingPolicy brain = new RoutingPolicy(settings, new SplittableRandom(seed));
         Set<NodeId> started = new HashSet<>();
         Map<TableId, Set<NodeId>> lines = new TreeMap<>();
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -26,9 +26,9 @@
     @Test
     void readsWhatTheModuleIsTold() throws SettingsException {
         FleetSettings settings = SettingsReader.read(GOOD);
-        assertEquals(2_000_000_000L, settings.module().drainTimeoutNanos());
-        assertEquals(2, settings.module().zones());
-        assertEquals(1, settings.module().methods().get(1).allowedMachineTypes().size());
+        assertEquals(2_000_000_000L, settings.policySettings().drainTimeoutNanos());
+        assertEquals(2, settings.policySettings().zones());
+        assertEquals(1, settings.policySettings().methods().get(1).allowedMachineTypes().size());
         assertEquals(10_000_000_000L, settings.channel().messageSpan());
     }
 
@@ -55,11 +55,11 @@
                 assertThrows(
                         SettingsException.class, () -> SettingsReader.read(GOOD.replace(from, to)));
         assertTrue(
-                e.faults().stream()
+                e.invalidFields().stream()
                         .anyMatch(
                                 f ->
                                         f.field().equals(field)
-                                                && f.value().startsWith(value)
+                                                && f.found().startsWith(value)
                                                 && !f.allowed().isEmpty()),
                 e.getMessage());
     }
@@ -68,7 +68,7 @@
     void tellsAllFaultsAtOnce() {
         SettingsException e =
                 assertThrows(SettingsException.class, () -> SettingsReader.read("{}"));
-        assertTrue(e.faults().size() > 8, e.getMessage());
+        assertTrue(e.invalidFields().size() > 8, e.getMessage());
     }
 
     @Test
