--- a/src/main/java/rosespread/admin/Daemon.java
+++ b/src/main/java/rosespread/admin/Daemon.java
@@ -26,7 +26,7 @@
      * @param stateFolder where settings, tables and the audit log are stored
      * @param channelAddress where proxies connect
      * @param adminAddress where operators connect
-     * @param planning makes the policy
+     * @param policyFactory makes the policy
      * @param validator checks table changes before they are rolled out
      * @throws IOException if an address cannot be bound or the audit log cannot be opened
      * @throws InterruptedException if the calling thread is interrupted
@@ -36,10 +36,10 @@
             Path stateFolder,
             InetSocketAddress channelAddress,
             InetSocketAddress adminAddress,
-            Controller.Planning planning,
+            Controller.PolicyFactory policyFactory,
             TableChangeValidator validator)
             throws IOException, InterruptedException {
-        Controller controller = new Controller(name, stateFolder, planning, validator);
+        Controller controller = new Controller(name, stateFolder, policyFactory, validator);
         AuditLog auditLog = openAuditLog(stateFolder.resolve(AUDIT_LOG));
         AdminServer admin = new AdminServer(controller, auditLog);
         Runtime.getRuntime()
--- a/src/main/java/rosespread/cli/ControllerCommand.java
+++ b/src/main/java/rosespread/cli/ControllerCommand.java
@@ -51,7 +51,13 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        Daemon.run(name, state, listen, control, Controller.MODULE, new TableChangeValidator());
+        Daemon.run(
+                name,
+                state,
+                listen,
+                control,
+                Controller.ROUTING_POLICY,
+                new TableChangeValidator());
         return ExitCodes.DONE;
     }
 }
--- a/src/test/java/rosespread/admin/AdminFixture.java
+++ b/src/test/java/rosespread/admin/AdminFixture.java
@@ -19,7 +19,8 @@
      * @param auditLog may be null
      */
     AdminFixture(String name, Path folder, AuditLog auditLog) throws IOException {
-        controller = new Controller(name, folder, Controller.MODULE, new TableChangeValidator());
+        controller =
+                new Controller(name, folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         controller.start(ANY_PORT);
         server = new AdminServer(controller, auditLog);
         address = server.listen(ANY_PORT);
--- a/src/test/java/rosespread/cli/FleetFixture.java
+++ b/src/test/java/rosespread/cli/FleetFixture.java
@@ -55,7 +55,7 @@
     private void startController(String name) throws IOException {
         Path state = folder.resolve(name);
         Controller controller =
-                new Controller(name, state, Controller.MODULE, new TableChangeValidator());
+                new Controller(name, state, Controller.ROUTING_POLICY, new TableChangeValidator());
         controller.start(ANY_PORT);
         AuditLog auditLog = new AuditLog(state.resolve("audit.log"), System::currentTimeMillis);
         AdminServer adminServer = new AdminServer(controller, auditLog);
