--- a/src/main/java/rosespread/admin/AuditTrail.java
+++ b/src/main/java/rosespread/admin/AuditTrail.java
@@ -53,12 +53,12 @@
     }
 
     /** The last entries that this process wrote, oldest first; empty without a log. */
-    List<AuditLog.Line> recent() {
+    List<AuditLog.Entry> recent() {
         return log.map(AuditLog::recent).orElse(List.of());
     }
 
     /** Why the log cannot be written now; empty if it can, or if there is none. */
     String trouble() {
-        return log.map(AuditLog::trouble).orElse("");
+        return log.map(AuditLog::fault).orElse("");
     }
 }
--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -29,7 +29,7 @@
         if (!Files.isRegularFile(file)) {
             throw new ParameterException(spec().commandLine(), file + " is not a file");
         }
-        AuditLog.Verdict verdict = AuditLog.check(file);
+        AuditLog.Verification verdict = AuditLog.verify(file);
         if (!verdict.fault().isEmpty()) {
             err().println(file + ": " + verdict.fault());
             return ExitCodes.FAILED;
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -169,8 +169,8 @@
         }
         long nextRound = policyRunner.runDue();
         TableLog log = registry.log();
-        if (log.wantsImage()) {
-            log.image(registry.snapshot());
+        if (log.wantsSnapshot()) {
+            log.writeSnapshot(registry.snapshot());
         }
         long nextMessage = policyRunner.channel().orElseThrow().sendDue(nowNanos);
         long nextKeepAlive = keepAlives.check(nowNanos, settings.get().channel().keepAlive());
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -138,10 +138,10 @@
         Optional<DurabilityTimeout> timeout =
                 policyRunner.channel().map(PacedChannel::durabilityTimeout);
         return new ControllerStatus.Storage(
-                registry.log().trouble(),
+                registry.log().fault(),
                 timeout.map(DurabilityTimeout::late).orElse(false),
                 Math.max(0, registry.lastSequence() - registry.log().durable()),
-                timeout.map(DurabilityTimeout::unkept).orElse(0L),
+                timeout.map(DurabilityTimeout::sentBeforeDurable).orElse(0L),
                 registry.log().bytes());
     }
 }
--- a/src/main/java/rosespread/controller/DrainHandler.java
+++ b/src/main/java/rosespread/controller/DrainHandler.java
@@ -99,7 +99,7 @@
         }
         FleetSettings settings = policyRunner.settings().get();
         return new DrainGuard(settings.drainLeastShare())
-                .against(
+                .violations(
                         node.name(),
                         directory.listed().stream().map(DrainHandler::guardNode).toList(),
                         settings.methods().stream().map(DrainHandler::guardMethod).toList());
@@ -140,7 +140,7 @@
     int merge(List<Drain> drains) {
         int changes = 0;
         for (Drain drain : drains) {
-            if (drain.after(registry.drains().latest(drain.node()).orElse(null))
+            if (drain.supersedes(registry.drains().latest(drain.node()).orElse(null))
                     && registry.applyDrain(drain)) {
                 changes++;
                 LOG.atInfo()
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -33,7 +33,7 @@
     private final Set<ZoneId> zones = new TreeSet<>();
     private final TreeMap<NodeId, Double> pending = new TreeMap<>();
     private final TreeMap<TableChangeValidator.Reason, Long> refusalCounts = new TreeMap<>();
-    private final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+    private final TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
     private VersionHistory history;
     private PinState pin = PinState.NONE;
     private long rollbackTarget;
@@ -54,8 +54,8 @@
     static ManagedTable restored(TableSnapshot snapshot) {
         ManagedTable table =
                 new ManagedTable(snapshot.current().table(), new VersionHistory(snapshot));
-        table.pin = snapshot.hold();
-        table.rollbackTarget = snapshot.to();
+        table.pin = snapshot.pinState();
+        table.rollbackTarget = snapshot.rollbackTarget();
         table.pending.putAll(snapshot.pending());
         return table;
     }
@@ -76,7 +76,7 @@
     /** Nothing was ever committed: numbers begin after this one. */
     void startNumberingAfter(long number) {
         VersionHistory fresh = new VersionHistory(id, number);
-        fresh.levels().putAll(history.levels());
+        fresh.admissionLimits().putAll(history.admissionLimits());
         history = fresh;
         sentVersion = number;
     }
@@ -112,7 +112,7 @@
         desired.clear();
         methods.clear();
         zones.clear();
-        history.levels().clear();
+        history.admissionLimits().clear();
         standing.forget();
         refusals = List.of();
         pin = pin.lasting();
@@ -199,7 +199,7 @@
 
     /** Tables are laid out another way: pins and older versions mean something else. */
     void layoutChanged() {
-        history.forget();
+        history.dropAllButCurrent();
         pin = PinState.NONE;
         rollbackTarget = 0;
         pending.clear();
@@ -215,7 +215,7 @@
     }
 
     /** Returns what the validator remembers of the committed weights. */
-    TableChangeValidator.Standing standing() {
+    TableChangeValidator.AcceptedTotals standing() {
         return standing;
     }
 
--- a/src/main/java/rosespread/controller/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -99,10 +99,10 @@
     }
 
     private boolean isDurable(QueuedMessage message, long nowNanos) {
-        return durabilityTimeout.mayLeave(
+        return durabilityTimeout.maySend(
                 message.requiredSequence(),
                 log.durable(),
-                !log.trouble().isEmpty(),
+                !log.fault().isEmpty(),
                 nowNanos - message.orderedAtNanos());
     }
 
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -76,7 +76,7 @@
 
     /** Returns the entries of a table that reach its subscribers within the drain timeout. */
     double entriesWithinGrace(TableId table) {
-        return ChannelCapacity.carried(
+        return ChannelCapacity.deliverableEntries(
                 limits.linesPerSecond(),
                 drainGraceNanos,
                 limits.queueLimit(),
@@ -87,7 +87,7 @@
 
     /** Returns the entries that may go to each of so many proxies now, beside the policy's own. */
     int entriesThatFit(int proxies, boolean urgent) {
-        return ChannelCapacity.lines(
+        return ChannelCapacity.availableEntries(
                 limits.queueLimit(),
                 channel.queuedEntries() + overdueEntries + committedEntries,
                 proxies,
@@ -97,7 +97,7 @@
 
     /** Whether the message limit lets a session have one more message, beside the policy's own. */
     boolean allowsMessage(ProxySession session, long nowNanos, boolean urgent) {
-        return ChannelCapacity.message(
+        return ChannelCapacity.mayWriteMessage(
                 limits.messageLimit(),
                 session.messagesQueuedWithin(nowNanos, limits.messageSpan()),
                 urgent);
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -103,7 +103,7 @@
                                 version.digest(),
                                 List.copyOf(key.methods),
                                 entries,
-                                levels(history.levels()))));
+                                levels(history.admissionLimits()))));
         return frames.toByteArray();
     }
 
--- a/src/main/java/rosespread/controller/RoundMessageWriter.java
+++ b/src/main/java/rosespread/controller/RoundMessageWriter.java
@@ -165,7 +165,7 @@
         }
         message.add(
                 frames.fullTable(history, methods, introduced, session.acceptsCompression()),
-                1 + weighted.size() + history.levels().size());
+                1 + weighted.size() + history.admissionLimits().size());
         for (NodeId node : excluded) {
             if (weighted.contains(node)) {
                 message.add(FrameWriter.bytes(new Frame.Withdraw(node, true)), 1);
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -76,7 +76,7 @@
             return;
         }
         layout = digest;
-        lastSequence = log.append(new LogEntry.LaidOut(digest));
+        lastSequence = log.append(new LogEntry.LayoutChanged(digest));
         tables.values().forEach(ManagedTable::layoutChanged);
     }
 
@@ -118,7 +118,7 @@
         TableVersion before = table.current();
         TableVersion next = table.history().commit(delta, cause, wallMillis);
         if (next != before) {
-            lastSequence = log.append(new LogEntry.Committed(next));
+            lastSequence = log.append(new LogEntry.VersionCommitted(next));
         }
         return next;
     }
@@ -134,7 +134,7 @@
         if (lasting && !table.history().isEmpty()) {
             lastSequence =
                     log.append(
-                            new LogEntry.Holding(
+                            new LogEntry.PinChanged(
                                     table.id(), pin.lasting(), target, new TreeMap<>(pending)));
         }
     }
@@ -158,7 +158,7 @@
             table.startNumberingAfter(number);
         } else {
             TableVersion renumbered = table.history().renumber(number, wallMillis);
-            lastSequence = log.append(new LogEntry.Committed(renumbered));
+            lastSequence = log.append(new LogEntry.VersionCommitted(renumbered));
         }
     }
 
@@ -169,7 +169,7 @@
     /** Applies and appends a drain or its end; returns whether it changes anything. */
     boolean applyDrain(Drain drain) {
         boolean changes = drains.apply(drain);
-        lastSequence = log.append(new LogEntry.Drained(drain));
+        lastSequence = log.append(new LogEntry.DrainChanged(drain));
         return changes;
     }
 
@@ -178,7 +178,7 @@
         List<TableSnapshot> persisted = new ArrayList<>();
         for (ManagedTable table : tables.values()) {
             table.history()
-                    .image(table.pin(), table.rollbackTarget(), table.pending())
+                    .snapshot(table.pin(), table.rollbackTarget(), table.pending())
                     .ifPresent(persisted::add);
         }
         return new StoreSnapshot(layout, persisted, drains.all());
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -96,7 +96,7 @@
 
     @Override
     public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-        registry.table(table).history().levels().put(method, admitted);
+        registry.table(table).history().admissionLimits().put(method, admitted);
         actions.setAdmissionLimit(table, method, admitted);
     }
 
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -77,13 +77,13 @@
     /** Returns weights less the entries that may not stay, warming nodes held to their bound. */
     Map<NodeId, Double> retain(
             Map<NodeId, Double> weights, TableChangeValidator.ValidationContext context) {
-        return validator.kept(weights, context);
+        return validator.retainableEntries(weights, context);
     }
 
     /** Returns the weights one step from the committed ones towards the desired ones. */
     Map<NodeId, Double> stepTowardsDesired(
             ManagedTable table, TableChangeValidator.ValidationContext context) {
-        return validator.towards(table.current().lines(), table.desired(), context);
+        return validator.stepTowards(table.current().lines(), table.desired(), context);
     }
 
     private void report(ManagedTable table, List<TableChangeValidator.Refusal> refusals) {
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -100,7 +100,7 @@
                 }
             }
         }
-        assertEquals("", AuditLog.check(log).fault());
+        assertEquals("", AuditLog.verify(log).fault());
         long done =
                 Files.readAllLines(log).stream().filter(line -> line.contains("200 done")).count();
         assertEquals(1 + PAIRS + repeats, done, "no act is lost");
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -62,7 +62,7 @@
     private final Map<NodeId, TableChangeValidator.NodeFact> facts = new TreeMap<>();
     private final Map<NodeId, Double> published = new TreeMap<>();
     private final Map<NodeId, Double> desired = new TreeMap<>();
-    private final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+    private final TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
     private TableChangeValidator validator;
 
     @Setup
--- a/src/test/java/rosespread/controller/MemoryLog.java
+++ b/src/test/java/rosespread/controller/MemoryLog.java
@@ -56,7 +56,7 @@
     void makeDurable() {
         try {
             for (LogEntry entry : notDurable) {
-                durableEntries.take(entry);
+                durableEntries.apply(entry);
             }
         } catch (StoreException e) {
             throw new AssertionError(e);
@@ -67,7 +67,7 @@
 
     /** Returns what a restart finds. */
     StoreSnapshot persisted() {
-        return durableEntries.image();
+        return durableEntries.snapshot();
     }
 
     @Override
@@ -76,15 +76,15 @@
     }
 
     @Override
-    public boolean wantsImage() {
+    public boolean wantsSnapshot() {
         return false;
     }
 
     @Override
-    public void image(StoreSnapshot image) {}
+    public void writeSnapshot(StoreSnapshot image) {}
 
     @Override
-    public String trouble() {
+    public String fault() {
         return trouble;
     }
 
--- a/src/test/java/rosespread/controller/StoredFormatTest.java
+++ b/src/test/java/rosespread/controller/StoredFormatTest.java
@@ -34,24 +34,24 @@
     @Test
     void entriesHaveTheFormThatTheyHad(@TempDir Path empty) throws IOException {
         TableVersion version = TableVersion.empty(new TableId(7), 4);
-        List<LogEntry> entries = new ArrayList<>(List.of(new LogEntry.LaidOut(-3)));
+        List<LogEntry> entries = new ArrayList<>(List.of(new LogEntry.LayoutChanged(-3)));
         double weight = 1;
         for (TableVersion.Cause cause : TableVersion.Cause.values()) {
             version =
                     version.with(
                             Map.of(LOW, weight, HIGH, weight / 4), cause, WALL + (long) weight);
-            entries.add(new LogEntry.Committed(version));
+            entries.add(new LogEntry.VersionCommitted(version));
             weight++;
         }
         for (PinState hold : PinState.values()) {
             entries.add(
-                    new LogEntry.Holding(
+                    new LogEntry.PinChanged(
                             new TableId(7),
                             hold,
                             hold == PinState.PINNED ? 5 : 0,
                             hold == PinState.PINNED ? Map.of(LOW, 0.25, HIGH, 0.0) : Map.of()));
         }
-        entries.add(new LogEntry.Drained(drain()));
+        entries.add(new LogEntry.DrainChanged(drain()));
         try (TableStore store = store(empty)) {
             store.open();
             entries.forEach(store::append);
@@ -80,7 +80,7 @@
                         List.of(whole, next), Set.of(5L), PinState.PINNED, 5, Map.of(HIGH, 0.1));
         try (TableStore store = store(empty)) {
             store.open();
-            store.image(new StoreSnapshot(-3, List.of(table), List.of(drain())));
+            store.writeSnapshot(new StoreSnapshot(-3, List.of(table), List.of(drain())));
             await().until(() -> Files.exists(empty.resolve("tables-000002.log")));
         }
         assertEquals(text("image.log"), Files.readString(empty.resolve("tables-000002.log")));
--- a/src/test/java/rosespread/controller/StoredStateDamageTest.java
+++ b/src/test/java/rosespread/controller/StoredStateDamageTest.java
@@ -35,9 +35,9 @@
         int end = all.indexOf("1c08174b {\"n\":25");
         Files.writeString(file(TABLES), all.substring(0, end + 40));
         TableSnapshot table = restored().tables().get(2);
-        assertEquals("PINNED", table.hold().name());
-        assertEquals(1, table.to());
-        assertEquals(Set.of(1L), table.kept());
+        assertEquals("PINNED", table.pinState().name());
+        assertEquals(1, table.rollbackTarget());
+        assertEquals(Set.of(1L), table.retained());
         assertEquals(
                 Map.of("93c218910c6b496c", 1.0, "5d8619fdc4715e", 1.0, "6a284bbb7df2b3a6", 1.0),
                 weights(table.pending()));
@@ -166,16 +166,16 @@
         try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
             assertTrue(log.write(act()));
         }
-        assertEquals(AUDIT_LINES, AuditLog.check(file(AUDIT)).lines());
-        assertEquals("", AuditLog.check(file(AUDIT)).fault());
+        assertEquals(AUDIT_LINES, AuditLog.verify(file(AUDIT)).lines());
+        assertEquals("", AuditLog.verify(file(AUDIT)).fault());
     }
 
     @Test
     void garbageWithoutAnEndAfterAnAuditLogIsCut() throws IOException {
         add(AUDIT, "garbage");
         assertEquals(
-                new AuditLog.Verdict(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
-                AuditLog.check(file(AUDIT)));
+                new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
+                AuditLog.verify(file(AUDIT)));
         new AuditLog(file(AUDIT), () -> WALL).close();
         assertArrayEquals(resource("v1/" + AUDIT), Files.readAllBytes(file(AUDIT)));
     }
@@ -202,7 +202,7 @@
     void aChangedAuditLineIsFound() throws IOException {
         String all = text("v1/" + AUDIT);
         Files.writeString(file(AUDIT), all.replaceFirst("drain-n1", "drain-n7"));
-        AuditLog.Verdict verdict = AuditLog.check(file(AUDIT));
+        AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
         assertEquals(12, verdict.lines());
         assertEquals(
                 "line 13, byte 2542: its chain does not follow from the line before",
--- a/src/test/java/rosespread/controller/StoredStateFixture.java
+++ b/src/test/java/rosespread/controller/StoredStateFixture.java
@@ -110,11 +110,11 @@
     static String tables(StoreSnapshot image) {
         StringBuilder all = new StringBuilder();
         for (TableSnapshot table : image.tables()) {
-            all.append(table.hold().name())
+            all.append(table.pinState().name())
                     .append(" to ")
-                    .append(table.to())
+                    .append(table.rollbackTarget())
                     .append(" kept ")
-                    .append(table.kept())
+                    .append(table.retained())
                     .append(" pending ")
                     .append(weights(table.pending()))
                     .append('\n');
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -156,8 +156,8 @@
 
     @Test
     void theAuditChainHoldsAndGoesOn() throws IOException {
-        AuditLog.Verdict verdict = AuditLog.check(file(AUDIT));
-        assertEquals(new AuditLog.Verdict(AUDIT_LINES, AUDIT_CHAIN, ""), verdict);
+        AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
+        assertEquals(new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, ""), verdict);
         try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
             assertTrue(log.write(act()));
         }
@@ -168,7 +168,7 @@
                         + "in\":\"59201fd965218631cf9227fa8d323eefe80b7d29afac13fee765941aa7772c80\""
                         + "}\n",
                 Files.readString(file(AUDIT)));
-        assertEquals(AUDIT_LINES + 1, AuditLog.check(file(AUDIT)).lines());
+        assertEquals(AUDIT_LINES + 1, AuditLog.verify(file(AUDIT)).lines());
     }
 
     @Test
--- a/src/test/java/rosespread/platform/SimulatedProxy.java
+++ b/src/test/java/rosespread/platform/SimulatedProxy.java
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Holding an entry counts as sending: a proxy sends often enough for it to come true. */
+    /** PinChanged an entry counts as sending: a proxy sends often enough for it to come true. */
     boolean sendsTo(NodeId node) {
         return !excluded.contains(node)
                 && tables.values().stream().anyMatch(table -> table.containsKey(node));
