--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -270,7 +270,7 @@
                         .put("listTrouble", state.listTrouble())
                         .put("settingsTrouble", conductor.settingsTrouble())
                         .put("storageTrouble", state.storage().trouble())
-                        .put("auditTrouble", audit == null ? "" : audit.trouble());
+                        .put("auditTrouble", audit == null ? "" : audit.fault());
         conductor
                 .settings()
                 .ifPresent(
@@ -304,7 +304,7 @@
                         .put("phase", state.phase())
                         .put("trouble", conductor.settingsTrouble())
                         .put("storage", state.storage().trouble())
-                        .put("audit", audit == null ? "" : audit.trouble()));
+                        .put("audit", audit == null ? "" : audit.fault()));
     }
 
     private HttpMessage.Response settings(HttpMessage.Request call, Caller caller)
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -555,8 +555,8 @@
             rounds.add(gathered::handTo);
         }
         long next = Math.min(sumsAt, rounds.runDue(now, player));
-        if (book.log().wantsImage()) {
-            book.log().image(book.image());
+        if (book.log().wantsSnapshot()) {
+            book.log().writeSnapshot(book.image());
         }
         next = Math.min(next, channel.pump(now));
         return Math.min(next, keepAlive());
@@ -632,10 +632,10 @@
     private ControllerStatus.Storage storage() {
         DurabilityTimeout patience = channel == null ? null : channel.patience();
         return new ControllerStatus.Storage(
-                book.log().trouble(),
+                book.log().fault(),
                 patience != null && patience.late(),
                 Math.max(0, book.last() - book.log().durable()),
-                patience == null ? 0 : patience.unkept(),
+                patience == null ? 0 : patience.sentBeforeDurable(),
                 book.log().bytes());
     }
 
@@ -693,7 +693,7 @@
         List<String> against =
                 call.on() && !call.force() && settings != null
                         ? new DrainGuard(settings.drainLeastShare())
-                                .against(
+                                .violations(
                                         node.name(),
                                         listed.values().stream()
                                                 .map(
@@ -742,7 +742,8 @@
         now = time;
         int changes = 0;
         for (Drain word : words) {
-            if (word.after(book.drains().latest(word.node()).orElse(null)) && book.take(word)) {
+            if (word.supersedes(book.drains().latest(word.node()).orElse(null))
+                    && book.take(word)) {
                 changes++;
                 LOG.atInfo()
                         .addKeyValue("node", word.name())
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -21,6 +21,7 @@
 import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
+import rosespread.validation.AcceptedTotals;
 import rosespread.validation.TableChangeValidator;
 
 /**
@@ -67,7 +68,7 @@
         long steppedAt = Long.MIN_VALUE / 2;
 
         /** What the gate knows of the lines that are out. */
-        final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+        final AcceptedTotals standing = new AcceptedTotals();
 
         /** When, and by which facts, a table that is held was looked at last. */
         long lookedAt = Long.MIN_VALUE / 2;
@@ -105,8 +106,8 @@
         image.drains().forEach(drains::apply);
         for (TableSnapshot kept : image.tables()) {
             Table table = new Table(kept.current().table(), new VersionHistory(kept));
-            table.hold = kept.hold();
-            table.to = kept.to();
+            table.hold = kept.pinState();
+            table.to = kept.rollbackTarget();
             table.pending.putAll(kept.pending());
             tables.put(table.id, table);
         }
@@ -136,9 +137,9 @@
             return;
         }
         layout = next;
-        last = log.append(new LogEntry.LaidOut(next));
+        last = log.append(new LogEntry.LayoutChanged(next));
         for (Table table : tables.values()) {
-            table.history.forget();
+            table.history.dropAllButCurrent();
             table.hold = PinState.NONE;
             table.to = 0;
             table.pending.clear();
@@ -174,7 +175,7 @@
         TableVersion before = table.out();
         TableVersion next = table.history.commit(delta, cause, wallMillis);
         if (next != before) {
-            last = log.append(new LogEntry.Committed(next));
+            last = log.append(new LogEntry.VersionCommitted(next));
         }
         return next;
     }
@@ -195,7 +196,7 @@
         if (lasts && !table.history.isEmpty()) {
             last =
                     log.append(
-                            new LogEntry.Holding(
+                            new LogEntry.PinChanged(
                                     table.id, hold.lasting(), to, new TreeMap<>(pending)));
         }
     }
@@ -218,7 +219,10 @@
             table.history = fresh;
             table.sent = number;
         } else if (table != null) {
-            last = log.append(new LogEntry.Committed(table.history.renumber(number, wallMillis)));
+            last =
+                    log.append(
+                            new LogEntry.VersionCommitted(
+                                    table.history.renumber(number, wallMillis)));
         }
     }
 
@@ -229,13 +233,14 @@
     /** Takes an operator's word on a node; tells whether it changes anything. */
     boolean take(Drain word) {
         boolean changes = drains.apply(word);
-        last = log.append(new LogEntry.Drained(word));
+        last = log.append(new LogEntry.DrainChanged(word));
         return changes;
     }
 
     StoreSnapshot image() {
         List<TableSnapshot> all = new ArrayList<>();
-        tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
+        tables.values()
+                .forEach(t -> t.history.snapshot(t.hold, t.to, t.pending).ifPresent(all::add));
         return new StoreSnapshot(layout, all, drains.all());
     }
 }
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -220,7 +220,9 @@
             return "table " + id.value() + " has no version " + version + " any more";
         }
         Map<NodeId, Double> lines =
-                effects.listKnown() ? gate.kept(target.lines(), scene(table)) : target.lines();
+                effects.listKnown()
+                        ? gate.retainableEntries(target.lines(), scene(table))
+                        : target.lines();
         book.hold(table, PinState.PINNED, version, table.out().changesTo(lines));
         effects.log(
                 "table "
@@ -270,7 +272,7 @@
         return effects.scene(
                 table.methods,
                 table.homes,
-                ChannelCapacity.carried(
+                ChannelCapacity.deliverableEntries(
                         limits.linesPerSecond(),
                         grace,
                         limits.queueLimit(),
@@ -293,14 +295,16 @@
                                         link.marks.stream()
                                                 .filter(
                                                         m ->
-                                                                ChannelCapacity.overdue(
+                                                                ChannelCapacity.isOverdue(
                                                                         now - m.writtenAt(),
                                                                         limits.longestWay()))
                                                 .mapToLong(ProxySession.Marked::lines)
                                                 .sum())
                         .filter(lines -> lines > 0)
                         .toArray();
-        overdue = ChannelCapacity.overdue(Arrays.stream(late).sum(), late.length, links.size());
+        overdue =
+                ChannelCapacity.overdueEntries(
+                        Arrays.stream(late).sum(), late.length, links.size());
         // Whatever goes out, each proxy that the module meant to reach gets a message with its
         // mark.
         committed =
@@ -405,7 +409,8 @@
     /** Until the module has spoken of a table, only what may not stay goes. */
     private TableVersion awaited(
             Table table, TableChangeValidator.ValidationContext scene, long now, long wallMillis) {
-        Map<NodeId, Double> delta = table.out().changesTo(gate.kept(table.out().lines(), scene));
+        Map<NodeId, Double> delta =
+                table.out().changesTo(gate.retainableEntries(table.out().lines(), scene));
         return book.commit(
                 table, fitting(table, delta, scene, now), TableVersion.Cause.GUARD, wallMillis);
     }
@@ -422,7 +427,7 @@
                         target.remove(node);
                     }
                 });
-        Map<NodeId, Double> all = out.changesTo(gate.kept(target, scene));
+        Map<NodeId, Double> all = out.changesTo(gate.retainableEntries(target, scene));
         Map<NodeId, Double> delta = fitting(table, all, scene, now);
         TableVersion next = book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
         table.pending.keySet().removeAll(delta.keySet());
@@ -438,8 +443,8 @@
         boolean due = now - table.steppedAt >= STEP_EVERY;
         Map<NodeId, Double> aim =
                 due && !table.awaited
-                        ? gate.towards(out.lines(), table.wanted, scene)
-                        : gate.kept(out.lines(), scene);
+                        ? gate.stepTowards(out.lines(), table.wanted, scene)
+                        : gate.retainableEntries(out.lines(), scene);
         Map<NodeId, Double> delta = fitting(table, out.changesTo(aim), scene, now);
         table.steppedAt = due ? now : table.steppedAt;
         if (!table.awaited && out.changesTo(table.wanted).isEmpty()) {
@@ -511,14 +516,14 @@
         if (!users.stream()
                 .allMatch(
                         link ->
-                                ChannelCapacity.message(
+                                ChannelCapacity.mayWriteMessage(
                                         limits.messageLimit(),
                                         link.writtenWithin(now, limits.messageSpan()),
                                         drain || table.hold == PinState.PINNED))) {
             return Map.of();
         }
         int fit =
-                ChannelCapacity.lines(
+                ChannelCapacity.availableEntries(
                         limits.queueLimit(),
                         channel.linesWaiting() + overdue + committed,
                         users.size(),
@@ -587,7 +592,7 @@
      */
     private void owed(ProxySession link, Map<TableId, Set<MethodId>> bound, long now) {
         if (link.owes.isEmpty()
-                || !ChannelCapacity.message(
+                || !ChannelCapacity.mayWriteMessage(
                         limits.messageLimit(),
                         link.writtenWithin(now, limits.messageSpan()),
                         true)) {
@@ -598,7 +603,7 @@
             if (!link.bound.containsKey(id) || bound.containsKey(id)) {
                 link.owes.remove(id);
             } else if (lines
-                    <= ChannelCapacity.lines(
+                    <= ChannelCapacity.availableEntries(
                             limits.queueLimit(),
                             channel.linesWaiting() + overdue + committed,
                             1,
--- a/src/main/java/rosespread/validation/ChannelCapacity.java
+++ b/src/main/java/rosespread/validation/ChannelCapacity.java
@@ -1,71 +1,104 @@
 package rosespread.validation;
 
 /**
- * Decides how much may leave that the module did not order: the way back to a version, what a
- * refusal leaves out, and tables sent whole to proxies that could not follow. The module keeps the
- * rest of the queue and of the messages; a node that leaves may use more, as it may not wait.
+ * Decides how much may be sent that the routing policy did not order: rollbacks, what the validator
+ * puts in place of a refused change, and full tables for proxies that could not follow. The policy
+ * keeps the rest of queue and messages; removals of draining nodes may use more, as they may not
+ * wait. Entries are weight entries of tables, counted once for each proxy that they go to.
+ *
+ * <p>Stateless and therefore thread-safe.
  */
 public final class ChannelCapacity {
-    private static final double QUEUE = 0.5;
-    private static final double QUEUE_DRAIN = 0.9;
-    private static final double MESSAGES = 0.7;
-    private static final double MESSAGES_DRAIN = 0.9;
-    private static final long ANSWER_SLACK = 300_000_000L;
+    /** Shares of the queue's limit and of a proxy's message limit; the policy has the rest. */
+    private static final double QUEUE_SHARE = 0.5;
+
+    private static final double QUEUE_SHARE_OF_DRAINS = 0.9;
+    private static final double MESSAGE_SHARE = 0.7;
+    private static final double MESSAGE_SHARE_OF_DRAINS = 0.9;
+
+    /** How much later than usual an acknowledgement may come. */
+    private static final long ACKNOWLEDGEMENT_SLACK_NANOS = 300_000_000L;
+
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private ChannelCapacity() {}
 
     /**
-     * Lines that may go to each of so many proxies now.
+     * How many entries may be sent to each of so many proxies now.
      *
-     * @param limit of lines in the queue; @param waiting lines there; @param head what a message
-     *     counts by itself
+     * @param queueLimit the most entries that may be queued
+     * @param queued entries in the queue
+     * @param messageOverhead what a message counts by itself, in entries
+     * @param drain whether the entries are removals of draining nodes
+     * @return 0 or more
      */
-    public static int lines(double limit, double waiting, int proxies, double head, boolean drain) {
-        double room = (drain ? QUEUE_DRAIN : QUEUE) * limit - waiting;
-        return (int) Math.max(0, Math.floor(room / Math.max(1, proxies) - head));
+    public static int availableEntries(
+            double queueLimit, double queued, int proxies, double messageOverhead, boolean drain) {
+        double capacity = (drain ? QUEUE_SHARE_OF_DRAINS : QUEUE_SHARE) * queueLimit - queued;
+        return (int) Math.max(0, Math.floor(capacity / Math.max(1, proxies) - messageOverhead));
     }
 
     /**
-     * Lines of one table that the channel can still carry to each of its proxies within the grace,
-     * beside all that waits and with no more waiting than may: guards against changes that are each
-     * small but not together, as the channel is one for all tables.
+     * How many entries of one table the channel can still deliver to each of its proxies within the
+     * drain timeout and the queue's limit. Guards against changes that are each small but not
+     * together, as all tables share the channel.
      *
-     * @param perSecond the channel's pace; @param grace in nanoseconds; @param limit of lines in
-     *     the queue;
-     * @param waiting lines there and on their way to it; @param head what a message counts by
-     *     itself
+     * @param entriesPerSecond the channel's rate
+     * @param drainTimeoutNanos the drain timeout
+     * @param queueLimit the most entries that may be queued
+     * @param queued entries in the queue and on their way to it
+     * @param messageOverhead what a message counts by itself, in entries
+     * @return infinite without proxies; negative if too much is queued already
      */
-    public static double carried(
-            double perSecond, long grace, double limit, double waiting, int proxies, double head) {
-        return proxies == 0
-                ? Double.POSITIVE_INFINITY
-                : (Math.min(perSecond * grace / 1e9, limit) - waiting) / proxies - head;
+    public static double deliverableEntries(
+            double entriesPerSecond,
+            long drainTimeoutNanos,
+            double queueLimit,
+            double queued,
+            int proxies,
+            double messageOverhead) {
+        if (proxies == 0) {
+            return Double.POSITIVE_INFINITY;
+        }
+        double delivered =
+                Math.min(entriesPerSecond * drainTimeoutNanos / NANOS_PER_SECOND, queueLimit);
+        return (delivered - queued) / proxies - messageOverhead;
     }
 
     /**
-     * Whether a message that was written so long ago should have been answered: then its lines
-     * count as waiting, since a link that has become slow holds them where the conductor cannot
-     * see. Guards against filling a slow link with what could wait.
+     * Whether a message should have been acknowledged by now. Its entries then count as queued: a
+     * link that has become slow holds them where the controller cannot see them, and must not be
+     * filled with what could wait.
      *
-     * @param way the longest that a message and its answer usually take, in nanoseconds
+     * @param sinceWrittenNanos how long ago the message was written
+     * @param longestRoundTripNanos the longest that a message and its acknowledgement usually take
      */
-    public static boolean overdue(long sinceWritten, long way) {
-        return sinceWritten > way + ANSWER_SLACK;
+    public static boolean isOverdue(long sinceWrittenNanos, long longestRoundTripNanos) {
+        return sinceWrittenNanos > longestRoundTripNanos + ACKNOWLEDGEMENT_SLACK_NANOS;
     }
 
     /**
-     * Lines that count as waiting beside those in the queue: those of overdue messages, if most
-     * proxies owe one. A few that do not answer are slow themselves, and must not keep the others
-     * from theirs.
+     * How many entries of overdue messages count as queued: all of them if most proxies owe an
+     * acknowledgement, else none. A few that do not answer are slow themselves, and must not keep
+     * the others from theirs.
+     *
+     * @param entries entries of all overdue messages
+     * @param lateProxies proxies with an overdue message
+     * @param proxies all proxies
      */
-    public static long overdue(long lines, long late, long proxies) {
-        return 2 * late > proxies ? lines : 0;
+    public static long overdueEntries(long entries, long lateProxies, long proxies) {
+        return 2 * lateProxies > proxies ? entries : 0;
     }
 
     /**
-     * Whether a proxy that was written so many messages within the span may be written one more.
+     * Whether a proxy may be sent one more message.
+     *
+     * @param limit the most messages to one proxy within the span that is limited, 0 for no limit
+     * @param written messages to it within that span
+     * @param drain whether the message removes a draining node
      */
-    public static boolean message(int limit, int written, boolean drain) {
-        return limit == 0 || written + 1 <= (drain ? MESSAGES_DRAIN : MESSAGES) * limit;
+    public static boolean mayWriteMessage(int limit, int written, boolean drain) {
+        return limit == 0
+                || written + 1 <= (drain ? MESSAGE_SHARE_OF_DRAINS : MESSAGE_SHARE) * limit;
     }
 }
--- a/src/main/java/rosespread/validation/DurabilityTimeout.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -1,51 +1,59 @@
 package rosespread.validation;
 
 /**
- * Decides how long a message waits until what it tells is kept on disk. A proxy should hear of
+ * Decides how long a message waits until what it announces is on the disk. A proxy should learn of
  * nothing that a restart forgets, but a disk that is full, broken or slow must not delay a drain:
- * after a bound messages leave without it, and go on so until the disk has caught up, rather than
- * each waiting anew. What was forgotten then is made up for as proxies rejoin and tell which
- * versions they hold.
+ * after the timeout messages leave without it, and go on so until the disk has caught up, rather
+ * than each waiting anew. What a restart forgot then is made up for as proxies rejoin and name the
+ * versions that they hold.
+ *
+ * <p>Not thread-safe: owned by the event loop. Reads no clock.
  */
 public final class DurabilityTimeout {
-    /** A part of the drain grace; the rest is the message's way. */
-    private static final double PART = 0.1;
+    /** The timeout as a part of the drain timeout; the rest is for the message's delivery. */
+    private static final double SHARE_OF_DRAIN_TIMEOUT = 0.1;
 
-    private final long most;
+    private final long timeoutNanos;
     private boolean late;
-    private long unkept;
+    private long sentBeforeDurable;
 
     /**
-     * @param grace in nanoseconds
+     * A timeout for messages that may have to bring a drain.
+     *
+     * @param drainTimeoutNanos the drain timeout
      */
-    public DurabilityTimeout(long grace) {
-        this.most = (long) (PART * grace);
+    public DurabilityTimeout(long drainTimeoutNanos) {
+        this.timeoutNanos = (long) (SHARE_OF_DRAIN_TIMEOUT * drainTimeoutNanos);
     }
 
     /**
-     * @param after what the message waits for; @param durable what is kept by now; @param broken
-     *     whether nothing can be kept; @param waited nanoseconds since the message was ordered
+     * Whether a message may be sent now.
+     *
+     * @param required the log sequence that the message announces
+     * @param durable the log sequence up to which all is on the disk
+     * @param failed whether the log cannot be written at all
+     * @param waitedNanos how long the message has waited
      */
-    public boolean mayLeave(long after, long durable, boolean broken, long waited) {
-        if (durable >= after) {
+    public boolean maySend(long required, long durable, boolean failed, long waitedNanos) {
+        if (durable >= required) {
             late = false;
             return true;
         }
-        late |= waited >= most;
-        if (broken || late) {
-            unkept++;
+        late |= waitedNanos >= timeoutNanos;
+        if (failed || late) {
+            sentBeforeDurable++;
             return true;
         }
         return false;
     }
 
-    /** Whether messages leave without waiting. */
+    /** Whether the disk is late, so that messages are sent without waiting for it. */
     public boolean late() {
         return late;
     }
 
-    /** Messages that left before what they told was kept. */
-    public long unkept() {
-        return unkept;
+    /** How many messages were sent before what they announce was on the disk. */
+    public long sentBeforeDurable() {
+        return sentBeforeDurable;
     }
 }
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -130,7 +130,7 @@
             conductor.close();
             list.close();
         }
-        assertEquals("", AuditLog.check(log).fault());
+        assertEquals("", AuditLog.verify(log).fault());
         long done =
                 Files.readAllLines(log).stream().filter(line -> line.contains("200 done")).count();
         assertEquals(1 + wins + repeats, done, "no act is lost");
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -26,6 +26,7 @@
 import rosespread.table.TableDigest;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
+import rosespread.validation.AcceptedTotals;
 import rosespread.validation.TableChangeValidator;
 
 /**
@@ -55,7 +56,7 @@
     private byte[] whole;
     private final Map<NodeId, Double> out = new TreeMap<>();
     private final Map<NodeId, Double> wanted = new TreeMap<>();
-    private final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+    private final AcceptedTotals standing = new AcceptedTotals();
     private TableChangeValidator gate;
     private int turn;
 
