--- a/src/main/java/rosespread/store/LogEntry.java
+++ b/src/main/java/rosespread/store/LogEntry.java
@@ -7,25 +7,38 @@
 import rosespread.table.PinState;
 import rosespread.table.TableVersion;
 
-/** What is kept as it happens, in the order in which it happened. */
+/** One event of the table log, in the order in which it happened. Immutable. */
 public sealed interface LogEntry {
-    /** A version was committed. */
+    /**
+     * A version was committed.
+     *
+     * @param version with what it changed; written as a delta to its parent
+     */
     record VersionCommitted(TableVersion version) implements LogEntry {}
 
     /**
-     * A table is held, goes back to a version ({@code to}, 0 if to none) by changing these lines,
-     * or follows the module.
+     * A table was pinned, is rolled back or follows the routing policy again.
+     *
+     * @param state what is persisted of the pin, see {@link PinState#lasting}
+     * @param rollbackTarget the version that the table goes back to, 0 if none
+     * @param pending entries that it still has to change for that, weight 0 for one to remove
      */
     record PinChanged(
             TableId table, PinState state, long rollbackTarget, Map<NodeId, Double> pending)
             implements LogEntry {}
 
-    /** An operator's word on a node, given here or heard of. */
+    /**
+     * An operator's drain or its end, given here or learnt from another controller.
+     *
+     * @param drain with its stamp, so that it may be applied in any order
+     */
     record DrainChanged(Drain drain) implements LogEntry {}
 
     /**
-     * From here on tables are laid out another way: numbers go on, but holds and earlier versions
-     * mean nothing any more. {@code layout} is a digest of what tables are laid out by.
+     * From here on tables are laid out another way: version numbers go on, but pins and earlier
+     * versions mean nothing any more.
+     *
+     * @param layout a digest of the settings that tables are laid out by
      */
     record LayoutChanged(long layout) implements LogEntry {}
 }
--- a/src/main/java/rosespread/store/LogOutput.java
+++ b/src/main/java/rosespread/store/LogOutput.java
@@ -3,50 +3,38 @@
 import java.io.Closeable;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
 import java.nio.file.Path;
-import java.nio.file.StandardOpenOption;
 
-/** Where bytes of a file go: the disk, or in tests one that fills up, stalls or breaks. */
+/**
+ * Where the bytes of one table file go: the disk, or in tests one that fills up, stalls or breaks.
+ * Used by one thread at a time.
+ */
 public interface LogOutput extends Closeable {
-    /** Writes all that remains. */
+    /** Files on the disk. */
+    Factory DISK = FileLogOutput::create;
+
+    /**
+     * Writes all remaining bytes.
+     *
+     * @throws IOException if not all could be written; a part may have been
+     */
     void write(ByteBuffer bytes) throws IOException;
 
-    /** Returns once what was written would outlive the machine. */
+    /**
+     * Returns once all that was written would outlive the machine.
+     *
+     * @throws IOException if that cannot be said
+     */
     void force() throws IOException;
 
-    /** Opens files. */
+    /** Opens outputs. */
     @FunctionalInterface
     interface Factory {
-        /** A new, empty file. */
+        /**
+         * A new, empty file; one that is there is emptied.
+         *
+         * @throws IOException if it cannot be created
+         */
         LogOutput create(Path path) throws IOException;
     }
-
-    Factory DISK =
-            path -> {
-                FileChannel file =
-                        FileChannel.open(
-                                path,
-                                StandardOpenOption.CREATE,
-                                StandardOpenOption.WRITE,
-                                StandardOpenOption.TRUNCATE_EXISTING);
-                return new LogOutput() {
-                    @Override
-                    public void write(ByteBuffer bytes) throws IOException {
-                        while (bytes.hasRemaining()) {
-                            file.write(bytes);
-                        }
-                    }
-
-                    @Override
-                    public void force() throws IOException {
-                        file.force(false);
-                    }
-
-                    @Override
-                    public void close() throws IOException {
-                        file.close();
-                    }
-                };
-            };
 }
--- a/src/main/java/rosespread/store/LogReplay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -13,132 +13,120 @@
 import rosespread.table.VersionHistory;
 
 /**
- * Brings an image up to date with the entries after it, and checks that each fits the ones before.
+ * Brings a snapshot up to date with the log entries after it, and checks that each entry follows
+ * from those before. Not thread-safe.
  */
 public final class LogReplay {
-    private static final class Table {
-        VersionHistory history;
-        PinState hold = PinState.NONE;
-        long to;
-        final TreeMap<NodeId, Double> pending = new TreeMap<>();
+    /** One table as it stands after the entries applied so far. */
+    private static final class ReplayedTable {
+        private final VersionHistory history;
+        private final TreeMap<NodeId, Double> pending = new TreeMap<>();
+        private PinState pinState = PinState.NONE;
+        private long rollbackTarget;
+
+        ReplayedTable(VersionHistory history) {
+            this.history = history;
+        }
+
+        void pin(PinState state, long target, Map<NodeId, Double> changes) {
+            pinState = state;
+            rollbackTarget = target;
+            pending.clear();
+            pending.putAll(changes);
+        }
     }
 
-    private final TreeMap<TableId, Table> tables = new TreeMap<>();
+    private final TreeMap<TableId, ReplayedTable> tables = new TreeMap<>();
     private final DrainRegistry drains = new DrainRegistry();
     private long layout;
 
-    /** Begins with an image. */
-    public LogReplay(StoreSnapshot image) {
-        layout = image.layout();
-        image.tables().forEach(this::begin);
-        image.drains().forEach(drains::apply);
+    /** Begins with a snapshot. */
+    public LogReplay(StoreSnapshot snapshot) {
+        layout = snapshot.layout();
+        snapshot.tables().forEach(this::restore);
+        snapshot.drains().forEach(drains::apply);
     }
 
-    void begin(TableSnapshot image) {
-        Table table = new Table();
-        table.history = new VersionHistory(image);
-        table.hold = image.pinState();
-        table.to = image.rollbackTarget();
-        table.pending.putAll(image.pending());
-        tables.put(image.current().table(), table);
+    private void restore(TableSnapshot snapshot) {
+        ReplayedTable table = new ReplayedTable(new VersionHistory(snapshot));
+        table.pin(snapshot.pinState(), snapshot.rollbackTarget(), snapshot.pending());
+        tables.put(snapshot.current().table(), table);
     }
 
-    void layout(long next) {
-        layout = next;
-    }
-
-    /** Takes an entry that was made in this process. */
+    /**
+     * Applies an entry.
+     *
+     * @throws StoreException if it does not follow from those before; the message says why
+     */
     public void apply(LogEntry entry) throws StoreException {
-        if (entry instanceof LogEntry.VersionCommitted c) {
-            TableVersion v = c.version();
-            committed(
-                    v.table(),
-                    v.number(),
-                    v.parent(),
-                    v.cause(),
-                    v.atMillis(),
-                    v.changes(),
-                    v.digest());
-        } else if (entry instanceof LogEntry.PinChanged h) {
-            hold(h);
-        } else if (entry instanceof LogEntry.DrainChanged d) {
-            drains.apply(d.drain());
-        } else if (entry instanceof LogEntry.LayoutChanged l) {
-            layout = l.layout();
-            tables.values()
-                    .forEach(
-                            table -> {
-                                table.history.dropAllButCurrent();
-                                table.hold = PinState.NONE;
-                                table.to = 0;
-                                table.pending.clear();
-                            });
+        if (entry instanceof LogEntry.VersionCommitted committed) {
+            apply(VersionDelta.of(committed.version()));
+        } else if (entry instanceof LogEntry.PinChanged changed) {
+            applyPin(changed);
+        } else if (entry instanceof LogEntry.DrainChanged changed) {
+            drains.apply(changed.drain());
+        } else if (entry instanceof LogEntry.LayoutChanged changed) {
+            applyLayout(changed);
         }
     }
 
-    /** A version by what it changed of its parent. */
-    void committed(
-            TableId id,
-            long number,
-            long parent,
-            TableVersion.Cause cause,
-            long atMillis,
-            Map<NodeId, Double> changes,
-            long digest)
-            throws StoreException {
-        Table table = tables.computeIfAbsent(id, t -> new Table());
-        if (table.history == null) {
-            table.history = new VersionHistory(id, parent);
-        }
+    /** Applies a version by what it changed; see {@link #apply(LogEntry)}. */
+    void apply(VersionDelta delta) throws StoreException {
+        ReplayedTable table =
+                tables.computeIfAbsent(
+                        delta.table(),
+                        id -> new ReplayedTable(new VersionHistory(id, delta.parent())));
         TableVersion before = table.history.current();
-        if (before.number() != parent || number <= parent) {
+        if (before.number() != delta.parent() || delta.number() <= delta.parent()) {
             throw new StoreException(
                     "table "
-                            + id.value()
+                            + delta.table().value()
                             + ": version "
-                            + number
+                            + delta.number()
                             + " after "
-                            + parent
+                            + delta.parent()
                             + " does not follow version "
                             + before.number());
         }
-        TableVersion next = before.successor(number, changes, cause, atMillis);
-        if (next.digest() != digest) {
-            throw new StoreException(
-                    "table "
-                            + id.value()
-                            + ": version "
-                            + number
-                            + " has digest "
-                            + Long.toHexString(next.digest())
-                            + ", written was "
-                            + Long.toHexString(digest));
+        TableVersion next =
+                before.successor(delta.number(), delta.changes(), delta.cause(), delta.atMillis());
+        if (next.digest() != delta.digest()) {
+            throw StoreException.wrongDigest(next, Long.toHexString(delta.digest()));
         }
         table.history.add(next);
-        if (cause == TableVersion.Cause.ROLLBACK) {
-            table.pending.keySet().removeAll(changes.keySet());
+        if (delta.cause() == TableVersion.Cause.ROLLBACK) {
+            table.pending.keySet().removeAll(delta.changes().keySet());
         }
     }
 
-    private void hold(LogEntry.PinChanged held) throws StoreException {
-        Table table = tables.get(held.table());
+    private void applyPin(LogEntry.PinChanged pin) throws StoreException {
+        ReplayedTable table = tables.get(pin.table());
         if (table == null) {
             throw new StoreException(
-                    "table " + held.table().value() + " is held but has no version");
+                    "table " + pin.table().value() + " is held but has no version");
         }
-        table.hold = held.state();
-        table.to = held.rollbackTarget();
-        table.pending.clear();
-        table.pending.putAll(held.pending());
-        if (held.rollbackTarget() > 0) {
-            table.history.keep(held.rollbackTarget(), true);
+        table.pin(pin.state(), pin.rollbackTarget(), pin.pending());
+        if (pin.rollbackTarget() > 0) {
+            table.history.keep(pin.rollbackTarget(), true);
         }
     }
 
+    private void applyLayout(LogEntry.LayoutChanged changed) {
+        layout = changed.layout();
+        for (ReplayedTable table : tables.values()) {
+            table.history.dropAllButCurrent();
+            table.pin(PinState.NONE, 0, Map.of());
+        }
+    }
+
+    /** The snapshot with all entries applied so far; later entries leave it as it is. */
     public StoreSnapshot snapshot() {
-        List<TableSnapshot> all = new ArrayList<>();
-        tables.values()
-                .forEach(t -> t.history.snapshot(t.hold, t.to, t.pending).ifPresent(all::add));
-        return new StoreSnapshot(layout, all, drains.all());
+        List<TableSnapshot> snapshots = new ArrayList<>();
+        for (ReplayedTable table : tables.values()) {
+            table.history
+                    .snapshot(table.pinState, table.rollbackTarget, table.pending)
+                    .ifPresent(snapshots::add);
+        }
+        return new StoreSnapshot(layout, snapshots, drains.all());
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/store/NoTableLog.java
@@ -0,0 +1,32 @@
+package rosespread.store;
+
+/** A log that persists nothing: every entry counts as durable at once. */
+final class NoTableLog implements TableLog {
+    @Override
+    public long append(LogEntry entry) {
+        return 0;
+    }
+
+    @Override
+    public long durable() {
+        return Long.MAX_VALUE;
+    }
+
+    @Override
+    public boolean wantsSnapshot() {
+        return false;
+    }
+
+    @Override
+    public void writeSnapshot(StoreSnapshot snapshot) {}
+
+    @Override
+    public String fault() {
+        return "";
+    }
+
+    @Override
+    public long bytes() {
+        return 0;
+    }
+}
--- a/src/main/java/rosespread/store/TableFileReader.java
+++ b/src/main/java/rosespread/store/TableFileReader.java
@@ -1,48 +1,49 @@
 package rosespread.store;
 
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.StreamReadFeature;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
 import java.io.IOException;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.TreeSet;
-import rosespread.api.NodeId;
-import rosespread.api.TableId;
+import java.util.Optional;
 import rosespread.drain.Drain;
-import rosespread.table.PinState;
 import rosespread.table.TableSnapshot;
-import rosespread.table.TableVersion;
 
 /**
- * Reads a table file. What a crash can leave, a last part that is not whole, is cut; what it cannot
- * leave, damage with whole lines after it, is refused with file and offset.
+ * Reads one table file: a snapshot, then entries. What a crash can leave, a last part that is not
+ * whole, is cut; what it cannot leave, damage with a whole line after it or within the snapshot, is
+ * refused with file and offset. One instance reads one file, on one thread.
  */
 final class TableFileReader {
     /** A file is rewritten long before it is so large. */
-    private static final long LONGEST = 1L << 30;
-
-    private static final ObjectMapper JSON =
-            JsonMapper.builder().enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION).build();
+    private static final long MAX_BYTES = 1L << 30;
 
     /**
-     * @param cut bytes at the end that were not whole; @param from where they began
+     * What a file holds.
+     *
+     * @param snapshot with all entries applied
+     * @param sequence of the last entry
+     * @param entries that follow the file's own snapshot
+     * @param cutBytes bytes at the end that were not whole
+     * @param cutFrom the offset where they begin
      */
-    record Content(StoreSnapshot image, long sequence, long entries, long cut, long from) {}
+    record Content(
+            StoreSnapshot snapshot, long sequence, long entries, long cutBytes, long cutFrom) {}
 
     private final Path path;
     private final byte[] bytes;
-    private int at;
+
+    /** The offset of the line that is read. */
+    private int position;
+
     private long sequence;
     private long entries;
+    private long layout;
+    private final List<TableSnapshot> tables = new ArrayList<>();
+    private final List<Drain> drains = new ArrayList<>();
+
+    /** Null until the snapshot is complete. */
     private LogReplay replay;
 
     private TableFileReader(Path path, byte[] bytes) {
@@ -51,253 +52,121 @@
     }
 
     /**
-     * @throws StoreException with file and offset, if it is damaged
+     * Reads a file.
+     *
+     * @throws StoreException if it is damaged or too large; the message names file and offset
+     * @throws IOException if it cannot be read
      */
     static Content read(Path path) throws IOException {
-        if (Files.size(path) > LONGEST) {
-            throw new StoreException(path + ": " + Files.size(path) + " bytes; at most " + LONGEST);
+        long size = Files.size(path);
+        if (size > MAX_BYTES) {
+            throw new StoreException(path + ": " + size + " bytes; at most " + MAX_BYTES);
         }
         return new TableFileReader(path, Files.readAllBytes(path)).read();
     }
 
     private Content read() throws IOException {
-        List<TableSnapshot> tables = new ArrayList<>();
-        List<Drain> drains = new ArrayList<>();
-        long layout = 0;
-        boolean whole = false;
-        int cutAt = bytes.length;
-        while (at < bytes.length) {
-            int end = end(at);
-            String fault = fault(at, end);
-            if (!fault.isEmpty()) {
-                // An image is moved into place whole, so what a crash cuts short lies after it.
-                if (!whole || wholeLineAfter(end)) {
-                    throw damaged(fault);
+        int cutFrom = bytes.length;
+        while (position < bytes.length) {
+            int end = LogLine.end(bytes, position);
+            Optional<String> fault = LogLine.fault(bytes, position, end);
+            if (fault.isPresent()) {
+                // A snapshot is moved into place whole, so what a crash cuts short lies after it.
+                if (replay == null || wholeLineAfter(end)) {
+                    throw damaged(fault.get(), null);
                 }
-                cutAt = at;
+                cutFrom = position;
                 break;
             }
-            JsonNode line = parse(end);
-            sequence(line);
-            try {
-                if (replay != null) {
-                    entry(line);
-                } else if (line.has("format")) {
-                    if (line.path("format").asInt() != LogEntryWriter.FORMAT) {
-                        throw damaged(
-                                "field format is "
-                                        + line.path("format")
-                                        + "; allowed: "
-                                        + LogEntryWriter.FORMAT);
-                    }
-                    layout = hex(line.path("layout"));
-                } else if (line.has("table")) {
-                    tables.add(table(line.path("table")));
-                } else if (line.has("drain")) {
-                    drains.add(drain(line.path("drain")));
-                } else if (line.path("tables").asInt(-1) == tables.size()) {
-                    replay = new LogReplay(new StoreSnapshot(layout, tables, drains));
-                    whole = true;
-                } else {
-                    throw damaged("the image ends after " + tables.size() + " tables with " + line);
-                }
-            } catch (StoreException | IllegalArgumentException e) {
-                throw e.getMessage().startsWith(path.toString()) && e instanceof StoreException told
-                        ? told
-                        : damaged(e.getMessage());
-            }
-            at = end + 1;
+            readLine(end);
+            position = end + 1;
         }
-        if (!whole) {
-            throw damaged("the file ends within its image");
+        if (replay == null) {
+            throw damaged("the file ends within its image", null);
         }
-        return new Content(replay.snapshot(), sequence, entries, bytes.length - cutAt, cutAt);
-    }
-
-    private int end(int from) {
-        int end = from;
-        while (end < bytes.length && bytes[end] != '\n') {
-            end++;
-        }
-        return end;
-    }
-
-    /** What is wrong with a line by its form; empty if nothing is. */
-    private String fault(int from, int end) {
-        int json = from + LogEntryWriter.CRC_DIGITS + 1;
-        if (end >= bytes.length) {
-            return "a line without its end";
-        }
-        if (json > end || bytes[json - 1] != ' ') {
-            return "a line without a checksum";
-        }
-        String told =
-                new String(bytes, from, LogEntryWriter.CRC_DIGITS, StandardCharsets.ISO_8859_1);
-        String is = LogEntryWriter.crc(bytes, json, end - json);
-        return told.equals(is) ? "" : "the checksum is " + is + ", written was " + printable(told);
-    }
-
-    private static String printable(String text) {
-        return "\"" + text.replaceAll("[^ -~]", "?") + "\"";
+        return new Content(replay.snapshot(), sequence, entries, bytes.length - cutFrom, cutFrom);
     }
 
     private boolean wholeLineAfter(int end) {
-        for (int from = end + 1; from < bytes.length; from = end(from) + 1) {
-            if (fault(from, end(from)).isEmpty()) {
+        int from = end + 1;
+        while (from < bytes.length) {
+            int next = LogLine.end(bytes, from);
+            if (LogLine.fault(bytes, from, next).isEmpty()) {
                 return true;
             }
+            from = next + 1;
         }
         return false;
     }
 
-    private JsonNode parse(int end) throws IOException {
-        int json = at + LogEntryWriter.CRC_DIGITS + 1;
+    private void readLine(int end) throws IOException {
+        int json = LogLine.json(position);
         try {
-            JsonNode line = JSON.readTree(bytes, json, end - json);
-            if (line != null && line.isObject()) {
-                return line;
+            JsonNode line = LogEntryReader.parse(bytes, json, end - json);
+            readSequence(line);
+            if (replay == null) {
+                readSnapshotLine(line);
+            } else {
+                readEntry(line);
             }
-            throw damaged("not an object");
-        } catch (JsonProcessingException e) {
-            throw damaged(e.getOriginalMessage());
+        } catch (StoreException | IllegalArgumentException e) {
+            throw damaged(e.getMessage(), e);
         }
     }
 
-    private void sequence(JsonNode line) throws StoreException {
+    private void readSequence(JsonNode line) throws StoreException {
         long next = line.path("n").asLong(-1);
-        // The lines of an image share a sequence: that of the last entry it holds.
-        if (next < 0
-                || replay == null && at > 0 && next != sequence
-                || replay != null && next != sequence + 1) {
-            throw damaged("sequence " + line.path("n") + " after " + sequence);
+        boolean first = position == 0;
+        // The lines of a snapshot share a sequence: that of the last entry it holds.
+        boolean follows = replay == null ? first || next == sequence : next == sequence + 1;
+        if (next < 0 || !follows) {
+            throw new StoreException("sequence " + line.path("n") + " after " + sequence);
         }
         sequence = next;
     }
 
-    private void entry(JsonNode line) throws StoreException {
-        entries++;
-        if (line.has("version")) {
-            JsonNode v = line.path("version");
-            replay.committed(
-                    id(v),
-                    number(v, "number"),
-                    number(v, "parent"),
-                    cause(v),
-                    number(v, "at"),
-                    lines(v.path("changes")),
-                    hex(v.path("digest")));
-        } else if (line.has("hold")) {
-            JsonNode h = line.path("hold");
-            replay.apply(
-                    new LogEntry.PinChanged(
-                            id(h),
-                            PinState.valueOf(h.path("state").asText()),
-                            number(h, "to"),
-                            lines(h.path("pending"))));
+    private void readSnapshotLine(JsonNode line) throws StoreException {
+        if (line.has("format")) {
+            readHead(line);
+        } else if (line.has("table")) {
+            tables.add(LogEntryReader.table(line.path("table")));
         } else if (line.has("drain")) {
-            replay.apply(new LogEntry.DrainChanged(drain(line.path("drain"))));
-        } else if (line.has("laidOut")) {
-            replay.apply(new LogEntry.LayoutChanged(hex(line.path("laidOut"))));
+            drains.add(LogEntryReader.drain(line.path("drain")));
+        } else if (line.path("tables").asInt(-1) == tables.size()) {
+            replay = new LogReplay(new StoreSnapshot(layout, tables, drains));
         } else {
-            throw new StoreException("an entry of no known kind");
-        }
-    }
-
-    private TableSnapshot table(JsonNode table) throws StoreException {
-        List<TableVersion> versions = new ArrayList<>();
-        for (JsonNode v : table.path("versions")) {
-            TableVersion version;
-            if (v.has("lines")) {
-                version =
-                        TableVersion.whole(
-                                id(v),
-                                number(v, "number"),
-                                cause(v),
-                                number(v, "at"),
-                                number(v, "parent"),
-                                lines(v.path("lines")));
-            } else {
-                if (versions.isEmpty()) {
-                    throw new StoreException("the first version has no lines");
-                }
-                version =
-                        versions.get(versions.size() - 1)
-                                .successor(
-                                        number(v, "number"),
-                                        lines(v.path("changes")),
-                                        cause(v),
-                                        number(v, "at"));
-            }
-            if (version.digest() != hex(v.path("digest"))) {
-                throw new StoreException(
-                        "table "
-                                + version.table().value()
-                                + ": version "
-                                + version.number()
-                                + " has digest "
-                                + Long.toHexString(version.digest())
-                                + ", written was "
-                                + v.path("digest"));
-            }
-            versions.add(version);
+            throw new StoreException(
+                    "the image ends after " + tables.size() + " tables with " + line);
         }
-        Set<Long> kept = new TreeSet<>();
-        table.path("kept").forEach(number -> kept.add(number.asLong()));
-        return new TableSnapshot(
-                versions,
-                kept,
-                PinState.valueOf(table.path("hold").asText()),
-                number(table, "to"),
-                lines(table.path("pending")));
-    }
-
-    private static Drain drain(JsonNode of) throws StoreException {
-        return new Drain(
-                new NodeId(hex(of.path("node"))),
-                of.path("name").asText(),
-                of.path("on").asBoolean(),
-                number(of, "stamp"),
-                of.path("by").asText(),
-                of.path("call").asText(),
-                number(of, "at"));
-    }
-
-    private static TableId id(JsonNode of) throws StoreException {
-        return new TableId((int) number(of, "table"));
-    }
-
-    private static TableVersion.Cause cause(JsonNode of) {
-        return TableVersion.Cause.valueOf(of.path("cause").asText());
     }
 
-    private static long number(JsonNode of, String field) throws StoreException {
-        if (!of.path(field).isIntegralNumber()) {
+    private void readHead(JsonNode line) throws StoreException {
+        JsonNode format = line.path("format");
+        if (format.asInt() != LogEntryWriter.FORMAT) {
             throw new StoreException(
-                    "field " + field + " is " + of.path(field) + ", not a whole number");
+                    "field format is " + format + "; allowed: " + LogEntryWriter.FORMAT);
         }
-        return of.path(field).asLong();
-    }
-
-    private static long hex(JsonNode node) {
-        return Long.parseUnsignedLong(node.asText(), 16);
+        layout = LogEntryReader.hex(line.path("layout"));
     }
 
-    private static Map<NodeId, Double> lines(JsonNode of) throws StoreException {
-        Map<NodeId, Double> lines = new TreeMap<>();
-        for (Map.Entry<String, JsonNode> line : of.properties()) {
-            if (!line.getValue().isNumber()) {
-                throw new StoreException(
-                        "line " + line.getKey() + " has weight " + line.getValue());
-            }
-            lines.put(
-                    new NodeId(Long.parseUnsignedLong(line.getKey(), 16)),
-                    line.getValue().asDouble());
+    private void readEntry(JsonNode line) throws StoreException {
+        entries++;
+        if (line.has("version")) {
+            replay.apply(LogEntryReader.versionDelta(line.path("version")));
+        } else if (line.has("hold")) {
+            replay.apply(LogEntryReader.pinChanged(line.path("hold")));
+        } else if (line.has("drain")) {
+            replay.apply(new LogEntry.DrainChanged(LogEntryReader.drain(line.path("drain"))));
+        } else if (line.has("laidOut")) {
+            replay.apply(new LogEntry.LayoutChanged(LogEntryReader.hex(line.path("laidOut"))));
+        } else {
+            throw new StoreException("an entry of no known kind");
         }
-        return lines;
     }
 
-    private StoreException damaged(String what) {
+    private StoreException damaged(String what, Exception cause) {
         return new StoreException(
-                path + ": damaged at byte " + at + " of " + bytes.length + ": " + what);
+                path + ": damaged at byte " + position + " of " + bytes.length + ": " + what,
+                cause);
     }
 }
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -1,57 +1,33 @@
 package rosespread.store;
 
 /**
- * Where versions and acts are kept before a proxy can hear of them. Called on one thread; never
- * blocks.
+ * Where versions, pins and drains are persisted before a proxy can learn of them. {@link #append}
+ * and {@link #writeSnapshot} are called on the event loop alone and never block; all other methods
+ * may be called on any thread.
  */
 public interface TableLog {
-    /** Takes an entry up; returns its sequence, which rises by one. */
+    /** Persists nothing, and so keeps nothing waiting. */
+    TableLog NONE = new NoTableLog();
+
+    /**
+     * Takes an entry to be written.
+     *
+     * @return its sequence, one more than that of the entry before
+     */
     long append(LogEntry entry);
 
-    /** The sequence up to which all would outlive the process and the machine. */
+    /** The sequence up to which all entries would outlive the process and the machine. */
     long durable();
 
-    /** Whether a whole image is asked for: to begin a shorter file, or anew after a fault. */
+    /** Whether a snapshot is needed: to begin a shorter file, or a new one after a fault. */
     boolean wantsSnapshot();
 
-    /** An image of everything appended so far. */
-    void writeSnapshot(StoreSnapshot image);
+    /** Takes a snapshot to be written; it holds every entry appended so far. */
+    void writeSnapshot(StoreSnapshot snapshot);
 
-    /** Why nothing is kept at the moment; empty if all is well. */
+    /** Why nothing is persisted at the moment, for operators; empty if all is well. */
     String fault();
 
-    /** Bytes of the file that is written now. */
+    /** The size of the current file in bytes. */
     long bytes();
-
-    /** Keeps nothing, and so keeps nothing waiting. */
-    TableLog NONE =
-            new TableLog() {
-                @Override
-                public long append(LogEntry entry) {
-                    return 0;
-                }
-
-                @Override
-                public long durable() {
-                    return Long.MAX_VALUE;
-                }
-
-                @Override
-                public boolean wantsSnapshot() {
-                    return false;
-                }
-
-                @Override
-                public void writeSnapshot(StoreSnapshot image) {}
-
-                @Override
-                public String fault() {
-                    return "";
-                }
-
-                @Override
-                public long bytes() {
-                    return 0;
-                }
-            };
 }
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -1,184 +1,164 @@
 package rosespread.store;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
-import java.nio.channels.FileChannel;
-import java.nio.channels.FileLock;
-import java.nio.channels.OverlappingFileLockException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
-import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import rosespread.drain.Drain;
-import rosespread.table.TableSnapshot;
 
 /**
- * Keeps versions and acts in one append-only file: an image of all tables, then entries. A thread
- * of its own writes what has gathered and forces it to the disk at once, so that one force pays for
- * all that waits. A file that has grown is followed by a shorter one with a higher number, moved
- * into place whole.
+ * Persists versions, pins and drains in one append-only file: a snapshot of all tables, then
+ * entries. A thread of the store's own writes what has gathered and forces it to the disk at once,
+ * so that one force serves all that waits. A file that has grown is followed by a shorter one with
+ * a higher number, moved into place whole.
  *
- * <p>After a fault nothing is appended to that file any more: a new one is begun with an image,
- * once a second until it succeeds. Meanwhile {@link #trouble} says what is wrong.
+ * <p>After a fault nothing is appended to that file any more: a new one is begun with a snapshot,
+ * which is asked for once a second until it is written. Meanwhile {@link #fault} says what is
+ * wrong. An entry that finds the queue full is in the next snapshot, and so is every one after it:
+ * a file has no gaps.
+ *
+ * <p>{@link #append} and {@link #writeSnapshot} belong to one thread, the event loop; the other
+ * methods may be called on any.
  */
 public final class TableStore implements TableLog, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TableStore.class);
-    private static final Pattern NAME = Pattern.compile("tables-([0-9]{1,18})\\.log");
-    private static final int WAITING_MOST = 1 << 13;
-    private static final int BATCH = 1 << 12;
-    private static final long GROWN = 4L << 20;
-    private static final long RETRY_MILLIS = 1000;
+    private static final int MAX_QUEUED = 1 << 13;
+    private static final int MAX_BATCH = 1 << 12;
+    private static final long GROWN_BYTES = 4L << 20;
+    private static final long POLL_MILLIS = 100;
+    private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long CLOSE_MILLIS = 2000;
 
-    private record Item(long sequence, LogEntry entry, StoreSnapshot image) {}
+    /** What the store's thread is to do. */
+    private sealed interface Command {}
+
+    /** Write an entry. */
+    private record WriteEntry(long sequence, LogEntry entry) implements Command {}
+
+    /** Begin a new file with a snapshot that holds all entries up to a sequence. */
+    private record BeginFile(long sequence, StoreSnapshot snapshot) implements Command {}
 
-    private final Path folder;
-    private final LogOutput.Factory disk;
+    /** Look whether the store is closed. */
+    private record Wake() implements Command {}
+
+    private final Path path;
+    private final LogOutput.Factory outputs;
     private final LongSupplier wallMillis;
-    private final Runnable written;
-    private final long grown;
-    private final LinkedBlockingQueue<Item> queue = new LinkedBlockingQueue<>(WAITING_MOST);
+    private final Runnable onProgress;
+    private final long grownBytes;
+    private final LinkedBlockingQueue<Command> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final Thread thread = new Thread(this::run, "table-store");
-    private final Object told = new Object();
-    private FileChannel lockFile;
-    private FileLock lock;
-    private LogOutput sink;
-    private long generation;
-    private long imageBytes;
-    private long retryAt;
-
-    /** Of the thread that appends. */
+
+    /** Notified after progress or a fault. */
+    private final Object progress = new Object();
+
+    private StoreFolder folder;
+    private LogFileWriter writer;
+
+    /** Sequence of the last entry taken; of the thread that appends. */
     private long appended;
 
-    private boolean dropped;
+    /** Whether an entry found the queue full since the last snapshot; of the same thread. */
+    private boolean overflowed;
 
-    /** Of the store's thread. */
-    private long put;
+    /** Sequence of the last entry written; of the store's thread. */
+    private long written;
 
+    /** Whether the current file must not be appended to; of the store's thread. */
     private boolean broken;
+
+    /** When a snapshot is asked for again, by {@link System#nanoTime}; of the store's thread. */
+    private long retryAtNanos;
+
     private volatile long durable;
-    private volatile long bytes;
-    private volatile boolean wantsImage;
-    private volatile String trouble = "";
+    private volatile boolean wantsSnapshot;
+    private volatile String fault = "";
     private volatile boolean closing;
 
     /**
-     * @param written called on the store's thread after {@link #durable} has risen or trouble began
+     * A store that is still to be opened.
+     *
+     * @param wallMillis the wall clock, for the names of damaged files
+     * @param onProgress called on the store's thread after {@link #durable} has risen or a fault
+     *     began
      */
     public TableStore(
-            Path folder, LogOutput.Factory disk, LongSupplier wallMillis, Runnable written) {
-        this(folder, disk, wallMillis, written, GROWN);
+            Path folder, LogOutput.Factory outputs, LongSupplier wallMillis, Runnable onProgress) {
+        this(folder, outputs, wallMillis, onProgress, GROWN_BYTES);
     }
 
     /**
-     * @param grown bytes from which on a file is followed by a shorter one
+     * A store with another limit on the size of a file.
+     *
+     * @param grownBytes the size from which on a file is followed by a shorter one
      */
     TableStore(
             Path folder,
-            LogOutput.Factory disk,
+            LogOutput.Factory outputs,
             LongSupplier wallMillis,
-            Runnable written,
-            long grown) {
-        this.grown = grown;
-        this.folder = folder;
-        this.disk = disk;
+            Runnable onProgress,
+            long grownBytes) {
+        this.grownBytes = grownBytes;
+        this.path = folder;
+        this.outputs = outputs;
         this.wallMillis = wallMillis;
-        this.written = written;
+        this.onProgress = onProgress;
         thread.setDaemon(true);
     }
 
     /**
-     * Reads what was kept and begins to write. A damaged file is set aside and nothing is taken
-     * from it; the log names file and offset.
+     * Restores what was stored and begins to write. A damaged file is set aside and nothing is
+     * taken from it; the log names file and offset.
      *
-     * @throws IOException if the folder cannot be read or is another process's
+     * @throws IOException if the folder cannot be read or is in use by another process
      */
     public StoreSnapshot open() throws IOException {
-        Files.createDirectories(folder);
-        lock();
-        StoreSnapshot image = StoreSnapshot.EMPTY;
-        List<Path> files = files();
-        for (int i = 0; i < files.size(); i++) {
-            Path file = files.get(i);
-            generation = Math.max(generation, number(file));
-            if (i == files.size() - 1) {
-                image = read(file);
-            } else {
-                // A file with a higher number was moved into place whole, so this one is done with.
-                Files.delete(file);
+        folder = StoreFolder.open(path);
+        List<Path> files = folder.files();
+        StoreSnapshot restored = StoreSnapshot.EMPTY;
+        long lastNumber = 0;
+        if (!files.isEmpty()) {
+            Path last = files.get(files.size() - 1);
+            lastNumber = StoreFolder.number(last);
+            // The last file was moved into place whole, so those before it are done with.
+            for (Path old : files.subList(0, files.size() - 1)) {
+                Files.delete(old);
             }
+            restored = restore(last);
         }
+        writer = new LogFileWriter(folder, outputs, lastNumber);
         durable = appended;
         try {
-            begin(image, appended);
+            begin(restored, appended);
         } catch (IOException e) {
-            failed("cannot begin a file", e);
+            fail("cannot begin a file", e);
         }
         thread.start();
-        return image;
+        return restored;
     }
 
-    private void lock() throws IOException {
-        Path path = folder.resolve("lock");
-        lockFile = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        try {
-            lock = lockFile.tryLock();
-        } catch (OverlappingFileLockException e) {
-            lock = null;
-        }
-        if (lock == null) {
-            lockFile.close();
-            throw new IOException(
-                    folder + " is in use by another conductor; give each its own --state");
-        }
-    }
-
-    private List<Path> files() throws IOException {
-        try (Stream<Path> all = Files.list(folder)) {
-            List<Path> found = new ArrayList<>(all.toList());
-            for (Path path : found) {
-                if (path.getFileName().toString().endsWith(".log.next")) {
-                    Files.delete(path);
-                }
-            }
-            found.removeIf(path -> !NAME.matcher(path.getFileName().toString()).matches());
-            found.sort(Comparator.comparingLong(TableStore::number));
-            return found;
-        }
-    }
-
-    private static long number(Path file) {
-        Matcher name = NAME.matcher(file.getFileName().toString());
-        return name.matches() ? Long.parseLong(name.group(1)) : 0;
-    }
-
-    private StoreSnapshot read(Path file) throws IOException {
+    private StoreSnapshot restore(Path file) throws IOException {
         try {
             TableFileReader.Content content = TableFileReader.read(file);
-            if (content.cut() > 0) {
+            if (content.cutBytes() > 0) {
                 LOG.warn(
                         "{}: the last {} bytes, from byte {} on, were not whole and are cut",
                         file,
-                        content.cut(),
-                        content.from());
+                        content.cutBytes(),
+                        content.cutFrom());
             }
             appended = content.sequence();
             LOG.atInfo()
-                    .addKeyValue("tables", content.image().tables().size())
+                    .addKeyValue("file", file)
+                    .addKeyValue("tables", content.snapshot().tables().size())
                     .addKeyValue("entries", content.entries())
-                    .log("tables restored from " + file);
-            return content.image();
+                    .log("tables restored");
+            return content.snapshot();
         } catch (StoreException e) {
             Path aside =
                     file.resolveSibling(file.getFileName() + ".damaged-" + wallMillis.getAsLong());
@@ -194,11 +174,10 @@
     @Override
     public long append(LogEntry entry) {
         appended++;
-        // What finds no room is in the next image, and so is all after it: the file has no gaps.
-        if (!dropped && !queue.offer(new Item(appended, entry, null))) {
-            dropped = true;
-            trouble = "the disk is " + WAITING_MOST + " entries behind";
-            wantsImage = true;
+        if (!overflowed && !queue.offer(new WriteEntry(appended, entry))) {
+            overflowed = true;
+            fault = "the disk is " + MAX_QUEUED + " entries behind";
+            wantsSnapshot = true;
         }
         return appended;
     }
@@ -209,15 +188,18 @@
     }
 
     /**
-     * Waits so many nanoseconds for a sequence to be kept, as long as all is well; tells whether it
-     * is.
+     * Waits for a sequence to be durable, as long as there is no fault. An interrupt ends the wait
+     * and stays set.
+     *
+     * @param timeoutNanos the longest wait
+     * @return whether the sequence is durable
      */
-    public boolean await(long sequence, long nanos) {
-        long until = System.nanoTime() + nanos;
-        synchronized (told) {
-            while (durable < sequence && trouble.isEmpty() && until - System.nanoTime() > 0) {
+    public boolean await(long sequence, long timeoutNanos) {
+        long until = System.nanoTime() + timeoutNanos;
+        synchronized (progress) {
+            while (durable < sequence && fault.isEmpty() && until - System.nanoTime() > 0) {
                 try {
-                    TimeUnit.NANOSECONDS.timedWait(told, until - System.nanoTime());
+                    TimeUnit.NANOSECONDS.timedWait(progress, until - System.nanoTime());
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                     break;
@@ -227,175 +209,136 @@
         return durable >= sequence;
     }
 
-    private void tell() {
-        synchronized (told) {
-            told.notifyAll();
-        }
-        written.run();
-    }
-
     @Override
     public boolean wantsSnapshot() {
-        return wantsImage;
+        return wantsSnapshot;
     }
 
     @Override
-    public void writeSnapshot(StoreSnapshot image) {
-        wantsImage = false;
-        if (queue.offer(new Item(appended, null, image))) {
-            dropped = false;
+    public void writeSnapshot(StoreSnapshot snapshot) {
+        wantsSnapshot = false;
+        if (queue.offer(new BeginFile(appended, snapshot))) {
+            overflowed = false;
         } else {
-            wantsImage = true;
+            wantsSnapshot = true;
         }
     }
 
     @Override
     public String fault() {
-        return trouble;
+        return fault;
     }
 
     @Override
     public long bytes() {
-        return bytes;
+        return writer == null ? 0 : writer.bytes();
     }
 
-    // ---- the store's thread ----
-
+    /** The store's thread. */
     private void run() {
-        List<Item> batch = new ArrayList<>();
+        List<Command> batch = new ArrayList<>();
         while (!closing || !queue.isEmpty()) {
             try {
-                Item first = queue.poll(RETRY_MILLIS / 10, TimeUnit.MILLISECONDS);
+                Command first = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 if (first != null) {
                     batch.add(first);
-                    queue.drainTo(batch, BATCH);
+                    queue.drainTo(batch, MAX_BATCH);
                     write(batch);
                 }
             } catch (IOException | RuntimeException e) {
-                failed("cannot write", e);
+                fail("cannot write", e);
             } catch (InterruptedException e) {
+                // This thread is the store's own: an interrupt ends it once the queue is empty.
                 closing = true;
             }
             batch.clear();
-            if (!trouble.isEmpty() && System.nanoTime() - retryAt >= 0) {
-                retryAt = System.nanoTime() + RETRY_MILLIS * 1_000_000;
-                wantsImage = true;
-                tell();
-            }
+            askForSnapshot();
         }
     }
 
-    private void write(List<Item> batch) throws IOException {
-        boolean any = false;
-        for (Item item : batch) {
-            if (item.image() != null) {
-                begin(item.image(), item.sequence());
-                if (!trouble.isEmpty()) {
-                    LOG.info("tables are kept again, in {}", path(generation));
-                }
-                trouble = "";
-                broken = false;
-                durable = put;
-                any = false;
-            } else if (!broken && item.sequence() > put) {
-                line(LogEntryWriter.entry(item.sequence(), item.entry()));
-                put = item.sequence();
-                any = true;
+    /** During a fault, asks for a snapshot once a second. */
+    private void askForSnapshot() {
+        if (!fault.isEmpty() && System.nanoTime() - retryAtNanos >= 0) {
+            retryAtNanos = System.nanoTime() + RETRY_NANOS;
+            wantsSnapshot = true;
+            signalProgress();
+        }
+    }
+
+    private void write(List<Command> batch) throws IOException {
+        boolean unforced = false;
+        for (Command command : batch) {
+            if (command instanceof BeginFile next) {
+                begin(next.snapshot(), next.sequence());
+                recovered();
+                durable = written;
+                unforced = false;
+            } else if (command instanceof WriteEntry entry
+                    && !broken
+                    && entry.sequence() > written) {
+                writer.append(LogEntryWriter.entry(entry.sequence(), entry.entry()));
+                written = entry.sequence();
+                unforced = true;
             }
         }
-        if (any) {
-            sink.force();
-            durable = put;
+        if (unforced) {
+            writer.force();
+            durable = written;
         }
-        tell();
-        if (bytes > grown && bytes > 2 * imageBytes) {
-            wantsImage = true;
+        signalProgress();
+        if (writer.hasGrown(grownBytes)) {
+            wantsSnapshot = true;
         }
     }
 
-    private void line(byte[] line) throws IOException {
-        sink.write(ByteBuffer.wrap(line));
-        bytes += line.length;
+    private void begin(StoreSnapshot snapshot, long sequence) throws IOException {
+        writer.begin(snapshot, sequence);
+        written = sequence;
     }
 
-    private Path path(long number) {
-        return folder.resolve(String.format("tables-%06d.log", number));
-    }
-
-    /** A new file that begins with an image; the one before goes once this one is in place. */
-    private void begin(StoreSnapshot image, long sequence) throws IOException {
-        Path next = path(generation + 1);
-        Path beside = next.resolveSibling(next.getFileName() + ".next");
-        LogOutput fresh = disk.create(beside);
-        long length = 0;
-        try {
-            List<byte[]> lines = new ArrayList<>();
-            lines.add(LogEntryWriter.head(sequence, image.layout()));
-            for (TableSnapshot table : image.tables()) {
-                lines.add(LogEntryWriter.table(sequence, table));
-            }
-            for (Drain word : image.drains()) {
-                lines.add(LogEntryWriter.drain(sequence, word));
-            }
-            lines.add(LogEntryWriter.snapshotEnd(sequence, image.tables().size()));
-            for (byte[] line : lines) {
-                fresh.write(ByteBuffer.wrap(line));
-                length += line.length;
-            }
-            fresh.force();
-            Files.move(beside, next, StandardCopyOption.ATOMIC_MOVE);
-            forceFolder();
-        } catch (IOException e) {
-            fresh.close();
-            Files.deleteIfExists(beside);
-            throw e;
-        }
-        if (sink != null) {
-            sink.close();
+    private void recovered() {
+        if (!fault.isEmpty()) {
+            LOG.atInfo().addKeyValue("file", writer.file()).log("tables are persisted again");
         }
-        Files.deleteIfExists(path(generation));
-        generation++;
-        sink = fresh;
-        put = sequence;
-        bytes = length;
-        imageBytes = length;
+        fault = "";
+        broken = false;
     }
 
-    private void forceFolder() throws IOException {
-        try (FileChannel open = FileChannel.open(folder, StandardOpenOption.READ)) {
-            open.force(true);
+    private void fail(String what, Exception e) {
+        if (fault.isEmpty()) {
+            LOG.atError().addKeyValue("reason", what + ": " + e).log("tables are not persisted");
         }
+        broken = true;
+        fault = what + ": " + (e.getMessage() == null ? e.toString() : e.getMessage());
+        retryAtNanos = System.nanoTime() + RETRY_NANOS;
+        signalProgress();
     }
 
-    private void failed(String what, Exception e) {
-        if (trouble.isEmpty()) {
-            LOG.error("tables are not kept: {}: {}", what, e.toString());
+    private void signalProgress() {
+        synchronized (progress) {
+            progress.notifyAll();
         }
-        broken = true;
-        trouble = what + ": " + (e.getMessage() == null ? e.toString() : e.getMessage());
-        retryAt = System.nanoTime() + RETRY_MILLIS * 1_000_000;
-        tell();
+        onProgress.run();
     }
 
-    /** Writes what waits, and lets go of the folder. */
+    /** Writes what waits, for two seconds at most, and releases the folder. */
     @Override
     public void close() throws IOException {
         if (closing) {
             return;
         }
         closing = true;
-        queue.offer(new Item(-1, null, null));
+        queue.offer(new Wake());
         try {
             thread.join(CLOSE_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (sink != null) {
-            sink.close();
+        if (writer != null) {
+            writer.close();
         }
-        if (lock != null) {
-            lock.release();
-            lockFile.close();
+        if (folder != null) {
+            folder.close();
         }
     }
 }
