--- a/src/main/java/rosespread/audit/AuditLog.java
+++ b/src/main/java/rosespread/audit/AuditLog.java
@@ -1,9 +1,7 @@
 package rosespread.audit;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -11,20 +9,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
-import java.security.MessageDigest;
-import java.security.NoSuchAlgorithmException;
 import java.util.ArrayDeque;
-import java.util.HexFormat;
 import java.util.List;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Who did what, one line of JSON each, forced to the disk. Each line's {@code chain} is the SHA-256
- * of the line before's chain and of this line without it, so that a line that is changed, taken out
- * or put in later is found by {@link #verify}; cutting off the end is not, but for a copy of an
- * earlier chain.
+ * Who did what: one line of JSON for each act, forced to the disk. Each line's {@code chain} is the
+ * SHA-256 of the chain of the line before and of this line without it, so that {@link #verify}
+ * finds a line that was changed, removed or inserted later. An end that was cut off only shows
+ * against a chain noted elsewhere.
+ *
+ * <p>Thread-safe. Field names and order are stored data and must not change.
  */
 public final class AuditLog implements AutoCloseable {
     /** The chain before the first line. */
@@ -32,23 +29,36 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(AuditLog.class);
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int LONGEST = 1 << 20;
+    private static final int MAX_RECENT = 256;
 
     /**
+     * What somebody did or tried. Reported by the control API under these names.
+     *
+     * @param who the operator
+     * @param from the address of the caller
+     * @param what the request
+     * @param call the idempotency key of the request
      * @param outcome "asked" before it was tried, then what came of it
      */
     public record Act(String who, String from, String what, String call, String outcome) {}
 
     /**
-     * @param fault with the line's place; empty if the chain holds
+     * What a verification found.
+     *
+     * @param lines lines whose chain holds, before the first one at fault
+     * @param chain the chain after them
+     * @param fault what is wrong, with line and byte offset; empty if the chain holds
      */
     public record Verification(long lines, String chain, String fault) {}
 
-    /** An act and its moment, by wall clock. */
+    /**
+     * An act as it was written. Reported by the control API under these names.
+     *
+     * @param number of its line, from 1
+     * @param atMillis wall clock
+     */
     public record Entry(long number, long atMillis, Act act) {}
 
-    private static final int RECENT = 256;
-
     private final LongSupplier wallMillis;
     private final ArrayDeque<Entry> recent = new ArrayDeque<>();
     private final FileChannel file;
@@ -57,10 +67,11 @@
     private String fault = "";
 
     /**
-     * Goes on with a file, or begins it. A last line that is not whole is cut.
+     * Opens a file or begins it. A last line that is not whole is cut.
      *
-     * @throws IOException if the file cannot be read or its chain does not hold; the message names
-     *     the line
+     * @param wallMillis the wall clock
+     * @throws IOException if the file cannot be read or written, or its chain does not hold; then
+     *     the message names the line
      */
     public AuditLog(Path path, LongSupplier wallMillis) throws IOException {
         this.wallMillis = wallMillis;
@@ -68,24 +79,25 @@
         long whole = 0;
         if (Files.exists(path)) {
             whole = wholeLines(path);
-            Verification verdict = verify(path, whole);
-            if (!verdict.fault().isEmpty()) {
-                throw new IOException(path + ": " + verdict.fault());
+            Verification verification = AuditChain.verify(path, whole);
+            if (!verification.fault().isEmpty()) {
+                throw new IOException(path + ": " + verification.fault());
             }
-            number = verdict.lines();
-            chain = verdict.chain();
+            number = verification.lines();
+            chain = verification.chain();
         }
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (file.size() > whole) {
-            LOG.warn(
-                    "{}: the last {} bytes were not a whole line and are cut",
-                    path,
-                    file.size() - whole);
+            LOG.atWarn()
+                    .addKeyValue("file", path.toString())
+                    .addKeyValue("bytes", file.size() - whole)
+                    .log("last line of the audit log was not whole and is cut");
             file.truncate(whole);
         }
         file.position(whole);
     }
 
+    /** The length of a file up to the end of its last whole line, in bytes. */
     private static long wholeLines(Path path) throws IOException {
         try (FileChannel in = FileChannel.open(path, StandardOpenOption.READ)) {
             ByteBuffer one = ByteBuffer.allocate(1);
@@ -100,50 +112,63 @@
         }
     }
 
-    /** Writes one line; tells whether it is on the disk. */
+    /**
+     * Writes one line and forces it to the disk. A failure is logged once and told by {@link
+     * #fault} until a line is written again; nothing of the failed line stays in the file.
+     *
+     * @return whether the act is on the disk
+     */
     public synchronized boolean write(Act act) {
-        ObjectNode line = JSON.createObjectNode();
         long now = wallMillis.getAsLong();
-        line.put("n", number + 1)
-                .put("at", now)
+        ObjectNode line = line(act, now);
+        String next = AuditChain.next(chain, line);
+        line.put("chain", next);
+        try {
+            append((line + "\n").getBytes(StandardCharsets.UTF_8));
+        } catch (IOException e) {
+            if (fault.isEmpty()) {
+                LOG.atError().addKeyValue("reason", e.toString()).log("acts are not audited");
+            }
+            fault = String.valueOf(e.getMessage());
+            return false;
+        }
+        chain = next;
+        number++;
+        recent.addLast(new Entry(number, now, act));
+        if (recent.size() > MAX_RECENT) {
+            recent.removeFirst();
+        }
+        fault = "";
+        return true;
+    }
+
+    private ObjectNode line(Act act, long atMillis) {
+        return JSON.createObjectNode()
+                .put("n", number + 1)
+                .put("at", atMillis)
                 .put("who", act.who())
                 .put("from", act.from())
                 .put("what", act.what())
                 .put("call", act.call())
                 .put("outcome", act.outcome());
-        String next = chain(chain, line);
-        line.put("chain", next);
+    }
+
+    private void append(byte[] line) throws IOException {
+        long begin = file.position();
+        ByteBuffer bytes = ByteBuffer.wrap(line);
         try {
-            long begin = file.position();
-            ByteBuffer bytes = ByteBuffer.wrap((line + "\n").getBytes(StandardCharsets.UTF_8));
-            try {
-                while (bytes.hasRemaining()) {
-                    file.write(bytes);
-                }
-                file.force(false);
-            } catch (IOException e) {
-                // What was written of it must not stand before the next line.
-                file.truncate(begin);
-                throw e;
-            }
-            number++;
-            recent.addLast(new Entry(number, now, act));
-            if (recent.size() > RECENT) {
-                recent.removeFirst();
+            while (bytes.hasRemaining()) {
+                file.write(bytes);
             }
-            chain = next;
-            fault = "";
-            return true;
+            file.force(false);
         } catch (IOException e) {
-            if (fault.isEmpty()) {
-                LOG.error("acts are not audited: {}", e.toString());
-            }
-            fault = String.valueOf(e.getMessage());
-            return false;
+            // What was written of the line must not stand before the next one.
+            file.truncate(begin);
+            throw e;
         }
     }
 
-    /** The last lines of this process, oldest first. */
+    /** The last acts of this process, at most 256, the oldest first. */
     public synchronized List<Entry> recent() {
         return List.copyOf(recent);
     }
@@ -153,53 +178,13 @@
         return fault;
     }
 
-    /** Follows a file's chain from its beginning; stops at the first line at fault. */
+    /**
+     * Verifies a file's chain from its beginning; stops at the first line at fault.
+     *
+     * @throws IOException if the file cannot be read
+     */
     public static Verification verify(Path path) throws IOException {
-        return verify(path, Long.MAX_VALUE);
-    }
-
-    private static Verification verify(Path path, long bytes) throws IOException {
-        String chain = BEGIN;
-        long lines = 0;
-        long at = 0;
-        try (BufferedReader in = Files.newBufferedReader(path, StandardCharsets.UTF_8)) {
-            for (String text = in.readLine(); text != null && at < bytes; text = in.readLine()) {
-                String place = "line " + (lines + 1) + ", byte " + at + ": ";
-                JsonNode line;
-                try {
-                    line = text.length() > LONGEST ? null : JSON.readTree(text);
-                } catch (IOException e) {
-                    return new Verification(lines, chain, place + "not JSON");
-                }
-                if (!(line instanceof ObjectNode object) || !line.path("chain").isTextual()) {
-                    return new Verification(lines, chain, place + "not a line of an audit log");
-                }
-                String told = object.remove("chain").asText();
-                if (object.path("n").asLong() != lines + 1) {
-                    return new Verification(
-                            lines, chain, place + "its number is " + object.path("n"));
-                }
-                if (!chain(chain, object).equals(told)) {
-                    return new Verification(
-                            lines, chain, place + "its chain does not follow from the line before");
-                }
-                chain = told;
-                lines++;
-                at += text.getBytes(StandardCharsets.UTF_8).length + 1;
-            }
-        }
-        return new Verification(lines, chain, "");
-    }
-
-    private static String chain(String before, ObjectNode line) {
-        try {
-            MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            digest.update(before.getBytes(StandardCharsets.US_ASCII));
-            digest.update(line.toString().getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(digest.digest());
-        } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
-        }
+        return AuditChain.verify(path, Long.MAX_VALUE);
     }
 
     @Override
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -93,7 +93,7 @@
                                 version.digest(),
                                 List.copyOf(key.methods),
                                 all,
-                                levels(history.levels()))));
+                                levels(history.admissionLimits()))));
         return frames.toByteArray();
     }
 
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -120,7 +120,7 @@
             table.wanted.clear();
             table.methods.clear();
             table.homes.clear();
-            table.history.levels().clear();
+            table.history.admissionLimits().clear();
             table.standing.forget();
             table.refusals = List.of();
             table.hold = table.hold.lasting();
@@ -191,7 +191,7 @@
         table.hold = hold;
         table.to = to;
         if (to > 0) {
-            table.history.keep(to, true);
+            table.history.retain(to);
         }
         if (lasts && !table.history.isEmpty()) {
             last =
@@ -215,7 +215,7 @@
         floors.put(id, number);
         if (table != null && table.history.isEmpty()) {
             VersionHistory fresh = new VersionHistory(id, number);
-            fresh.levels().putAll(table.history.levels());
+            fresh.admissionLimits().putAll(table.history.admissionLimits());
             table.history = fresh;
             table.sent = number;
         } else if (table != null) {
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -151,7 +151,7 @@
 
     @Override
     public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-        book.table(table).history.levels().put(method, admitted);
+        book.table(table).history.admissionLimits().put(method, admitted);
         leveled.computeIfAbsent(table, t -> new LinkedHashMap<>()).put(method, admitted);
     }
 
@@ -636,7 +636,7 @@
         }
         message.add(
                 frames.bind(history, methods, fresh, link.unpacks),
-                1 + named.size() + history.levels().size());
+                1 + named.size() + history.admissionLimits().size());
         for (NodeId node : withdrawn) {
             if (named.contains(node)) {
                 message.add(FrameWriter.bytes(new Frame.Withdraw(node, true)), 1);
--- a/src/main/java/rosespread/drain/DrainRegistry.java
+++ b/src/main/java/rosespread/drain/DrainRegistry.java
@@ -14,87 +14,99 @@
 import rosespread.api.NodeId;
 
 /**
- * All words of operators on nodes, the last one each. WireNames that were taken back stay for a
- * while, so that a conductor that missed one learns of it.
+ * All drains and ended drains, the latest of each node. Drains applied in any order and any number
+ * of times lead to the same state. Ended ones stay for a while, so that a controller that missed
+ * one learns of it.
+ *
+ * <p>Not thread-safe: owned by the controller's event loop.
  */
 public final class DrainRegistry {
-    private static final int CALLS_MOST = 4096;
-    private static final int TAKEN_BACK_MOST = 1024;
+    private static final int MAX_REQUESTS = 4096;
+    private static final int MAX_ENDED = 1024;
+    private static final Comparator<Drain> BY_STAMP = Comparator.comparingLong(Drain::stamp);
 
-    private final TreeMap<NodeId, Drain> allLatest = new TreeMap<>();
+    private final TreeMap<NodeId, Drain> latest = new TreeMap<>();
 
-    /** The calls that gave a word lately, oldest first. */
-    private final Map<String, Drain> calls = new LinkedHashMap<>();
+    /** Recent orders by the id of their request, oldest first. */
+    private final Map<String, Drain> requests = new LinkedHashMap<>();
 
     private long stamp;
 
-    /** Takes a word given here or elsewhere; tells whether it changes anything. */
-    public boolean apply(Drain word) {
-        stamp = Math.max(stamp, word.stamp());
-        remember(word);
-        if (!word.supersedes(allLatest.get(word.node()))) {
+    /**
+     * Applies an order given here or learnt from another controller.
+     *
+     * @return whether it changes what holds for the node
+     */
+    public boolean apply(Drain drain) {
+        stamp = Math.max(stamp, drain.stamp());
+        remember(drain);
+        if (!drain.supersedes(latest.get(drain.node()))) {
             return false;
         }
-        allLatest.put(word.node(), word);
-        List<Drain> back =
-                allLatest.values().stream()
-                        .filter(w -> !w.on())
-                        .sorted(Comparator.comparingLong(Drain::stamp))
-                        .toList();
-        back.subList(0, Math.max(0, back.size() - TAKEN_BACK_MOST))
-                .forEach(w -> allLatest.remove(w.node()));
+        latest.put(drain.node(), drain);
+        trimEnded();
         return true;
     }
 
-    private void remember(Drain word) {
-        calls.put(word.call(), word);
-        while (calls.size() > CALLS_MOST) {
-            calls.remove(calls.keySet().iterator().next());
+    private void remember(Drain drain) {
+        requests.put(drain.call(), drain);
+        while (requests.size() > MAX_REQUESTS) {
+            requests.remove(requests.keySet().iterator().next());
         }
     }
 
-    /** The stamp for a word that is given now. */
+    private void trimEnded() {
+        List<Drain> ended =
+                latest.values().stream().filter(drain -> !drain.on()).sorted(BY_STAMP).toList();
+        ended.subList(0, Math.max(0, ended.size() - MAX_ENDED))
+                .forEach(drain -> latest.remove(drain.node()));
+    }
+
+    /** The stamp for an order that is given now. */
     public long nextStamp() {
         return stamp + 1;
     }
 
-    /** The revision that a call is made against: the last stamp known. */
+    /** The revision that a request is made against: the highest stamp known. */
     public long revision() {
         return stamp;
     }
 
+    /** Whether a node drains by an operator's order. */
     public boolean drains(NodeId node) {
-        Drain word = allLatest.get(node);
-        return word != null && word.on();
+        Drain drain = latest.get(node);
+        return drain != null && drain.on();
     }
 
-    /** What a call of this id did before. */
-    public Optional<Drain> findByRequestId(String call) {
-        return Optional.ofNullable(calls.get(call));
+    /** What a request of this id ordered before; empty if it is unknown or long ago. */
+    public Optional<Drain> findByRequestId(String requestId) {
+        return Optional.ofNullable(requests.get(requestId));
     }
 
+    /** The latest order on a node, if any. */
     public Optional<Drain> latest(NodeId node) {
-        return Optional.ofNullable(allLatest.get(node));
+        return Optional.ofNullable(latest.get(node));
     }
 
-    /** WireNames that were given after a revision, oldest first. */
+    /** The latest orders of their nodes that were given after a revision, oldest first. */
     public List<Drain> changesSince(long revision) {
-        List<Drain> later = new ArrayList<>(allLatest.values());
-        later.removeIf(word -> word.stamp() <= revision);
-        later.sort(Comparator.comparingLong(Drain::stamp));
+        List<Drain> later = new ArrayList<>(latest.values());
+        later.removeIf(drain -> drain.stamp() <= revision);
+        later.sort(BY_STAMP);
         return later;
     }
 
+    /** The latest order of each node, by node: an unmodifiable view. */
     public Collection<Drain> allLatest() {
-        return Collections.unmodifiableCollection(allLatest.values());
+        return Collections.unmodifiableCollection(latest.values());
     }
 
-    /** All that must be taken again to come to the same, in this order. */
+    /** All orders that must be applied again to come to the same state, in this order. */
     public List<Drain> all() {
-        Set<Drain> all = new LinkedHashSet<>(calls.values());
-        all.addAll(allLatest.values());
+        Set<Drain> all = new LinkedHashSet<>(requests.values());
+        all.addAll(latest.values());
         List<Drain> sorted = new ArrayList<>(all);
-        sorted.sort(Comparator.comparingLong(Drain::stamp));
+        sorted.sort(BY_STAMP);
         return sorted;
     }
 }
--- a/src/main/java/rosespread/store/LogReplay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -107,7 +107,7 @@
         }
         table.pin(pin.state(), pin.rollbackTarget(), pin.pending());
         if (pin.rollbackTarget() > 0) {
-            table.history.keep(pin.rollbackTarget(), true);
+            table.history.retain(pin.rollbackTarget());
         }
     }
 
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -154,7 +154,7 @@
             }
             appended = content.sequence();
             LOG.atInfo()
-                    .addKeyValue("file", file)
+                    .addKeyValue("file", file.toString())
                     .addKeyValue("tables", content.snapshot().tables().size())
                     .addKeyValue("entries", content.entries())
                     .log("tables restored");
@@ -298,7 +298,9 @@
 
     private void recovered() {
         if (!fault.isEmpty()) {
-            LOG.atInfo().addKeyValue("file", writer.file()).log("tables are persisted again");
+            LOG.atInfo()
+                    .addKeyValue("file", writer.file().toString())
+                    .log("tables are persisted again");
         }
         fault = "";
         broken = false;
--- a/src/main/java/rosespread/table/PinState.java
+++ b/src/main/java/rosespread/table/PinState.java
@@ -1,16 +1,20 @@
 package rosespread.table;
 
-/** How a table's lines come about: from the module as they pass the gate, or held. */
+/**
+ * What a table follows: the routing policy, as its changes pass validation, or an operator's pin.
+ * Names are stored and reported by the control API and must not change.
+ */
 public enum PinState {
+    /** The table follows the routing policy. */
     NONE,
-    /** The last good lines stay until what the module wants passes. */
+    /** The last accepted entries stay until what the routing policy wants passes validation. */
     REFUSED,
-    /** An operator holds it. */
+    /** An operator pinned the table, or rolled it back. */
     PINNED,
-    /** It goes step by step from what was held to what the module wants. */
+    /** The table goes step by step from what was pinned to what the routing policy wants. */
     RELEASING;
 
-    /** What outlives the process: a refusal is judged anew after a start. */
+    /** What outlives the process: a refusal is validated anew after a start. */
     public PinState lasting() {
         return this == REFUSED ? NONE : this;
     }
--- a/src/main/java/rosespread/table/TableDigest.java
+++ b/src/main/java/rosespread/table/TableDigest.java
@@ -5,14 +5,17 @@
 import rosespread.api.NodeId;
 
 /**
- * A digest over a table's lines: the sum, modulo 2 to the 64, of each line's XXH3 (64 bits, seed 0)
- * over its node and the bits of its weight, 16 bytes little-endian. A sum does not depend on order,
- * so a changed line costs two hashes whatever the table's size. It guards against loss and
- * mistakes, not against forgery.
+ * A digest over a table's weight entries: the sum, modulo 2 to the 64, of each entry's XXH3 (64
+ * bits, seed 0) over its node and the bits of its weight, 16 bytes little-endian. A sum does not
+ * depend on order, so a changed entry costs two hashes whatever the table's size. It guards against
+ * loss and mistakes, not against forgery.
+ *
+ * <p>Digests are stored and sent to proxies. Stateless and therefore thread-safe.
  */
 public final class TableDigest {
     private TableDigest() {}
 
+    /** The digest of one entry. */
     public static long of(NodeId node, double weight) {
         return Hashing.xxh3_64()
                 .hashStream()
@@ -21,10 +24,11 @@
                 .getAsLong();
     }
 
-    public static long of(Map<NodeId, Double> lines) {
+    /** The digest of all entries of a table; 0 if there is none. */
+    public static long of(Map<NodeId, Double> entries) {
         long sum = 0;
-        for (Map.Entry<NodeId, Double> line : lines.entrySet()) {
-            sum += of(line.getKey(), line.getValue());
+        for (Map.Entry<NodeId, Double> entry : entries.entrySet()) {
+            sum += of(entry.getKey(), entry.getValue());
         }
         return sum;
     }
--- a/src/main/java/rosespread/table/TableSnapshot.java
+++ b/src/main/java/rosespread/table/TableSnapshot.java
@@ -6,12 +6,13 @@
 import rosespread.api.NodeId;
 
 /**
- * A table at one moment, as it is kept on disk.
+ * A table at one moment, as it is stored.
  *
- * @param versions oldest first, the last one is out
- * @param kept numbers that stay whatever their age
- * @param to the version that a pinned table still goes back to, 0 if it has arrived
- * @param pending the lines that it still has to change for that, weight 0 for one that goes
+ * @param versions oldest first, at least one; the last is the current one
+ * @param retained numbers of versions that stay in the history whatever their age
+ * @param pinState what is persisted of the pin, see {@link PinState#lasting}
+ * @param rollbackTarget the version that a pinned table still goes back to, 0 if it has arrived
+ * @param pending the entries that it still has to change for that, weight 0 for one to remove
  */
 public record TableSnapshot(
         List<TableVersion> versions,
@@ -19,13 +20,18 @@
         PinState pinState,
         long rollbackTarget,
         Map<NodeId, Double> pending) {
-    /** What an image holds must be what is out: a table that was never committed has none. */
+    /**
+     * A snapshot of a table that was committed at least once.
+     *
+     * @throws IllegalArgumentException if there is no version
+     */
     public TableSnapshot {
         if (versions.isEmpty()) {
             throw new IllegalArgumentException("no version");
         }
     }
 
+    /** The newest version. */
     public TableVersion current() {
         return versions.get(versions.size() - 1);
     }
--- a/src/test/java/rosespread/table/TableVersionTest.java
+++ b/src/test/java/rosespread/table/TableVersionTest.java
@@ -67,7 +67,7 @@
         VersionHistory history = new VersionHistory(new TableId(1), 0);
         for (int i = 1; i <= 1000; i++) {
             history.commit(Map.of(new NodeId(1), (double) i), TableVersion.Cause.MODULE, i);
-            history.keep(3, true);
+            history.retain(3);
         }
         assertEquals(256, history.versions().size());
         assertEquals(3.0, history.version(3).orElseThrow().lines().get(new NodeId(1)));
