--- a/src/test/java/rosespread/audit/AuditLogTest.java
+++ b/src/test/java/rosespread/audit/AuditLogTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Audit files that are continued, changed or cut. */
 class AuditLogTest {
     @TempDir private Path folder;
 
@@ -31,12 +32,12 @@
     }
 
     @Test
-    void goesOnWithAFileAndItsChain() throws IOException {
+    void anOpenedFileGoesOnWithItsChain() throws IOException {
         log(3);
         Path path = log(2);
-        AuditLog.Verification verdict = AuditLog.verify(path);
-        assertEquals("", verdict.fault());
-        assertEquals(5, verdict.lines());
+        AuditLog.Verification verification = AuditLog.verify(path);
+        assertEquals("", verification.fault());
+        assertEquals(5, verification.lines());
     }
 
     /** Every way to change a file later but for cutting its end off. */
@@ -51,10 +52,11 @@
                 "RENUMBERED|line 3, byte |its chain",
                 "RUBBISH|line 3, byte |not JSON"
             })
-    void findsALineThatWasChangedLater(String way, String place, String why) throws IOException {
+    void aLineThatWasChangedLaterIsFoundAndTheFileRefused(String change, String place, String fault)
+            throws IOException {
         Path path = log(6);
         List<String> lines = new ArrayList<>(Files.readAllLines(path));
-        switch (way) {
+        switch (change) {
             case "CHANGED" -> lines.set(2, lines.get(2).replace("drain n2", "drain n3"));
             case "TAKEN_OUT" -> lines.remove(2);
             case "SWAPPED" -> lines.add(2, lines.remove(3));
@@ -66,16 +68,16 @@
             default -> lines.set(2, "x" + lines.get(2));
         }
         Files.write(path, lines);
-        AuditLog.Verification verdict = AuditLog.verify(path);
+        AuditLog.Verification verification = AuditLog.verify(path);
         assertTrue(
-                verdict.fault().startsWith(place) && verdict.fault().contains(why),
-                verdict.fault());
-        IOException told = assertThrows(IOException.class, () -> new AuditLog(path, () -> 7));
-        assertTrue(told.getMessage().contains(place), told.getMessage());
+                verification.fault().startsWith(place) && verification.fault().contains(fault),
+                verification.fault());
+        IOException refused = assertThrows(IOException.class, () -> new AuditLog(path, () -> 7));
+        assertTrue(refused.getMessage().contains(place), refused.getMessage());
     }
 
     @Test
-    void cutsALastLineThatIsNotWhole() throws IOException {
+    void aLastLineThatIsNotWholeIsCut() throws IOException {
         Path path = log(2);
         Files.writeString(path, Files.readString(path) + "{\"n\":3,\"who\":");
         log(1);
--- a/src/test/java/rosespread/store/DiskFaultTest.java
+++ b/src/test/java/rosespread/store/DiskFaultTest.java
@@ -6,27 +6,11 @@
 import static rosespread.store.StoreFixture.assertSameSnapshot;
 
 import java.io.IOException;
-import java.nio.file.Path;
 import java.util.Random;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
 /** What a store does when the disk is full or stalls. */
-class DiskFaultTest {
-    private StoreFixture fixture;
-
-    @BeforeEach
-    void create(@TempDir Path folder) {
-        fixture = new StoreFixture(folder);
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        fixture.close();
-    }
-
+class DiskFaultTest extends StoreTestSupport {
     @Test
     void aFullDiskIsReportedAndASnapshotMakesUpForIt() throws IOException {
         FullDisk disk = new FullDisk(5000);
--- a/src/test/java/rosespread/store/TableFileReaderTest.java
+++ b/src/test/java/rosespread/store/TableFileReaderTest.java
@@ -12,30 +12,15 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Files that a store wrote, cut short or damaged since. */
-class TableFileReaderTest {
+class TableFileReaderTest extends StoreTestSupport {
     /** Lines of the snapshot in the first file of a folder. */
     private static final int SNAPSHOT_LINES = 2;
 
-    private StoreFixture fixture;
-
-    @BeforeEach
-    void create(@TempDir Path folder) {
-        fixture = new StoreFixture(folder);
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        fixture.close();
-    }
-
     @Test
     void cutsATornTailAtAnyByte() throws IOException {
         fixture.open();
--- a/src/test/java/rosespread/store/TableStoreTest.java
+++ b/src/test/java/rosespread/store/TableStoreTest.java
@@ -12,27 +12,12 @@
 import java.util.Random;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 
 /** What a store restores after it ended in any way, on a disk that does its part. */
-class TableStoreTest {
+class TableStoreTest extends StoreTestSupport {
     private static final int FILE_AND_LOCK = 2;
 
-    private StoreFixture fixture;
-
-    @BeforeEach
-    void create(@TempDir Path folder) {
-        fixture = new StoreFixture(folder);
-    }
-
-    @AfterEach
-    void close() throws IOException {
-        fixture.close();
-    }
-
     @Property(tries = 60, seed = "1")
     void restoresWhatWasAppendedOverRestarts(@ForAll long seed) throws IOException {
         StoreFixture restarted = new StoreFixture(Files.createTempDirectory("rosespread-store"));
@@ -60,13 +45,16 @@
     void aFileThatHasGrownIsFollowedByAShorterOne() throws IOException {
         fixture.open(LogOutput.DISK, 20_000);
         AppendedHistory history = new AppendedHistory(new Random(5));
-        for (int i = 0; i < 2000; i++) {
-            fixture.append(history, 1);
-            if (fixture.store().wantsSnapshot()) {
-                fixture.store().writeSnapshot(history.snapshot());
+        for (int batch = 0; batch < 20; batch++) {
+            for (int i = 0; i < 100; i++) {
+                fixture.append(history, 1);
+                if (fixture.store().wantsSnapshot()) {
+                    fixture.store().writeSnapshot(history.snapshot());
+                }
             }
+            // Else all could be appended before a slow disk lets the store see the growth.
+            fixture.awaitDurable();
         }
-        fixture.awaitDurable();
         assertEquals(FILE_AND_LOCK, fixture.fileNames().size(), fixture.fileNames()::toString);
         assertFalse(
                 fixture.fileNames().contains("tables-000001.log"), fixture.fileNames()::toString);
--- /dev/null
+++ b/src/test/java/rosespread/validation/EntryRetentionTest.java
@@ -0,0 +1,58 @@
+package rosespread.validation;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static rosespread.validation.ValidationFixture.UNLIMITED;
+import static rosespread.validation.ValidationFixture.context;
+import static rosespread.validation.ValidationFixture.entries;
+
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import rosespread.api.NodeId;
+import rosespread.validation.TableChangeValidator.ValidationContext;
+
+/** What may stay of a table, and the steps from a pinned table to the wanted one. */
+class EntryRetentionTest {
+    private static final double LITTLE_OVER_A_STEP = 0.16;
+
+    private final TableChangeValidator validator = new TableChangeValidator();
+
+    @ParameterizedTest
+    @CsvSource(
+            delimiter = '|',
+            nullValues = "-",
+            value = {
+                // entries | nodes | retained
+                "1=1 2=1 3=1 9=1|1 2d 3g|1=1",
+                "2=1 3=1|1 2d 3g 4c|1=1 4=0.2",
+                "1=1 2=5|1 2c|1=1 2=0.2",
+                "1=1 2=0.5|1 2c|1=1 2=0.2",
+                "1=1 2=0.1|1 2c|1=1 2=0.1",
+                "2=5|2c|2=5",
+                "1=1|1d|-"
+            })
+    void retainsEntriesOfEligibleNodesAndBoundsColdOnes(
+            String entries, String nodes, String retained) {
+        assertEquals(
+                entries(retained),
+                validator.retainableEntries(entries(entries), context(nodes, true, UNLIMITED)));
+    }
+
+    @Test
+    void aReleaseReachesTheWantedTableInStepsThatMoveAShareEach() {
+        ValidationContext context = context("1 2 3 4", false, UNLIMITED);
+        Map<NodeId, Double> current = entries("1=1 2=1");
+        Map<NodeId, Double> wanted = entries("3=1 4=1");
+        int steps = 0;
+        while (!current.equals(wanted)) {
+            Map<NodeId, Double> next = validator.stepTowards(current, wanted, context);
+            assertTrue(WeightShift.share(current, next) < LITTLE_OVER_A_STEP, next::toString);
+            current = next;
+            steps++;
+            assertTrue(steps < 12, current::toString);
+        }
+        assertTrue(steps >= 6);
+    }
+}
