--- a/src/main/java/rosespread/channel/FrameException.java
+++ b/src/main/java/rosespread/channel/FrameException.java
@@ -1,17 +1,17 @@
 package rosespread.channel;
 
-/** The stream is not the channel's protocol; the message names the byte offset in the stream. */
-public final class FrameException extends Exception {
-    private static final long serialVersionUID = 1L;
+import rosespread.codec.MalformedStreamException;
 
-    private final Frame.Reason reason;
+/** Thrown when incoming bytes break the channel's protocol (docs/channel.md). */
+public final class FrameException extends MalformedStreamException {
+    private static final long serialVersionUID = 1L;
 
-    FrameException(Frame.Reason reason, long offset, String message) {
-        super(message + " (byte " + offset + ")");
-        this.reason = reason;
+    FrameException(long offset, String message) {
+        super(offset, message);
     }
 
+    /** The reason with which the receiver closes the stream. */
     public Frame.Reason reason() {
-        return reason;
+        return Frame.Reason.BAD_FRAME;
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/channel/FrameType.java
@@ -0,0 +1,52 @@
+package rosespread.channel;
+
+/** The types of frames, each with its byte on the wire. */
+enum FrameType {
+    HELLO(1),
+    JOIN(2),
+    NODE(3),
+    BIND(4),
+    LINES(5),
+    WITHDRAW(6),
+    LEVELS(7),
+    MARK(8),
+    INSTALLED(9),
+    SUMS(10),
+    OFFERED(11),
+    KEEP_ALIVE(12),
+    CLOSE(13),
+    MISSED(14),
+    PACKED(15);
+
+    /** The flag of a frame that a receiver skips if it does not know the type. */
+    static final int OPTIONAL_FLAG = 1;
+
+    private static final FrameType[] BY_CODE = new FrameType[256];
+
+    static {
+        for (FrameType type : values()) {
+            BY_CODE[type.code] = type;
+        }
+    }
+
+    private final int code;
+
+    FrameType(int code) {
+        this.code = code;
+    }
+
+    /** The byte on the wire, 0 to 255. */
+    int code() {
+        return code;
+    }
+
+    /**
+     * The type of a byte on the wire; null, which spares an allocation a frame, if this version
+     * does not know it.
+     *
+     * @param code 0 to 255
+     */
+    static FrameType of(int code) {
+        return BY_CODE[code];
+    }
+}
--- a/src/main/java/rosespread/resp/RespCodec.java
+++ b/src/main/java/rosespread/resp/RespCodec.java
@@ -1,85 +1,47 @@
 package rosespread.resp;
 
-import java.util.ArrayDeque;
 import java.util.List;
-import java.util.Queue;
-import org.apache.mina.core.buffer.IoBuffer;
+import java.util.function.Consumer;
+import org.apache.mina.core.session.AttributeKey;
 import org.apache.mina.core.session.IoSession;
-import org.apache.mina.filter.codec.ProtocolCodecFactory;
-import org.apache.mina.filter.codec.ProtocolDecoder;
-import org.apache.mina.filter.codec.ProtocolDecoderAdapter;
-import org.apache.mina.filter.codec.ProtocolDecoderOutput;
-import org.apache.mina.filter.codec.ProtocolEncoder;
-import org.apache.mina.filter.codec.ProtocolEncoderAdapter;
-import org.apache.mina.filter.codec.ProtocolEncoderOutput;
+import rosespread.codec.MessageParser;
+import rosespread.codec.StreamCodecFactory;
 
 /**
- * The parser as a codec of MINA: messages come in as lists of strings and leave as bytes already
- * written. The session keeps its decoder; after an error it takes nothing more.
+ * The codec of RESP2 for MINA. Received messages are passed on as {@code List<String>}; messages to
+ * be sent come as {@code byte[]}, encoded already by {@link RespWriter}.
+ *
+ * <p>The stream may be cut at any byte. Messages before a malformed one are still passed on; then
+ * the decoder throws {@link RespException} once and discards all that follows. Each session has its
+ * own parser, used on its I/O thread only.
  */
-public final class RespCodec implements ProtocolCodecFactory {
-    private static final String DECODER = "resp decoder";
+public final class RespCodec extends StreamCodecFactory<List<String>> {
+    private static final AttributeKey PARSER = new AttributeKey(RespCodec.class, "parser");
 
     private final RespLimits limits;
 
-    /**
-     * @param limits the bounds that a session begins with
-     */
+    /** A codec whose sessions start with these limits. */
     public RespCodec(RespLimits limits) {
         this.limits = limits;
     }
 
-    /** Gives a session other bounds, from its next byte on. */
-    public static void limit(IoSession session, RespLimits next) {
-        ((Decoder) session.getAttribute(DECODER)).parser.limit(next);
+    /**
+     * Gives a session other limits, from the next bytes on. To be called on the session's I/O
+     * thread, after the first byte was received.
+     */
+    public static void setLimits(IoSession session, RespLimits limits) {
+        ((RespParser) session.getAttribute(PARSER)).setLimits(limits);
     }
 
     @Override
-    public ProtocolEncoder getEncoder(IoSession session) {
-        return new ProtocolEncoderAdapter() {
-            @Override
-            public void encode(IoSession s, Object message, ProtocolEncoderOutput out) {
-                out.write(IoBuffer.wrap((byte[]) message));
-            }
-        };
+    protected MessageParser newParser(IoSession session, Consumer<List<String>> out) {
+        RespParser parser = new RespParser(limits, out);
+        session.setAttribute(PARSER, parser);
+        return parser;
     }
 
     @Override
-    public ProtocolDecoder getDecoder(IoSession session) {
-        Object kept = session.getAttribute(DECODER);
-        if (kept == null) {
-            kept = new Decoder(limits);
-            session.setAttribute(DECODER, kept);
-        }
-        return (ProtocolDecoder) kept;
-    }
-
-    private static final class Decoder extends ProtocolDecoderAdapter {
-        private final Queue<List<String>> parsed = new ArrayDeque<>();
-        private final RespParser parser;
-        private boolean broken;
-
-        Decoder(RespLimits limits) {
-            parser = new RespParser(limits, parsed::add);
-        }
-
-        @Override
-        public void decode(IoSession session, IoBuffer in, ProtocolDecoderOutput out)
-                throws RespException {
-            if (broken) {
-                in.skip(in.remaining());
-                return;
-            }
-            try {
-                parser.feed(in.buf());
-            } catch (RespException e) {
-                broken = true;
-                throw e;
-            } finally {
-                for (List<String> one = parsed.poll(); one != null; one = parsed.poll()) {
-                    out.write(one);
-                }
-            }
-        }
+    protected byte[] encode(Object message) {
+        return (byte[]) message;
     }
 }
--- a/src/main/java/rosespread/resp/RespException.java
+++ b/src/main/java/rosespread/resp/RespException.java
@@ -1,10 +1,15 @@
 package rosespread.resp;
 
-/** What came in is not RESP2 arrays of bulk strings, or passes a bound; names the byte offset. */
-public final class RespException extends Exception {
+import rosespread.codec.MalformedStreamException;
+
+/**
+ * The bytes of a stream are not RESP2 arrays of bulk strings, or a message passes its limits. The
+ * stream cannot be read any further.
+ */
+public final class RespException extends MalformedStreamException {
     private static final long serialVersionUID = 1L;
 
-    RespException(long offset, String message) {
-        super(message + " (byte " + offset + ")");
+    RespException(long byteOffset, String message) {
+        super(byteOffset, message);
     }
 }
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -22,11 +21,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * {@code serve} as a process, against small stand-ins of discovery, collectors and proxies on
- * loopback.
+ * {@code serve} as a process, against small fakes of discovery, collectors and proxies on loopback.
  */
 class ServeTest {
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
     @TempDir private Path folder;
     private FakeDiscovery discovery;
@@ -42,10 +40,11 @@
 
     @BeforeEach
     void start() throws IOException {
-        discovery = new FakeDiscovery(Sample.node("s-1", "SERVING"), Sample.node("s-2", "SERVING"));
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
-        }
+        discovery =
+                new FakeDiscovery(
+                        PlatformFixture.node("s-1", "SERVING"),
+                        PlatformFixture.node("s-2", "SERVING"));
+        port = PlatformFixture.freePort();
         configure(discovery.address());
         ProcessBuilder builder =
                 new ProcessBuilder(
@@ -61,7 +60,7 @@
                 builder.redirectErrorStream(true)
                         .redirectOutput(folder.resolve("log").toFile())
                         .start();
-        await().atMost(PATIENCE)
+        await().atMost(TIMEOUT)
                 .until(
                         () -> {
                             try (Socket socket = new Socket("127.0.0.1", port)) {
@@ -74,61 +73,63 @@
 
     private void configure(String address) throws IOException {
         Files.writeString(
-                folder.resolve("config.json"), Sample.config("127.0.0.1:" + port, address));
+                folder.resolve("config.json"),
+                PlatformFixture.config("127.0.0.1:" + port, address));
     }
 
     @AfterEach
     void stop() throws IOException, InterruptedException {
         for (FakePeer peer : peers) {
-            peer.socket.close();
+            peer.close();
         }
         process.destroyForcibly().waitFor();
         discovery.close();
     }
 
-    /** Once the watch stands, as the stand-in tells a change only to those who wait for one. */
+    /** Once a watch is open, as the fake answers open watches with a change. */
     private void drain(String node) {
-        await().atMost(PATIENCE).until(discovery::watched);
-        discovery.change(Sample.node(node, "DRAINING"));
+        await().atMost(TIMEOUT).until(discovery::watched);
+        discovery.change(PlatformFixture.node(node, "DRAINING"));
     }
 
     private FakePeer joined(int proxy) throws IOException {
         FakePeer peer = peer();
-        peer.say("attach node " + proxy + " locality a w 5 cold 1");
-        peer.hears("whole 1");
+        peer.send("attach node " + proxy + " locality a w 5 cold 1");
+        peer.awaitMessage("whole 1");
         return peer;
     }
 
     @Test
-    void aProxyJoinsAnswersAndIsToldOfADrain() throws IOException {
+    void proxyJoinsAcknowledgesAndGetsARemoval() throws IOException {
         FakePeer proxy = joined(3);
-        List<String> whole = proxy.hears("whole 1");
+        List<String> whole = proxy.awaitMessage("whole 1");
         assertTrue(
                 whole.contains("ticket") && String.join(" ", whole).contains("s-1:"),
                 whole.toString());
-        proxy.say("done node 3 nonce " + proxy.ticket(whole) + " latency 12.5");
+        proxy.send("done node 3 nonce " + FakePeer.tokenOf(whole) + " latency 12.5");
         FakePeer collector = peer();
-        collector.say("telemetry locality a");
-        collector.say("upstream_stats locality a endpoint s-1 total 5 errors 9 rtt 3 interval 500");
-        collector.say(
+        collector.send("telemetry locality a");
+        collector.send(
+                "upstream_stats locality a endpoint s-1 total 5 errors 9 rtt 3 interval 500");
+        collector.send(
                 "upstream_stats locality a endpoint s-1 total 5 errors 0 rtt 3 interval 500 metrics"
                         + " util:0.4");
-        proxy.say("hb");
-        proxy.hears("hb_ok");
+        proxy.send("hb");
+        proxy.awaitMessage("hb_ok");
         drain("s-1");
-        proxy.hears("s-1:0");
-        await().atMost(PATIENCE).until(() -> log().contains("drops range:1"));
-        assertEquals(false, collector.ended || proxy.ended);
+        proxy.awaitMessage("s-1:0");
+        await().atMost(TIMEOUT).until(() -> log().contains("droppedMessages=\"range:1"));
+        assertEquals(false, collector.isEnded() || proxy.isEnded());
     }
 
     @Test
-    void aNewStreamReplacesTheOldAndItsLateEndTakesNothing() throws IOException {
+    void newStreamReplacesTheOldWhoseLateEndEndsNothing() throws IOException {
         FakePeer old = joined(3);
         FakePeer fresh = joined(3);
-        await().atMost(PATIENCE).until(() -> old.ended);
+        await().atMost(TIMEOUT).until(() -> old.isEnded());
         drain("s-1");
-        fresh.hears("s-1:0");
-        assertEquals(false, log().contains("proxy 3 left"));
+        fresh.awaitMessage("s-1:0");
+        assertEquals(false, log().contains("proxy left proxy=\"3\""));
     }
 
     @ParameterizedTest
@@ -142,32 +143,32 @@
         "*2~$2~hb~, false",
         "'', false"
     })
-    void aBadClientIsToldOrClosedAndAProxyHeedsNothing(String text, boolean told)
+    void badClientIsRejectedOrClosedAndProxiesAreUnaffected(String text, boolean told)
             throws IOException {
         FakePeer proxy = joined(4);
         FakePeer bad = peer();
-        bad.raw(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
-        await().atMost(Duration.ofSeconds(3)).until(() -> bad.ended);
-        assertEquals(told, bad.heard.stream().anyMatch(m -> m.get(0).equals("reject")));
-        proxy.say("hb");
-        proxy.hears("hb_ok");
+        bad.sendBytes(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
+        await().atMost(Duration.ofSeconds(3)).until(() -> bad.isEnded());
+        assertEquals(told, bad.received().stream().anyMatch(m -> m.get(0).equals("reject")));
+        proxy.send("hb");
+        proxy.awaitMessage("hb_ok");
     }
 
     @Test
-    void whatComesAlongWithWhatWasRejectedIsNotTaken() throws IOException {
+    void messagesBehindARejectedOneAreIgnored() throws IOException {
         FakePeer bad = peer();
-        bad.raw(
+        bad.sendBytes(
                 ("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
                         .replace("~", "\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        bad.hears("reject");
+        bad.awaitMessage("reject");
         joined(9);
-        await().atMost(PATIENCE).until(() -> log().contains("proxy 9 joined"));
-        assertEquals(false, log().contains("proxy 8 joined"));
+        await().atMost(TIMEOUT).until(() -> log().contains("proxy joined proxy=\"9\""));
+        assertEquals(false, log().contains("proxy joined proxy=\"8\""));
     }
 
     @Test
-    void hundredsOfSilentStrangersLeaveRoomForAProxy() throws IOException {
+    void hundredsOfSilentConnectionsLeaveRoomForAProxy() throws IOException {
         for (int i = 0; i < 400; i++) {
             peer();
         }
@@ -176,24 +177,26 @@
     }
 
     @Test
-    void aNewConfigurationMovesDiscoveryAndAFaultyOneDoesNot() throws Exception {
+    void newConfigurationMovesDiscoveryAndAnInvalidOneDoesNot() throws Exception {
         FakePeer proxy = joined(6);
         hup();
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
         hup();
-        await().atMost(PATIENCE).until(() -> log().contains("is at fault and changes nothing"));
+        await().atMost(TIMEOUT).until(() -> log().contains("configuration rejected"));
         try (FakeDiscovery next =
-                new FakeDiscovery(Sample.node("s-2", "SERVING"), Sample.node("s-3", "SERVING"))) {
+                new FakeDiscovery(
+                        PlatformFixture.node("s-2", "SERVING"),
+                        PlatformFixture.node("s-3", "SERVING"))) {
             configure(next.address());
             hup();
-            proxy.hears("s-3:");
-            proxy.hears("s-1:0");
-            assertEquals(false, proxy.ended);
+            proxy.awaitMessage("s-3:");
+            proxy.awaitMessage("s-1:0");
+            assertEquals(false, proxy.isEnded());
         }
     }
 
     @Test
-    void termEndsItSoonAndCleanly() throws Exception {
+    void termEndsTheProcessPromptlyWithExitCode0() throws Exception {
         joined(7);
         process.destroy();
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
@@ -201,14 +204,15 @@
     }
 
     private void hup() throws IOException, InterruptedException {
-        await().atMost(PATIENCE).until(() -> log().contains("listens on"));
+        await().atMost(TIMEOUT).until(() -> log().contains("listening for proxies"));
         int before = log().length();
         new ProcessBuilder("/bin/kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        await().atMost(PATIENCE)
+        await().atMost(TIMEOUT)
                 .until(
                         () ->
                                 log().substring(before).contains("configuration")
-                                        || log().substring(before).contains("discovery moves"));
+                                        || log().substring(before)
+                                                .contains("discovery address changed"));
     }
 
     private String log() throws IOException {
