--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -15,6 +15,7 @@
 import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
+import rosespread.validation.AcceptedTotals;
 import rosespread.validation.TableChangeValidator;
 
 /**
@@ -33,7 +34,7 @@
     private final Set<ZoneId> zones = new TreeSet<>();
     private final TreeMap<NodeId, Double> pending = new TreeMap<>();
     private final TreeMap<TableChangeValidator.Reason, Long> refusalCounts = new TreeMap<>();
-    private final TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
+    private final AcceptedTotals acceptedTotals = new AcceptedTotals();
     private VersionHistory history;
     private PinState pin = PinState.NONE;
     private long rollbackTarget;
@@ -113,7 +114,7 @@
         methods.clear();
         zones.clear();
         history.admissionLimits().clear();
-        standing.forget();
+        acceptedTotals.forget();
         refusals = List.of();
         pin = pin.lasting();
         awaitingPolicy = true;
@@ -121,7 +122,7 @@
 
     void addMethods(Set<MethodId> added) {
         if (methods.addAll(added)) {
-            standing.forget();
+            acceptedTotals.forget();
         }
     }
 
@@ -131,7 +132,7 @@
 
     void addZone(ZoneId zone) {
         if (zones.add(zone)) {
-            standing.forget();
+            acceptedTotals.forget();
         }
     }
 
@@ -192,7 +193,7 @@
         pin = next;
         rollbackTarget = target;
         if (target > 0) {
-            history.keep(target, true);
+            history.retain(target);
         }
         return lasting;
     }
@@ -215,8 +216,8 @@
     }
 
     /** Returns what the validator remembers of the committed weights. */
-    TableChangeValidator.AcceptedTotals standing() {
-        return standing;
+    AcceptedTotals acceptedTotals() {
+        return acceptedTotals;
     }
 
     /** Returns why the desired weights were refused last; empty if they passed. */
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -48,7 +48,7 @@
 
     private long overdueEntries(long nowNanos) {
         ProxySession.AcknowledgementDeadline deadline =
-                writtenAt -> ChannelCapacity.overdue(nowNanos - writtenAt, limits.longestWay());
+                writtenAt -> ChannelCapacity.isOverdue(nowNanos - writtenAt, limits.longestWay());
         long entries = 0;
         int lateProxies = 0;
         for (ProxySession session : sessions.values()) {
@@ -56,7 +56,7 @@
             entries += overdue;
             lateProxies += overdue > 0 ? 1 : 0;
         }
-        return ChannelCapacity.overdue(entries, lateProxies, sessions.size());
+        return ChannelCapacity.overdueEntries(entries, lateProxies, sessions.size());
     }
 
     /** Returns the sessions subscribed to a table, in the order of their proxies. */
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -115,7 +115,7 @@
             RoundTime time) {
         boolean followed = table.pin() == PinState.NONE;
         if (!followed) {
-            table.standing().forget();
+            table.acceptedTotals().forget();
         }
         Map<NodeId, Double> changes = actions.weights(table.id());
         TableChangeValidator.ValidationResult result = validation.validate(table, changes, context);
@@ -137,7 +137,7 @@
             Map<NodeId, Double> weights,
             TableChangeValidator.ValidationContext context,
             long nowNanos) {
-        table.standing().forget();
+        table.acceptedTotals().forget();
         Map<NodeId, Double> all = table.current().changesTo(weights);
         Map<NodeId, Double> selected = selector.select(table, all, context, nowNanos);
         if (selected.size() < all.size()) {
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -64,7 +64,7 @@
             TableChangeValidator.ValidationContext context) {
         TableChangeValidator.ValidationResult result =
                 validator.validate(
-                        table.standing(),
+                        table.acceptedTotals(),
                         table.current().lines(),
                         table.desired(),
                         changes,
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -26,6 +26,7 @@
 import rosespread.table.TableDigest;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
+import rosespread.validation.AcceptedTotals;
 import rosespread.validation.TableChangeValidator;
 
 /**
@@ -62,7 +63,7 @@
     private final Map<NodeId, TableChangeValidator.NodeFact> facts = new TreeMap<>();
     private final Map<NodeId, Double> published = new TreeMap<>();
     private final Map<NodeId, Double> desired = new TreeMap<>();
-    private final TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
+    private final AcceptedTotals standing = new AcceptedTotals();
     private TableChangeValidator validator;
 
     @Setup
