--- /dev/null
+++ b/src/main/java/rosespread/policy/DepartedNodes.java
@@ -0,0 +1,28 @@
+package rosespread.policy;
+
+import java.util.stream.Stream;
+import rosespread.policy.state.Node;
+import rosespread.policy.state.NodeRegistry;
+import rosespread.policy.state.ProxyShard;
+
+/** Nodes that left and that the followers of a shard still hold. */
+final class DepartedNodes {
+    private final NodeRegistry nodes;
+
+    DepartedNodes(NodeRegistry nodes) {
+        this.nodes = nodes;
+    }
+
+    /** The nodes behind the shard's entries that are not ready, once for each table. */
+    Stream<Node> heldBy(ProxyShard shard) {
+        return shard.tables().stream()
+                .flatMap(table -> table.delivered().keySet().stream())
+                .map(nodes::find)
+                .filter(node -> !node.ready());
+    }
+
+    /** When the first of them left, {@code now} if there is none. */
+    long earliestDeparture(ProxyShard shard, long now) {
+        return heldBy(shard).mapToLong(Node::leftAt).min().orElse(now);
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/policy/TableUpdateSender.java
@@ -0,0 +1,88 @@
+package rosespread.policy;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import rosespread.api.NodeId;
+import rosespread.api.PolicySettings;
+import rosespread.policy.state.NodeRegistry;
+import rosespread.policy.state.Proxy;
+import rosespread.policy.state.ShardTable;
+
+/** Sends a table's pending delivery, or as much of it as fits, to its subscribers. */
+final class TableUpdateSender {
+    /** Part of the channel for ordinary deliveries at the most. */
+    private static final double MAX_CHANNEL_SHARE = 0.85;
+
+    /** What ordinary deliveries may cost, as a part of all service: a dear channel is used less. */
+    private static final double MAX_CHANNEL_COST = 0.04;
+
+    private final PolicySettings settings;
+    private final NodeRegistry nodes;
+    private final PendingChanges changes;
+    private final ChannelBudget budget;
+    private final OutgoingRound outgoing;
+    private final NodeExclusions exclusions;
+    private long channelFreeAt;
+
+    TableUpdateSender(
+            PolicySettings settings,
+            NodeRegistry nodes,
+            PendingChanges changes,
+            ChannelBudget budget,
+            OutgoingRound outgoing,
+            NodeExclusions exclusions) {
+        this.settings = settings;
+        this.nodes = nodes;
+        this.changes = changes;
+        this.budget = budget;
+        this.outgoing = outgoing;
+        this.exclusions = exclusions;
+    }
+
+    /** When what was sent has left the part of the channel that is for ordinary deliveries. */
+    long channelFreeAt() {
+        return channelFreeAt;
+    }
+
+    /**
+     * Sends the pending admission limits and so many entries: nodes that left, warming ones held
+     * too high, then the largest changes.
+     */
+    void send(ShardTable table, int most, RoundContext round) {
+        List<NodeId> entries = mostPressing(table, most, round.now());
+        int sent = entries.size() + table.pendingLimits();
+        for (NodeId id : entries) {
+            double weight = table.deliverPending(id);
+            round.actions().setWeight(table.id(), id, weight);
+            if (weight == 0) {
+                nodes.find(id).markRemoved(round.now());
+            }
+        }
+        table.forgetPendingCounts();
+        entries.forEach(id -> exclusions.update(nodes.find(id), round));
+        table.deliverPendingLimits(
+                (method, limit) -> round.actions().setAdmissionLimit(table.id(), method, limit));
+        table.deliveryStarted(outgoing.sequence(), round.now());
+        for (Proxy proxy : table.subscribers()) {
+            outgoing.add(proxy, sent);
+            table.deliveredTo(proxy.id());
+        }
+        occupyChannel(table.unacknowledged() * (sent + budget.messageOverhead()), round.now());
+    }
+
+    private List<NodeId> mostPressing(ShardTable table, int most, long now) {
+        List<NodeId> entries = new ArrayList<>(table.pending().keySet());
+        entries.sort(
+                Comparator.comparing(changes::ready)
+                        .thenComparing(id -> !changes.warmingTooHigh(table, id, now))
+                        .thenComparing(id -> -table.pendingDifference(id)));
+        return entries.subList(0, Math.min(most, entries.size()));
+    }
+
+    private void occupyChannel(double entries, long now) {
+        double share = Math.min(MAX_CHANNEL_SHARE, MAX_CHANNEL_COST / settings.channelCost());
+        long span = (long) (entries / settings.entriesPerSecond() / share * TimeUnits.SECOND);
+        channelFreeAt = Math.max(now, channelFreeAt) + span;
+    }
+}
--- a/src/test/java/rosespread/policy/RoutingPolicyTest.java
+++ b/src/test/java/rosespread/policy/RoutingPolicyTest.java
@@ -147,8 +147,8 @@
             }
             rig.run(1);
         }
-        assertEquals(sick, !rig.since(0, "log node 0 sick").isEmpty());
-        assertEquals(List.of(), rig.since(0, "log node 0 well"));
+        assertEquals(sick, !rig.since(0, "log node 0 ejected").isEmpty());
+        assertEquals(List.of(), rig.since(0, "log node 0 readmitted"));
     }
 
     @ParameterizedTest
