--- a/src/main/java/rosespread/api/EventSource.java
+++ b/src/main/java/rosespread/api/EventSource.java
@@ -3,6 +3,6 @@
 /** One round's events. */
 @FunctionalInterface
 public interface EventSource {
-    /** Hands every event to the observer, in order. */
-    void deliverTo(EventHandler observer);
+    /** Hands every event to the handler, in the order of arrival, on the caller's thread. */
+    void deliverTo(EventHandler handler);
 }
--- a/src/main/java/rosespread/api/MachineTypeId.java
+++ b/src/main/java/rosespread/api/MachineTypeId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A kind of machine, by its place among the settings' kinds. */
+/** A machine type, by its place among those of the settings. */
 public record MachineTypeId(int value) implements Comparable<MachineTypeId> {
     @Override
     public int compareTo(MachineTypeId other) {
--- a/src/main/java/rosespread/api/MethodId.java
+++ b/src/main/java/rosespread/api/MethodId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A method, by its place among the settings' methods. */
+/** A method, by its place among {@link PolicySettings#methods}. */
 public record MethodId(int value) implements Comparable<MethodId> {
     @Override
     public int compareTo(MethodId other) {
--- a/src/main/java/rosespread/api/ProxyId.java
+++ b/src/main/java/rosespread/api/ProxyId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A proxy. */
+/** A proxy, the same over reconnects while the controller runs. */
 public record ProxyId(int value) implements Comparable<ProxyId> {
     @Override
     public int compareTo(ProxyId other) {
--- a/src/main/java/rosespread/api/TableId.java
+++ b/src/main/java/rosespread/api/TableId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A table that this conductor lays. */
+/** A table of this controller, numbered from 1. */
 public record TableId(int value) implements Comparable<TableId> {
     @Override
     public int compareTo(TableId other) {
--- a/src/main/java/rosespread/api/ZoneId.java
+++ b/src/main/java/rosespread/api/ZoneId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A zone, by its place among the settings' zones. */
+/** A zone, by its place among those of the settings. */
 public record ZoneId(int value) implements Comparable<ZoneId> {
     @Override
     public int compareTo(ZoneId other) {
--- a/src/main/java/rosespread/policy/LoadEstimator.java
+++ b/src/main/java/rosespread/policy/LoadEstimator.java
@@ -59,7 +59,7 @@
 
     private boolean delivered(Node node, ShardTable like) {
         return shards.tables().stream()
-                .anyMatch(table -> table.isLike(like) && table.delivered().containsKey(node.id()));
+                .anyMatch(table -> table.isLike(like) && table.holds(node.id()));
     }
 
     /** Attempts a second against the available capacity; 0 before anything was reported. */
--- a/src/main/java/rosespread/policy/NodeExclusions.java
+++ b/src/main/java/rosespread/policy/NodeExclusions.java
@@ -33,9 +33,7 @@
 
     /** Excludes or includes a node whose entries have changed. */
     void update(Node node, RoundContext round) {
-        boolean held =
-                shards.tables().stream()
-                        .anyMatch(table -> table.delivered().containsKey(node.id()));
+        boolean held = shards.tables().stream().anyMatch(table -> table.holds(node.id()));
         if (node.excluded() ? held : !held && !node.ready() && mayExclude()) {
             node.setExcluded(!held);
             round.actions().setExcluded(node.id(), node.excluded());
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -24,9 +24,13 @@
     private static final long EVALUATION_INTERVAL_NANOS = TimeUnits.SECOND / 10;
 
     private final PolicySettings settings;
+    private final NodeRegistry nodes = new NodeRegistry();
+    private final ProxyRegistry proxies = new ProxyRegistry();
     private final ShardRegistry shards;
     private final EligibleNodes eligible;
-    private final DemandEstimator demands;
+    private final CapacityUnits units = new CapacityUnits();
+    private final DemandEstimator demands = new DemandEstimator(proxies);
+    private final InFlightMessages inFlight = new InFlightMessages();
     private final RoundTriggers triggers = new RoundTriggers();
     private final PolicyEventHandler events;
     private final CapacityEstimator capacity;
@@ -49,14 +53,10 @@
      */
     public RoutingPolicy(PolicySettings settings, RandomGenerator random) {
         this.settings = settings;
-        NodeRegistry nodes = new NodeRegistry();
-        ProxyRegistry proxies = new ProxyRegistry();
         shards = new ShardRegistry(settings);
         triggers.requirePlan();
         SlowStart slowStart = new SlowStart(settings);
         eligible = new EligibleNodes(nodes, slowStart);
-        demands = new DemandEstimator(proxies);
-        CapacityUnits units = new CapacityUnits();
         ReportWindows windows = new ReportWindows(settings);
         outliers = new OutlierDetector(nodes, shards, eligible, windows);
         healthChecks = new HealthCheckScheduler(settings, nodes, random);
@@ -70,7 +70,6 @@
                 new TablePlanner(
                         settings, proxies, shards, eligible, slowStart, units, load, capacity,
                         demands);
-        InFlightMessages inFlight = new InFlightMessages();
         outgoing = new OutgoingRound(settings, proxies, inFlight);
         ChannelBudget budget = new ChannelBudget(settings, inFlight, outgoing);
         acknowledgements = new AcknowledgementTracker(settings, proxies, shards, inFlight, budget);
--- a/src/main/java/rosespread/policy/state/ShardTable.java
+++ b/src/main/java/rosespread/policy/state/ShardTable.java
@@ -102,9 +102,12 @@
                 && Objects.equals(localZone, zone);
     }
 
-    /** Whether another table is open to the same nodes. */
+    /**
+     * Whether another table is open to the same nodes: each shard has one table for each set of
+     * nodes, in the same order.
+     */
     public boolean isLike(ShardTable other) {
-        return serves(other.restrictions, other.localZone);
+        return index == other.index;
     }
 
     /** Whether it may name the node. */
@@ -143,6 +146,11 @@
         return pendingView;
     }
 
+    /** Whether the proxies hold an entry of the node. */
+    public boolean holds(NodeId node) {
+        return delivered.containsKey(node);
+    }
+
     /** Whether weights or admission limits are to be delivered. */
     public boolean hasPendingDelivery() {
         return !pending.isEmpty() || !pendingLimits.isEmpty();
--- a/src/main/java/rosespread/stats/DecayingSum.java
+++ b/src/main/java/rosespread/stats/DecayingSum.java
@@ -1,23 +1,29 @@
 package rosespread.stats;
 
-/** A sum that decays exponentially with time and is brought up to date when it is read. */
+/**
+ * A sum that decays exponentially with time. It is brought up to date when it is read or added to,
+ * so that reads at other times give other last digits. Times are clock readings in nanoseconds. Not
+ * safe for use by several threads.
+ */
 public final class DecayingSum {
-    private double timeConstant;
+    private double timeConstantNanos;
     private double value;
-    private long at;
+    private long updatedAt;
 
     /**
-     * @param timeConstant nanoseconds after which a part counts for 1/e
+     * Creates an empty sum.
+     *
+     * @param timeConstantNanos time after which a part counts for 1/e
      */
-    public DecayingSum(double timeConstant) {
-        this.timeConstant = timeConstant;
+    public DecayingSum(double timeConstantNanos) {
+        this.timeConstantNanos = timeConstantNanos;
     }
 
-    /** What is left of the sum at this time. */
+    /** What is left of the sum at this time; an earlier time than the last changes nothing. */
     public double read(long now) {
-        if (now > at) {
-            value = value == 0 ? 0 : value * Math.exp((at - now) / timeConstant);
-            at = now;
+        if (now > updatedAt) {
+            value = value == 0 ? 0 : value * Math.exp((updatedAt - now) / timeConstantNanos);
+            updatedAt = now;
         }
         return value;
     }
@@ -27,7 +33,7 @@
         value = read(now) + part;
     }
 
-    void timeConstant(double nanoseconds) {
-        timeConstant = nanoseconds;
+    void setTimeConstant(double nanos) {
+        timeConstantNanos = nanos;
     }
 }
--- a/src/main/java/rosespread/stats/FairShare.java
+++ b/src/main/java/rosespread/stats/FairShare.java
@@ -5,8 +5,11 @@
     private FairShare() {}
 
     /**
-     * The limit that cuts these rates, in rising order, to the total; infinite if they don't exceed
-     * it.
+     * The limit that cuts rates to a total.
+     *
+     * @param risingRates the rates, in rising order
+     * @param total what they are to add up to, in the same unit
+     * @return the limit for each of them, infinite if they don't exceed the total
      */
     public static double limit(double[] risingRates, double total) {
         double left = total;
--- a/src/main/java/rosespread/stats/InFlightMessages.java
+++ b/src/main/java/rosespread/stats/InFlightMessages.java
@@ -6,37 +6,49 @@
 import rosespread.api.ProxyId;
 
 /**
- * The messages that proxies have not answered yet, with a running total of their lines, so that
- * asking how much may still wait in the channel costs nothing however many proxies there are.
+ * The messages that proxies have not acknowledged yet, with a running total of their entries, so
+ * that asking how much may still wait in the channel costs nothing however many proxies there are.
+ * Each proxy's messages have rising sequence numbers. Not safe for use by several threads.
  */
 public final class InFlightMessages {
-    /** The bits of a sequence number that travel as the mark of a message. */
-    private static final int MARK_BITS = 0xFFFF;
+    /** The bits of a sequence number that travel as the acknowledgement token of a message. */
+    private static final int TOKEN_BITS = 0xFFFF;
 
-    private record Message(long sequence, double lines, long at) {}
+    private record Message(long sequence, double entries, long writtenAt) {}
 
-    private final Map<ProxyId, ArrayDeque<Message>> unanswered = new TreeMap<>();
+    private final Map<ProxyId, ArrayDeque<Message>> unacknowledged = new TreeMap<>();
     private int messages;
     private double entries;
 
-    /** A message of so many lines was written. */
-    public void written(ProxyId proxy, long sequence, double itsLines, long now) {
-        unanswered
+    /**
+     * A message was written.
+     *
+     * @param proxy its receiver
+     * @param sequence its number, higher than those before
+     * @param messageEntries what it takes of the channel
+     * @param now clock reading in nanoseconds
+     */
+    public void written(ProxyId proxy, long sequence, double messageEntries, long now) {
+        unacknowledged
                 .computeIfAbsent(proxy, first -> new ArrayDeque<>())
-                .addLast(new Message(sequence, itsLines, now));
+                .addLast(new Message(sequence, messageEntries, now));
         messages++;
-        entries += itsLines;
+        entries += messageEntries;
     }
 
     /**
-     * A proxy answered a mark, and so all that was written to it before.
+     * A proxy acknowledged a token, and so all that was written to it before.
      *
-     * @return the sequence number that the mark stands for, 0 if no unanswered message carries it
+     * @return the sequence number that the token stands for, 0 if no unacknowledged message carries
+     *     it
      */
-    public long acknowledged(ProxyId proxy, int mark) {
-        ArrayDeque<Message> open = unanswered.getOrDefault(proxy, new ArrayDeque<>());
+    public long acknowledged(ProxyId proxy, int token) {
+        ArrayDeque<Message> open = unacknowledged.get(proxy);
+        if (open == null) {
+            return 0;
+        }
         for (Message message : open) {
-            if ((message.sequence() & MARK_BITS) == mark) {
+            if ((message.sequence() & TOKEN_BITS) == token) {
                 removeUpTo(open, message.sequence());
                 return message.sequence();
             }
@@ -50,17 +62,17 @@
         }
     }
 
-    /** What was written before this time to a proxy will not be answered any more. */
+    /** What was written to a proxy before this time will not be acknowledged any more. */
     public void expire(ProxyId proxy, long before) {
-        ArrayDeque<Message> open = unanswered.get(proxy);
-        while (open != null && !open.isEmpty() && open.peekFirst().at() < before) {
+        ArrayDeque<Message> open = unacknowledged.get(proxy);
+        while (open != null && !open.isEmpty() && open.peekFirst().writtenAt() < before) {
             subtract(open.removeFirst());
         }
     }
 
     /** A proxy's stream ended: what was on its way to it is lost. */
     public void forget(ProxyId proxy) {
-        ArrayDeque<Message> open = unanswered.remove(proxy);
+        ArrayDeque<Message> open = unacknowledged.remove(proxy);
         if (open != null) {
             open.forEach(this::subtract);
         }
@@ -68,10 +80,10 @@
 
     private void subtract(Message message) {
         messages--;
-        entries = messages == 0 ? 0 : entries - message.lines();
+        entries = messages == 0 ? 0 : entries - message.entries();
     }
 
-    /** The lines of all unanswered messages. */
+    /** The entries of all unacknowledged messages. */
     public double entries() {
         return entries;
     }
