--- a/src/test/java/rosespread/policy/ActionEffects.java
+++ b/src/test/java/rosespread/policy/ActionEffects.java
@@ -1,6 +1,6 @@
 package rosespread.policy;
 
-/** What the simulated fleet does as the routing policy's orders reach it. */
+/** What the simulated fleet does as the routing policy's actions reach it. */
 interface ActionEffects {
     /** Sets a table's weight entry; weight 0 removes it. */
     void weightEntry(int table, long node, double weight);
@@ -12,11 +12,11 @@
     void admissionLimit(int table, int method, double limit);
 
     /** Asks the proxies reached in this round for an acknowledgement. */
-    void acknowledgeWith(int mark);
+    void acknowledgeWith(int token);
 
-    void probe(long node);
+    void healthCheck(long node);
 
-    void followNodeList();
+    void watchNodes();
 
-    void wakeAfter(long nanos);
+    void startTimer(long nanos);
 }
--- a/src/test/java/rosespread/policy/FleetSimulator.java
+++ b/src/test/java/rosespread/policy/FleetSimulator.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
@@ -24,33 +23,25 @@
     static final long SECOND = 1_000_000_000L;
     private static final long TICK = SECOND / 10;
 
-    private record Acknowledgement(
-            long at, int order, SimulatedProxy proxy, int session, int mark, long took) {}
-
-    private record ProbeResult(long at, SimulatedNode node) {}
+    private record PendingHealthCheck(long at, SimulatedNode node) {}
 
     private final Deployment deployment;
     private final PolicySettings settings;
     private final SplittableRandom random;
     private final LongSupplier clock;
-    private final RecordingActions orders = new RecordingActions();
+    private final RecordingActions actions = new RecordingActions();
     private final List<SimulatedNode> nodes = new ArrayList<>();
     private final List<SimulatedProxy> proxies = new ArrayList<>();
     private final TreeMap<Long, SimulatedNode> nodeById = new TreeMap<>();
     private final TreeMap<Integer, SimulatedTable> tables = new TreeMap<>();
-    private final PriorityQueue<Acknowledgement> acknowledgements =
-            new PriorityQueue<>(
-                    java.util.Comparator.comparing(Acknowledgement::at)
-                            .thenComparing(Acknowledgement::order));
-    private final ArrayDeque<ProbeResult> probes = new ArrayDeque<>();
+    private final SimulatedChannel channel;
+    private final ArrayDeque<PendingHealthCheck> healthChecks = new ArrayDeque<>();
     private final List<Long> roundTimes = new ArrayList<>();
     private SimulatedTable earlierTable;
     private PolicyDriver driver;
     private long now = 100 * SECOND;
     private long tick;
     private long wakeAt = Long.MAX_VALUE;
-    private long channelFreeAt;
-    private int sent;
     private boolean listRequested;
     private double demand = 0.5;
 
@@ -62,7 +53,8 @@
         this.settings = deployment.settings();
         this.random = new SplittableRandom(seed);
         this.clock = clock;
-        orders.passTo(this);
+        this.channel = new SimulatedChannel(settings, random);
+        actions.passTo(this);
         for (int n = 0; n < deployment.nodes(); n++) {
             addNode();
         }
@@ -75,8 +67,8 @@
         startPolicy(seed + 1);
     }
 
-    RecordingActions orders() {
-        return orders;
+    RecordingActions actions() {
+        return actions;
     }
 
     /** The time of each round by the given clock. */
@@ -119,10 +111,10 @@
 
     /** A new policy instance begins; it knows the remembered list, and all streams are gone. */
     public void startPolicy(long seed) {
-        driver = new PolicyDriver(settings, seed, orders, clock);
+        driver = new PolicyDriver(settings, seed, actions, clock);
         tables.clear();
-        acknowledgements.clear();
-        probes.clear();
+        channel.clear();
+        healthChecks.clear();
         wakeAt = Long.MAX_VALUE;
         proxies.forEach(
                 proxy -> {
@@ -200,8 +192,8 @@
     private void step() {
         now += TICK;
         tick++;
-        answerMarks();
-        answerProbes();
+        channel.deliverAcknowledgements(now, driver);
+        answerHealthChecks();
         route();
         report();
         if (listRequested) {
@@ -210,47 +202,21 @@
         }
         if (now >= wakeAt) {
             wakeAt = Long.MAX_VALUE;
-            driver.wakeUp();
+            driver.fireTimer();
         }
         tables.values().forEach(table -> table.changes = 0);
         proxies.forEach(proxy -> proxy.written = 0);
         roundTimes.add(driver.round(now));
     }
 
-    private void answerMarks() {
-        while (!acknowledgements.isEmpty() && acknowledgements.peek().at() <= now) {
-            Acknowledgement due = acknowledgements.remove();
-            if (due.proxy().joined && due.proxy().session == due.session()) {
-                driver.acknowledge(due.proxy().id, due.mark(), due.took());
-            }
-        }
-    }
-
-    private void answerProbes() {
-        while (!probes.isEmpty() && probes.peekFirst().at() <= now) {
-            SimulatedNode node = probes.removeFirst().node();
-            HealthCheckResult verdict =
-                    !node.reachable
-                            ? random.nextBoolean()
-                                    ? HealthCheckResult.UNREACHABLE
-                                    : HealthCheckResult.TIMED_OUT
-                            : random.nextDouble() < node.failures
-                                    ? HealthCheckResult.FAILED
-                                    : node.loadRatio(warmth(node)) > 1
-                                            ? HealthCheckResult.REJECTED
-                                            : HealthCheckResult.PASSED;
-            driver.probeResult(node.id, verdict);
+    private void answerHealthChecks() {
+        while (!healthChecks.isEmpty() && healthChecks.peekFirst().at() <= now) {
+            SimulatedNode node = healthChecks.removeFirst().node();
+            HealthCheckResult result = node.healthCheck(now, settings, random);
+            driver.healthCheckResult(node.id, result);
         }
     }
 
-    private double warmth(SimulatedNode node) {
-        double part =
-                node.started == Long.MIN_VALUE
-                        ? 1
-                        : Math.min(1, (now - node.started) / (double) settings.warmUpNanos());
-        return settings.coldCapacityRatio() + (1 - settings.coldCapacityRatio()) * part;
-    }
-
     private double offered(SimulatedProxy proxy, int method) {
         double total = nodes.size() * 30 * demand / (proxies.size() * 15.0);
         return proxy.rate * total / (settings.methods().size() * (1 + method)) * 1.4;
@@ -304,7 +270,7 @@
                 for (int m = 0; m < proxy.tables.length; m++) {
                     double rate =
                             offered(proxy, m) * (admitted(proxy, m) < offered(proxy, m) ? 1.1 : 1);
-                    driver.offeredLoad(
+                    driver.demandReport(
                             proxy.id,
                             m,
                             draw(rate * settings.reportPeriodNanos() / SECOND),
@@ -319,11 +285,11 @@
     }
 
     private void report(SimulatedNode node) {
-        long span = Math.min(now - node.reportedAt, 8 * SECOND);
+        long coveredNanos = Math.min(now - node.reportedAt, 8 * SECOND);
         node.reportedAt = node.reportsHeld ? node.reportedAt : now;
-        double ratio = node.loadRatio(warmth(node));
+        double ratio = node.loadRatio(now, settings);
         boolean present = node.reachable && node.state != NodeState.GONE;
-        double unanswered = present ? Math.max(node.failures, 0.4 * Math.min(1, ratio - 1)) : 1;
+        double failureRatio = present ? Math.max(node.failures, 0.4 * Math.min(1, ratio - 1)) : 1;
         double latency =
                 0.05
                         * (2 - node.kind)
@@ -331,19 +297,21 @@
                         * (0.9 + 0.2 * random.nextDouble());
         double utilization = Math.min(1, ratio * (0.95 + 0.1 * random.nextDouble()));
         for (int z = 0; z < node.load.length; z++) {
-            int tries = draw(node.load[z] * span / SECOND);
-            int lost =
-                    Math.min(tries, Math.max(0, (int) (tries * unanswered + random.nextDouble())));
-            boolean dropped = node.reportsLost || node.reportsHeld || tries == 0 && !present;
+            int attempts = draw(node.load[z] * coveredNanos / SECOND);
+            int failures =
+                    Math.min(
+                            attempts,
+                            Math.max(0, (int) (attempts * failureRatio + random.nextDouble())));
+            boolean dropped = node.reportsLost || node.reportsHeld || attempts == 0 && !present;
             if (!dropped) {
                 driver.loadReport(
                         node.id,
                         z,
-                        tries,
-                        lost,
-                        tries > lost ? latency : Double.NaN,
-                        span,
-                        deployment.utilizationTold() && present ? utilization : Double.NaN);
+                        attempts,
+                        failures,
+                        attempts > failures ? latency : Double.NaN,
+                        coveredNanos,
+                        deployment.utilizationReported() && present ? utilization : Double.NaN);
             }
         }
     }
@@ -392,50 +360,32 @@
     }
 
     @Override
-    public void acknowledgeWith(int mark) {
+    public void acknowledgeWith(int token) {
         for (SimulatedProxy proxy : proxies) {
-            int lines =
+            int entries =
                     proxy.written
                             + tables.values().stream()
                                     .filter(table -> table.changes > 0 && proxy.follows(table))
                                     .mapToInt(t -> t.changes)
                                     .sum();
-            if (proxy.joined && lines > 0) {
-                send(proxy, mark, lines);
+            if (proxy.joined && entries > 0) {
+                channel.send(proxy, token, entries, now);
             }
         }
     }
 
-    private void send(SimulatedProxy proxy, int mark, int lines) {
-        channelFreeAt =
-                Math.max(now, channelFreeAt)
-                        + (long)
-                                ((lines + settings.messageOverheadEntries() + 1)
-                                        / settings.entriesPerSecond()
-                                        * SECOND);
-        long late =
-                proxy.acknowledgement == SimulatedProxy.Acknowledgement.LATE
-                        ? random.nextLong(5 * SECOND)
-                        : random.nextLong(TICK);
-        long at = channelFreeAt + settings.maxPropagationDelayNanos() / 2 + late;
-        if (proxy.acknowledgement != SimulatedProxy.Acknowledgement.NEVER) {
-            acknowledgements.add(
-                    new Acknowledgement(at, sent++, proxy, proxy.session, mark, at - now));
-        }
-    }
-
     @Override
-    public void probe(long node) {
-        probes.add(new ProbeResult(now + 2 * TICK, nodeById.get(node)));
+    public void healthCheck(long node) {
+        healthChecks.add(new PendingHealthCheck(now + 2 * TICK, nodeById.get(node)));
     }
 
     @Override
-    public void followNodeList() {
+    public void watchNodes() {
         listRequested = true;
     }
 
     @Override
-    public void wakeAfter(long nanos) {
+    public void startTimer(long nanos) {
         wakeAt = now + nanos;
     }
 }
--- a/src/test/java/rosespread/policy/History.java
+++ b/src/test/java/rosespread/policy/History.java
@@ -13,7 +13,7 @@
  */
 enum History {
     MASS_RECONNECT(
-            History::massReconnect, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS, Count.MARKS),
+            History::massReconnect, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS, Count.TOKENS),
     ROLLING_REPLACEMENT(
             History::rollingReplacement, Count.FULL_TABLES, Count.ENTRIES, Count.REMOVALS),
     OVERLOAD(
--- a/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
+++ b/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
@@ -76,6 +76,6 @@
     static RecordingActions play(Deployment deployment, History history) {
         FleetSimulator fleet = new FleetSimulator(deployment, SEED, () -> 0);
         history.play(fleet);
-        return fleet.orders();
+        return fleet.actions();
     }
 }
--- a/src/test/java/rosespread/policy/PolicyDriver.java
+++ b/src/test/java/rosespread/policy/PolicyDriver.java
@@ -25,13 +25,13 @@
             long started) {}
 
     private final RoutingPolicy policy;
-    private final RecordingActions orders;
+    private final RecordingActions actions;
     private final LongSupplier clock;
     private final List<Consumer<EventHandler>> events = new ArrayList<>();
 
-    PolicyDriver(PolicySettings settings, long seed, RecordingActions orders, LongSupplier clock) {
+    PolicyDriver(PolicySettings settings, long seed, RecordingActions actions, LongSupplier clock) {
         this.policy = new RoutingPolicy(settings, new SplittableRandom(seed));
-        this.orders = orders;
+        this.actions = actions;
         this.clock = clock;
     }
 
@@ -39,10 +39,10 @@
     long round(long now) {
         List<Consumer<EventHandler>> arrived = List.copyOf(events);
         events.clear();
-        orders.beginRound(now);
-        long began = clock.getAsLong();
-        policy.round(now, observer -> arrived.forEach(event -> event.accept(observer)), orders);
-        return clock.getAsLong() - began;
+        actions.beginRound(now);
+        long startedAt = clock.getAsLong();
+        policy.round(now, handler -> arrived.forEach(event -> event.accept(handler)), actions);
+        return clock.getAsLong() - startedAt;
     }
 
     void nodeList(EventHandler.NodeListKind kind, List<NodeEntry> entries) {
@@ -69,39 +69,42 @@
         events.add(o -> o.proxyLeft(new ProxyId(proxy)));
     }
 
-    void acknowledge(int proxy, int mark, long took) {
-        events.add(o -> o.acknowledged(new ProxyId(proxy), mark, took));
+    void acknowledge(int proxy, int token, long latency) {
+        events.add(o -> o.acknowledged(new ProxyId(proxy), token, latency));
     }
 
     void loadReport(
             long node,
             int zone,
-            int tries,
-            int unanswered,
+            int attempts,
+            int failures,
             double latency,
-            long span,
+            long coveredNanos,
             double utilization) {
         events.add(
                 o ->
                         o.loadReported(
                                 new NodeId(node),
                                 new ZoneId(zone),
-                                tries,
-                                unanswered,
+                                attempts,
+                                failures,
                                 latency,
-                                span,
+                                coveredNanos,
                                 utilization));
     }
 
-    void offeredLoad(int proxy, int method, int count, long span) {
-        events.add(o -> o.demandReported(new ProxyId(proxy), new MethodId(method), count, span));
+    void demandReport(int proxy, int method, int count, long coveredNanos) {
+        events.add(
+                o ->
+                        o.demandReported(
+                                new ProxyId(proxy), new MethodId(method), count, coveredNanos));
     }
 
-    void probeResult(long node, EventHandler.HealthCheckResult verdict) {
-        events.add(o -> o.healthChecked(new NodeId(node), verdict));
+    void healthCheckResult(long node, EventHandler.HealthCheckResult result) {
+        events.add(o -> o.healthChecked(new NodeId(node), result));
     }
 
-    void wakeUp() {
+    void fireTimer() {
         events.add(EventHandler::timerFired);
     }
 }
--- a/src/test/java/rosespread/policy/PolicyFixture.java
+++ b/src/test/java/rosespread/policy/PolicyFixture.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -9,6 +10,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import java.util.stream.IntStream;
 import rosespread.api.EventHandler;
 import rosespread.api.MachineTypeId;
 import rosespread.api.MethodId;
@@ -20,73 +22,51 @@
 import rosespread.api.ZoneId;
 
 /**
- * A conductor's module with its clock, what comes in next, and its orders as short lines of text.
+ * A routing policy with its clock, the events of its next round, and its actions as short lines of
+ * text.
  */
 final class PolicyFixture {
     static final long SECOND = 1_000_000_000L;
 
-    final RoutingPolicy brain;
-    final List<String> all = new ArrayList<>();
-    private final List<Consumer<EventHandler>> next = new ArrayList<>();
+    final RoutingPolicy policy;
+    final List<String> recorded = new ArrayList<>();
+    private final List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
     private long now = 100 * SECOND;
     double latency = 0.1;
 
-    /** Whether answers come once the message has left the channel; else at once. */
-    boolean slow;
+    /** Whether acknowledgements come once the message has left the channel; else at once. */
+    boolean slowChannel;
 
-    double mostWaiting;
+    double maxQueuedEntries;
     private final ArrayDeque<Sent> channel = new ArrayDeque<>();
     private double credit;
-    int mostMessages;
-    private double waiting;
+    int maxMessages;
+    private double queuedEntries;
     private final Set<Integer> joined = new TreeSet<>();
     private final Map<Integer, Integer> tableOf = new TreeMap<>();
     private final Map<Integer, Set<Integer>> lines = new TreeMap<>();
     private final Map<Integer, List<Long>> messages = new TreeMap<>();
 
     PolicyFixture(PolicySettings settings) {
-        brain = new RoutingPolicy(settings, new SplittableRandom(7));
+        policy = new RoutingPolicy(settings, new SplittableRandom(7));
     }
 
-    static PolicySettings.Method method(double criticality, int... kinds) {
-        Set<MachineTypeId> only = new java.util.TreeSet<>();
-        for (int kind : kinds) {
-            only.add(new MachineTypeId(kind));
-        }
-        return new PolicySettings.Method(criticality, only, Set.of(), false);
-    }
-
-    /**
-     * A deployment of one zone whose channel holds so many lines and which pushes so many messages.
-     */
-    static PolicySettings settings(double queue, int messages, PolicySettings.Method... methods) {
-        return new PolicySettings(
-                List.of(methods),
-                1,
-                false,
-                false,
-                false,
-                PolicySettings.Throttle.RATE,
-                1000,
-                10,
-                queue,
-                0.04,
-                messages,
-                10 * SECOND,
-                SECOND / 2,
-                SECOND,
-                2 * SECOND,
-                16 * SECOND,
-                0.16,
-                3 * SECOND / 2);
+    /** Settings of one zone with these limits of the channel and of messages. */
+    static PolicySettings settings(
+            double queueLimit, int messageLimit, PolicySettings.Method... methods) {
+        return new SettingsBuilder()
+                .methods(1, methods)
+                .queueLimit(queueLimit)
+                .messageLimit(messageLimit)
+                .build();
     }
 
     static PolicySettings settings() {
-        return settings(2000, 30, method(1));
+        return new SettingsBuilder().build();
     }
 
     PolicyFixture with(Consumer<EventHandler> event) {
-        next.add(event);
+        pendingEvents.add(event);
         return this;
     }
 
@@ -107,19 +87,19 @@
         return with(EventHandler::listCompleted);
     }
 
-    /** Starts with ready nodes 0 to n-1 and proxies 0 to m-1, bound and settled. */
+    /** Starts with ready nodes 0 to n-1 and proxies 0 to m-1, subscribed and settled. */
     PolicyFixture start(int nodes, int proxies) {
         list(
                 EventHandler.NodeListKind.CACHED,
                 EventHandler.NodeState.READY,
                 Long.MIN_VALUE,
-                java.util.stream.IntStream.range(0, nodes).toArray());
+                IntStream.range(0, nodes).toArray());
         for (int proxy = 0; proxy < proxies; proxy++) {
             join(proxy, 10 + proxy);
         }
-        List<String> orders = round(0);
-        if (!slow) {
-            answer(orders);
+        List<String> actions = round(0);
+        if (!slowChannel) {
+            acknowledge(actions);
         }
         return run(2);
     }
@@ -129,7 +109,7 @@
         return with(o -> o.proxyJoined(new ProxyId(proxy), new ZoneId(0), rate));
     }
 
-    PolicyFixture sums(int node, int tries, int unanswered, double utilization) {
+    PolicyFixture loadReport(int node, int attempts, int failures, double utilization) {
         ZoneId zone = new ZoneId(0);
         double seconds = latency;
         return with(
@@ -137,131 +117,131 @@
                         o.loadReported(
                                 new NodeId(node),
                                 zone,
-                                tries,
-                                unanswered,
+                                attempts,
+                                failures,
                                 seconds,
                                 SECOND,
                                 utilization));
     }
 
-    PolicyFixture offered(int proxy, int method, int count) {
+    PolicyFixture demandReport(int proxy, int method, int count) {
         return with(o -> o.demandReported(new ProxyId(proxy), new MethodId(method), count, SECOND));
     }
 
-    /** Plays a round so many seconds on; returns its orders. */
+    /** Plays a round so many seconds on; returns its actions. */
     List<String> round(double seconds) {
         now += Math.round(seconds * SECOND);
-        List<Consumer<EventHandler>> events = List.copyOf(next);
-        next.clear();
-        Written orders = new Written();
-        brain.round(now, observer -> events.forEach(event -> event.accept(observer)), orders);
-        all.addAll(orders.lines);
-        count(orders.lines);
-        return orders.lines;
+        List<Consumer<EventHandler>> events = List.copyOf(pendingEvents);
+        pendingEvents.clear();
+        ActionLog actions = new ActionLog();
+        policy.round(now, handler -> events.forEach(event -> event.accept(handler)), actions);
+        recorded.addAll(actions.lines);
+        count(actions.lines);
+        return actions.lines;
     }
 
     /**
-     * Wakes the module every tenth of a second; the proxies not named as silent answer each mark at
+     * Fires the timer every tenth of a second; the proxies not named as silent answer each token at
      * once.
      */
     PolicyFixture run(double seconds, int... silent) {
         for (int i = 0; i < Math.round(seconds * 10); i++) {
             with(EventHandler::timerFired);
-            List<String> orders = round(0.1);
-            if (slow) {
-                answerWhatLeft();
+            List<String> actions = round(0.1);
+            if (slowChannel) {
+                acknowledgeWhatLeft();
             } else {
-                answer(orders, silent);
+                acknowledge(actions, silent);
             }
         }
         return this;
     }
 
-    void answer(List<String> orders, int... silent) {
-        for (String order : orders) {
-            if (order.startsWith("mark ")) {
-                int mark = Integer.parseInt(order.substring(5));
+    void acknowledge(List<String> actions, int... silent) {
+        for (String action : actions) {
+            if (action.startsWith("token ")) {
+                int token = Integer.parseInt(action.substring(6));
                 for (int proxy = 0; proxy < 150; proxy++) {
                     int id = proxy;
-                    if (java.util.Arrays.stream(silent).noneMatch(s -> s == id)) {
-                        with(o -> o.acknowledged(new ProxyId(id), mark, SECOND / 10));
+                    if (Arrays.stream(silent).noneMatch(s -> s == id)) {
+                        with(o -> o.acknowledged(new ProxyId(id), token, SECOND / 10));
                     }
                 }
             }
         }
     }
 
-    /** Lets a channel of 1000 lines a second take a round's orders, as the wire counts them. */
-    private void count(List<String> orders) {
+    /** Lets a channel of 1000 entries a second take a round's actions, as the wire counts them. */
+    private void count(List<String> actions) {
         Map<Integer, Double> sent = new TreeMap<>();
-        for (String order : orders) {
-            String[] word = order.split(" ");
-            if (word[0].equals("bind")) {
-                int table = Integer.parseInt(word[2]);
-                tableOf.put(Integer.parseInt(word[1]), table);
-                sent.merge(Integer.parseInt(word[1]), 1.0 + lines.get(table).size(), Double::sum);
-            } else if (word[0].equals("line")) {
-                int table = Integer.parseInt(word[1]);
+        for (String action : actions) {
+            String[] words = action.split(" ");
+            if (words[0].equals("subscribe")) {
+                int table = Integer.parseInt(words[2]);
+                tableOf.put(Integer.parseInt(words[1]), table);
+                sent.merge(Integer.parseInt(words[1]), 1.0 + lines.get(table).size(), Double::sum);
+            } else if (words[0].equals("weight")) {
+                int table = Integer.parseInt(words[1]);
                 Set<Integer> held = lines.computeIfAbsent(table, t -> new TreeSet<>());
-                if (Double.parseDouble(word[3]) > 0) {
-                    held.add(Integer.parseInt(word[2]));
+                if (Double.parseDouble(words[3]) > 0) {
+                    held.add(Integer.parseInt(words[2]));
                 } else {
-                    held.remove(Integer.parseInt(word[2]));
+                    held.remove(Integer.parseInt(words[2]));
                 }
                 tableOf.forEach((proxy, t) -> sent.merge(proxy, t == table ? 1.0 : 0, Double::sum));
-            } else if (word[0].equals("withdraw")) {
+            } else if (words[0].equals("exclude")) {
                 joined.stream()
                         .filter(p -> !tableOf.containsKey(p))
                         .forEach(p -> sent.merge(p, 1.0, Double::sum));
             }
         }
         sent.values().removeIf(lines -> lines == 0);
-        int mark =
-                orders.stream()
-                        .filter(order -> order.startsWith("mark "))
-                        .mapToInt(order -> Integer.parseInt(order.substring(5)))
+        int token =
+                actions.stream()
+                        .filter(action -> action.startsWith("token "))
+                        .mapToInt(action -> Integer.parseInt(action.substring(6)))
                         .findFirst()
                         .orElse(0);
         for (Map.Entry<Integer, Double> message : sent.entrySet()) {
-            waiting += message.getValue() + 11;
-            channel.addLast(new Sent(message.getKey(), mark, message.getValue() + 11));
+            queuedEntries += message.getValue() + 11;
+            channel.addLast(new Sent(message.getKey(), token, message.getValue() + 11));
             List<Long> times = messages.computeIfAbsent(message.getKey(), p -> new ArrayList<>());
             times.add(now);
             times.removeIf(at -> now - at > 10 * SECOND);
-            mostMessages = Math.max(mostMessages, times.size());
+            maxMessages = Math.max(maxMessages, times.size());
         }
-        mostWaiting = Math.max(mostWaiting, waiting);
+        maxQueuedEntries = Math.max(maxQueuedEntries, queuedEntries);
     }
 
-    private record Sent(int proxy, int mark, double lines) {}
+    private record Sent(int proxy, int token, double entries) {}
 
-    private void answerWhatLeft() {
+    private void acknowledgeWhatLeft() {
         credit = channel.isEmpty() ? 0 : credit + 100;
-        while (!channel.isEmpty() && channel.peekFirst().lines() <= credit) {
+        while (!channel.isEmpty() && channel.peekFirst().entries() <= credit) {
             Sent left = channel.removeFirst();
-            credit -= left.lines();
-            waiting -= left.lines();
-            with(o -> o.acknowledged(new ProxyId(left.proxy()), left.mark(), SECOND / 2));
+            credit -= left.entries();
+            queuedEntries -= left.entries();
+            with(o -> o.acknowledged(new ProxyId(left.proxy()), left.token(), SECOND / 2));
         }
     }
 
-    /** How many proxies follow a table with a line of this node. */
-    long holders(int node) {
+    /** How many proxies hold an entry of this node. */
+    long proxiesHolding(int node) {
         return tableOf.values().stream().filter(table -> lines.get(table).contains(node)).count();
     }
 
-    /** The orders since a place in all of them that start so. */
-    List<String> since(int place, String start) {
-        return all.subList(place, all.size()).stream()
+    /** The actions since a place in all of them that start so. */
+    List<String> recordedSince(int place, String start) {
+        return recorded.subList(place, recorded.size()).stream()
                 .filter(line -> line.startsWith(start))
                 .toList();
     }
 
-    /** The weight last ordered for a node in a table, 0 if none. */
+    /** The weight last set for a node in a table, 0 if none. */
     double weight(int table, int node) {
         double weight = 0;
-        String start = "line " + table + " " + node + " ";
-        for (String line : all) {
+        String start = "weight " + table + " " + node + " ";
+        for (String line : recorded) {
             weight =
                     line.startsWith(start)
                             ? Double.parseDouble(line.substring(start.length()))
@@ -270,47 +250,47 @@
         return weight;
     }
 
-    private static final class Written implements PolicyActions {
+    private static final class ActionLog implements PolicyActions {
         private final List<String> lines = new ArrayList<>();
 
         @Override
         public void setWeight(TableId table, NodeId node, double weight) {
-            lines.add("line " + table.value() + " " + node.value() + " " + weight);
+            lines.add("weight " + table.value() + " " + node.value() + " " + weight);
         }
 
         @Override
         public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
-            lines.add("bind " + proxy.value() + " " + table.value());
+            lines.add("subscribe " + proxy.value() + " " + table.value());
         }
 
         @Override
-        public void setExcluded(NodeId node, boolean out) {
-            lines.add((out ? "withdraw " : "readmit ") + node.value());
+        public void setExcluded(NodeId node, boolean excluded) {
+            lines.add((excluded ? "exclude " : "include ") + node.value());
         }
 
         @Override
-        public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-            lines.add("level " + method.value() + " " + admitted);
+        public void setAdmissionLimit(TableId table, MethodId method, double limit) {
+            lines.add("limit " + method.value() + " " + limit);
         }
 
         @Override
-        public void requestAcknowledgement(int mark) {
-            lines.add("mark " + mark);
+        public void requestAcknowledgement(int token) {
+            lines.add("token " + token);
         }
 
         @Override
         public void checkHealth(NodeId node) {
-            lines.add("probe " + node.value());
+            lines.add("check " + node.value());
         }
 
         @Override
         public void watchNodes() {
-            lines.add("follow");
+            lines.add("watch");
         }
 
         @Override
         public void startTimer(long nanos) {
-            lines.add("wake");
+            lines.add("timer");
         }
 
         @Override
--- a/src/test/java/rosespread/policy/RecordingActions.java
+++ b/src/test/java/rosespread/policy/RecordingActions.java
@@ -14,7 +14,7 @@
 import rosespread.api.TableId;
 
 /**
- * Digests and counts all orders of a routing policy, with every argument and the bits of every
+ * Digests and counts all actions of a routing policy, with every argument and the bits of every
  * number, and passes them on to the simulated fleet. The wording of log lines is no decision and is
  * left out.
  */
@@ -33,8 +33,8 @@
         READMISSIONS,
         LIMITS,
         LIMITS_LIFTED,
-        MARKS,
-        PROBES,
+        TOKENS,
+        HEALTH_CHECKS,
         LIST_REQUESTS,
         TABLES
     }
@@ -50,7 +50,7 @@
         effects = fleet;
     }
 
-    /** Opens a round, so that the same orders in other rounds make another digest. */
+    /** Opens a round, so that the same actions in other rounds make another digest. */
     void beginRound(long now) {
         digest.putByte((byte) 0).putLong(now);
     }
@@ -97,47 +97,47 @@
     }
 
     @Override
-    public void setExcluded(NodeId node, boolean out) {
-        digest.putByte((byte) 3).putLong(node.value()).putBoolean(out);
-        add(out ? Count.EXCLUSIONS : Count.READMISSIONS);
-        effects.exclusion(node.value(), out);
+    public void setExcluded(NodeId node, boolean excluded) {
+        digest.putByte((byte) 3).putLong(node.value()).putBoolean(excluded);
+        add(excluded ? Count.EXCLUSIONS : Count.READMISSIONS);
+        effects.exclusion(node.value(), excluded);
     }
 
     @Override
-    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
+    public void setAdmissionLimit(TableId table, MethodId method, double limit) {
         digest.putByte((byte) 4)
                 .putInt(table.value())
                 .putInt(method.value())
-                .putLong(Double.doubleToRawLongBits(admitted));
-        add(Double.isInfinite(admitted) ? Count.LIMITS_LIFTED : Count.LIMITS);
-        effects.admissionLimit(table.value(), method.value(), admitted);
+                .putLong(Double.doubleToRawLongBits(limit));
+        add(Double.isInfinite(limit) ? Count.LIMITS_LIFTED : Count.LIMITS);
+        effects.admissionLimit(table.value(), method.value(), limit);
     }
 
     @Override
-    public void requestAcknowledgement(int mark) {
-        digest.putByte((byte) 5).putInt(mark);
-        add(Count.MARKS);
-        effects.acknowledgeWith(mark);
+    public void requestAcknowledgement(int token) {
+        digest.putByte((byte) 5).putInt(token);
+        add(Count.TOKENS);
+        effects.acknowledgeWith(token);
     }
 
     @Override
     public void checkHealth(NodeId node) {
         digest.putByte((byte) 6).putLong(node.value());
-        add(Count.PROBES);
-        effects.probe(node.value());
+        add(Count.HEALTH_CHECKS);
+        effects.healthCheck(node.value());
     }
 
     @Override
     public void watchNodes() {
         digest.putByte((byte) 7);
         add(Count.LIST_REQUESTS);
-        effects.followNodeList();
+        effects.watchNodes();
     }
 
     @Override
     public void startTimer(long nanos) {
         digest.putByte((byte) 8).putLong(nanos);
-        effects.wakeAfter(nanos);
+        effects.startTimer(nanos);
     }
 
     @Override
--- a/src/test/java/rosespread/policy/SimulatedProxy.java
+++ b/src/test/java/rosespread/policy/SimulatedProxy.java
@@ -17,7 +17,7 @@
     boolean joined;
     int session;
 
-    /** Lines written to it in this round. */
+    /** Entries written to it in this round. */
     int written;
 
     SimulatedProxy(int id, int zone, double rate, int methods) {
