--- /dev/null
+++ b/src/test/java/rosespread/policy/AcknowledgementTrackerTest.java
@@ -0,0 +1,91 @@
+package rosespread.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import rosespread.api.PolicySettings;
+import rosespread.api.ProxyId;
+import rosespread.api.ZoneId;
+import rosespread.policy.state.Proxy;
+import rosespread.policy.state.ProxyRegistry;
+import rosespread.policy.state.ShardRegistry;
+import rosespread.policy.state.ShardTable;
+import rosespread.stats.InFlightMessages;
+
+class AcknowledgementTrackerTest {
+    private static final long MILLI = 1_000_000L;
+    private static final long START = 100 * TimeUnits.SECOND;
+    private final PolicySettings settings = new SettingsBuilder().build();
+    private final ProxyRegistry proxies = new ProxyRegistry();
+    private final ShardRegistry shards = new ShardRegistry(settings);
+    private final InFlightMessages inFlight = new InFlightMessages();
+    private final OutgoingRound outgoing = new OutgoingRound(settings, proxies, inFlight);
+    private final ChannelBudget budget = new ChannelBudget(settings, inFlight, outgoing);
+    private final AcknowledgementTracker tracker =
+            new AcknowledgementTracker(settings, proxies, shards, inFlight, budget);
+    private final Proxy proxy =
+            new Proxy(new ProxyId(0), new ZoneId(0), 10, shards.shards().get(0), START);
+
+    @BeforeEach
+    void join() {
+        proxies.add(proxy);
+    }
+
+    private void settleAfter(long millis) {
+        tracker.settle(new RoundContext(START + millis * MILLI, new RecordingActions()));
+    }
+
+    @ParameterizedTest
+    @CsvSource({"2000, 20", "2001, 0"})
+    void whatAProxyWithoutSubscriptionDoesNotAcknowledgeIsWaitedForNoLonger(
+            long millis, double entries) {
+        inFlight.written(proxy.id(), 1, 20, START);
+        settleAfter(millis);
+        assertEquals(entries, inFlight.entries());
+    }
+
+    @Test
+    void whatASubscribedProxyDoesNotAcknowledgeStillCountsAsQueued() {
+        inFlight.written(proxy.id(), 1, 20, START);
+        proxy.subscribe(1, START);
+        settleAfter(60_000);
+        assertEquals(20, inFlight.entries());
+    }
+
+    @ParameterizedTest
+    @CsvSource({"2000, false", "2001, true"})
+    void fullTablesThatAreNotAcknowledgedInTimeAreSentAgain(long millis, boolean again) {
+        proxy.subscribe(1, START);
+        settleAfter(millis);
+        assertEquals(again, proxy.needsFullTable());
+    }
+
+    /** A single acknowledgement's latency counts for less as time goes on: 3 s are 2.3 by then. */
+    @ParameterizedTest
+    @CsvSource({"0, 2001, true", "0, 2000, false", "1000, 2700, false", "1000, 2800, true"})
+    void theTimeoutIsStretchedByTheLatencyMet(long latency, long millis, boolean again) {
+        inFlight.written(proxy.id(), 1, 20, START);
+        proxy.subscribe(1, START);
+        tracker.acknowledged(proxy.id(), 1, latency * MILLI, START);
+        ShardTable table = shards.tables().get(0);
+        table.deliveryStarted(2, START);
+        table.deliveredTo(proxy.id());
+        settleAfter(millis);
+        assertEquals(again, proxy.needsFullTable());
+        assertEquals(!again, table.inFlight());
+    }
+
+    @Test
+    void anAcknowledgementSettlesADeliverySentBefore() {
+        ShardTable table = shards.tables().get(0);
+        table.deliveryStarted(1, START);
+        table.deliveredTo(proxy.id());
+        inFlight.written(proxy.id(), 1, 20, START);
+        tracker.acknowledged(proxy.id(), 1, MILLI, START);
+        assertFalse(table.inFlight());
+    }
+}
