--- a/src/test/java/rosespread/policy/MassReconnectDecisionsTest.java
+++ b/src/test/java/rosespread/policy/MassReconnectDecisionsTest.java
@@ -18,6 +18,22 @@
 class MassReconnectDecisionsTest {
     private static final long LONG_AGO = Long.MIN_VALUE;
 
+    private static PolicyFixture withSlowChannel(double queueLimit, int messageLimit) {
+        PolicyFixture fixture = new PolicyFixture(settings(queueLimit, messageLimit, method(1)));
+        fixture.slowChannel = true;
+        return fixture;
+    }
+
+    /** A controller that has just started: ready nodes 0 to n-1 are known, no proxy has joined. */
+    private static PolicyFixture withNodesOnly(int nodes) {
+        return withSlowChannel(8200, 30)
+                .list(
+                        EventHandler.NodeListKind.CACHED,
+                        READY,
+                        LONG_AGO,
+                        IntStream.range(0, nodes).toArray());
+    }
+
     /**
      * All proxies of a lost controller come to one that was down while a node left, so that its
      * tables never named it; full tables for all would take 5 to 10 seconds, the drain timeout is
@@ -27,14 +43,8 @@
     @CsvSource({"GONE, 45, 100", "DRAINING, 45, 100", "GONE, 20, 200", "DRAINING, 60, 100"})
     void proxiesThatMayHoldWhatLeftGetPartialTablesWithinTheDrainTimeoutAndTheRestLater(
             EventHandler.NodeState state, int reconnecting, int nodes) {
-        PolicyFixture fixture = new PolicyFixture(settings(8200, 30, method(1)));
-        fixture.slowChannel = true;
-        fixture.list(
-                        EventHandler.NodeListKind.CACHED,
-                        READY,
-                        LONG_AGO,
-                        IntStream.range(0, nodes).toArray())
-                .round(0);
+        PolicyFixture fixture = withNodesOnly(nodes);
+        fixture.round(0);
         fixture.list(INCREMENTAL, state, LONG_AGO, 7).run(0.1);
         IntStream.range(0, reconnecting).forEach(p -> fixture.join(p, 5));
         fixture.run(1.5);
@@ -64,14 +74,8 @@
      */
     @Test
     void theMoreProxiesReconnectTheSmallerTheirPartialTables() {
-        PolicyFixture fixture = new PolicyFixture(settings(8200, 30, method(1)));
-        fixture.slowChannel = true;
-        fixture.list(
-                        EventHandler.NodeListKind.CACHED,
-                        READY,
-                        LONG_AGO,
-                        IntStream.range(0, 200).toArray())
-                .round(0);
+        PolicyFixture fixture = withNodesOnly(200);
+        fixture.round(0);
         fixture.list(INCREMENTAL, GONE, LONG_AGO, 7).run(0.1);
         IntStream.range(0, 250).forEach(p -> fixture.join(p, 5));
         fixture.run(4.8);
@@ -89,8 +93,7 @@
     @ParameterizedTest
     @CsvSource({"100, 3000", "140, 2000", "60, 900"})
     void whatLeavesWhileManyProxiesWaitDoesNotFillTheQueue(int reconnecting, double queue) {
-        PolicyFixture fixture = new PolicyFixture(settings(queue, 30, method(1)));
-        fixture.slowChannel = true;
+        PolicyFixture fixture = withSlowChannel(queue, 30);
         fixture.start(100, 4).run(20);
         IntStream.range(4, 4 + reconnecting).forEach(p -> fixture.join(p, 5));
         for (int node = 0; node < 30; node++) {
@@ -107,14 +110,8 @@
      */
     @Test
     void proxiesThatReconnectAfterAReleaseGetPartialTablesThoughTheListNamesNothingThatLeft() {
-        PolicyFixture fixture = new PolicyFixture(settings(8200, 30, method(1)));
-        fixture.slowChannel = true;
-        fixture.list(
-                        EventHandler.NodeListKind.CACHED,
-                        READY,
-                        LONG_AGO,
-                        IntStream.range(0, 100).toArray())
-                .run(1);
+        PolicyFixture fixture = withNodesOnly(100);
+        fixture.run(1);
         fixture.list(INCREMENTAL, READY, 99 * PolicyFixture.SECOND, 7).run(0.1);
         IntStream.range(0, 45).forEach(p -> fixture.join(p, 5));
         fixture.run(1.5);
@@ -128,8 +125,7 @@
     @ParameterizedTest
     @CsvSource({"50, 3400, 30", "100, 3400, 30", "150, 4900, 20", "31, 1100, 30"})
     void nodesThatLeaveOneByOneKeepTheQueueAndTheMessages(int proxies, double queue, int limit) {
-        PolicyFixture fixture = new PolicyFixture(settings(queue, limit, method(1)));
-        fixture.slowChannel = true;
+        PolicyFixture fixture = withSlowChannel(queue, limit);
         fixture.start(110, proxies).run(20);
         for (int node = 0; node < 36; node++) {
             fixture.list(INCREMENTAL, GONE, LONG_AGO, node).run(0.2);
@@ -158,8 +154,7 @@
     @CsvSource({"75, 75, 4900, 20", "50, 50, 3400, 30", "15, 16, 1100, 30"})
     void proxiesThatReconnectAtOnceAreSubscribedWithinTheQueueAndTheMessages(
             int proxies, int more, double queue, int limit) {
-        PolicyFixture fixture = new PolicyFixture(settings(queue, limit, method(1)));
-        fixture.slowChannel = true;
+        PolicyFixture fixture = withSlowChannel(queue, limit);
         fixture.start(110, proxies).run(20);
         IntStream.range(proxies, proxies + more).forEach(p -> fixture.join(p, 5));
         for (int node = 0; node < 10; node++) {
