--- a/src/main/java/rosespread/policy/LoadEstimator.java
+++ b/src/main/java/rosespread/policy/LoadEstimator.java
@@ -1,5 +1,6 @@
 package rosespread.policy;
 
+import java.util.List;
 import rosespread.policy.state.Node;
 import rosespread.policy.state.NodeRegistry;
 import rosespread.policy.state.ShardRegistry;
@@ -51,17 +52,13 @@
     }
 
     private double deliveredCapacity(ShardTable table, long now) {
+        List<ShardTable> like = shards.tables().stream().filter(t -> t.isLike(table)).toList();
         return eligible.of(table, now).stream()
-                .filter(node -> delivered(node, table))
+                .filter(node -> like.stream().anyMatch(t -> t.holds(node.id())))
                 .mapToDouble(node -> node.capacity() * effectiveRatio(node, table, now))
                 .sum();
     }
 
-    private boolean delivered(Node node, ShardTable like) {
-        return shards.tables().stream()
-                .anyMatch(table -> table.isLike(like) && table.holds(node.id()));
-    }
-
     /** Attempts a second against the available capacity; 0 before anything was reported. */
     double loadRatio(long now) {
         double attempted =
