--- a/src/main/java/rosespread/admin/AdminRequest.java
+++ b/src/main/java/rosespread/admin/AdminRequest.java
@@ -10,7 +10,7 @@
  */
 record AdminRequest(HttpMessage.Request http, RequestContext context) {
     boolean hasMethod(String method) {
-        return http.verb().equals(method);
+        return http.method().equals(method);
     }
 
     /** The target without its query. */
--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -60,7 +60,7 @@
     public AdminServer(Controller controller, AuditLog auditLog) {
         AuditTrail audit = new AuditTrail(Optional.ofNullable(auditLog));
         this.router = new Router(routes(controller, audit));
-        this.http = new HttpServer(1, HttpLimits.USUAL, this::enqueue);
+        this.http = new HttpServer(1, HttpLimits.DEFAULT, this::enqueue);
     }
 
     private static List<Router.Route> routes(Controller controller, AuditTrail audit) {
@@ -109,9 +109,9 @@
 
     private void enqueue(HttpMessage.Request request, HttpServer.Exchange exchange) {
         try {
-            worker.execute(() -> exchange.answer(respond(request)));
+            worker.execute(() -> exchange.respond(respond(request)));
         } catch (RejectedExecutionException e) {
-            exchange.answer(ProblemDetails.of(503, "too many calls at once"));
+            exchange.respond(ProblemDetails.of(503, "too many calls at once"));
         }
     }
 
@@ -125,7 +125,7 @@
         } catch (IOException | RuntimeException e) {
             LOG.atError()
                     .setCause(e)
-                    .addKeyValue("request", request.verb() + " " + request.path())
+                    .addKeyValue("request", request.method() + " " + request.path())
                     .log("admin request failed");
             return ProblemDetails.of(500, "see the conductor's log");
         }
--- a/src/main/java/rosespread/admin/AuditTrail.java
+++ b/src/main/java/rosespread/admin/AuditTrail.java
@@ -47,7 +47,7 @@
         return new AuditLog.Act(
                 request.context().operator(),
                 request.http().headers().first("host").orElse(""),
-                request.http().verb() + " " + request.target(),
+                request.http().method() + " " + request.target(),
                 request.context().idempotencyKey(),
                 outcome);
     }
--- a/src/main/java/rosespread/admin/SettingsResource.java
+++ b/src/main/java/rosespread/admin/SettingsResource.java
@@ -11,8 +11,8 @@
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
 import rosespread.settings.SettingsException;
+import rosespread.settings.SettingsFile;
 import rosespread.settings.SettingsReader;
-import rosespread.settings.Snapshot;
 
 /**
  * {@code /v1/settings}: GET reads the settings in force; PUT applies new ones as a whole, or only
@@ -50,19 +50,19 @@
     }
 
     private HttpMessage.Response get() {
-        Optional<Snapshot.Saved> inForce = controller.settings();
+        Optional<SettingsFile.Saved> inForce = controller.settings();
         if (inForce.isEmpty()) {
             String trouble = controller.settingsTrouble();
             return ProblemDetails.of(
                     404, "no settings yet" + (trouble.isEmpty() ? "" : "; " + trouble));
         }
-        Snapshot.Saved settings = inForce.get();
+        SettingsFile.Saved settings = inForce.get();
         HttpHeaders headers =
                 HttpHeaders.of("content-type", "application/json")
                         .add("etag", "\"" + settings.revision() + "\"")
-                        .add("x-applied-by", settings.by());
+                        .add("x-applied-by", settings.operator());
         return new HttpMessage.Response(
-                200, headers, settings.text().getBytes(StandardCharsets.UTF_8));
+                200, headers, settings.json().getBytes(StandardCharsets.UTF_8));
     }
 
     private static HttpMessage.Response check(String settings) throws IOException {
@@ -98,7 +98,7 @@
     }
 
     private static long revision(Controller.Applied applied) {
-        return applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
+        return applied.inForce().map(SettingsFile.Saved::revision).orElse(0L);
     }
 
     private static HttpMessage.Response changedSince(Controller.Applied applied) {
@@ -107,13 +107,13 @@
         return ProblemDetails.of(412, "Changed since", change, List.of(change), revision(applied));
     }
 
-    private static String describe(Snapshot.Saved settings) {
+    private static String describe(SettingsFile.Saved settings) {
         return "revision "
                 + settings.revision()
                 + " was applied by "
-                + settings.by()
+                + settings.operator()
                 + " at "
-                + Instant.ofEpochMilli(settings.atMillis());
+                + Instant.ofEpochMilli(settings.savedAtMillis());
     }
 
     private static HttpMessage.Response faults(SettingsException e) {
--- a/src/main/java/rosespread/admin/StatusReport.java
+++ b/src/main/java/rosespread/admin/StatusReport.java
@@ -62,7 +62,7 @@
                 .ifPresent(
                         settings ->
                                 summary.put("settingsRevision", settings.revision())
-                                        .put("settingsBy", settings.by()));
+                                        .put("settingsBy", settings.operator()));
     }
 
     /** How many nodes are in each state. */
--- a/src/main/java/rosespread/channel/Packing.java
+++ b/src/main/java/rosespread/channel/FrameCompression.java
@@ -10,12 +10,12 @@
  * Zstandard compression of packed frames. The library is native: where it cannot be loaded, a
  * warning is logged once and no frame is packed. Thread-safe.
  */
-public final class Packing {
-    private static final Logger LOG = LoggerFactory.getLogger(Packing.class);
+public final class FrameCompression {
+    private static final Logger LOG = LoggerFactory.getLogger(FrameCompression.class);
     private static final int COMPRESSION_LEVEL = 3;
     private static final boolean AVAILABLE = loadLibrary();
 
-    private Packing() {}
+    private FrameCompression() {}
 
     private static boolean loadLibrary() {
         try {
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -14,10 +14,10 @@
  */
 public final class FrameReader implements MessageParser {
     /** Longest frame, in bytes without the length field, that a controller accepts. */
-    public static final int FROM_PROXY = 1 << 20;
+    public static final int MAX_BYTES_FROM_PROXY = 1 << 20;
 
     /** Longest frame, in bytes without the length field, that a proxy accepts. */
-    public static final int FROM_CONDUCTOR = 1 << 20;
+    public static final int MAX_BYTES_FROM_CONTROLLER = 1 << 20;
 
     private static final int LENGTH_BYTES = Integer.BYTES;
     private static final int MIN_FRAME_BYTES = 2;
@@ -147,7 +147,7 @@
                                     + " bytes; at most "
                                     + maxUnpackedBytes);
         }
-        Optional<byte[]> frames = Packing.decompress(fields.rest(), unpackedBytes);
+        Optional<byte[]> frames = FrameCompression.decompress(fields.rest(), unpackedBytes);
         if (frames.isEmpty()) {
             throw fields.error("a packed frame does not unpack to " + unpackedBytes + " bytes");
         }
--- a/src/main/java/rosespread/channel/FrameWriter.java
+++ b/src/main/java/rosespread/channel/FrameWriter.java
@@ -61,10 +61,10 @@
 
     /**
      * Compresses whole frames, one after another, into one packed frame. The library must be
-     * {@linkplain Packing#isAvailable available}.
+     * {@linkplain FrameCompression#isAvailable available}.
      */
     public static byte[] packed(byte[] frames) {
-        byte[] compressed = Packing.compress(frames);
+        byte[] compressed = FrameCompression.compress(frames);
         return encode(
                 FrameType.PACKED,
                 out -> {
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -22,7 +22,7 @@
 import rosespread.policy.RoutingPolicy;
 import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 import rosespread.store.LogOutput;
 import rosespread.store.TableStore;
 import rosespread.validation.TableChangeValidator;
@@ -167,7 +167,7 @@
      * @param done whether they hold now, or held since a call of the same id
      * @param inForce what holds now, empty before any settings
      */
-    public record Applied(boolean done, Optional<Snapshot.Saved> inForce) {}
+    public record Applied(boolean done, Optional<SettingsFile.Saved> inForce) {}
 
     /**
      * Applies settings and saves them; they are applied as a whole or not at all. A call whose id
@@ -196,7 +196,7 @@
                     nodeClients.applySettings(next);
                     state.applySettings(now, next);
                     peers.setPeers(next.peers());
-                    if (!next.list().onDemand()) {
+                    if (!next.discovery().onDemand()) {
                         nodeClients.watchNodes();
                     }
                 });
@@ -313,7 +313,7 @@
     }
 
     /** Returns the settings in force as they were given. */
-    public Optional<Snapshot.Saved> settings() {
+    public Optional<SettingsFile.Saved> settings() {
         return settings.inForce();
     }
 
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -173,7 +173,7 @@
             log.writeSnapshot(registry.snapshot());
         }
         long nextMessage = policyRunner.channel().orElseThrow().sendDue(nowNanos);
-        long nextKeepAlive = keepAlives.check(nowNanos, settings.get().channel().keepAlive());
+        long nextKeepAlive = keepAlives.check(nowNanos, settings.get().channel().keepAliveNanos());
         return Math.min(nextRound, Math.min(nextMessage, nextKeepAlive));
     }
 
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -92,7 +92,7 @@
                             node.name(),
                             node.host() + ":" + node.port(),
                             node.zone(),
-                            node.kind(),
+                            node.machineType(),
                             node.state().name(),
                             excluded.contains(node.id()),
                             drainedBy(node.id()),
@@ -103,7 +103,7 @@
     }
 
     private int sessionsWithoutReports(FleetSettings settings) {
-        long limitNanos = MAX_MISSED_REPORTS * settings.reportPeriod();
+        long limitNanos = MAX_MISSED_REPORTS * settings.reportPeriodNanos();
         return (int)
                 sessions.joined().values().stream()
                         .filter(
--- a/src/main/java/rosespread/controller/DrainHandler.java
+++ b/src/main/java/rosespread/controller/DrainHandler.java
@@ -98,7 +98,7 @@
             return List.of();
         }
         FleetSettings settings = policyRunner.settings().get();
-        return new DrainGuard(settings.drainLeastShare())
+        return new DrainGuard(settings.minCapacityRatioWhileDraining())
                 .violations(
                         node.name(),
                         directory.listed().stream().map(DrainHandler::guardNode).toList(),
@@ -109,14 +109,16 @@
         return new DrainGuard.Node(
                 node.name(),
                 node.zone(),
-                node.kind(),
+                node.machineType(),
                 node.weight(),
                 node.state() == EventHandler.NodeState.READY);
     }
 
     private static DrainGuard.Method guardMethod(FleetSettings.Method method) {
         return new DrainGuard.Method(
-                method.name(), Set.copyOf(method.onlyKinds()), Set.copyOf(method.onlyZones()));
+                method.name(),
+                Set.copyOf(method.allowedMachineTypes()),
+                Set.copyOf(method.allowedZones()));
     }
 
     private void apply(DrainRequest request, ListedNode node) {
--- a/src/main/java/rosespread/controller/FleetNames.java
+++ b/src/main/java/rosespread/controller/FleetNames.java
@@ -21,7 +21,7 @@
     /** Numbers the names of the settings; numbers given before no longer hold. */
     void applySettings(FleetSettings settings) {
         renumber(zones, settings.zones());
-        renumber(machineTypes, settings.kinds());
+        renumber(machineTypes, settings.machineTypes());
     }
 
     private static void renumber(TreeMap<String, Integer> numbers, List<String> names) {
@@ -47,13 +47,14 @@
      * go. It is persisted, so the text that it is made of must not change.
      */
     static long layoutDigest(FleetSettings settings) {
-        StringBuilder text = new StringBuilder().append(settings.zones()).append(settings.kinds());
+        StringBuilder text =
+                new StringBuilder().append(settings.zones()).append(settings.machineTypes());
         for (FleetSettings.Method method : settings.methods()) {
             text.append('|')
                     .append(method.name())
-                    .append(method.onlyKinds())
-                    .append(method.onlyZones())
-                    .append(method.ownZone());
+                    .append(method.allowedMachineTypes())
+                    .append(method.allowedZones())
+                    .append(method.localZoneOnly());
         }
         return Hashing.xxh3_64().hashBytesToLong(text.toString().getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/rosespread/controller/NodeClients.java
+++ b/src/main/java/rosespread/controller/NodeClients.java
@@ -45,17 +45,20 @@
             nodeList.close();
         }
         healthChecker =
-                new HealthChecker(http, settings.probes().path(), settings.probes().timeout());
-        FleetSettings.Catalogue catalogue = settings.list();
+                new HealthChecker(
+                        http,
+                        settings.healthChecks().path(),
+                        settings.healthChecks().timeoutNanos());
+        FleetSettings.Discovery catalogue = settings.discovery();
         nodeList =
                 new NodeListClient(
                         http,
                         new InetSocketAddress(catalogue.host(), catalogue.port()),
                         catalogue.service(),
                         "rosespread/" + controllerName,
-                        catalogue.block(),
-                        catalogue.silentAfter(),
-                        catalogue.backwardsAfter(),
+                        catalogue.blockingWaitNanos(),
+                        catalogue.responseTimeoutNanos(),
+                        catalogue.indexRollbackGraceNanos(),
                         catalogue.onDemand(),
                         timer,
                         System::nanoTime,
--- a/src/main/java/rosespread/controller/NodeFacts.java
+++ b/src/main/java/rosespread/controller/NodeFacts.java
@@ -62,7 +62,7 @@
         nextWarmNanos = Long.MAX_VALUE;
         for (ListedNode node : directory.known().values()) {
             long started = startTimes.startedNanos(node);
-            long warm = started + settings.cold().time();
+            long warm = started + settings.warmUp().durationNanos();
             if (started != NodeStartTimes.LONG_AGO && warm > clock.nowNanos()) {
                 nextWarmNanos = Math.min(nextWarmNanos, warm);
             }
@@ -115,11 +115,13 @@
     private double warmUpRatio(ListedNode node) {
         long started = startTimes.startedNanos(node);
         long now = clock.nowNanos();
-        FleetSettings.WarmUp warmUp = settings.cold();
-        return started == NodeStartTimes.LONG_AGO || now - started >= warmUp.time()
+        FleetSettings.WarmUp warmUp = settings.warmUp();
+        return started == NodeStartTimes.LONG_AGO || now - started >= warmUp.durationNanos()
                 ? 1
-                : warmUp.share()
-                        + (1 - warmUp.share()) * Math.max(0, now - started) / warmUp.time();
+                : warmUp.coldCapacityRatio()
+                        + (1 - warmUp.coldCapacityRatio())
+                                * Math.max(0, now - started)
+                                / warmUp.durationNanos();
     }
 
     /** Whether any of the methods may go to the node; an unknown table may go everywhere. */
@@ -133,8 +135,9 @@
 
     private static boolean allows(
             FleetSettings.Method method, ListedNode node, ZoneId zone, Set<ZoneId> zones) {
-        return (method.onlyKinds().isEmpty() || method.onlyKinds().contains(node.kind()))
-                && (method.onlyZones().isEmpty() || method.onlyZones().contains(node.zone()))
-                && (!method.ownZone() || zones.contains(zone));
+        return (method.allowedMachineTypes().isEmpty()
+                        || method.allowedMachineTypes().contains(node.machineType()))
+                && (method.allowedZones().isEmpty() || method.allowedZones().contains(node.zone()))
+                && (!method.localZoneOnly() || zones.contains(zone));
     }
 }
--- a/src/main/java/rosespread/controller/NodeListPublisher.java
+++ b/src/main/java/rosespread/controller/NodeListPublisher.java
@@ -41,7 +41,7 @@
                     for (ListedNode node : nodes) {
                         policy.nodeListed(
                                 node.id(),
-                                names.machineType(node.kind()),
+                                names.machineType(node.machineType()),
                                 names.zone(node.zone()),
                                 node.weight(),
                                 node.state(),
--- a/src/main/java/rosespread/controller/PeerDrainPoller.java
+++ b/src/main/java/rosespread/controller/PeerDrainPoller.java
@@ -72,9 +72,9 @@
                 peer,
                 request,
                 REQUEST_TIMEOUT_NANOS,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response response) {
+                    public void onResponse(HttpMessage.Response response) {
                         if (response.status() == STATUS_OK) {
                             read(peer, response);
                         }
@@ -82,7 +82,7 @@
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         pending.countDown();
                     }
                 });
--- a/src/main/java/rosespread/controller/PolicyRunner.java
+++ b/src/main/java/rosespread/controller/PolicyRunner.java
@@ -71,9 +71,9 @@
         loadReports = new LoadReportAggregator();
         channel =
                 new PacedChannel(
-                        settings.channel().linesPerSecond(),
+                        settings.channel().entriesPerSecond(),
                         context.registry().log(),
-                        new DurabilityTimeout(settings.drainGrace()));
+                        new DurabilityTimeout(settings.drainTimeoutNanos()));
         sessions.useChannel(channel);
         context.facts().recordLargeChangeCause();
         context.registry().policyRestarted();
@@ -81,7 +81,7 @@
         long lastNumber = writer == null ? firstNumber : writer.lastNumber();
         writer = new TableUpdateWriter(context, settings, channel, lastNumber);
         policy = environment.newPolicy(settings, settings.seed());
-        reportsDueNanos = clock.nowNanos() + settings.reportPeriod();
+        reportsDueNanos = clock.nowNanos() + settings.reportPeriodNanos();
         if (directory.isListReceived()) {
             publisher.publish(EventHandler.NodeListKind.CACHED);
         }
@@ -111,7 +111,7 @@
     long runDue() {
         long now = clock.nowNanos();
         if (now >= reportsDueNanos) {
-            reportsDueNanos = now + settings.reportPeriod();
+            reportsDueNanos = now + settings.reportPeriodNanos();
             LoadReportAggregator gathered = loadReports;
             loadReports = new LoadReportAggregator();
             rounds.add(gathered::deliverTo);
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -27,8 +27,8 @@
         this.sessions = sessions;
         this.channel = channel;
         this.limits = settings.channel();
-        this.drainGraceNanos = settings.drainGrace();
-        this.entriesPerMessage = (int) Math.ceil(limits.linesPerMessage());
+        this.drainGraceNanos = settings.drainTimeoutNanos();
+        this.entriesPerMessage = (int) Math.ceil(limits.messageOverheadEntries());
     }
 
     /** Starts a round; each proxy whose acknowledgement the policy expects gets a message. */
@@ -48,7 +48,9 @@
 
     private long overdueEntries(long nowNanos) {
         ProxySession.AcknowledgementDeadline deadline =
-                writtenAt -> ChannelCapacity.isOverdue(nowNanos - writtenAt, limits.longestWay());
+                writtenAt ->
+                        ChannelCapacity.isOverdue(
+                                nowNanos - writtenAt, limits.maxPropagationDelayNanos());
         long entries = 0;
         int lateProxies = 0;
         for (ProxySession session : sessions.values()) {
@@ -77,9 +79,9 @@
     /** Returns the entries of a table that reach its subscribers within the drain timeout. */
     double entriesWithinGrace(TableId table) {
         return ChannelCapacity.deliverableEntries(
-                limits.linesPerSecond(),
+                limits.entriesPerSecond(),
                 drainGraceNanos,
-                limits.queueLimit(),
+                limits.queueLimitEntries(),
                 channel.queuedEntries() + committedEntries,
                 subscribers(table).size(),
                 messageOverhead());
@@ -88,7 +90,7 @@
     /** Returns the entries that may go to each of so many proxies now, beside the policy's own. */
     int entriesThatFit(int proxies, boolean urgent) {
         return ChannelCapacity.availableEntries(
-                limits.queueLimit(),
+                limits.queueLimitEntries(),
                 channel.queuedEntries() + overdueEntries + committedEntries,
                 proxies,
                 messageOverhead(),
@@ -99,7 +101,7 @@
     boolean allowsMessage(ProxySession session, long nowNanos, boolean urgent) {
         return ChannelCapacity.mayWriteMessage(
                 limits.messageLimit(),
-                session.messagesQueuedWithin(nowNanos, limits.messageSpan()),
+                session.messagesQueuedWithin(nowNanos, limits.messageWindowNanos()),
                 urgent);
     }
 
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -11,9 +11,9 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 import rosespread.channel.Frame;
+import rosespread.channel.FrameCompression;
 import rosespread.channel.FrameReader;
 import rosespread.channel.FrameWriter;
-import rosespread.channel.Packing;
 import rosespread.discovery.ListedNode;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
@@ -69,7 +69,8 @@
             VersionHistory history, Set<MethodId> methods, boolean introduced, boolean compressed) {
         TableId table = history.current().table();
         return fullTables.computeIfAbsent(
-                new FullTableKey(table, methods, introduced, compressed && Packing.isAvailable()),
+                new FullTableKey(
+                        table, methods, introduced, compressed && FrameCompression.isAvailable()),
                 key -> encode(history, key));
     }
 
@@ -77,7 +78,7 @@
         byte[] frames = encodePlain(history, key);
         if (!key.compressed
                 || frames.length < MIN_COMPRESSED_BYTES
-                || frames.length > FrameReader.FROM_CONDUCTOR) {
+                || frames.length > FrameReader.MAX_BYTES_FROM_CONTROLLER) {
             return frames;
         }
         byte[] compressed = FrameWriter.packed(frames);
--- a/src/main/java/rosespread/controller/SettingsHolder.java
+++ b/src/main/java/rosespread/controller/SettingsHolder.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
+import rosespread.settings.SettingsFile;
 import rosespread.settings.SettingsReader;
-import rosespread.settings.Snapshot;
 
 /**
  * The settings in force and their snapshot on disk. Settings are changed by one thread at a time;
@@ -18,9 +18,9 @@
 final class SettingsHolder {
     private static final Logger LOG = LoggerFactory.getLogger(SettingsHolder.class);
 
-    private final Snapshot snapshot;
+    private final SettingsFile snapshot;
     private final Consumer<FleetSettings> listener;
-    private volatile Snapshot.Saved inForce;
+    private volatile SettingsFile.Saved inForce;
     private volatile String problem = "";
 
     /**
@@ -28,19 +28,19 @@
      * @param listener takes settings as they come into force, on the caller's thread
      */
     SettingsHolder(Path folder, Consumer<FleetSettings> listener) {
-        this.snapshot = new Snapshot(folder);
+        this.snapshot = new SettingsFile(folder);
         this.listener = listener;
     }
 
     /** Brings the settings that were saved last into force, if they are valid. */
     synchronized void restore() {
         try {
-            Optional<Snapshot.Saved> saved = snapshot.load();
+            Optional<SettingsFile.Saved> saved = snapshot.load();
             if (saved.isEmpty()) {
                 LOG.info("waiting for settings");
                 return;
             }
-            FleetSettings settings = SettingsReader.read(saved.get().text());
+            FleetSettings settings = SettingsReader.read(saved.get().json());
             inForce = saved.get();
             listener.accept(settings);
             LOG.atInfo()
@@ -56,7 +56,7 @@
     synchronized Controller.Applied apply(
             String text, String operator, String requestId, long expectedRevision)
             throws SettingsException, IOException {
-        if (inForce != null && inForce.call().equals(requestId)) {
+        if (inForce != null && inForce.requestId().equals(requestId)) {
             return new Controller.Applied(true, Optional.of(inForce));
         }
         FleetSettings settings = SettingsReader.read(text);
@@ -64,8 +64,8 @@
         if (expectedRevision >= 0 && expectedRevision != revision) {
             return new Controller.Applied(false, Optional.ofNullable(inForce));
         }
-        Snapshot.Saved next =
-                new Snapshot.Saved(
+        SettingsFile.Saved next =
+                new SettingsFile.Saved(
                         text, revision + 1, operator, requestId, System.currentTimeMillis());
         save(next);
         problem = "";
@@ -78,7 +78,7 @@
         return new Controller.Applied(true, Optional.of(next));
     }
 
-    private void save(Snapshot.Saved next) throws IOException {
+    private void save(SettingsFile.Saved next) throws IOException {
         Optional<Path> setAside = snapshot.save(next);
         setAside.ifPresent(
                 path ->
@@ -88,7 +88,7 @@
     }
 
     /** Returns the settings in force as they were given, empty before any. */
-    Optional<Snapshot.Saved> inForce() {
+    Optional<SettingsFile.Saved> inForce() {
         return Optional.ofNullable(inForce);
     }
 
--- a/src/main/java/rosespread/discovery/HealthChecker.java
+++ b/src/main/java/rosespread/discovery/HealthChecker.java
@@ -44,14 +44,14 @@
                 node,
                 request(node),
                 timeoutNanos,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response response) {
+                    public void onResponse(HttpMessage.Response response) {
                         resultConsumer.accept(resultOf(response.status()));
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         resultConsumer.accept(resultOf(failure));
                     }
                 });
--- a/src/main/java/rosespread/discovery/ListedNode.java
+++ b/src/main/java/rosespread/discovery/ListedNode.java
@@ -14,7 +14,7 @@
  * @param host the host name or address that it serves at
  * @param port the port that it serves at
  * @param zone its zone; empty if not stated
- * @param kind its machine type; empty if not stated
+ * @param machineType its machine type; empty if not stated
  * @param weight the weight that the list gives it, 1 if not stated
  * @param state whether it serves, drains or is gone
  * @param startedMillis the wall clock time of its last start in milliseconds since the epoch; 0 if
@@ -26,7 +26,7 @@
         String host,
         int port,
         String zone,
-        String kind,
+        String machineType,
         double weight,
         NodeState state,
         long startedMillis) {
@@ -50,7 +50,7 @@
             return this;
         }
         return new ListedNode(
-                id, name, host, port, zone, kind, weight, NodeState.DRAINING, startedMillis);
+                id, name, host, port, zone, machineType, weight, NodeState.DRAINING, startedMillis);
     }
 
     /** The address that it serves at; a host name is resolved by this call, which may block. */
--- a/src/main/java/rosespread/discovery/NodeListClient.java
+++ b/src/main/java/rosespread/discovery/NodeListClient.java
@@ -129,14 +129,14 @@
                 server,
                 request(blocking),
                 timeoutNanos(blocking),
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response response) {
+                    public void onResponse(HttpMessage.Response response) {
                         handleResponse(response);
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         handleFailure(failure + ": " + detail);
                     }
                 });
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -114,7 +114,7 @@
     }
 
     /** Completes a future with a call's outcome, on the HTTP client's threads. */
-    private static final class ResponseFuture implements HttpClient.Taker {
+    private static final class ResponseFuture implements HttpClient.ResponseHandler {
         private final InetSocketAddress controller;
         private final CompletableFuture<FleetResponse> response = new CompletableFuture<>();
 
@@ -123,13 +123,13 @@
         }
 
         @Override
-        public void answered(HttpMessage.Response answer) {
+        public void onResponse(HttpMessage.Response answer) {
             response.complete(
                     FleetResponse.received(controller, answer.status(), parse(answer.body())));
         }
 
         @Override
-        public void failed(HttpClient.Failure failure, String detail) {
+        public void onFailure(HttpClient.Failure failure, String detail) {
             boolean mayHaveRun = failure != HttpClient.Failure.NOT_CONNECTED;
             response.complete(FleetResponse.missing(controller, detail, mayHaveRun));
         }
--- a/src/main/java/rosespread/http/ClientExchange.java
+++ b/src/main/java/rosespread/http/ClientExchange.java
@@ -20,7 +20,7 @@
 
     private final InetSocketAddress address;
     private final HttpMessage.Request request;
-    private final HttpClient.Taker taker;
+    private final HttpClient.ResponseHandler taker;
     private final IdleConnections idleConnections;
     private final Consumer<ClientExchange> connector;
     private final AtomicBoolean completed = new AtomicBoolean();
@@ -37,7 +37,7 @@
     ClientExchange(
             InetSocketAddress address,
             HttpMessage.Request request,
-            HttpClient.Taker taker,
+            HttpClient.ResponseHandler taker,
             IdleConnections idleConnections,
             Consumer<ClientExchange> connector) {
         this.address = address;
@@ -63,7 +63,7 @@
 
     /** Sends the request on a connection that has carried others: it may be about to close. */
     void sendOnReused(IoSession reused) {
-        retryable = SAFE_METHODS.contains(request.verb());
+        retryable = SAFE_METHODS.contains(request.method());
         send(reused);
     }
 
@@ -115,7 +115,7 @@
         } else {
             session.closeNow();
         }
-        taker.answered(response);
+        taker.onResponse(response);
     }
 
     /** Completes with a failure and closes the connection, so that the server can stop its work. */
@@ -131,6 +131,6 @@
         if (connection != null) {
             connection.closeNow();
         }
-        taker.failed(failure, detail);
+        taker.onFailure(failure, detail);
     }
 }
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -38,16 +38,16 @@
      * Receives the outcome of a call: exactly one method is called, once, on an I/O thread, the
      * timer's or the caller's. It must not block.
      */
-    public interface Taker {
+    public interface ResponseHandler {
         /** Called with the complete response, whatever its status. */
-        void answered(HttpMessage.Response response);
+        void onResponse(HttpMessage.Response response);
 
         /**
          * Called if there is no response.
          *
          * @param detail a sentence for logs
          */
-        void failed(Failure failure, String detail);
+        void onFailure(Failure failure, String detail);
     }
 
     private final NioSocketConnector connector;
@@ -92,7 +92,7 @@
             InetSocketAddress address,
             HttpMessage.Request request,
             long timeoutNanos,
-            Taker taker) {
+            ResponseHandler taker) {
         ClientExchange exchange =
                 new ClientExchange(address, request, taker, idleConnections, this::connect);
         exchange.timeout(
--- a/src/main/java/rosespread/http/HttpLimits.java
+++ b/src/main/java/rosespread/http/HttpLimits.java
@@ -13,7 +13,7 @@
     private static final int MIB = 1 << 20;
 
     /** For requests and for responses of a moderate size: a body of 1 MiB. */
-    public static final HttpLimits USUAL = new HttpLimits(8 * KIB, 100, 32 * KIB, MIB);
+    public static final HttpLimits DEFAULT = new HttpLimits(8 * KIB, 100, 32 * KIB, MIB);
 
     /** For endpoint lists, where a large fleet's catalogue is one body: 64 MiB. */
     public static final HttpLimits LARGE = new HttpLimits(8 * KIB, 100, 32 * KIB, 64 * MIB);
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -26,7 +26,7 @@
      * @param verb the method, in upper case by convention
      * @param target path and query as they stand in the request line
      */
-    record Request(String verb, String target, HttpHeaders headers, byte[] body)
+    record Request(String method, String target, HttpHeaders headers, byte[] body)
             implements HttpMessage {
         /** The target without its query; percent-encoding is left as it is. */
         public String path() {
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -28,7 +28,7 @@
          * Takes a request. Called on an I/O thread, or on the thread that answered the connection's
          * previous request; must not block. The response may be given later, from any thread.
          */
-        void take(HttpMessage.Request request, Exchange exchange);
+        void handle(HttpMessage.Request request, Exchange exchange);
     }
 
     /** A request that awaits its response. Thread-safe. */
@@ -37,10 +37,10 @@
         int port();
 
         /** Sends the response; ignored after the first time and once the client is gone. */
-        void answer(HttpMessage.Response response);
+        void respond(HttpMessage.Response response);
 
         /** Closes the connection without a response. */
-        void hangUp();
+        void abort();
 
         /**
          * Sets what runs, once, if the connection closes before the response; runs it at once if
--- a/src/main/java/rosespread/http/HttpWriter.java
+++ b/src/main/java/rosespread/http/HttpWriter.java
@@ -28,7 +28,7 @@
 
     private static void appendStartLine(StringBuilder head, HttpMessage message) {
         if (message instanceof HttpMessage.Request request) {
-            head.append(request.verb()).append(' ').append(request.target()).append(" HTTP/1.1");
+            head.append(request.method()).append(' ').append(request.target()).append(" HTTP/1.1");
         } else if (message instanceof HttpMessage.Response response) {
             head.append("HTTP/1.1 ")
                     .append(response.status())
--- a/src/main/java/rosespread/http/RequestPipeline.java
+++ b/src/main/java/rosespread/http/RequestPipeline.java
@@ -42,7 +42,7 @@
             exchange = new PendingExchange(request.keepsAlive());
             current = exchange;
         }
-        handler.take(request, exchange);
+        handler.handle(request, exchange);
     }
 
     synchronized boolean isIdle() {
@@ -72,7 +72,7 @@
             current = exchange;
         }
         if (next != null) {
-            handler.take(next, exchange);
+            handler.handle(next, exchange);
         }
     }
 
@@ -98,7 +98,7 @@
         }
 
         @Override
-        public void answer(HttpMessage.Response response) {
+        public void respond(HttpMessage.Response response) {
             synchronized (this) {
                 if (completed) {
                     return;
@@ -114,7 +114,7 @@
         }
 
         @Override
-        public void hangUp() {
+        public void abort() {
             session.closeNow();
         }
 
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -129,11 +129,11 @@
     }
 
     /** One poll; its outcome counts only while it is the current one. */
-    private final class Poll implements HttpClient.Taker {
+    private final class Poll implements HttpClient.ResponseHandler {
         private Runnable cancel = () -> {};
 
         @Override
-        public void answered(HttpMessage.Response answer) {
+        public void onResponse(HttpMessage.Response answer) {
             if (answer.status() != OK) {
                 failed("status " + answer.status());
                 return;
@@ -148,7 +148,7 @@
         }
 
         @Override
-        public void failed(HttpClient.Failure failure, String detail) {
+        public void onFailure(HttpClient.Failure failure, String detail) {
             failed(failure + ": " + detail);
         }
 
--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -46,7 +46,7 @@
             Executors.newSingleThreadScheduledExecutor(PlatformController::timerThread);
     private final HttpClient http =
             new HttpClient(
-                    HTTP_THREADS, HttpLimits.USUAL, CONNECT_TIMEOUT_MILLIS, IDLE_TIMEOUT_SECONDS);
+                    HTTP_THREADS, HttpLimits.DEFAULT, CONNECT_TIMEOUT_MILLIS, IDLE_TIMEOUT_SECONDS);
     private final HealthChecker healthChecker =
             new HealthChecker(http, HEALTH_CHECK_PATH, HEALTH_CHECK_TIMEOUT_NANOS);
     private final PlatformState state;
--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -135,14 +135,14 @@
                         HttpHeaders.of(headers).add("host", text(control)),
                         body.getBytes(StandardCharsets.UTF_8)),
                 CALL,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response got) {
+                    public void onResponse(HttpMessage.Response got) {
                         answer.complete(got);
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure why, String detail) {
+                    public void onFailure(HttpClient.Failure why, String detail) {
                         answer.completeExceptionally(new IOException(detail));
                     }
                 });
--- a/src/main/java/rosespread/scenario/ScenarioReader.java
+++ b/src/main/java/rosespread/scenario/ScenarioReader.java
@@ -56,7 +56,7 @@
             lines(text, lines);
             JsonFields all = new JsonFields(tree);
             Scenario scenario = scenario(all);
-            all.end();
+            all.throwIfInvalid();
             return scenario;
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
@@ -118,11 +118,11 @@
     }
 
     private static Scenario scenario(JsonFields all) {
-        String name = all.text("name", null, "[a-z0-9-]{1,64}", "small letters, digits and -");
-        long lasts = Math.round(all.number("seconds", Double.NaN, 1, 24 * HOUR) * SECOND);
-        long warmUp = Math.round(all.number("warmUpSeconds", 15, 0.1, HOUR) * SECOND);
-        int conductors = (int) all.whole("conductors", 1, 1, 64);
-        List<String> zones = all.texts("zones", 1, 64, null);
+        String name = all.string("name", null, "[a-z0-9-]{1,64}", "small letters, digits and -");
+        long lasts = Math.round(all.doubleValue("seconds", Double.NaN, 1, 24 * HOUR) * SECOND);
+        long warmUp = Math.round(all.doubleValue("warmUpSeconds", 15, 0.1, HOUR) * SECOND);
+        int conductors = (int) all.longValue("conductors", 1, 1, 64);
+        List<String> zones = all.strings("zones", 1, 64, null);
         Map<String, SiteDefinition.Kind> kinds = new LinkedHashMap<>();
         JsonFields kindFields = all.object("kinds");
         for (String kind : kindFields.names()) {
@@ -130,23 +130,23 @@
             kinds.put(
                     kind,
                     new SiteDefinition.Kind(
-                            (int) one.whole("cores", -1, 1, 1024),
-                            one.number("speed", 1, 0.01, 100),
-                            (int) one.whole("nodes", -1, 1, 10_000)));
-            one.closed();
+                            (int) one.longValue("cores", -1, 1, 1024),
+                            one.doubleValue("speed", 1, 0.01, 100),
+                            (int) one.longValue("nodes", -1, 1, 10_000)));
+            one.rejectUnknownFields();
         }
         if (kinds.isEmpty()) {
-            all.fault("kinds", "at least one kind");
+            all.reject("kinds", "at least one kind");
         }
         List<SiteDefinition.Method> methods = methods(all, List.copyOf(kinds.keySet()));
         JsonFields cold = all.object("cold");
         SiteDefinition.Cold warming =
                 new SiteDefinition.Cold(
-                        Math.round(cold.number("seconds", 16, 0, HOUR) * SECOND),
-                        cold.number("share", 0.16, 0.01, 1),
-                        cold.millis("windowMs", 1500, 1, MINUTE),
-                        cold.number("multiple", 4, 1, 100));
-        cold.closed();
+                        Math.round(cold.doubleValue("seconds", 16, 0, HOUR) * SECOND),
+                        cold.doubleValue("share", 0.16, 0.01, 1),
+                        cold.millisAsNanos("windowMs", 1500, 1, MINUTE),
+                        cold.doubleValue("multiple", 4, 1, 100));
+        cold.rejectUnknownFields();
         JsonFields channelFields = all.object("channel");
         Scenario.Channel channel = channel(channelFields);
         JsonFields reports = all.object("reports");
@@ -157,81 +157,81 @@
                         methods,
                         proxies(all.object("proxies"), channel.linesPerSecond()),
                         warming,
-                        all.number("queuePerCore", 8, 0, 1000),
-                        reports.millis("periodMs", 1000, 20, MINUTE),
-                        reports.millis("lateMs", 500, 0, MINUTE));
-        reports.closed();
+                        all.doubleValue("queuePerCore", 8, 0, 1000),
+                        reports.millisAsNanos("periodMs", 1000, 20, MINUTE),
+                        reports.millisAsNanos("lateMs", 500, 0, MINUTE));
+        reports.rejectUnknownFields();
         JsonFields clients = all.object("clients");
         Scenario.Clients callers =
                 new Scenario.Clients(
-                        (int) clients.whole("retries", 2, 0, 10),
-                        clients.millis("retryWaitMs", 100, 0, MINUTE),
-                        clients.number("patience", 1, 0.05, 1));
-        clients.closed();
+                        (int) clients.longValue("retries", 2, 0, 10),
+                        clients.millisAsNanos("retryWaitMs", 100, 0, MINUTE),
+                        clients.doubleValue("patience", 1, 0.05, 1));
+        clients.rejectUnknownFields();
         JsonFields rules = all.object("rules");
         Scenario.Rules bounds =
                 new Scenario.Rules(
-                        rules.millis("lackMs", 3000, 10, MINUTE),
-                        rules.millis("drainGraceMs", 2500, 100, MINUTE));
-        rules.closed();
+                        rules.millisAsNanos("lackMs", 3000, 10, MINUTE),
+                        rules.millisAsNanos("drainGraceMs", 2500, 100, MINUTE));
+        rules.rejectUnknownFields();
         JsonFields list = all.object("list");
-        long late = list.millis("lateMs", 800, 0, MINUTE);
-        list.closed();
+        long late = list.millisAsNanos("lateMs", 800, 0, MINUTE);
+        list.rejectUnknownFields();
         return new Scenario(
                 name,
                 lasts,
                 warmUp,
                 conductors,
                 site,
-                all.number("rate", Double.NaN, 0.1, 100_000),
+                all.doubleValue("rate", Double.NaN, 0.1, 100_000),
                 callers,
                 bounds,
                 channel,
                 late,
-                all.flag("probes", true),
+                all.booleanValue("probes", true),
                 troubles(all, zones, methods, conductors));
     }
 
     private static Scenario.Channel channel(JsonFields channel) {
         Scenario.Channel read =
                 new Scenario.Channel(
-                        channel.number("linesPerSecond", Double.NaN, 1, 1e9),
-                        channel.number("linesPerMessage", 8, 0, 1000),
-                        channel.number("queueLimit", Double.NaN, 1, 1e9),
-                        (int) channel.whole("messageLimit", 30, 0, 100_000),
-                        channel.millis("messageSpanMs", 10_000, 1, MINUTE),
-                        channel.text("levels", "rate", "share|rate|none", "share, rate or none"),
-                        channel.number("orderPrice", 0.05, 0, 10));
-        channel.closed();
+                        channel.doubleValue("linesPerSecond", Double.NaN, 1, 1e9),
+                        channel.doubleValue("linesPerMessage", 8, 0, 1000),
+                        channel.doubleValue("queueLimit", Double.NaN, 1, 1e9),
+                        (int) channel.longValue("messageLimit", 30, 0, 100_000),
+                        channel.millisAsNanos("messageSpanMs", 10_000, 1, MINUTE),
+                        channel.string("levels", "rate", "share|rate|none", "share, rate or none"),
+                        channel.doubleValue("orderPrice", 0.05, 0, 10));
+        channel.rejectUnknownFields();
         return read;
     }
 
     private static SiteDefinition.Proxies proxies(JsonFields proxies, double linesPerSecond) {
         String pick =
-                proxies.text(
+                proxies.string(
                         "pick",
                         "round",
                         "round|random|best of two",
                         "round, random or best of two");
         SiteDefinition.Proxies read =
                 new SiteDefinition.Proxies(
-                        (int) proxies.whole("count", -1, 1, 10_000),
+                        (int) proxies.longValue("count", -1, 1, 10_000),
                         pick.isEmpty()
                                 ? SiteDefinition.Pick.ROUND
                                 : SiteDefinition.Pick.valueOf(
                                         pick.toUpperCase(Locale.ROOT).replace(' ', '_')),
-                        (int) proxies.whole("avoidAfterFailures", 8, 0, 1000),
-                        Math.round(proxies.number("stallPerLineUs", 30, 0, 1e6) * 1000),
-                        proxies.millis("wayMs", 60, 0, MINUTE),
-                        proxies.millis("longestWayMs", 300, 0, MINUTE),
-                        (int) proxies.whole("standing", 5, 1, 10_000),
-                        proxies.millis("redialLeastMs", 300, 1, MINUTE),
-                        proxies.millis("redialMostMs", 1200, 1, MINUTE),
+                        (int) proxies.longValue("avoidAfterFailures", 8, 0, 1000),
+                        Math.round(proxies.doubleValue("stallPerLineUs", 30, 0, 1e6) * 1000),
+                        proxies.millisAsNanos("wayMs", 60, 0, MINUTE),
+                        proxies.millisAsNanos("longestWayMs", 300, 0, MINUTE),
+                        (int) proxies.longValue("standing", 5, 1, 10_000),
+                        proxies.millisAsNanos("redialLeastMs", 300, 1, MINUTE),
+                        proxies.millisAsNanos("redialMostMs", 1200, 1, MINUTE),
                         linesPerSecond);
         if (read.redialMost() < read.redialLeast()) {
-            proxies.fault("redialMostMs", "at least redialLeastMs");
+            proxies.reject("redialMostMs", "at least redialLeastMs");
         }
-        proxies.closed();
+        proxies.rejectUnknownFields();
         return read;
     }
 
@@ -239,31 +239,31 @@
         List<SiteDefinition.Method> methods = new ArrayList<>();
         for (JsonFields one : all.objects("methods", 1, 32)) {
             String effect =
-                    one.text(
+                    one.string(
                             "effect",
                             null,
                             "idempotent|tokened|non-idempotent",
                             "idempotent, tokened or non-idempotent");
             methods.add(
                     new SiteDefinition.Method(
-                            one.text(
+                            one.string(
                                     "name",
                                     null,
                                     "[A-Za-z0-9_-]{1,64}",
                                     "letters, digits, _ and -"),
-                            one.number("share", Double.NaN, 0, 1),
-                            one.millis("workMs", Double.NaN, 0.01, MINUTE),
-                            one.millis("softDeadlineMs", Double.NaN, 1, MINUTE),
-                            one.millis("deadlineMs", Double.NaN, 1, MINUTE),
-                            one.number("criticality", 1, 0, 1e6),
-                            one.number("lateShare", 0.15, 0, 1),
+                            one.doubleValue("share", Double.NaN, 0, 1),
+                            one.millisAsNanos("workMs", Double.NaN, 0.01, MINUTE),
+                            one.millisAsNanos("softDeadlineMs", Double.NaN, 1, MINUTE),
+                            one.millisAsNanos("deadlineMs", Double.NaN, 1, MINUTE),
+                            one.doubleValue("criticality", 1, 0, 1e6),
+                            one.doubleValue("lateShare", 0.15, 0, 1),
                             effect.isEmpty()
                                     ? SiteDefinition.Effect.IDEMPOTENT
                                     : SiteDefinition.Effect.valueOf(
                                             effect.toUpperCase(Locale.ROOT).replace('-', '_')),
-                            one.millis("windowMs", 2500, 0, MINUTE),
-                            one.texts("onlyKinds", 0, 64, kinds)));
-            one.closed();
+                            one.millisAsNanos("windowMs", 2500, 0, MINUTE),
+                            one.strings("onlyKinds", 0, 64, kinds)));
+            one.rejectUnknownFields();
         }
         return methods;
     }
@@ -276,25 +276,25 @@
         List<Fault> troubles = new ArrayList<>();
         for (JsonFields one : all.objects("troubles", 0, 1000)) {
             String kind =
-                    one.text("kind", null, Fault.Kind.all(), Fault.Kind.all().replace("|", ", "));
+                    one.string("kind", null, Fault.Kind.all(), Fault.Kind.all().replace("|", ", "));
             JsonFields what = one.object("what");
             Fault trouble =
                     new Fault(
-                            Math.round(one.number("at", Double.NaN, 0, 24 * HOUR) * SECOND),
-                            Math.round(one.number("for", Double.NaN, 0, 24 * HOUR) * SECOND),
+                            Math.round(one.doubleValue("at", Double.NaN, 0, 24 * HOUR) * SECOND),
+                            Math.round(one.doubleValue("for", Double.NaN, 0, 24 * HOUR) * SECOND),
                             kind.isEmpty()
                                     ? Fault.Kind.HANG
                                     : Fault.Kind.valueOf(
                                             kind.toUpperCase(Locale.ROOT).replace(' ', '_')),
-                            what.number("share", 0.1, 0, 1),
-                            what.text(
+                            what.doubleValue("share", 0.1, 0, 1),
+                            what.string(
                                     "zone",
                                     zones.isEmpty() ? "" : zones.get(0),
                                     String.join("|", zones),
                                     "one of " + String.join(", ", zones)),
-                            what.number("factor", 4, 0, 1000),
-                            what.millis("ms", 2000, 0, MINUTE),
-                            what.text(
+                            what.doubleValue("factor", 4, 0, 1000),
+                            what.millisAsNanos("ms", 2000, 0, MINUTE),
+                            what.string(
                                     "method",
                                     methods.isEmpty() ? "" : methods.get(0).name(),
                                     String.join(
@@ -303,9 +303,9 @@
                                                     .map(SiteDefinition.Method::name)
                                                     .toList()),
                                     "a method's name"),
-                            (int) what.whole("which", 0, 0, conductors - 1));
-            what.closed();
-            one.closed();
+                            (int) what.longValue("which", 0, 0, conductors - 1));
+            what.rejectUnknownFields();
+            one.rejectUnknownFields();
             troubles.add(trouble);
         }
         return troubles;
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -48,7 +48,7 @@
     private final Random strikes;
     private final ObjectMapper json = new ObjectMapper();
     private final TestLoop loop = new TestLoop();
-    private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 5);
+    private final HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 5);
     private final List<ControllerProcess> conductors = new ArrayList<>();
     private final Report report;
     private InvariantChecker auditor;
--- a/src/main/java/rosespread/settings/JsonFields.java
+++ b/src/main/java/rosespread/settings/JsonFields.java
@@ -9,8 +9,8 @@
 
 /**
  * Reads an object of JSON or YAML field by field. An invalid field is recorded and reading goes on
- * with a value in its place, so that {@link #end} can report all of them at once; nothing that was
- * read may be used before that has returned.
+ * with a value in its place, so that {@link #throwIfInvalid} can report all of them at once;
+ * nothing that was read may be used before that has returned.
  *
  * <p>Not thread-safe.
  */
@@ -47,7 +47,7 @@
     }
 
     /** Records the fields of this object that were never asked for; called once all were. */
-    public void closed() {
+    public void rejectUnknownFields() {
         node.fieldNames()
                 .forEachRemaining(
                         name -> {
@@ -67,8 +67,8 @@
      *
      * @throws SettingsException if any field of the document is invalid or unknown
      */
-    public void end() throws SettingsException {
-        closed();
+    public void throwIfInvalid() throws SettingsException {
+        rejectUnknownFields();
         if (!invalidFields.isEmpty()) {
             throw new SettingsException(invalidFields);
         }
@@ -113,7 +113,7 @@
             return array;
         }
         if (!array.isArray() || array.size() < least || array.size() > most) {
-            fault(name, "an array of " + least + " to " + most);
+            reject(name, "an array of " + least + " to " + most);
             return MissingNode.getInstance();
         }
         return array;
@@ -125,7 +125,7 @@
      *
      * @param among the names that are valid; null if all are
      */
-    public List<String> texts(String name, int least, int most, List<String> among) {
+    public List<String> strings(String name, int least, int most, List<String> among) {
         List<String> texts = new ArrayList<>();
         JsonNode array = array(name, least, most);
         for (int i = 0; i < array.size(); i++) {
@@ -160,25 +160,25 @@
      * @param pattern the regular expression that the whole string must match
      * @param allowed the pattern in words
      */
-    public String text(String name, String absent, String pattern, String allowed) {
+    public String string(String name, String absent, String pattern, String allowed) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && absent != null) {
             return absent;
         }
         if (!value.isTextual() || !value.asText().matches(pattern)) {
-            fault(name, allowed);
+            reject(name, allowed);
             return "";
         }
         return value.asText();
     }
 
     /** The truth value in a field, or {@code absent} if the field is missing. */
-    public boolean flag(String name, boolean absent) {
+    public boolean booleanValue(String name, boolean absent) {
         known.add(name);
         JsonNode value = node.path(name);
         if (!value.isMissingNode() && !value.isBoolean()) {
-            fault(name, "true or false");
+            reject(name, "true or false");
         }
         return value.asBoolean(absent);
     }
@@ -188,14 +188,14 @@
      *
      * @param absent the value if the field is missing; NaN if it must be there
      */
-    public double number(String name, double absent, double least, double most) {
+    public double doubleValue(String name, double absent, double least, double most) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && !Double.isNaN(absent)) {
             return absent;
         }
         if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            fault(name, "a number from " + least + " to " + most);
+            reject(name, "a number from " + least + " to " + most);
             return Math.max(least, 1);
         }
         return value.asDouble();
@@ -206,7 +206,7 @@
      *
      * @param absent the value if the field is missing; under {@code least} if it must be there
      */
-    public long whole(String name, long absent, long least, long most) {
+    public long longValue(String name, long absent, long least, long most) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && absent >= least) {
@@ -214,7 +214,7 @@
         }
         boolean isLong = value.isIntegralNumber() && value.canConvertToLong();
         if (!isLong || value.asLong() < least || value.asLong() > most) {
-            fault(name, "a whole number from " + least + " to " + most);
+            reject(name, "a whole number from " + least + " to " + most);
             return least;
         }
         return value.asLong();
@@ -227,12 +227,12 @@
      * @param least the fewest milliseconds allowed
      * @param most the most milliseconds allowed
      */
-    public long millis(String name, double absent, double least, double most) {
-        return Math.round(number(name, absent, least, most) * NANOS_PER_MILLI);
+    public long millisAsNanos(String name, double absent, double least, double most) {
+        return Math.round(doubleValue(name, absent, least, most) * NANOS_PER_MILLI);
     }
 
     /** Records a field as invalid. */
-    public void fault(String name, String allowed) {
+    public void reject(String name, String allowed) {
         addInvalid(pathOf(name), node.path(name), allowed);
     }
 
--- a/src/main/java/rosespread/settings/Snapshot.java
+++ b/src/main/java/rosespread/settings/SettingsFile.java
@@ -24,7 +24,7 @@
  *
  * <p>Not thread-safe; both methods block on the disk.
  */
-public final class Snapshot {
+public final class SettingsFile {
     private static final int FORMAT = 2;
 
     /** The format before settings had a revision; its digest is over the settings alone. */
@@ -36,13 +36,14 @@
     /**
      * Settings as they were applied.
      *
-     * @param text the settings as JSON
+     * @param json the settings as JSON
      * @param revision rises by one with each that is applied
-     * @param by the operator who applied them
-     * @param call the id of the request that applied them
-     * @param atMillis the wall clock time of that in milliseconds since the epoch
+     * @param operator the operator who applied them
+     * @param requestId the id of the request that applied them
+     * @param savedAtMillis the wall clock time of that in milliseconds since the epoch
      */
-    public record Saved(String text, long revision, String by, String call, long atMillis) {}
+    public record Saved(
+            String json, long revision, String operator, String requestId, long savedAtMillis) {}
 
     private final Path file;
 
@@ -50,7 +51,7 @@
     private boolean damaged;
 
     /** The file in this folder, which need not exist yet. */
-    public Snapshot(Path folder) {
+    public SettingsFile(Path folder) {
         this.file = folder.resolve("settings.json");
     }
 
@@ -123,7 +124,7 @@
         byte[] content =
                 JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(contentOf(settings));
         Files.createDirectories(file.getParent());
-        Optional<Path> aside = setDamagedFileAside(settings.atMillis());
+        Optional<Path> aside = setDamagedFileAside(settings.savedAtMillis());
         Path next = file.resolveSibling("settings.json.next");
         writeDurably(next, content);
         Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
@@ -136,11 +137,11 @@
     private static ObjectNode contentOf(Saved settings) throws JsonProcessingException {
         ObjectNode content = JSON.createObjectNode();
         content.put("format", FORMAT);
-        content.put("savedAtMillis", settings.atMillis());
+        content.put("savedAtMillis", settings.savedAtMillis());
         content.put("revision", settings.revision());
-        content.put("by", settings.by());
-        content.put("call", settings.call());
-        content.set("settings", JSON.readTree(settings.text()));
+        content.put("by", settings.operator());
+        content.put("call", settings.requestId());
+        content.set("settings", JSON.readTree(settings.json()));
         content.put(DIGEST, digest(content.toString()));
         return content;
     }
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -69,23 +69,24 @@
     public static FleetSettings read(JsonNode json) throws SettingsException {
         JsonFields fields = new JsonFields(json);
         FleetSettings settings = settings(fields);
-        fields.end();
+        fields.throwIfInvalid();
         return settings;
     }
 
     /** Invalid fields are reported in the order in which they are read here. */
     private static FleetSettings settings(JsonFields fields) {
-        long seed = fields.whole("seed", 1, 0, Long.MAX_VALUE);
-        List<String> zones = fields.texts("zones", 1, MAX_NAMES, null);
-        List<String> machineTypes = fields.texts("kinds", 1, MAX_NAMES, null);
+        long seed = fields.longValue("seed", 1, 0, Long.MAX_VALUE);
+        List<String> zones = fields.strings("zones", 1, MAX_NAMES, null);
+        List<String> machineTypes = fields.strings("kinds", 1, MAX_NAMES, null);
         List<FleetSettings.Method> methods = methods(fields, machineTypes, zones);
-        FleetSettings.Catalogue discovery = discovery(fields.object("list"));
+        FleetSettings.Discovery discovery = discovery(fields.object("list"));
         FleetSettings.HealthChecks healthChecks = healthChecks(fields.object("probes"));
         PolicySettings.Throttle throttle = throttle(fields);
         FleetSettings.Channel channel = channel(fields.object("channel"));
-        long reportPeriodNanos = fields.millis("reportPeriodMs", REQUIRED, 10, MINUTE_MILLIS);
-        long drainTimeoutNanos = fields.millis("drainGraceMs", REQUIRED, 100, DAY_MILLIS);
-        double minCapacityRatio = fields.number("drainLeastShare", 0.5, 0, 1);
+        long reportPeriodNanos =
+                fields.millisAsNanos("reportPeriodMs", REQUIRED, 10, MINUTE_MILLIS);
+        long drainTimeoutNanos = fields.millisAsNanos("drainGraceMs", REQUIRED, 100, DAY_MILLIS);
+        double minCapacityRatio = fields.doubleValue("drainLeastShare", 0.5, 0, 1);
         List<InetSocketAddress> peers = peers(fields);
         FleetSettings.WarmUp warmUp = warmUp(fields.object("cold"));
         return new FleetSettings(
@@ -118,55 +119,55 @@
             List<FleetSettings.Method> earlier,
             List<String> machineTypes,
             List<String> zones) {
-        String name = fields.text("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
+        String name = fields.string("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
         if (earlier.stream().anyMatch(method -> method.name().equals(name))) {
-            fields.fault("name", "a name that no other method has");
+            fields.reject("name", "a name that no other method has");
         }
         FleetSettings.Method method =
                 new FleetSettings.Method(
                         name,
-                        fields.number("criticality", REQUIRED, 0, 1e9),
-                        fields.texts("onlyKinds", 0, MAX_NAMES, machineTypes),
-                        fields.texts("onlyZones", 0, MAX_NAMES, zones),
-                        fields.flag("ownZone", false));
-        fields.closed();
+                        fields.doubleValue("criticality", REQUIRED, 0, 1e9),
+                        fields.strings("onlyKinds", 0, MAX_NAMES, machineTypes),
+                        fields.strings("onlyZones", 0, MAX_NAMES, zones),
+                        fields.booleanValue("ownZone", false));
+        fields.rejectUnknownFields();
         return method;
     }
 
-    private static FleetSettings.Catalogue discovery(JsonFields fields) {
-        FleetSettings.Catalogue discovery =
-                new FleetSettings.Catalogue(
-                        fields.text(
+    private static FleetSettings.Discovery discovery(JsonFields fields) {
+        FleetSettings.Discovery discovery =
+                new FleetSettings.Discovery(
+                        fields.string(
                                 "host",
                                 "127.0.0.1",
                                 "[0-9A-Za-z.:-]{1,255}",
                                 "a host name or address"),
-                        (int) fields.whole("port", -1, 1, MAX_PORT),
-                        fields.text("service", null, "[0-9A-Za-z._-]{1,64}", "a service's name"),
-                        fields.flag("onDemand", false),
-                        fields.millis("waitMs", 10_000, 100, TEN_MINUTES_MILLIS),
-                        fields.millis("silentAfterMs", 2_000, 50, TEN_MINUTES_MILLIS),
-                        fields.millis("backwardsAfterMs", 30_000, 0, DAY_MILLIS));
-        fields.closed();
+                        (int) fields.longValue("port", -1, 1, MAX_PORT),
+                        fields.string("service", null, "[0-9A-Za-z._-]{1,64}", "a service's name"),
+                        fields.booleanValue("onDemand", false),
+                        fields.millisAsNanos("waitMs", 10_000, 100, TEN_MINUTES_MILLIS),
+                        fields.millisAsNanos("silentAfterMs", 2_000, 50, TEN_MINUTES_MILLIS),
+                        fields.millisAsNanos("backwardsAfterMs", 30_000, 0, DAY_MILLIS));
+        fields.rejectUnknownFields();
         return discovery;
     }
 
     private static FleetSettings.HealthChecks healthChecks(JsonFields fields) {
         FleetSettings.HealthChecks healthChecks =
                 new FleetSettings.HealthChecks(
-                        fields.flag("allowed", false),
-                        fields.text(
+                        fields.booleanValue("allowed", false),
+                        fields.string(
                                 "path",
                                 "/health",
                                 "/[\\x21-\\x7e]{0,255}",
                                 "a path that begins with /"),
-                        fields.millis("timeoutMs", 500, 10, MINUTE_MILLIS));
-        fields.closed();
+                        fields.millisAsNanos("timeoutMs", 500, 10, MINUTE_MILLIS));
+        fields.rejectUnknownFields();
         return healthChecks;
     }
 
     private static PolicySettings.Throttle throttle(JsonFields fields) {
-        String name = fields.text("levels", "none", "share|rate|none", "share, rate or none");
+        String name = fields.string("levels", "none", "share|rate|none", "share, rate or none");
         return switch (name) {
             case "share" -> PolicySettings.Throttle.SHARE;
             case "rate" -> PolicySettings.Throttle.RATE;
@@ -177,24 +178,24 @@
     private static FleetSettings.Channel channel(JsonFields fields) {
         FleetSettings.Channel channel =
                 new FleetSettings.Channel(
-                        fields.number("linesPerSecond", REQUIRED, 1, 1e9),
-                        fields.number("linesPerMessage", REQUIRED, 0, 1e6),
-                        fields.number("queueLimit", REQUIRED, 1, 1e9),
-                        fields.number("orderPrice", 0, 0, 100),
-                        (int) fields.whole("messageLimit", 0, 0, 1_000_000),
-                        fields.millis("messageSpanMs", 10_000, 1, DAY_MILLIS),
-                        fields.millis("longestWayMs", 0, 0, DAY_MILLIS),
-                        fields.millis("keepAliveMs", 500, 20, MINUTE_MILLIS));
-        fields.closed();
+                        fields.doubleValue("linesPerSecond", REQUIRED, 1, 1e9),
+                        fields.doubleValue("linesPerMessage", REQUIRED, 0, 1e6),
+                        fields.doubleValue("queueLimit", REQUIRED, 1, 1e9),
+                        fields.doubleValue("orderPrice", 0, 0, 100),
+                        (int) fields.longValue("messageLimit", 0, 0, 1_000_000),
+                        fields.millisAsNanos("messageSpanMs", 10_000, 1, DAY_MILLIS),
+                        fields.millisAsNanos("longestWayMs", 0, 0, DAY_MILLIS),
+                        fields.millisAsNanos("keepAliveMs", 500, 20, MINUTE_MILLIS));
+        fields.rejectUnknownFields();
         return channel;
     }
 
     private static List<InetSocketAddress> peers(JsonFields fields) {
         List<InetSocketAddress> peers = new ArrayList<>();
-        for (String text : fields.texts("peers", 0, MAX_PEERS, null)) {
+        for (String text : fields.strings("peers", 0, MAX_PEERS, null)) {
             int colon = text.lastIndexOf(':');
             if (colon < 1 || !isPort(text.substring(colon + 1))) {
-                fields.fault("peers", "addresses as HOST:PORT");
+                fields.reject("peers", "addresses as HOST:PORT");
             } else {
                 int port = Integer.parseInt(text.substring(colon + 1));
                 peers.add(new InetSocketAddress(text.substring(0, colon), port));
@@ -210,10 +211,10 @@
     private static FleetSettings.WarmUp warmUp(JsonFields fields) {
         FleetSettings.WarmUp warmUp =
                 new FleetSettings.WarmUp(
-                        fields.millis("timeMs", REQUIRED, 0, DAY_MILLIS),
-                        fields.number("share", REQUIRED, 0.01, 1),
-                        fields.millis("windowMs", REQUIRED, 0, DAY_MILLIS));
-        fields.closed();
+                        fields.millisAsNanos("timeMs", REQUIRED, 0, DAY_MILLIS),
+                        fields.doubleValue("share", REQUIRED, 0.01, 1),
+                        fields.millisAsNanos("windowMs", REQUIRED, 0, DAY_MILLIS));
+        fields.rejectUnknownFields();
         return warmUp;
     }
 }
--- a/src/main/java/rosespread/testbed/FakeNode.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -140,10 +140,10 @@
 
     void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!up) {
-            exchange.hangUp();
+            exchange.abort();
         } else if (call.path().equals("/health")) {
             if (!hung) {
-                exchange.answer(
+                exchange.respond(
                         HttpMessage.Response.of(
                                 random.nextDouble() < abortShare ? 500 : 200, "text/plain", ""));
             }
@@ -160,7 +160,7 @@
                         .findFirst()
                         .orElse(null);
         if (method == null || !method.open(kind)) {
-            exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such method here"));
+            exchange.respond(HttpMessage.Response.of(404, "text/plain", "no such method here"));
             return;
         }
         double work = Long.parseLong(call.headers().first("x-work-nanos").orElse("0")) / SECOND;
@@ -172,7 +172,7 @@
         }
         if (random.nextDouble() < abortShare) {
             record.effect(loop.now(), name, number(call), method);
-            exchange.answer(HttpMessage.Response.of(500, "text/plain", "aborted"));
+            exchange.respond(HttpMessage.Response.of(500, "text/plain", "aborted"));
             return;
         }
         Job job =
@@ -187,7 +187,7 @@
         } else if (queue.size() < site.queuePerCore() * size.cores()) {
             queue.addLast(job);
         } else {
-            exchange.answer(HttpMessage.Response.of(503, "text/plain", "full; not begun"));
+            exchange.respond(HttpMessage.Response.of(503, "text/plain", "full; not begun"));
             return;
         }
         exchange.onClosed(() -> loop.run(() -> cancelled(job)));
@@ -244,7 +244,7 @@
                         () -> {
                             free(job);
                             if (!hung && up) {
-                                job.exchange.answer(
+                                job.exchange.respond(
                                         new HttpMessage.Response(
                                                 200,
                                                 HttpHeaders.of(
--- a/src/main/java/rosespread/testbed/FakeNodeList.java
+++ b/src/main/java/rosespread/testbed/FakeNodeList.java
@@ -70,7 +70,7 @@
         this.http =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> loop.run(() -> take(call, exchange)));
         this.address = http.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
@@ -167,9 +167,9 @@
     private void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         String agent = call.headers().first("user-agent").orElse("").replace("rosespread/", "");
         if (!call.path().equals("/v1/health/service/nodes")) {
-            exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such service"));
+            exchange.respond(HttpMessage.Response.of(404, "text/plain", "no such service"));
         } else if (mode == Mode.ERRORS) {
-            exchange.answer(HttpMessage.Response.of(500, "text/plain", "No cluster leader"));
+            exchange.respond(HttpMessage.Response.of(500, "text/plain", "No cluster leader"));
         } else {
             Waiting one = new Waiting(agent, exchange);
             long known = parameter(call.target(), "index");
@@ -202,7 +202,7 @@
         if (mode == Mode.USUAL) {
             record.told(loop.now(), one.agent, shown.nodes());
         }
-        one.exchange.answer(
+        one.exchange.respond(
                 new HttpMessage.Response(
                         200,
                         HttpHeaders.of(
--- a/src/main/java/rosespread/testbed/FakeNodes.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -37,13 +37,13 @@
         this.http =
                 new HttpServer(
                         2,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> {
                             FakeNode node = byPort.get(exchange.port());
                             loop.run(
                                     () -> {
                                         if (node == null) {
-                                            exchange.hangUp();
+                                            exchange.abort();
                                         } else {
                                             node.take(call, exchange);
                                         }
--- a/src/main/java/rosespread/testbed/FakeProxies.java
+++ b/src/main/java/rosespread/testbed/FakeProxies.java
@@ -52,7 +52,7 @@
     private final boolean shares;
     private final List<Target> conductors;
     private final NioSocketConnector connector = new NioSocketConnector(2);
-    private final HttpClient http = new HttpClient(2, HttpLimits.USUAL, CONNECT_MILLIS, 1);
+    private final HttpClient http = new HttpClient(2, HttpLimits.DEFAULT, CONNECT_MILLIS, 1);
     private final Map<String, FakeProxy> proxies = new TreeMap<>();
     private final Map<String, Link> links = new HashMap<>();
     private final Map<String, Long> lastDue = new HashMap<>();
@@ -89,7 +89,8 @@
                         "frames",
                         new ProtocolCodecFilter(
                                 new ChannelCodec(
-                                        FrameReader.FROM_CONDUCTOR, FrameReader.FROM_CONDUCTOR)));
+                                        FrameReader.MAX_BYTES_FROM_CONTROLLER,
+                                        FrameReader.MAX_BYTES_FROM_CONTROLLER)));
         connector.setHandler(new Sessions());
         list.listed(null).forEach((name, address) -> names.put(address.getPort(), name));
         for (int i = 0; i < site.proxies().count(); i++) {
--- a/src/main/java/rosespread/testbed/FakeProxy.java
+++ b/src/main/java/rosespread/testbed/FakeProxy.java
@@ -14,7 +14,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.channel.Frame;
-import rosespread.channel.Packing;
+import rosespread.channel.FrameCompression;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
@@ -212,7 +212,7 @@
         }
         if (frame instanceof Frame.Hello) {
             List<Frame.Holding> held = tables.held();
-            session.write(new Frame.Join(name, zone, rate, Packing.isAvailable(), held));
+            session.write(new Frame.Join(name, zone, rate, FrameCompression.isAvailable(), held));
             joined = true;
             Map<Integer, Long> versions = new TreeMap<>();
             held.forEach(h -> versions.put(h.table().value(), h.version()));
@@ -406,9 +406,9 @@
                                 place.address(),
                                 call,
                                 Math.max(1_000_000, until - now),
-                                new HttpClient.Taker() {
+                                new HttpClient.ResponseHandler() {
                                     @Override
-                                    public void answered(HttpMessage.Response answer) {
+                                    public void onResponse(HttpMessage.Response answer) {
                                         loop.run(
                                                 () ->
                                                         ended(
@@ -421,7 +421,8 @@
                                     }
 
                                     @Override
-                                    public void failed(HttpClient.Failure failure, String detail) {
+                                    public void onFailure(
+                                            HttpClient.Failure failure, String detail) {
                                         loop.run(
                                                 () ->
                                                         ended(
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -67,10 +67,10 @@
                         .getBytes(StandardCharsets.UTF_8);
         return new HttpServer(
                 1,
-                HttpLimits.USUAL,
+                HttpLimits.DEFAULT,
                 (call, exchange) -> {
                     if (!call.target().contains("index=7")) {
-                        exchange.answer(
+                        exchange.respond(
                                 new HttpMessage.Response(
                                         200, HttpHeaders.of("x-consul-index", "7"), body));
                     }
--- a/src/test/java/rosespread/cli/FleetFixture.java
+++ b/src/test/java/rosespread/cli/FleetFixture.java
@@ -75,10 +75,10 @@
         HttpHeaders headers = HttpHeaders.of("x-consul-index", LIST_INDEX);
         return new HttpServer(
                 1,
-                HttpLimits.USUAL,
+                HttpLimits.DEFAULT,
                 (call, exchange) -> {
                     if (!call.target().contains("index=" + LIST_INDEX)) {
-                        exchange.answer(new HttpMessage.Response(200, headers, body));
+                        exchange.respond(new HttpMessage.Response(200, headers, body));
                     }
                 });
     }
--- a/src/test/java/rosespread/cli/TableCommandTest.java
+++ b/src/test/java/rosespread/cli/TableCommandTest.java
@@ -42,11 +42,11 @@
         controller =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) ->
-                                exchange.answer(
+                                exchange.respond(
                                         responses.getOrDefault(
-                                                call.verb() + " " + call.target(),
+                                                call.method() + " " + call.target(),
                                                 response(404, "{\"detail\":\"not prepared\"}"))));
         address = "127.0.0.1:" + controller.listen(ANY_PORT).getPort();
     }
--- a/src/test/java/rosespread/controller/LoopbackController.java
+++ b/src/test/java/rosespread/controller/LoopbackController.java
@@ -45,12 +45,12 @@
         this.nodeList =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> {
                             if (call.target().contains("index")) {
                                 blockedQueries.add(exchange);
                             } else {
-                                exchange.answer(nodes("5", ""));
+                                exchange.respond(nodes("5", ""));
                             }
                         });
         this.settings =
@@ -144,7 +144,7 @@
     void listMaintenanceOfN() {
         blockedQueries
                 .get(0)
-                .answer(
+                .respond(
                         nodes(
                                 "6",
                                 "{\"CheckID\":\"_service_maintenance:n\",\"Status\":\"critical\"}"));
--- a/src/test/java/rosespread/controller/StoredFormatTest.java
+++ b/src/test/java/rosespread/controller/StoredFormatTest.java
@@ -17,7 +17,7 @@
 import rosespread.api.TableId;
 import rosespread.audit.AuditLog;
 import rosespread.drain.Drain;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 import rosespread.store.LogEntry;
 import rosespread.store.StoreSnapshot;
 import rosespread.store.TableStore;
@@ -88,9 +88,9 @@
 
     @Test
     void aSnapshotHasTheFormThatItHad(@TempDir Path empty) throws IOException {
-        new Snapshot(empty)
+        new SettingsFile(empty)
                 .save(
-                        new Snapshot.Saved(
+                        new SettingsFile.Saved(
                                 "{\"zones\":[\"a\"],\"seed\":7}", 12, "eve", "call-9", WALL));
         assertEquals(
                 """
--- a/src/test/java/rosespread/controller/StoredStateDamageTest.java
+++ b/src/test/java/rosespread/controller/StoredStateDamageTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import rosespread.audit.AuditLog;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 import rosespread.store.StoreSnapshot;
 import rosespread.table.PinState;
 import rosespread.table.TableSnapshot;
@@ -226,7 +226,7 @@
     }
 
     private String refusal() {
-        return assertThrows(IOException.class, () -> new Snapshot(folder).load())
+        return assertThrows(IOException.class, () -> new SettingsFile(folder).load())
                 .getMessage()
                 .replace(folder.toString(), "");
     }
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import rosespread.audit.AuditLog;
 import rosespread.drain.Drain;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 import rosespread.store.StoreSnapshot;
 import rosespread.validation.TableChangeValidator;
 
@@ -84,11 +84,11 @@
 
     @Test
     void restoresSettings() throws IOException {
-        Snapshot.Saved saved = new Snapshot(folder).load().orElseThrow();
+        SettingsFile.Saved saved = new SettingsFile(folder).load().orElseThrow();
         assertEquals(2, saved.revision());
-        assertEquals("bo", saved.by());
-        assertEquals("settings-2", saved.call());
-        assertEquals(1796224299644L, saved.atMillis());
+        assertEquals("bo", saved.operator());
+        assertEquals("settings-2", saved.requestId());
+        assertEquals(1796224299644L, saved.savedAtMillis());
         assertEquals(
                 "{\"zones\":[\"a\",\"b\"],\"kinds\":[\"k\"],\"methods\":[{\"name\":\"quote\","
                         + "\"criticality\":1},{\"name\":\"book\",\"criticality\":3,\"onlyKinds\":[]}],"
@@ -96,7 +96,7 @@
                         + "\"channel\":{\"linesPerSecond\":20000,\"linesPerMessage\":10,\"queueLimit\":30000,"
                         + "\"messageLimit\":30},\"reportPeriodMs\":1000,\"seed\":7,\"drainLeastShare\":0.3,"
                         + "\"drainGraceMs\":2000,\"cold\":{\"timeMs\":16000,\"share\":0.2,\"windowMs\":1500}}",
-                saved.text());
+                saved.json());
     }
 
     /** The whole process takes it up: nothing is listed, so that nothing moves. */
--- a/src/test/java/rosespread/discovery/CatalogReaderTest.java
+++ b/src/test/java/rosespread/discovery/CatalogReaderTest.java
@@ -24,7 +24,7 @@
         String entry = CatalogFixture.entry("x", checks == null ? "" : checks);
         ListedNode node = CatalogReader.read("[" + entry + "]").get(0);
         assertEquals(state, node.state());
-        assertEquals("a k 77", node.zone() + " " + node.kind() + " " + node.startedMillis());
+        assertEquals("a k 77", node.zone() + " " + node.machineType() + " " + node.startedMillis());
     }
 
     @Test
--- a/src/test/java/rosespread/discovery/NodeListClientTest.java
+++ b/src/test/java/rosespread/discovery/NodeListClientTest.java
@@ -47,7 +47,7 @@
         server =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> {
                             targets.add(call.target());
                             answers.accept(targets.size(), exchange);
@@ -87,7 +87,7 @@
 
     private static void answer(
             HttpServer.Exchange exchange, int status, String index, String body) {
-        exchange.answer(
+        exchange.respond(
                 new HttpMessage.Response(
                         status,
                         HttpHeaders.of("x-consul-index", index),
--- a/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
+++ b/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
@@ -66,7 +66,7 @@
     @Test
     void healthCheckRequestIsUnchanged() throws IOException {
         try (RecordingServer server = new RecordingServer(RecordingServer.json("", "{}"));
-                HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 5)) {
+                HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 5)) {
             new HealthChecker(http, "/health", 2000 * MILLI_NANOS)
                     .check(server.address(), result -> {});
             await().until(() -> !server.requests().isEmpty());
--- a/src/test/java/rosespread/fleet/FakeController.java
+++ b/src/test/java/rosespread/fleet/FakeController.java
@@ -22,15 +22,15 @@
     private final InetSocketAddress address;
 
     FakeController() throws IOException {
-        server = new HttpServer(1, HttpLimits.USUAL, this::answer);
+        server = new HttpServer(1, HttpLimits.DEFAULT, this::answer);
         address = new InetSocketAddress("127.0.0.1", server.listen(ANY_PORT).getPort());
     }
 
     private void answer(HttpMessage.Request request, HttpServer.Exchange exchange) {
-        String key = request.verb() + " " + request.target();
+        String key = request.method() + " " + request.target();
         String condition = request.headers().first("if-match").map(r -> " if " + r).orElse("");
         requests.add(key + condition);
-        exchange.answer(responses.getOrDefault(key, response(404, "{}")));
+        exchange.respond(responses.getOrDefault(key, response(404, "{}")));
     }
 
     private static HttpMessage.Response response(int status, String body) {
--- a/src/test/java/rosespread/http/HttpParserTest.java
+++ b/src/test/java/rosespread/http/HttpParserTest.java
@@ -26,7 +26,7 @@
         if (message instanceof HttpMessage.Request request) {
             return String.join(
                     " ",
-                    request.verb(),
+                    request.method(),
                     request.target(),
                     request.text(),
                     String.valueOf(request.keepsAlive()));
--- a/src/test/java/rosespread/platform/FakeDiscovery.java
+++ b/src/test/java/rosespread/platform/FakeDiscovery.java
@@ -27,7 +27,7 @@
 
     FakeDiscovery(String... nodes) throws IOException {
         this.nodes.addAll(List.of(nodes));
-        server = new HttpServer(1, HttpLimits.USUAL, this::handle);
+        server = new HttpServer(1, HttpLimits.DEFAULT, this::handle);
         address = server.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     }
 
@@ -54,14 +54,14 @@
         String target = request.target();
         requests.add(target);
         if (!nextAnswer.isEmpty()) {
-            exchange.answer(HttpMessage.Response.json(200, nextAnswer));
+            exchange.respond(HttpMessage.Response.json(200, nextAnswer));
             nextAnswer = "";
         } else if (target.contains("since=" + version + "&")) {
             watches.add(exchange);
             long millis = Long.parseLong(target.replaceAll(".*timeout_ms=", ""));
             timer.schedule(() -> endWatch(exchange), millis, TimeUnit.MILLISECONDS);
         } else {
-            exchange.answer(list(!target.contains("since="), nodes));
+            exchange.respond(list(!target.contains("since="), nodes));
         }
     }
 
@@ -73,7 +73,7 @@
 
     private synchronized void endWatch(HttpServer.Exchange exchange) {
         if (watches.remove(exchange)) {
-            exchange.answer(list(false, List.of()));
+            exchange.respond(list(false, List.of()));
         }
     }
 
@@ -82,7 +82,7 @@
         version++;
         nodes.removeIf(node -> idOf(node).equals(idOf(entry)));
         nodes.add(entry);
-        watches.forEach(exchange -> exchange.answer(list(false, List.of(entry))));
+        watches.forEach(exchange -> exchange.respond(list(false, List.of(entry))));
         watches.clear();
     }
 
--- a/src/test/java/rosespread/settings/SnapshotTest.java
+++ b/src/test/java/rosespread/settings/SettingsFileTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SnapshotTest {
+class SettingsFileTest {
     @Test
     void snapshotDamagedAtAnyByteIsRefusedAndSetAside(@TempDir Path folder) throws IOException {
-        Snapshot snapshot = new Snapshot(folder);
+        SettingsFile snapshot = new SettingsFile(folder);
         assertEquals(Optional.empty(), snapshot.load());
-        snapshot.save(new Snapshot.Saved(SettingsTest.GOOD, 3, "o", "c", 1));
+        snapshot.save(new SettingsFile.Saved(SettingsTest.GOOD, 3, "o", "c", 1));
         Path file = folder.resolve("settings.json");
         byte[] good = Files.readAllBytes(file);
-        Snapshot.Saved saved = new Snapshot(folder).load().orElseThrow();
+        SettingsFile.Saved saved = new SettingsFile(folder).load().orElseThrow();
         assertEquals(3, saved.revision());
         for (int at = 0; at < good.length; at++) {
             byte[] cut = Arrays.copyOf(good, at);
@@ -31,17 +31,17 @@
                 Files.write(file, damaged);
                 try {
                     // A flip may fall on what does not matter: a space.
-                    assertEquals(Optional.of(saved), new Snapshot(folder).load(), "byte " + at);
+                    assertEquals(Optional.of(saved), new SettingsFile(folder).load(), "byte " + at);
                 } catch (IOException e) {
                     assertTrue(e.getMessage().contains("settings.json"), e.getMessage());
                 }
             }
         }
         Files.write(file, new byte[] {'{'});
-        Snapshot after = new Snapshot(folder);
+        SettingsFile after = new SettingsFile(folder);
         assertThrows(IOException.class, after::load);
         Path aside = after.save(saved).orElseThrow();
         assertEquals("{", Files.readString(aside));
-        assertEquals(saved, new Snapshot(folder).load().orElseThrow());
+        assertEquals(saved, new SettingsFile(folder).load().orElseThrow());
     }
 }
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -24,7 +24,7 @@
         assertEquals(2_000_000_000L, settings.policySettings().drainTimeoutNanos());
         assertEquals(2, settings.policySettings().zones());
         assertEquals(1, settings.policySettings().methods().get(1).allowedMachineTypes().size());
-        assertEquals(10_000_000_000L, settings.channel().messageSpan());
+        assertEquals(10_000_000_000L, settings.channel().messageWindowNanos());
     }
 
     @ParameterizedTest
