--- a/src/main/java/rosespread/admin/AuditTrail.java
+++ b/src/main/java/rosespread/admin/AuditTrail.java
@@ -25,7 +25,7 @@
 
     /**
      * Performs a change between two lines of the log: that it was requested, and its outcome. A log
-     * that cannot be written does not prevent the change; see {@link #trouble}.
+     * that cannot be written does not prevent the change; see {@link #fault}.
      */
     HttpMessage.Response record(AdminRequest request, Change change) throws IOException {
         if (log.isEmpty()) {
@@ -58,7 +58,7 @@
     }
 
     /** Why the log cannot be written now; empty if it can, or if there is none. */
-    String trouble() {
+    String fault() {
         return log.map(AuditLog::fault).orElse("");
     }
 }
--- a/src/main/java/rosespread/admin/NodesResource.java
+++ b/src/main/java/rosespread/admin/NodesResource.java
@@ -65,7 +65,7 @@
 
     private static HttpMessage.Response respond(DrainRequest request, DrainResult result)
             throws IOException {
-        String reasons = String.join("; ", result.told());
+        String reasons = String.join("; ", result.details());
         return switch (result.kind()) {
             case DONE, REPEATED ->
                     JsonResponses.ok(
@@ -82,14 +82,14 @@
                             412,
                             "Changed since",
                             "since revision " + request.revision() + ": " + reasons,
-                            result.told(),
+                            result.details(),
                             result.revision());
             case GUARDED ->
                     ProblemDetails.of(
                             409,
                             "Too much would be drained",
                             reasons,
-                            result.told(),
+                            result.details(),
                             result.revision());
         };
     }
--- a/src/main/java/rosespread/admin/SettingsResource.java
+++ b/src/main/java/rosespread/admin/SettingsResource.java
@@ -52,7 +52,7 @@
     private HttpMessage.Response get() {
         Optional<SettingsFile.Saved> inForce = controller.settings();
         if (inForce.isEmpty()) {
-            String trouble = controller.settingsTrouble();
+            String trouble = controller.settingsFault();
             return ProblemDetails.of(
                     404, "no settings yet" + (trouble.isEmpty() ? "" : "; " + trouble));
         }
--- a/src/main/java/rosespread/admin/StatusReport.java
+++ b/src/main/java/rosespread/admin/StatusReport.java
@@ -29,9 +29,9 @@
                 state.phase().equals(SERVING) ? 200 : 503,
                 JsonResponses.object()
                         .put("phase", state.phase())
-                        .put("trouble", controller.settingsTrouble())
+                        .put("trouble", controller.settingsFault())
                         .put("storage", state.storage().trouble())
-                        .put("audit", audit.trouble()));
+                        .put("audit", audit.fault()));
     }
 
     /** One screen's worth: counts, versions and troubles, without entries, nodes and proxies. */
@@ -46,9 +46,9 @@
                         .put("linesWaiting", state.linesWaiting())
                         .put("lastMode", state.lastMode())
                         .put("listTrouble", state.listTrouble())
-                        .put("settingsTrouble", controller.settingsTrouble())
+                        .put("settingsTrouble", controller.settingsFault())
                         .put("storageTrouble", state.storage().trouble())
-                        .put("auditTrouble", audit.trouble());
+                        .put("auditTrouble", audit.fault());
         addSettings(summary);
         addNodeCounts(summary.putObject("nodes"), state.nodes());
         addDrained(summary.putObject("drained"), state.nodes());
--- a/src/main/java/rosespread/admin/TablesResource.java
+++ b/src/main/java/rosespread/admin/TablesResource.java
@@ -115,9 +115,9 @@
     }
 
     private static HttpMessage.Response respond(Controller.Outcome outcome) throws IOException {
-        return outcome.why().isEmpty()
+        return outcome.reason().isEmpty()
                 ? JsonResponses.ok(
-                        JsonResponses.object().put("done", true).put("kept", outcome.kept()))
-                : ProblemDetails.of(409, outcome.why());
+                        JsonResponses.object().put("done", true).put("kept", outcome.durable()))
+                : ProblemDetails.of(409, outcome.reason());
     }
 }
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -218,7 +218,7 @@
      * @param why it could not be done; empty if it was done
      * @param kept whether it is durable, so that a restart knows of it
      */
-    public record Outcome(String why, boolean kept) {}
+    public record Outcome(String reason, boolean durable) {}
 
     /**
      * Acts on a table. Waits until the act is durable, unless the disk has a problem.
@@ -308,7 +308,7 @@
     }
 
     /** Returns why the settings' snapshot was refused; empty if it was not. */
-    public String settingsTrouble() {
+    public String settingsFault() {
         return settings.problem();
     }
 
--- a/src/main/java/rosespread/controller/DrainResult.java
+++ b/src/main/java/rosespread/controller/DrainResult.java
@@ -8,7 +8,7 @@
  * @param revision of all drains after the request
  * @param told why it was rejected, or what changed since its revision; empty if it was done
  */
-public record DrainResult(Kind kind, long revision, List<String> told) {
+public record DrainResult(Kind kind, long revision, List<String> details) {
     /** How a request ended. */
     public enum Kind {
         /** It was done. */
--- a/src/main/java/rosespread/controller/NodeDirectory.java
+++ b/src/main/java/rosespread/controller/NodeDirectory.java
@@ -51,7 +51,7 @@
     /**
      * Works out the listed nodes from the discovered ones and the drains in force.
      *
-     * @return whether a node came, went, started anew or changed its state
+     * @return whether a node came, went, started again or changed its state
      */
     boolean refreshListed(Predicate<NodeId> drained) {
         Map<NodeId, ListedNode> next = new TreeMap<>();
--- a/src/main/java/rosespread/controller/NodeListHandler.java
+++ b/src/main/java/rosespread/controller/NodeListHandler.java
@@ -85,7 +85,7 @@
                 .log("drain ended: the node is no longer listed");
     }
 
-    /** Works the listed nodes out anew, as the list or drains changed, and publishes them. */
+    /** Works the listed nodes out again, as the list or drains changed, and publishes them. */
     void refresh() {
         if (directory.refreshListed(registry.drains()::drains)) {
             facts.recordLargeChangeCause();
--- a/src/main/java/rosespread/controller/PolicyRunner.java
+++ b/src/main/java/rosespread/controller/PolicyRunner.java
@@ -12,7 +12,7 @@
 
 /**
  * Runs the routing policy's rounds. New settings and a policy that threw restart it: all streams
- * are closed, and policy, writer and channel are made anew, as after a restart of the process.
+ * are closed, and policy, writer and channel are made again, as after a restart of the process.
  * Proxies keep their tables and rejoin.
  *
  * <p>Owned by the event-loop thread.
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -16,7 +16,7 @@
 /**
  * Takes the actions of a round from the policy. As the round is closed, changes of tables are
  * validated and committed as versions, and one message goes into the channel for each proxy
- * concerned. It is made anew with the policy.
+ * concerned. It is made again with the policy.
  *
  * <p>Owned by the event-loop thread.
  */
--- a/src/main/java/rosespread/discovery/CatalogIndex.java
+++ b/src/main/java/rosespread/discovery/CatalogIndex.java
@@ -6,7 +6,7 @@
 /**
  * The catalogue's index of the list that is known, by which blocking queries wait for the next. The
  * index only rises; one that is lower comes from a server that lags, or from a catalogue that was
- * set up anew. So a lower index is rejected until lower ones have come for a grace time.
+ * set up again. So a lower index is rejected until lower ones have come for a grace time.
  *
  * <p>Not thread-safe.
  */
@@ -50,7 +50,7 @@
 
     /**
      * Whether the next query may wait for a change. It may not while responses are stale, as a
-     * catalogue set up anew would reach the known index only much later.
+     * catalogue set up again would reach the known index only much later.
      */
     boolean mayBlock() {
         return value > 0 && staleSinceNanos == NOT_STALE;
--- a/src/main/java/rosespread/discovery/NodeListClient.java
+++ b/src/main/java/rosespread/discovery/NodeListClient.java
@@ -73,7 +73,7 @@
      * @param blockingWaitNanos how long a query may block for a change
      * @param responseTimeoutNanos how long a response may take beyond that
      * @param indexRollbackGraceNanos how long responses must be older than the known list until
-     *     they are taken as a catalogue that was set up anew
+     *     they are taken as a catalogue that was set up again
      * @param onDemand whether to stop after a failure until {@link #start} is called again, instead
      *     of retrying
      * @param timer runs the retries
--- a/src/main/java/rosespread/policy/AcknowledgementTracker.java
+++ b/src/main/java/rosespread/policy/AcknowledgementTracker.java
@@ -11,7 +11,7 @@
 
 /**
  * Settles deliveries as proxies acknowledge them. One that stays unacknowledged too long is closed,
- * and the laggards are subscribed anew.
+ * and the laggards are subscribed again.
  */
 final class AcknowledgementTracker {
     /** The least time that a proxy has to acknowledge. */
--- a/src/main/java/rosespread/policy/AdmissionController.java
+++ b/src/main/java/rosespread/policy/AdmissionController.java
@@ -22,7 +22,7 @@
     /** The part of the available capacity that limits keep the load to. */
     private static final double TARGET_LOAD = 0.85;
 
-    /** A limit is set anew when it differs by more than this part. */
+    /** A limit is set again when it differs by more than this part. */
     private static final double LIMIT_BAND = 0.1;
 
     /** A limit that falls below this part of the former does not wait for other deliveries. */
--- a/src/main/java/rosespread/policy/PartialTables.java
+++ b/src/main/java/rosespread/policy/PartialTables.java
@@ -17,7 +17,7 @@
         this.shards = shards;
     }
 
-    /** Writes the tables of all shards without followers anew. */
+    /** Writes the tables of all shards without followers again. */
     void writeUnfollowed(RoundContext round) {
         shards.tables().stream()
                 .filter(table -> table.shard().withoutFollowers())
--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -153,7 +153,7 @@
     }
 
     /**
-     * Shards that hold more of what left than a partial table has entries are subscribed anew,
+     * Shards that hold more of what left than a partial table has entries are subscribed again,
      * where the channel can't take all removals within half a drain timeout: guards against a
      * release of most nodes within one.
      */
--- a/src/main/java/rosespread/policy/RoundTriggers.java
+++ b/src/main/java/rosespread/policy/RoundTriggers.java
@@ -9,34 +9,34 @@
     private boolean evaluationNeeded;
     private boolean nodeListLost;
 
-    /** The weights have to be planned anew. */
+    /** The weights have to be planned again. */
     void requirePlan() {
         planNeeded = true;
     }
 
-    /** Whether the weights have to be planned anew. */
+    /** Whether the weights have to be planned again. */
     boolean planNeeded() {
         return planNeeded;
     }
 
-    /** Whether the weights have to be planned anew; not any more after this. */
+    /** Whether the weights have to be planned again; not any more after this. */
     boolean takePlanNeeded() {
         boolean taken = planNeeded;
         planNeeded = false;
         return taken;
     }
 
-    /** Load and health have to be evaluated anew. */
+    /** Load and health have to be evaluated again. */
     void requireEvaluation() {
         evaluationNeeded = true;
     }
 
-    /** Whether load and health have to be evaluated anew. */
+    /** Whether load and health have to be evaluated again. */
     boolean evaluationNeeded() {
         return evaluationNeeded;
     }
 
-    /** Whether load and health have to be evaluated anew; not any more after this. */
+    /** Whether load and health have to be evaluated again; not any more after this. */
     boolean takeEvaluationNeeded() {
         boolean taken = evaluationNeeded;
         evaluationNeeded = false;
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -16,7 +16,7 @@
  * same events at the same times give the same actions, to the last digit, for the same seed.
  *
  * <p>Weights that truly change are committed with one pending delivery a table; one delivery is in
- * flight a table, the proxies' acknowledgements settle it, and laggards are subscribed anew. This
+ * flight a table, the proxies' acknowledgements settle it, and laggards are subscribed again. This
  * class holds the order of a round and nothing else. Not safe for use by several threads.
  */
 public final class RoutingPolicy {
--- a/src/main/java/rosespread/policy/TablePlanner.java
+++ b/src/main/java/rosespread/policy/TablePlanner.java
@@ -19,7 +19,7 @@
  * node for each shard.
  */
 final class TablePlanner {
-    /** An entry is committed anew when it differs by more than this part. */
+    /** An entry is committed again when it differs by more than this part. */
     private static final double ENTRY_BAND = 0.07;
 
     /** How the band grows with the seconds of channel that a new full table for all would take. */
--- a/src/main/java/rosespread/policy/state/ProxyShard.java
+++ b/src/main/java/rosespread/policy/state/ProxyShard.java
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Whether no proxy follows it, so that its tables can be written anew at no cost. */
+    /** Whether no proxy follows it, so that its tables can be written again at no cost. */
     public boolean withoutFollowers() {
         return followers == 0;
     }
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -362,7 +362,7 @@
                 });
     }
 
-    /** One after the other: told as draining, ended after the grace, started anew cold. */
+    /** One after the other: told as draining, ended after the grace, started again cold. */
     private void rolling(Fault trouble) {
         List<String> struck = some(nodes.names(), trouble.share());
         event("rolling deploy of " + struck.size() + " nodes begins");
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -67,7 +67,7 @@
      * @param responseTimeoutNanos how long a response may take beyond that until the list counts as
      *     unavailable, in nanoseconds
      * @param indexRollbackGraceNanos how long responses must be older than the known list until
-     *     they are taken as a catalogue that was set up anew, in nanoseconds
+     *     they are taken as a catalogue that was set up again, in nanoseconds
      */
     public record Discovery(
             String host,
--- a/src/main/java/rosespread/table/PinState.java
+++ b/src/main/java/rosespread/table/PinState.java
@@ -14,7 +14,7 @@
     /** The table goes step by step from what was pinned to what the routing policy wants. */
     RELEASING;
 
-    /** What outlives the process: a refusal is validated anew after a start. */
+    /** What outlives the process: a refusal is validated again after a start. */
     public PinState lasting() {
         return this == REFUSED ? NONE : this;
     }
--- a/src/main/java/rosespread/testbed/FakeNodes.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Starts the process anew, cold, and lists it. */
+    /** Starts the process again, cold, and lists it. */
     public void restart(String name) {
         FakeNode node = byName.get(name);
         if (!node.up) {
--- a/src/main/java/rosespread/testbed/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -224,7 +224,7 @@
         };
     }
 
-    /** The line whose turn is due first. One that was kept out meanwhile begins its turn anew. */
+    /** The line whose turn is due first. One that was kept out meanwhile begins its turn again. */
     private NodeId round(Table table, List<NodeId> among) {
         NodeId best = null;
         for (NodeId id : among) {
--- a/src/main/java/rosespread/validation/AcceptedTotals.java
+++ b/src/main/java/rosespread/validation/AcceptedTotals.java
@@ -11,7 +11,7 @@
 /**
  * Totals over the entries of one table that were accepted as a whole, so that a change of a few
  * entries is validated at the cost of the change. They hold for one version of the node facts: the
- * validator computes them anew whenever {@link ValidationContext#factsVersion} differs.
+ * validator computes them again whenever {@link ValidationContext#factsVersion} differs.
  *
  * <p>Not thread-safe: owned by the thread that validates the table. {@link TableChangeValidator}
  * alone reads and updates the totals; callers only {@link #forget} them.
--- a/src/main/java/rosespread/validation/DurabilityTimeout.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -4,7 +4,7 @@
  * Decides how long a message waits until what it announces is on the disk. A proxy should learn of
  * nothing that a restart forgets, but a disk that is full, broken or slow must not delay a drain:
  * after the timeout messages leave without it, and go on so until the disk has caught up, rather
- * than each waiting anew. What a restart forgot then is made up for as proxies rejoin and name the
+ * than each waiting again. What a restart forgot then is made up for as proxies rejoin and name the
  * versions that they hold.
  *
  * <p>Not thread-safe: owned by the event loop. Reads no clock.
--- a/src/main/java/rosespread/validation/TableChangeValidator.java
+++ b/src/main/java/rosespread/validation/TableChangeValidator.java
@@ -91,7 +91,7 @@
      */
     public record ValidationResult(Map<NodeId, Double> lines, List<Refusal> refusals) {}
 
-    /** Sums of weights drift a little with each change; after so many they are computed anew. */
+    /** Sums of weights drift a little with each change; after so many they are computed again. */
     private static final int MAX_INCREMENTAL_CHANGES = 10_000;
 
     /**
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -106,7 +106,7 @@
                 new Controller(
                         "c", folder, Controller.ROUTING_POLICY, new TableChangeValidator())) {
             conductor.start(ANY);
-            assertEquals("", conductor.settingsTrouble());
+            assertEquals("", conductor.settingsFault());
             assertEquals(2, conductor.settings().orElseThrow().revision());
             Controller.Applied applied = conductor.apply("not read", "x", "settings-2", -1);
             assertTrue(applied.done());
