--- a/src/main/java/rosespread/platform/ChannelCapacityCheck.java
+++ b/src/main/java/rosespread/platform/ChannelCapacityCheck.java
@@ -14,7 +14,7 @@
 final class ChannelCapacityCheck {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** What the shortest message that removes a node has besides its overhead: entry and mark. */
+    /** What the shortest message that removes a node has besides its overhead: entry and token. */
     private static final int ENTRIES_OF_REMOVAL = 2;
 
     /** What does not fit. */
--- a/src/main/java/rosespread/platform/PendingAcknowledgements.java
+++ b/src/main/java/rosespread/platform/PendingAcknowledgements.java
@@ -11,22 +11,24 @@
 final class PendingAcknowledgements {
     private static final int MAX_PENDING = 1024;
 
-    /** The policy's mark that a token stands for, and when the update was written. */
-    private record Pending(int mark, long sentNanos) {}
+    /**
+     * The policy's token that a token of the stream stands for, and when the update was written.
+     */
+    private record Pending(int policyToken, long sentNanos) {}
 
     private final Map<Integer, Pending> byToken = new LinkedHashMap<>();
 
-    void add(int token, int mark, long now) {
+    void add(int token, int policyToken, long now) {
         if (byToken.size() >= MAX_PENDING) {
             byToken.remove(byToken.keySet().iterator().next());
         }
-        byToken.put(token, new Pending(mark, now));
+        byToken.put(token, new Pending(policyToken, now));
     }
 
     /** Settles a token; empty if it is not pending here. */
     OptionalInt settle(int token) {
         Pending settled = byToken.remove(token);
-        return settled == null ? OptionalInt.empty() : OptionalInt.of(settled.mark());
+        return settled == null ? OptionalInt.empty() : OptionalInt.of(settled.policyToken());
     }
 
     void clear() {
--- a/src/main/java/rosespread/platform/PlatformState.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -195,11 +195,13 @@
         now = time;
         OptionalInt settled = sessions.acknowledge(connection, acknowledgement);
         if (settled.isPresent()) {
-            int mark = settled.getAsInt();
+            int policyToken = settled.getAsInt();
             rounds.add(
                     handler ->
                             handler.acknowledged(
-                                    acknowledgement.proxy(), mark, acknowledgement.latencyNanos()));
+                                    acknowledgement.proxy(),
+                                    policyToken,
+                                    acknowledgement.latencyNanos()));
         }
     }
 
--- a/src/main/java/rosespread/platform/PlatformUpdateWriter.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -39,20 +39,21 @@
         /**
          * Takes a proxy's update.
          *
-         * @param mark what the policy wants acknowledged, {@link #NO_MARK} if nothing
+         * @param policyToken what the policy wants acknowledged, {@link #NO_POLICY_TOKEN} if
+         *     nothing
          */
-        void send(ProxyId proxy, List<UpdatePart> parts, int mark);
+        void send(ProxyId proxy, List<UpdatePart> parts, int policyToken);
     }
 
     /** Stands for a round that asks for no acknowledgement. */
-    static final int NO_MARK = -1;
+    static final int NO_POLICY_TOKEN = -1;
 
     private final UpdatePartBuilder builder;
     private final PolicyRequests requests;
     private final ExclusionTracker exclusions;
     private final Map<TableId, WeightTable> tables = new TreeMap<>();
     private final Map<ProxyId, ProxyView> proxies = new TreeMap<>();
-    private int mark = NO_MARK;
+    private int policyToken = NO_POLICY_TOKEN;
 
     /**
      * Starts with no table and no proxy.
@@ -121,8 +122,8 @@
     }
 
     @Override
-    public void requestAcknowledgement(int mark) {
-        this.mark = mark;
+    public void requestAcknowledgement(int policyToken) {
+        this.policyToken = policyToken;
     }
 
     @Override
@@ -157,12 +158,12 @@
                     List<UpdatePart> parts = parts(view, deltas);
                     view.clearPendingFull();
                     if (!parts.isEmpty()) {
-                        sink.send(proxy, parts, mark);
+                        sink.send(proxy, parts, policyToken);
                     }
                 });
         tables.values().forEach(WeightTable::clearChanges);
         exclusions.clearChanges();
-        mark = NO_MARK;
+        policyToken = NO_POLICY_TOKEN;
     }
 
     private List<UpdatePart> parts(ProxyView view, DeltaCache deltas) {
--- a/src/main/java/rosespread/platform/ProxySessions.java
+++ b/src/main/java/rosespread/platform/ProxySessions.java
@@ -32,19 +32,19 @@
     /**
      * Settles an acknowledgement.
      *
-     * @return the policy's mark; empty if the token is not pending on this connection, which is
-     *     counted
+     * @return the policy's token; empty if the stream's token is not pending on this connection,
+     *     which is counted
      */
     OptionalInt acknowledge(ProxyConnection connection, Message.Acknowledgement acknowledgement) {
         ProxySession session = sessions.get(acknowledgement.proxy());
-        OptionalInt mark =
+        OptionalInt policyToken =
                 isCurrent(session, connection)
                         ? session.pending().settle(acknowledgement.token())
                         : OptionalInt.empty();
-        if (mark.isEmpty()) {
+        if (policyToken.isEmpty()) {
             unmatchedAcknowledgements++;
         }
-        return mark;
+        return policyToken;
     }
 
     private static boolean isCurrent(ProxySession session, ProxyConnection connection) {
--- a/src/main/java/rosespread/platform/UpdateSender.java
+++ b/src/main/java/rosespread/platform/UpdateSender.java
@@ -33,23 +33,23 @@
 
     /**
      * Opens a round's sending. Each round takes a token of the controller's own count, as the
-     * policy counts its marks from the beginning whenever it restarts: an answer to an earlier
+     * policy counts its tokens from the beginning whenever it restarts: an answer to an earlier
      * policy fits no token.
      */
     PlatformUpdateWriter.UpdateSink startRound(long now) {
         token = (token + 1) % TOKENS;
         Map<List<UpdatePart>, byte[]> encoded = new HashMap<>();
-        return (proxy, parts, mark) -> {
-            byte[] message = encoded.computeIfAbsent(parts, same -> encode(same, mark));
-            send(proxy, message, mark, now);
+        return (proxy, parts, policyToken) -> {
+            byte[] message = encoded.computeIfAbsent(parts, same -> encode(same, policyToken));
+            send(proxy, message, policyToken, now);
         };
     }
 
-    private byte[] encode(List<UpdatePart> parts, int mark) {
-        return encoder.encode(parts, mark < 0 ? UpdateEncoder.NO_TOKEN : token);
+    private byte[] encode(List<UpdatePart> parts, int policyToken) {
+        return encoder.encode(parts, policyToken < 0 ? UpdateEncoder.NO_TOKEN : token);
     }
 
-    private void send(ProxyId proxy, byte[] message, int mark, long now) {
+    private void send(ProxyId proxy, byte[] message, int policyToken, long now) {
         ProxySession session = sessions.find(proxy);
         long buffered = session.connection().writeBufferBytes();
         if (buffered > MAX_WRITE_BUFFER_BYTES) {
@@ -60,8 +60,8 @@
             session.connection().close();
             return;
         }
-        if (mark >= 0) {
-            session.pending().add(token, mark, now);
+        if (policyToken >= 0) {
+            session.pending().add(token, policyToken, now);
         }
         messages++;
         bytes += message.length;
