--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -120,7 +120,7 @@
 
     private void start() throws IOException {
         EventLoop loop = new EventLoop(events, this::runDue, PlatformController::exitWithoutLoop);
-        Thread thread = new Thread(loop, "decisions");
+        Thread thread = new Thread(loop, "event-loop");
         thread.setDaemon(true);
         thread.start();
         watch.follow(config.discovery());
