--- a/src/main/java/rosespread/api/PolicySettings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /**
- * What a controller is told at its start. Decoded once, never copied. Spans are in nanoseconds;
+ * What a controller gets at its start. Decoded once, never copied. Spans are in nanoseconds;
  * entries are the unit in which the channel to the proxies is counted.
  *
  * @param methods all methods; {@link MethodId} is the place among them
--- a/src/main/java/rosespread/cli/ControlOptions.java
+++ b/src/main/java/rosespread/cli/ControlOptions.java
@@ -16,7 +16,7 @@
             names = "--control",
             defaultValue = "127.0.0.1:7401",
             converter = AddressConverter.class,
-            description = "The conductor's control address (${DEFAULT-VALUE}).")
+            description = "The controller's admin address (${DEFAULT-VALUE}).")
     private InetSocketAddress control;
 
     @Option(names = "--json", description = "Prints the answer as JSON.")
--- a/src/main/java/rosespread/cli/FleetDrainCommand.java
+++ b/src/main/java/rosespread/cli/FleetDrainCommand.java
@@ -24,7 +24,7 @@
     @Option(
             names = "--wait",
             paramLabel = "SECONDS",
-            description = "Waits until no conductor hears of a try there any more.")
+            description = "Waits until no controller has had a report of an attempt there.")
     private Double waitSeconds;
 
     @Override
--- a/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
@@ -17,13 +17,13 @@
         name = "apply",
         mixinStandardHelpOptions = true,
         description =
-                "Applies standard input, one conductor after the other, and stops where one fails.",
+                "Applies standard input, one controller after the other, and stops where one fails.",
         footer = {
             "",
             "Example: rosespread fleet settings apply --fleet 127.0.0.1:7401 < fleet.json"
         })
 final class FleetSettingsApplyCommand extends FleetSubcommand {
-    @Option(names = "--dry-run", description = "Only checks them at every conductor.")
+    @Option(names = "--dry-run", description = "Only checks them at every controller.")
     private boolean dryRun;
 
     @Option(
@@ -31,7 +31,7 @@
             defaultValue = "15",
             paramLabel = "SECONDS",
             description =
-                    "How long a conductor may take to have its proxies back (${DEFAULT-VALUE}).")
+                    "How long a controller may take to have its proxies back (${DEFAULT-VALUE}).")
     private double resubscribeTimeoutSeconds;
 
     @Override
--- a/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
@@ -17,7 +17,7 @@
 @Command(
         name = "diff",
         mixinStandardHelpOptions = true,
-        description = "What standard input would change at each conductor, field by field.")
+        description = "What standard input would change at each controller, field by field.")
 final class FleetSettingsDiffCommand extends FleetSubcommand {
     @Override
     int run(Fleet fleet) throws IOException {
--- a/src/main/java/rosespread/cli/FleetSettingsShowCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsShowCommand.java
@@ -8,7 +8,7 @@
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = "The settings of each conductor.")
+        description = "The settings of each controller.")
 final class FleetSettingsShowCommand extends FleetQueryCommand {
     FleetSettingsShowCommand() {
         super("/v1/settings");
--- a/src/main/java/rosespread/cli/FleetStatusCommand.java
+++ b/src/main/java/rosespread/cli/FleetStatusCommand.java
@@ -13,7 +13,7 @@
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "One line a conductor, and what differs among them.")
+        description = "One line a controller, and what differs among them.")
 final class FleetStatusCommand extends FleetQueryCommand {
     private static final String HEADER = "%-22s %-10s %-22s %9s %-26s %8s %8s %-8s  %s%n";
     private static final String ROW = "%-22s %-10s %-22s %4d/%-4d %-26s %8d %8s %-8s  %s%n";
--- a/src/main/java/rosespread/cli/TableCommand.java
+++ b/src/main/java/rosespread/cli/TableCommand.java
@@ -7,7 +7,7 @@
         name = "table",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "SUBCOMMAND",
-        description = "Shows a conductor's tables and versions, holds them, goes back.",
+        description = "Shows a controller's tables and versions, holds them, goes back.",
         subcommands = {
             TableListCommand.class,
             TableShowCommand.class,
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -13,7 +13,7 @@
 import rosespread.api.PolicySettings;
 
 /**
- * Reads and checks operators' settings; docs/conductor.md lists the fields. The bounds are wide:
+ * Reads and checks operators' settings; docs/controller.md lists the fields. The bounds are wide:
  * they catch slips, such as seconds where milliseconds are meant, not poor choices.
  */
 public final class SettingsReader {
--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -28,7 +28,7 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Pins by length and digest the bytes that the conductor writes on the project's own channel for a
+ * Pins by length and digest the bytes that the controller writes on the project's own channel for a
  * fixed row of scripted rounds, stream by stream: greetings, whole tables plain and packed, deltas,
  * levels, nodes withdrawn and let in again, marks, missed deltas, versions gone back to, closed
  * streams.
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -102,13 +102,13 @@
     /** The whole process takes it up: nothing is listed, so that nothing moves. */
     @Test
     void aProcessGoesOnFromIt() throws Exception {
-        try (Controller conductor =
+        try (Controller controller =
                 new Controller(
                         "c", folder, Controller.ROUTING_POLICY, new TableChangeValidator())) {
-            conductor.start(ANY);
-            assertEquals("", conductor.settingsFault());
-            assertEquals(2, conductor.settings().orElseThrow().revision());
-            Controller.Applied applied = conductor.apply("not read", "x", "settings-2", -1);
+            controller.start(ANY);
+            assertEquals("", controller.settingsFault());
+            assertEquals(2, controller.settings().orElseThrow().revision());
+            Controller.Applied applied = controller.apply("not read", "x", "settings-2", -1);
             assertTrue(applied.done());
             assertEquals(2, applied.inForce().orElseThrow().revision());
             assertEquals(
@@ -116,7 +116,7 @@
                             "1 PINNED 6 7aef3e81f7c40890 6",
                             "2 RELEASING 8 5bac19e3d9367829 8",
                             "3 PINNED 5 599cf9e6ebaa9fa0 5"),
-                    conductor.state().tables().stream().map(StoredStateTest::told).toList());
+                    controller.state().tables().stream().map(StoredStateTest::told).toList());
             assertEquals(
                     Set.of(
                             "n1 true 1 ana",
@@ -124,18 +124,18 @@
                             "n4 false 5 unnamed",
                             "n5 true 4 ana"),
                     new TreeSet<>(
-                            conductor.drains().stream()
+                            controller.drains().stream()
                                     .map(
                                             d ->
                                                     d.name() + " " + d.on() + " " + d.stamp() + " "
                                                             + d.by())
                                     .toList()));
             DrainResult again =
-                    conductor.drain(new DrainRequest("n2", true, "bo", "drain-n2", -1, false));
+                    controller.drain(new DrainRequest("n2", true, "bo", "drain-n2", -1, false));
             assertEquals(DrainResult.Kind.REPEATED, again.kind());
             assertEquals(
                     List.of("5d8619fdc4715e 1.0 0.25", "6a284bbb7df2b3a6 1.0 0.5"),
-                    conductor.difference(3, 1, 2).orElseThrow().lines().stream()
+                    controller.difference(3, 1, 2).orElseThrow().lines().stream()
                             .map(c -> c.node() + " " + c.before() + " " + c.after())
                             .toList());
         }
