--- a/src/main/java/rosespread/config/NameRegistry.java
+++ b/src/main/java/rosespread/config/NameRegistry.java
@@ -7,7 +7,6 @@
 import java.util.TreeMap;
 import rosespread.api.MachineTypeId;
 import rosespread.api.MethodId;
-import rosespread.api.PolicySettings;
 import rosespread.api.ZoneId;
 
 /**
@@ -107,13 +106,4 @@
     public double utilization(ConfigObject report) throws ConfigException {
         return reportColumns.utilization(report);
     }
-
-    /**
-     * The policy's settings by these names; the same as {@link PolicySettingsReader#read}.
-     *
-     * @throws ConfigException if a field is missing or has a wrong type
-     */
-    public PolicySettings settings(ConfigObject settings) throws ConfigException {
-        return new PolicySettingsReader(this).read(settings);
-    }
 }
--- a/src/main/java/rosespread/platform/PlatformConfig.java
+++ b/src/main/java/rosespread/platform/PlatformConfig.java
@@ -9,6 +9,7 @@
 import rosespread.config.ConfigException;
 import rosespread.config.ConfigObject;
 import rosespread.config.NameRegistry;
+import rosespread.config.PolicySettingsReader;
 
 /**
  * What the platform gives a controller at its start and, by the same file, while it runs.
@@ -89,7 +90,7 @@
                 sockets,
                 known,
                 names,
-                names.settings(settings),
+                new PolicySettingsReader(names).read(settings),
                 proxies);
     }
 
--- a/src/test/java/rosespread/config/NameRegistryTest.java
+++ b/src/test/java/rosespread/config/NameRegistryTest.java
@@ -97,6 +97,5 @@
                         new PolicySettings.Method(1, Set.of(new MachineTypeId(1)), Set.of(), false),
                         new PolicySettings.Method(3, Set.of(), Set.of(new ZoneId(1)), true)),
                 read.methods());
-        assertEquals(read, names.settings(settings));
     }
 }
