--- a/src/main/java/rosespread/scenario/FaultTargets.java
+++ b/src/main/java/rosespread/scenario/ArrivalGenerator.java
@@ -11,27 +11,27 @@
  * Draws a day's arrivals ahead from the seed: the same seed gives the same day, whatever happens in
  * it.
  */
-final class FaultTargets {
+final class ArrivalGenerator {
     private static final double SECOND = 1e9;
 
-    private FaultTargets() {}
+    private ArrivalGenerator() {}
 
     /** Usual RPCs a second of each proxy: all alike within a zone. */
-    static double[] rates(Scenario scenario) {
+    static double[] requestRates(Scenario scenario) {
         double[] rates = new double[scenario.site().proxies().count()];
-        java.util.Arrays.fill(rates, scenario.rate() / rates.length);
+        java.util.Arrays.fill(rates, scenario.requestsPerSecond() / rates.length);
         return rates;
     }
 
-    static List<OpenLoopClients.Arrival> day(Scenario scenario, long seed) {
+    static List<OpenLoopClients.Arrival> arrivals(Scenario scenario, long seed) {
         RandomGenerator random = new SplittableRandom(seed);
         SiteDefinition site = scenario.site();
         List<OpenLoopClients.Arrival> day = new ArrayList<>();
         double share = site.methods().stream().mapToDouble(SiteDefinition.Method::share).sum();
-        double at = -scenario.warmUp();
+        double at = -scenario.warmUpNanos();
         for (long number = 1; ; number++) {
-            at += -Math.log(1 - random.nextDouble()) / scenario.rate() * SECOND;
-            if (at >= scenario.lasts()) {
+            at += -Math.log(1 - random.nextDouble()) / scenario.requestsPerSecond() * SECOND;
+            if (at >= scenario.durationNanos()) {
                 return day;
             }
             double draw = random.nextDouble() * share;
@@ -44,16 +44,16 @@
                 }
             }
             // Work spreads by a log-normal of a quarter, scaled to the mean.
-            double work = method.work() * Math.exp(0.25 * random.nextGaussian() - 0.03125);
+            double work = method.workNanos() * Math.exp(0.25 * random.nextGaussian() - 0.03125);
             String zone = site.zones().get(random.nextInt(site.zones().size()));
             double place = random.nextDouble();
             double chance = random.nextDouble();
             String hot = null;
             int retries = scenario.clients().retries();
-            long wait = scenario.clients().retryWait();
-            double patience = scenario.clients().patience();
-            for (Fault trouble : scenario.troubles()) {
-                if (!trouble.during((long) at)) {
+            long wait = scenario.clients().retryDelayNanos();
+            double patience = scenario.clients().deadlineRatio();
+            for (Fault trouble : scenario.faults()) {
+                if (!trouble.isActiveAt((long) at)) {
                     continue;
                 }
                 switch (trouble.kind()) {
--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -26,8 +26,8 @@
     private final Path folder;
     private final String mainClass;
     private final List<String> extra;
-    private final InetSocketAddress channel;
-    private final InetSocketAddress control;
+    private final InetSocketAddress channelAddress;
+    private final InetSocketAddress controlAddress;
     private final HttpClient http;
     private Process process;
     private Duration cpuBefore = Duration.ZERO;
@@ -40,23 +40,23 @@
         this.mainClass = mainClass;
         this.extra = extra;
         this.http = http;
-        this.channel = Ports.free();
-        this.control = Ports.free();
+        this.channelAddress = Ports.free();
+        this.controlAddress = Ports.free();
     }
 
     String name() {
         return name;
     }
 
-    InetSocketAddress channel() {
-        return channel;
+    InetSocketAddress channelAddress() {
+        return channelAddress;
     }
 
-    InetSocketAddress control() {
-        return control;
+    InetSocketAddress controlAddress() {
+        return controlAddress;
     }
 
-    Path log() {
+    Path logFile() {
         return folder.resolve(name + ".log");
     }
 
@@ -81,13 +81,13 @@
                         "--state",
                         folder.resolve(name).toString(),
                         "--listen",
-                        text(channel),
+                        text(channelAddress),
                         "--control",
-                        text(control)));
+                        text(controlAddress)));
         process =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()))
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()))
                         .start();
     }
 
@@ -96,8 +96,8 @@
     }
 
     /** Waits until the control API answers and gives the settings. */
-    void settings(String json) throws IOException {
-        HttpMessage.Response got = onceUp("PUT", "/v1/settings", json);
+    void putSettings(String json) throws IOException {
+        HttpMessage.Response got = callWhenUp("PUT", "/v1/settings", json);
         if (got.status() != 200) {
             throw new IOException(
                     "conductor " + name + " did not take its settings: " + got.text());
@@ -105,34 +105,35 @@
     }
 
     /** Asks the control API as soon as it answers. */
-    HttpMessage.Response askOnceUp(String path) throws IOException {
-        return onceUp("GET", path, "");
+    HttpMessage.Response getWhenUp(String path) throws IOException {
+        return callWhenUp("GET", path, "");
     }
 
-    private HttpMessage.Response onceUp(String verb, String path, String body) throws IOException {
+    private HttpMessage.Response callWhenUp(String verb, String path, String body)
+            throws IOException {
         String failure = "";
         for (int i = 0; i < STARTS_MOST && process.isAlive(); i++) {
             try {
-                return ask(verb, path, body);
+                return call(verb, path, body);
             } catch (IOException e) {
                 failure = e.getMessage();
                 pause();
             }
         }
         throw new IOException(
-                "conductor " + name + " did not start: " + failure + "; see " + log());
+                "conductor " + name + " did not start: " + failure + "; see " + logFile());
     }
 
     /** One call to the control API. */
-    HttpMessage.Response ask(String verb, String path, String body, String... headers)
+    HttpMessage.Response call(String verb, String path, String body, String... headers)
             throws IOException {
         CompletableFuture<HttpMessage.Response> answer = new CompletableFuture<>();
         http.call(
-                control,
+                controlAddress,
                 new HttpMessage.Request(
                         verb,
                         path,
-                        HttpHeaders.of(headers).add("host", text(control)),
+                        HttpHeaders.of(headers).add("host", text(controlAddress)),
                         body.getBytes(StandardCharsets.UTF_8)),
                 CALL,
                 new HttpClient.Taker() {
@@ -167,14 +168,14 @@
 
     /** Ends the process outright. */
     void kill() {
-        cpuBefore = cpu();
+        cpuBefore = cpuTime();
         process.destroyForcibly();
         waitFor();
     }
 
     /** Asks the process to end. */
     void stop() {
-        cpuBefore = cpu();
+        cpuBefore = cpuTime();
         process.destroy();
         waitFor();
     }
@@ -189,12 +190,12 @@
         }
     }
 
-    boolean alive() {
+    boolean isAlive() {
         return process != null && process.isAlive();
     }
 
     /** Lets the process stand still, or go on. */
-    void freeze(boolean on) throws IOException {
+    void setSuspended(boolean on) throws IOException {
         try {
             new ProcessBuilder("kill", on ? "-STOP" : "-CONT", String.valueOf(process.pid()))
                     .start()
@@ -205,14 +206,14 @@
     }
 
     /** CPU used since the first start, over all its processes. */
-    Duration cpu() {
-        return alive()
+    Duration cpuTime() {
+        return isAlive()
                 ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
                 : cpuBefore;
     }
 
     /** Resident memory in MB where the system tells it, else 0. */
-    double rssMb() {
+    double residentMegabytes() {
         File status = new File("/proc/" + process.pid() + "/status");
         try {
             return Files.readAllLines(status.toPath()).stream()
--- a/src/main/java/rosespread/scenario/Fault.java
+++ b/src/main/java/rosespread/scenario/Fault.java
@@ -9,15 +9,15 @@
  * which} names a conductor by place.
  */
 record Fault(
-        long at,
-        long lasts,
+        long startNanos,
+        long durationNanos,
         Kind kind,
         double share,
         String zone,
         double factor,
-        long span,
+        long spanNanos,
         String method,
-        int which) {
+        int controllerIndex) {
     enum Kind {
         NODE_CRASH,
         HANG,
@@ -49,20 +49,20 @@
         CONDUCTOR_KILLS,
         OPERATOR_DRAIN;
 
-        String words() {
+        String yamlName() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
-        static String all() {
-            return String.join("|", Arrays.stream(values()).map(Kind::words).toList());
+        static String yamlNames() {
+            return String.join("|", Arrays.stream(values()).map(Kind::yamlName).toList());
         }
     }
 
-    boolean during(long time) {
-        return time >= at && time < at + lasts;
+    boolean isActiveAt(long time) {
+        return time >= startNanos && time < startNanos + durationNanos;
     }
 
-    long ends() {
-        return at + lasts;
+    long endNanos() {
+        return startNanos + durationNanos;
     }
 }
--- a/src/main/java/rosespread/scenario/InvariantChecker.java
+++ b/src/main/java/rosespread/scenario/InvariantChecker.java
@@ -26,7 +26,7 @@
     private static final double INFORMED_SHARE = 2 / 3.0;
 
     /** One rule's verdict. */
-    static final class Rule {
+    static final class InvariantResult {
         long checked;
         double worst;
         double limit;
@@ -97,16 +97,16 @@
 
     private record Held(long from, long until, double factor) {}
 
-    final Rule noProxyWithoutNode = new Rule();
-    final Rule noEffectTwice = new Rule();
-    final Rule drainsKept = new Rule();
-    final Rule noColdNodePushedOver = new Rule();
-    final Rule shortQueue = new Rule();
-    final Rule messages = new Rule();
-    final Rule tables = new Rule();
-    final Rule rollbacksInTime = new Rule();
-    final Rule versionsRise = new Rule();
-    final Rule answersKept = new Rule();
+    final InvariantResult noProxyWithoutNode = new InvariantResult();
+    final InvariantResult noEffectTwice = new InvariantResult();
+    final InvariantResult drainsKept = new InvariantResult();
+    final InvariantResult noColdNodePushedOver = new InvariantResult();
+    final InvariantResult shortQueue = new InvariantResult();
+    final InvariantResult messages = new InvariantResult();
+    final InvariantResult tables = new InvariantResult();
+    final InvariantResult rollbacksInTime = new InvariantResult();
+    final InvariantResult versionsRise = new InvariantResult();
+    final InvariantResult answersKept = new InvariantResult();
     final Histogram rollbacks = new Histogram(3);
     private final List<Rollback> goingBack = new ArrayList<>();
     private final List<Rollback> interrupted = new ArrayList<>();
@@ -135,11 +135,11 @@
     InvariantChecker(Scenario scenario, long start) {
         this.scenario = scenario;
         this.start = start;
-        noProxyWithoutNode.limit = scenario.rules().lack() / MILLI;
-        rollbacksInTime.limit = scenario.rules().drainGrace() / MILLI;
-        drainsKept.limit = scenario.rules().drainGrace() / MILLI;
+        noProxyWithoutNode.limit = scenario.limits().noEndpointNanos() / MILLI;
+        rollbacksInTime.limit = scenario.limits().drainTimeoutNanos() / MILLI;
+        drainsKept.limit = scenario.limits().drainTimeoutNanos() / MILLI;
         noEffectTwice.limit = 1;
-        noColdNodePushedOver.limit = scenario.site().cold().multiple();
+        noColdNodePushedOver.limit = scenario.site().warmUp().overloadFactor();
         shortQueue.limit = scenario.channel().queueLimit();
         messages.limit = scenario.channel().messageLimit();
     }
@@ -199,7 +199,7 @@
             // limit
             // allows.
             double after =
-                    scenario.channel().queueLimit() / scenario.channel().linesPerSecond() * 1e9;
+                    scenario.channel().queueLimit() / scenario.channel().entriesPerSecond() * 1e9;
             if (held.from() < until
                     && (held.until() == Long.MAX_VALUE || held.until() + after > from)) {
                 factor = Math.max(factor, held.factor());
@@ -236,7 +236,7 @@
     // ---- list and streams ----
 
     @Override
-    public void told(long at, String conductor, Map<String, Listed> nodes) {
+    public void nodeListServed(long at, String conductor, Map<String, NodeListing> nodes) {
         Map<String, Told> known = told.computeIfAbsent(conductor, c -> new TreeMap<>());
         nodes.forEach(
                 (name, listed) -> {
@@ -257,7 +257,7 @@
                     }
                     node.state = listed.state();
                     node.started = listed.startedMillis();
-                    node.kind = listed.kind();
+                    node.kind = listed.machineType();
                 });
         known.forEach(
                 (name, node) -> {
@@ -286,7 +286,7 @@
     }
 
     @Override
-    public void joined(long at, String proxy, String conductor, Map<Integer, Long> held) {
+    public void proxyJoined(long at, String proxy, String conductor, Map<Integer, Long> held) {
         Proxy joined = proxy(proxy);
         joined.highest.clear();
         joined.highest.putAll(held);
@@ -320,7 +320,7 @@
     }
 
     @Override
-    public void left(long at, String name) {
+    public void proxyLeft(long at, String name) {
         sample(at);
         proxy(name).conductor = null;
         proxy(name).lackSince.clear();
@@ -329,7 +329,7 @@
     // ---- no proxy without a node ----
 
     @Override
-    public void pickable(long at, String name, String method, boolean any) {
+    public void availabilityChanged(long at, String name, String method, boolean any) {
         sample(at);
         Proxy proxy = proxy(name);
         proxy.pickable.put(method, any);
@@ -357,7 +357,11 @@
                                     double span = at - since;
                                     String where = name + " for " + method + " at " + at(at);
                                     noProxyWithoutNode.value(span / MILLI, where);
-                                    if (span > stretched(scenario.rules().lack(), since, at)) {
+                                    if (span
+                                            > stretched(
+                                                    scenario.limits().noEndpointNanos(),
+                                                    since,
+                                                    at)) {
                                         noProxyWithoutNode.broke(
                                                 where
                                                         + ": no line to pick for "
@@ -375,20 +379,20 @@
                         .findFirst()
                         .orElseThrow();
         long wall = System.currentTimeMillis();
-        long cold = scenario.site().cold().time() / 1_000_000;
+        long cold = scenario.site().warmUp().durationNanos() / 1_000_000;
         return told.getOrDefault(conductor, Map.of()).values().stream()
                 .anyMatch(
                         node ->
                                 node.state == NodeState.READY
                                         && wall - node.started > cold
-                                        && (of.onlyKinds().isEmpty()
-                                                || of.onlyKinds().contains(node.kind)));
+                                        && (of.machineTypes().isEmpty()
+                                                || of.machineTypes().contains(node.kind)));
     }
 
     // ---- no effect twice ----
 
     @Override
-    public void tryFailed(
+    public void attemptFailed(
             long at, String proxy, String node, long rpc, SiteDefinition.Method method) {
         if (method.effect() != SiteDefinition.Effect.IDEMPOTENT) {
             noEffectTwice.checked++;
@@ -396,7 +400,7 @@
     }
 
     @Override
-    public void effect(long at, String node, long rpc, SiteDefinition.Method method) {
+    public void effectApplied(long at, String node, long rpc, SiteDefinition.Method method) {
         if (method.effect() == SiteDefinition.Effect.IDEMPOTENT) {
             return;
         }
@@ -419,7 +423,8 @@
     // ---- drains ----
 
     @Override
-    public void tried(long at, String name, String node, long rpc, SiteDefinition.Method method) {
+    public void attemptStarted(
+            long at, String name, String node, long rpc, SiteDefinition.Method method) {
         Proxy proxy = proxy(name);
         if (proxy.conductor == null) {
             return;
@@ -436,7 +441,7 @@
         known.longest = Math.max(known.longest, at - from);
         String where = name + " to " + node + " at " + at(at);
         drainsKept.value((at - from) / MILLI, where);
-        if (at - from > stretched(scenario.rules().drainGrace(), from, at)) {
+        if (at - from > stretched(scenario.limits().drainTimeoutNanos(), from, at)) {
             drainsKept.broke(
                     where
                             + ": "
@@ -461,7 +466,7 @@
         String where = name + " to " + node + " at " + at(at);
         drainsKept.value((at - from) / MILLI, where);
         operatorDrains.recordValue((at - from) / 1_000_000);
-        if (at - from > stretched(scenario.rules().drainGrace(), from, at)) {
+        if (at - from > stretched(scenario.limits().drainTimeoutNanos(), from, at)) {
             drainsKept.broke(
                     where
                             + ": "
@@ -476,7 +481,7 @@
     // ---- cold nodes ----
 
     @Override
-    public void coldReached(long at, String node) {
+    public void warmingNodeReached(long at, String node) {
         noColdNodePushedOver.checked++;
     }
 
@@ -485,7 +490,7 @@
      * knowledge of the start, or whose conductor had known of it for the grace.
      */
     @Override
-    public void fell(long at, String node, long startedAt, Map<String, Double> work) {
+    public void nodeOverloaded(long at, String node, long startedAt, Map<String, Double> work) {
         double informed = 0;
         for (Map.Entry<String, Double> part : work.entrySet()) {
             Proxy proxy = proxy(part.getKey());
@@ -500,7 +505,7 @@
                             && (proxy.lastMessage > known.since
                                     || at - known.since
                                             > stretched(
-                                                    scenario.rules().drainGrace(),
+                                                    scenario.limits().drainTimeoutNanos(),
                                                     known.since,
                                                     at));
             informed += knows ? part.getValue() : 0;
@@ -526,8 +531,8 @@
      * of all measure.
      */
     @Override
-    public void table(long at, String name, String conductor, Holds held) {
-        Map<String, Double> lines = held.lines();
+    public void tableChanged(long at, String name, String conductor, TableSnapshot held) {
+        Map<String, Double> lines = held.weights();
         proxy(name).tables.put(held.table(), lines);
         answered.computeIfAbsent(conductor, c -> new TreeMap<>())
                 .computeIfAbsent(held.table(), t -> new TreeMap<>())
@@ -603,7 +608,8 @@
                     double span = at - back.at();
                     String where =
                             "table " + back.table() + " of " + back.conductor() + " at " + at(at);
-                    boolean late = span > stretched(scenario.rules().drainGrace(), back.at(), at);
+                    boolean late =
+                            span > stretched(scenario.limits().drainTimeoutNanos(), back.at(), at);
                     if (done || late) {
                         rollbacks.recordValue((long) (span / MILLI));
                         rollbacksInTime.value(span / MILLI, where);
@@ -663,7 +669,8 @@
     // ---- queue and messages ----
 
     @Override
-    public void message(long at, String name, String conductor, Frame.Mark mark, double held) {
+    public void messageArrived(
+            long at, String name, String conductor, Frame.Mark mark, double held) {
         Proxy proxy = proxy(name);
         proxy.lastMessage = at - mark.queuedMicros() * 1000;
         proxy.firstMessage = proxy.firstMessage == Long.MIN_VALUE ? at : proxy.firstMessage;
@@ -675,7 +682,7 @@
             shortQueue.broke(where + ": " + (long) waiting + " lines waiting");
         }
         proxy.messages.addLast(at);
-        while (at - proxy.messages.peekFirst() > scenario.channel().messageSpan()) {
+        while (at - proxy.messages.peekFirst() > scenario.channel().messageWindowNanos()) {
             proxy.messages.removeFirst();
         }
         messages.checked++;
@@ -692,7 +699,7 @@
     }
 
     @Override
-    public void applied(long at, String proxy, String conductor, Frame.Mark mark) {
+    public void messageApplied(long at, String proxy, String conductor, Frame.Mark mark) {
         Round round = rounds.get(conductor + "/" + mark.round());
         if (round != null) {
             round.lastApplied = at;
@@ -723,7 +730,7 @@
                                 needs.recordValue(
                                         (long)
                                                 (r.lines
-                                                        / scenario.channel().linesPerSecond()
+                                                        / scenario.channel().entriesPerSecond()
                                                         * 1000)));
         return needs;
     }
--- a/src/main/java/rosespread/scenario/OpenSite.java
+++ b/src/main/java/rosespread/scenario/OpenSite.java
@@ -29,7 +29,7 @@
     /** The settings that a conductor of this scenario is given, as JSON. */
     public static String settings(String nameOrPath, long seed, int listPort)
             throws IOException, ScenarioException {
-        return ScenarioReader.named(nameOrPath).settings(seed, listPort, List.of());
+        return ScenarioReader.load(nameOrPath).settings(seed, listPort, List.of());
     }
 
     /**
@@ -43,7 +43,7 @@
             List<InetSocketAddress> conductors,
             PrintStream out)
             throws IOException, ScenarioException, InterruptedException {
-        Scenario scenario = ScenarioReader.named(nameOrPath);
+        Scenario scenario = ScenarioReader.load(nameOrPath);
         TrafficRecorder record = new TrafficRecorder() {};
         CountDownLatch done = new CountDownLatch(1);
         long[] tally = new long[2];
@@ -52,21 +52,22 @@
                 FakeNodes nodes =
                         new FakeNodes(
                                 loop, scenario.site(), list, new SplittableRandom(seed), record)) {
-            list.late(scenario.listLate());
+            list.setDelay(scenario.listDelayNanos());
             out.println(nodes.names().size() + " nodes; the list answers at " + list.address());
             if (conductors.isEmpty()) {
                 done.await();
             }
-            List<FakeProxies.Target> targets = new ArrayList<>();
-            conductors.forEach(at -> targets.add(new FakeProxies.Target(at.toString(), at, null)));
+            List<FakeProxies.ControllerTarget> targets = new ArrayList<>();
+            conductors.forEach(
+                    at -> targets.add(new FakeProxies.ControllerTarget(at.toString(), at, null)));
             try (FakeProxies proxies =
                     new FakeProxies(
                             loop,
                             scenario.site(),
                             list,
                             targets,
-                            FaultTargets.rates(scenario),
-                            scenario.channel().levels().equals("share"),
+                            ArrivalGenerator.requestRates(scenario),
+                            scenario.channel().admissionMode().equals("share"),
                             new SplittableRandom(seed + 1),
                             record)) {
                 OpenLoopClients clients =
@@ -79,7 +80,8 @@
                                     tally[1] +=
                                             result == FakeProxy.Result.OK
                                                             && latency
-                                                                    <= rpc.method().softDeadline()
+                                                                    <= rpc.method()
+                                                                            .latencyObjectiveNanos()
                                                     ? 1
                                                     : 0;
                                 });
@@ -87,10 +89,12 @@
                         () -> {
                             proxies.start();
                             clients.play(
-                                    FaultTargets.day(scenario, seed),
-                                    loop.now() + scenario.warmUp());
+                                    ArrivalGenerator.arrivals(scenario, seed),
+                                    loop.now() + scenario.warmUpNanos());
                             tell(loop, tally, proxies, out);
-                            loop.after(scenario.warmUp() + scenario.lasts(), done::countDown);
+                            loop.after(
+                                    scenario.warmUpNanos() + scenario.durationNanos(),
+                                    done::countDown);
                         });
                 done.await();
             }
@@ -107,7 +111,7 @@
                                     "%d RPCs in 5 s, %.3f in time, %s",
                                     tally[0],
                                     tally[0] == 0 ? 1 : tally[1] / (double) tally[0],
-                                    proxies.allBound()
+                                    proxies.allSubscribed()
                                             ? "all proxies bound"
                                             : "not all proxies bound"));
                     tally[0] = 0;
--- a/src/main/java/rosespread/scenario/Report.java
+++ b/src/main/java/rosespread/scenario/Report.java
@@ -49,7 +49,7 @@
     private final Map<String, Tally> byMethod = new LinkedHashMap<>();
     private final Map<Integer, Map<String, Tally>> bySlot = new TreeMap<>();
     private final List<Event> events = new ArrayList<>();
-    private final Map<String, InvariantChecker.Rule> rules = new LinkedHashMap<>();
+    private final Map<String, InvariantChecker.InvariantResult> rules = new LinkedHashMap<>();
     private final Map<String, Long> refused = new TreeMap<>();
     private Histogram drains = new Histogram(3);
     private Histogram operatorDrains = new Histogram(3);
@@ -68,12 +68,12 @@
         scenario.site().methods().forEach(m -> byMethod.put(m.name(), new Tally()));
     }
 
-    void begins(long at) {
+    void setDayStart(long at) {
         start = at;
     }
 
-    void dayBegins(List<ControllerProcess> conductors) {
-        sample(conductors);
+    void startCpuMeasurement(List<ControllerProcess> conductors) {
+        sampleProcesses(conductors);
         cpuAtStart = cpuSeconds;
     }
 
@@ -82,22 +82,22 @@
     }
 
     /** RPCs of the time before the day do not count. */
-    void ended(OpenLoopClients.Arrival rpc, FakeProxy.Result result, long latency, int tries) {
-        if (rpc.at() < 0) {
+    void rpcEnded(OpenLoopClients.Arrival rpc, FakeProxy.Result result, long latency, int tries) {
+        if (rpc.dueNanos() < 0) {
             return;
         }
         SiteDefinition.Method method = rpc.method();
-        boolean ok = result == FakeProxy.Result.OK && latency <= method.deadline();
-        boolean inTime = ok && latency <= method.softDeadline();
-        double earned = method.criticality() * (inTime ? 1 : ok ? method.lateShare() : 0);
-        int slot = (int) (rpc.at() / SECOND / SLOT_SECONDS);
+        boolean ok = result == FakeProxy.Result.OK && latency <= method.deadlineNanos();
+        boolean inTime = ok && latency <= method.latencyObjectiveNanos();
+        double earned = method.priorityWeight() * (inTime ? 1 : ok ? method.lateValueRatio() : 0);
+        int slot = (int) (rpc.dueNanos() / SECOND / SLOT_SECONDS);
         for (Tally tally :
                 List.of(
                         all,
                         byMethod.get(method.name()),
                         bySlot.computeIfAbsent(slot, s -> new TreeMap<>())
                                 .computeIfAbsent(method.name(), m -> new Tally()))) {
-            tally.asked += method.criticality();
+            tally.asked += method.priorityWeight();
             tally.earned += earned;
             tally.rpcs++;
             tally.tries += tries;
@@ -111,21 +111,21 @@
         }
     }
 
-    void sample(List<ControllerProcess> conductors) {
+    void sampleProcesses(List<ControllerProcess> conductors) {
         for (ControllerProcess conductor : conductors) {
-            if (conductor.alive()) {
-                rssMb = Math.max(rssMb, conductor.rssMb());
+            if (conductor.isAlive()) {
+                rssMb = Math.max(rssMb, conductor.residentMegabytes());
             }
         }
         cpuSeconds =
                 Math.max(
                         cpuSeconds,
-                        conductors.stream().mapToDouble(c -> c.cpu().toNanos() / SECOND).sum());
+                        conductors.stream().mapToDouble(c -> c.cpuTime().toNanos() / SECOND).sum());
     }
 
-    void ends(InvariantChecker auditor, long at, List<ControllerProcess> conductors) {
+    void complete(InvariantChecker auditor, long at, List<ControllerProcess> conductors) {
         seconds = (at - start) / SECOND;
-        sample(conductors);
+        sampleProcesses(conductors);
         rules.put("noProxyWithoutNode", auditor.noProxyWithoutNode);
         rules.put("noEffectTwice", auditor.noEffectTwice);
         rules.put("drainsKept", auditor.drainsKept);
@@ -162,7 +162,7 @@
         return Collections.unmodifiableMap(refused);
     }
 
-    void logs(Path folder) {
+    void addLogFolder(Path folder) {
         events.add(new Event(seconds, "a rule was broken; the conductors' logs are in " + folder));
     }
 
@@ -208,7 +208,7 @@
                 });
         out.put("service", round(all.service()))
                 .put("rpcs", all.rpcs)
-                .put("rpcsPerSecond", round(all.rpcs / (scenario.lasts() / SECOND)));
+                .put("rpcsPerSecond", round(all.rpcs / (scenario.durationNanos() / SECOND)));
         ObjectNode methods = out.putObject("byMethod");
         byMethod.forEach(
                 (name, tally) ->
@@ -265,7 +265,7 @@
                 seed,
                 service(),
                 all.rpcs,
-                scenario.lasts() / SECOND,
+                scenario.durationNanos() / SECOND,
                 cpuSeconds - cpuAtStart,
                 rssMb);
         line(out, "%nrules");
--- a/src/main/java/rosespread/scenario/Scenario.java
+++ b/src/main/java/rosespread/scenario/Scenario.java
@@ -12,30 +12,30 @@
  */
 record Scenario(
         String name,
-        long lasts,
-        long warmUp,
-        int conductors,
+        long durationNanos,
+        long warmUpNanos,
+        int controllerCount,
         SiteDefinition site,
-        double rate,
+        double requestsPerSecond,
         Clients clients,
-        Rules rules,
+        Limits limits,
         Channel channel,
-        long listLate,
-        boolean probes,
-        List<Fault> troubles) {
+        long listDelayNanos,
+        boolean healthChecksAllowed,
+        List<Fault> faults) {
 
-    record Clients(int retries, long retryWait, double patience) {}
+    record Clients(int retries, long retryDelayNanos, double deadlineRatio) {}
 
-    record Rules(long lack, long drainGrace) {}
+    record Limits(long noEndpointNanos, long drainTimeoutNanos) {}
 
     record Channel(
-            double linesPerSecond,
-            double linesPerMessage,
+            double entriesPerSecond,
+            double entriesPerMessage,
             double queueLimit,
             int messageLimit,
-            long messageSpan,
-            String levels,
-            double orderPrice) {}
+            long messageWindowNanos,
+            String admissionMode,
+            double actionCost) {}
 
     private static final double MILLI = 1e6;
 
@@ -45,36 +45,36 @@
         all.put("seed", seed);
         peers.forEach(all.putArray("peers")::add);
         site.zones().forEach(all.putArray("zones")::add);
-        site.kinds().keySet().forEach(all.putArray("kinds")::add);
+        site.machineTypes().keySet().forEach(all.putArray("kinds")::add);
         ArrayNode methods = all.putArray("methods");
         for (SiteDefinition.Method method : site.methods()) {
             ObjectNode one =
                     methods.addObject()
                             .put("name", method.name())
-                            .put("criticality", method.criticality());
-            method.onlyKinds().forEach(one.putArray("onlyKinds")::add);
+                            .put("criticality", method.priorityWeight());
+            method.machineTypes().forEach(one.putArray("onlyKinds")::add);
         }
         all.putObject("list")
                 .put("port", listPort)
                 .put("service", "nodes")
                 .put("waitMs", 5000)
                 .put("silentAfterMs", 1500);
-        all.putObject("probes").put("allowed", probes);
-        all.put("levels", channel.levels());
+        all.putObject("probes").put("allowed", healthChecksAllowed);
+        all.put("levels", channel.admissionMode());
         all.putObject("channel")
-                .put("linesPerSecond", channel.linesPerSecond())
-                .put("linesPerMessage", channel.linesPerMessage())
+                .put("linesPerSecond", channel.entriesPerSecond())
+                .put("linesPerMessage", channel.entriesPerMessage())
                 .put("queueLimit", channel.queueLimit())
-                .put("orderPrice", channel.orderPrice())
+                .put("orderPrice", channel.actionCost())
                 .put("messageLimit", channel.messageLimit())
-                .put("messageSpanMs", channel.messageSpan() / MILLI)
-                .put("longestWayMs", site.proxies().longestWay() / MILLI);
-        all.put("reportPeriodMs", site.reportPeriod() / MILLI);
-        all.put("drainGraceMs", rules.drainGrace() / MILLI);
+                .put("messageSpanMs", channel.messageWindowNanos() / MILLI)
+                .put("longestWayMs", site.proxies().maxDelayNanos() / MILLI);
+        all.put("reportPeriodMs", site.reportPeriodNanos() / MILLI);
+        all.put("drainGraceMs", limits.drainTimeoutNanos() / MILLI);
         all.putObject("cold")
-                .put("timeMs", site.cold().time() / MILLI)
-                .put("share", site.cold().share())
-                .put("windowMs", site.cold().window() / MILLI);
+                .put("timeMs", site.warmUp().durationNanos() / MILLI)
+                .put("share", site.warmUp().initialRatio())
+                .put("windowMs", site.warmUp().windowNanos() / MILLI);
         return all.toString();
     }
 }
--- a/src/main/java/rosespread/scenario/ScenarioReader.java
+++ b/src/main/java/rosespread/scenario/ScenarioReader.java
@@ -31,13 +31,13 @@
 
     private ScenarioReader() {}
 
-    static Scenario named(String nameOrPath) throws IOException, ScenarioException {
+    static Scenario load(String nameOrPath) throws IOException, ScenarioException {
         if (nameOrPath.matches("[a-z0-9-]+")) {
             try (InputStream in =
                     ScenarioReader.class.getResourceAsStream(
                             "/scenarios/" + nameOrPath + ".yaml")) {
                 if (in != null) {
-                    return read(nameOrPath, new String(in.readAllBytes(), StandardCharsets.UTF_8));
+                    return parse(nameOrPath, new String(in.readAllBytes(), StandardCharsets.UTF_8));
                 }
             }
         }
@@ -46,10 +46,10 @@
             throw new ScenarioException(
                     nameOrPath + ": neither a file nor a scenario that ships with the program");
         }
-        return read(nameOrPath, Files.readString(path));
+        return parse(nameOrPath, Files.readString(path));
     }
 
-    static Scenario read(String file, String text) throws ScenarioException {
+    static Scenario parse(String file, String text) throws ScenarioException {
         Map<String, Integer> lines = new TreeMap<>();
         try {
             JsonNode tree = new YAMLMapper().readTree(text);
@@ -123,13 +123,13 @@
         long warmUp = Math.round(all.number("warmUpSeconds", 15, 0.1, HOUR) * SECOND);
         int conductors = (int) all.whole("conductors", 1, 1, 64);
         List<String> zones = all.texts("zones", 1, 64, null);
-        Map<String, SiteDefinition.Kind> kinds = new LinkedHashMap<>();
+        Map<String, SiteDefinition.MachineType> kinds = new LinkedHashMap<>();
         JsonFields kindFields = all.object("kinds");
         for (String kind : kindFields.names()) {
             JsonFields one = kindFields.object(kind);
             kinds.put(
                     kind,
-                    new SiteDefinition.Kind(
+                    new SiteDefinition.MachineType(
                             (int) one.whole("cores", -1, 1, 1024),
                             one.number("speed", 1, 0.01, 100),
                             (int) one.whole("nodes", -1, 1, 10_000)));
@@ -140,8 +140,8 @@
         }
         List<SiteDefinition.Method> methods = methods(all, List.copyOf(kinds.keySet()));
         JsonFields cold = all.object("cold");
-        SiteDefinition.Cold warming =
-                new SiteDefinition.Cold(
+        SiteDefinition.WarmUp warming =
+                new SiteDefinition.WarmUp(
                         Math.round(cold.number("seconds", 16, 0, HOUR) * SECOND),
                         cold.number("share", 0.16, 0.01, 1),
                         cold.millis("windowMs", 1500, 1, MINUTE),
@@ -155,7 +155,7 @@
                         zones,
                         kinds,
                         methods,
-                        proxies(all.object("proxies"), channel.linesPerSecond()),
+                        proxies(all.object("proxies"), channel.entriesPerSecond()),
                         warming,
                         all.number("queuePerCore", 8, 0, 1000),
                         reports.millis("periodMs", 1000, 20, MINUTE),
@@ -169,8 +169,8 @@
                         clients.number("patience", 1, 0.05, 1));
         clients.closed();
         JsonFields rules = all.object("rules");
-        Scenario.Rules bounds =
-                new Scenario.Rules(
+        Scenario.Limits bounds =
+                new Scenario.Limits(
                         rules.millis("lackMs", 3000, 10, MINUTE),
                         rules.millis("drainGraceMs", 2500, 100, MINUTE));
         rules.closed();
@@ -228,7 +228,7 @@
                         proxies.millis("redialLeastMs", 300, 1, MINUTE),
                         proxies.millis("redialMostMs", 1200, 1, MINUTE),
                         linesPerSecond);
-        if (read.redialMost() < read.redialLeast()) {
+        if (read.maxReconnectNanos() < read.minReconnectNanos()) {
             proxies.fault("redialMostMs", "at least redialLeastMs");
         }
         proxies.closed();
@@ -276,7 +276,11 @@
         List<Fault> troubles = new ArrayList<>();
         for (JsonFields one : all.objects("troubles", 0, 1000)) {
             String kind =
-                    one.text("kind", null, Fault.Kind.all(), Fault.Kind.all().replace("|", ", "));
+                    one.text(
+                            "kind",
+                            null,
+                            Fault.Kind.yamlNames(),
+                            Fault.Kind.yamlNames().replace("|", ", "));
             JsonFields what = one.object("what");
             Fault trouble =
                     new Fault(
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -38,7 +38,7 @@
      *     ones
      */
     public record Options(
-            long seed, boolean withConductor, String mainClass, List<String> arguments) {}
+            long seed, boolean withController, String mainClass, List<String> arguments) {}
 
     private static final long SECOND = 1_000_000_000L;
     private static final long SAMPLE = 50_000_000L;
@@ -73,7 +73,7 @@
      */
     public static Report play(String nameOrPath, Options options)
             throws IOException, ScenarioException {
-        Scenario scenario = ScenarioReader.named(nameOrPath);
+        Scenario scenario = ScenarioReader.load(nameOrPath);
         Path folder = Files.createTempDirectory("rosespread-rehearsal");
         ScenarioRun rehearsal = new ScenarioRun(scenario, options);
         try {
@@ -88,7 +88,7 @@
                 }
             }
         } else {
-            rehearsal.report.logs(folder);
+            rehearsal.report.addLogFolder(folder);
         }
         return rehearsal.report;
     }
@@ -101,9 +101,9 @@
                     SplittableRandom random = new SplittableRandom(options.seed());
                     list = new FakeNodeList(loop, 0, auditor);
                     nodes = new FakeNodes(loop, scenario.site(), list, random.split(), auditor);
-                    list.late(scenario.listLate());
+                    list.setDelay(scenario.listDelayNanos());
                 });
-        for (int i = 0; options.withConductor() && i < scenario.conductors(); i++) {
+        for (int i = 0; options.withController() && i < scenario.controllerCount(); i++) {
             ControllerProcess conductor =
                     new ControllerProcess(
                             "c" + i, folder, options.mainClass(), options.arguments(), http);
@@ -111,29 +111,29 @@
             conductor.start();
         }
         for (ControllerProcess conductor : conductors) {
-            conductor.settings(
+            conductor.putSettings(
                     scenario.settings(
                             options.seed(),
                             list.address().getPort(),
                             conductors.stream()
                                     .map(
                                             c ->
-                                                    c.control().getHostString()
+                                                    c.controlAddress().getHostString()
                                                             + ":"
-                                                            + c.control().getPort())
+                                                            + c.controlAddress().getPort())
                                     .toList()));
         }
-        List<OpenLoopClients.Arrival> day = FaultTargets.day(scenario, options.seed());
+        List<OpenLoopClients.Arrival> day = ArrivalGenerator.arrivals(scenario, options.seed());
         CompletableFuture<Void> ready = new CompletableFuture<>();
         onLoop(
                 () -> {
                     SplittableRandom random = new SplittableRandom(options.seed() ^ 0x5eed);
-                    List<FakeProxies.Target> targets = new ArrayList<>();
+                    List<FakeProxies.ControllerTarget> targets = new ArrayList<>();
                     for (int i = 0; i < conductors.size(); i++) {
                         targets.add(
-                                new FakeProxies.Target(
+                                new FakeProxies.ControllerTarget(
                                         conductors.get(i).name(),
-                                        conductors.get(i).channel(),
+                                        conductors.get(i).channelAddress(),
                                         conductors.size() < 2
                                                 ? null
                                                 : scenario.site()
@@ -146,62 +146,62 @@
                                     scenario.site(),
                                     list,
                                     targets,
-                                    FaultTargets.rates(scenario),
-                                    scenario.channel().levels().equals("share"),
+                                    ArrivalGenerator.requestRates(scenario),
+                                    scenario.channel().admissionMode().equals("share"),
                                     random.split(),
                                     auditor);
-                    clients = new OpenLoopClients(loop, proxies, random.split(), report::ended);
-                    start = loop.now() + scenario.warmUp();
-                    report.begins(start);
+                    clients = new OpenLoopClients(loop, proxies, random.split(), report::rpcEnded);
+                    start = loop.now() + scenario.warmUpNanos();
+                    report.setDayStart(start);
                     auditor.dayBegins(start);
                     proxies.start();
                     clients.play(day, start);
                     sample();
-                    loop.after(scenario.warmUp(), () -> allBound(ready));
+                    loop.after(scenario.warmUpNanos(), () -> allBound(ready));
                 });
         get(ready);
         CompletableFuture<Void> done = new CompletableFuture<>();
         onLoop(
                 () -> {
-                    report.dayBegins(conductors);
-                    scenario.troubles().forEach(this::plan);
-                    loop.after(scenario.lasts(), () -> awaitAnswers(done));
+                    report.startCpuMeasurement(conductors);
+                    scenario.faults().forEach(this::plan);
+                    loop.after(scenario.durationNanos(), () -> awaitAnswers(done));
                 });
         get(done);
         for (ControllerProcess conductor : conductors) {
-            if (conductor.alive()) {
-                report.refused(json.readTree(conductor.askOnceUp("/v1/tables").body()));
+            if (conductor.isAlive()) {
+                report.refused(json.readTree(conductor.getWhenUp("/v1/tables").body()));
             }
         }
         onLoop(
                 () -> {
                     over = true;
                     auditor.end(loop.now());
-                    report.ends(auditor, loop.now(), conductors);
+                    report.complete(auditor, loop.now(), conductors);
                 });
     }
 
     private void sample() {
         auditor.sample(loop.now());
-        report.sample(conductors);
+        report.sampleProcesses(conductors);
         if (!over) {
             loop.after(SAMPLE, this::sample);
         }
     }
 
     private void allBound(CompletableFuture<Void> ready) {
-        if (conductors.isEmpty() || proxies.allBound()) {
+        if (conductors.isEmpty() || proxies.allSubscribed()) {
             ready.complete(null);
         } else {
             ready.completeExceptionally(
                     new IOException(
                             "not all proxies were bound in the warm-up; see "
-                                    + conductors.get(0).log()));
+                                    + conductors.get(0).logFile()));
         }
     }
 
     private void awaitAnswers(CompletableFuture<Void> done) {
-        if (clients.open() == 0 || loop.now() - start > scenario.lasts() + 10 * SECOND) {
+        if (clients.pending() == 0 || loop.now() - start > scenario.durationNanos() + 10 * SECOND) {
             done.complete(null);
         } else {
             loop.after(SAMPLE, () -> awaitAnswers(done));
@@ -211,7 +211,7 @@
     // ---- troubles ----
 
     private void plan(Fault trouble) {
-        loop.after(trouble.at(), () -> begin(trouble));
+        loop.after(trouble.startNanos(), () -> begin(trouble));
     }
 
     private List<String> some(List<String> all, double share) {
@@ -227,7 +227,7 @@
     }
 
     private void begin(Fault trouble) {
-        String words = trouble.kind().words();
+        String words = trouble.kind().yamlName();
         switch (trouble.kind()) {
             case NODE_CRASH ->
                     each(
@@ -239,14 +239,14 @@
                     each(
                             trouble,
                             some(nodes.names(), trouble.share()),
-                            n -> nodes.hang(n, true),
-                            n -> nodes.hang(n, false));
+                            n -> nodes.setHung(n, true),
+                            n -> nodes.setHung(n, false));
             case FAST_ABORTS ->
                     each(
                             trouble,
                             some(nodes.names(), trouble.share()),
-                            n -> nodes.abort(n, Math.min(1, trouble.factor())),
-                            n -> nodes.abort(n, 0));
+                            n -> nodes.setAbortRatio(n, Math.min(1, trouble.factor())),
+                            n -> nodes.setAbortRatio(n, 0));
             case COLD_START ->
                     each(
                             trouble,
@@ -260,22 +260,22 @@
                     each(
                             trouble,
                             some(nodes.names(), trouble.share()),
-                            n -> nodes.drain(n, true),
-                            n -> nodes.drain(n, false));
+                            n -> nodes.setDraining(n, true),
+                            n -> nodes.setDraining(n, false));
             case ROLLING_DEPLOY -> rolling(trouble);
             case FLAPPING -> flap(trouble, some(nodes.names(), trouble.share()), true);
             case NEIGHBOUR ->
                     each(
                             trouble,
                             some(nodes.names(), trouble.share()),
-                            n -> nodes.slow(n, 1 / Math.max(1, trouble.factor())),
-                            n -> nodes.slow(n, 1));
+                            n -> nodes.setSpeedFactor(n, 1 / Math.max(1, trouble.factor())),
+                            n -> nodes.setSpeedFactor(n, 1));
             case FALSE_REPORTS ->
                     each(
                             trouble,
                             some(nodes.names(), trouble.share()),
-                            n -> nodes.falseReports(n, trouble.factor()),
-                            n -> nodes.falseReports(n, 1));
+                            n -> nodes.setReportFactor(n, trouble.factor()),
+                            n -> nodes.setReportFactor(n, 1));
             case ZONE_LOSS -> {
                 each(trouble, nodes.names(trouble.zone()), nodes::crash, nodes::restart);
                 each(trouble, proxies.names(trouble.zone()), proxies::crash, proxies::restart);
@@ -290,74 +290,76 @@
                     each(
                             trouble,
                             some(proxies.names(), trouble.share()),
-                            p -> proxies.cut(p, true, p.hashCode() % 2 == 0),
-                            p -> proxies.cut(p, false, false));
+                            p -> proxies.setCut(p, true, p.hashCode() % 2 == 0),
+                            p -> proxies.setCut(p, false, false));
             case ROLLBACK -> rollback(trouble);
             case OPERATOR_DRAIN -> operatorDrain(trouble, some(nodes.names(), 0).get(0));
             case CONDUCTOR_CRASH, CONDUCTOR_RESTART, CONDUCTOR_STALL, CONDUCTOR_KILLS ->
                     strike(trouble);
             case SLOW_CHANNEL -> {
-                proxies.slowLinks(trouble.factor());
+                proxies.setLinkSlowdown(trouble.factor());
                 auditor.linksSlow(loop.now(), trouble.factor());
                 after(
                         trouble,
                         () -> {
-                            proxies.slowLinks(1);
+                            proxies.setLinkSlowdown(1);
                             auditor.linksSlow(loop.now(), 1);
                         });
             }
             case MISSED_DELTAS -> {
-                proxies.loseDeltas(trouble.share());
-                after(trouble, () -> proxies.loseDeltas(0));
+                proxies.setDeltaLossRatio(trouble.share());
+                after(trouble, () -> proxies.setDeltaLossRatio(0));
             }
             case LATE_REPORTS -> {
-                proxies.reportsLater(trouble.span());
-                after(trouble, () -> proxies.reportsLater(0));
+                proxies.setReportDelay(trouble.spanNanos());
+                after(trouble, () -> proxies.setReportDelay(0));
             }
             case LATE_LIST -> {
-                list.late(scenario.listLate() + trouble.span());
-                after(trouble, () -> list.late(scenario.listLate()));
+                list.setDelay(scenario.listDelayNanos() + trouble.spanNanos());
+                after(trouble, () -> list.setDelay(scenario.listDelayNanos()));
             }
-            case SILENT_LIST -> listMode(trouble, FakeNodeList.Mode.SILENT);
+            case SILENT_LIST -> listMode(trouble, FakeNodeList.AnswerMode.SILENT);
             case WRONG_LIST -> {
-                listMode(trouble, FakeNodeList.Mode.OLDER);
-                loop.after(trouble.lasts() / 2, () -> list.mode(FakeNodeList.Mode.ERRORS));
+                listMode(trouble, FakeNodeList.AnswerMode.OLDER);
+                loop.after(
+                        trouble.durationNanos() / 2,
+                        () -> list.setMode(FakeNodeList.AnswerMode.ERRORS));
             }
             default -> {
                 event(words + " begins");
-                loop.after(trouble.lasts(), () -> event(words + " ends"));
+                loop.after(trouble.durationNanos(), () -> event(words + " ends"));
             }
         }
     }
 
     private void after(Fault trouble, Runnable ends) {
-        event(trouble.kind().words() + " begins");
+        event(trouble.kind().yamlName() + " begins");
         loop.after(
-                trouble.lasts(),
+                trouble.durationNanos(),
                 () -> {
-                    event(trouble.kind().words() + " ends");
+                    event(trouble.kind().yamlName() + " ends");
                     ends.run();
                 });
     }
 
-    private void listMode(Fault trouble, FakeNodeList.Mode mode) {
-        list.mode(mode);
-        after(trouble, () -> list.mode(FakeNodeList.Mode.USUAL));
+    private void listMode(Fault trouble, FakeNodeList.AnswerMode mode) {
+        list.setMode(mode);
+        after(trouble, () -> list.setMode(FakeNodeList.AnswerMode.USUAL));
     }
 
     private void each(
             Fault trouble, List<String> struck, Consumer<String> begins, Consumer<String> ends) {
         event(
-                trouble.kind().words()
+                trouble.kind().yamlName()
                         + " strikes "
                         + struck.size()
                         + ": "
                         + String.join(" ", struck));
         struck.forEach(begins);
         loop.after(
-                trouble.lasts(),
+                trouble.durationNanos(),
                 () -> {
-                    event(trouble.kind().words() + " ends");
+                    event(trouble.kind().yamlName() + " ends");
                     struck.forEach(ends);
                 });
     }
@@ -366,25 +368,25 @@
     private void rolling(Fault trouble) {
         List<String> struck = some(nodes.names(), trouble.share());
         event("rolling deploy of " + struck.size() + " nodes begins");
-        long grace = scenario.rules().drainGrace() + scenario.listLate();
+        long grace = scenario.limits().drainTimeoutNanos() + scenario.listDelayNanos();
         for (int i = 0; i < struck.size(); i++) {
             String node = struck.get(i);
             loop.after(
-                    trouble.lasts() * i / struck.size(),
+                    trouble.durationNanos() * i / struck.size(),
                     () -> {
-                        nodes.drain(node, true);
+                        nodes.setDraining(node, true);
                         loop.after(grace + SECOND, () -> nodes.crash(node));
                         loop.after(grace + 2 * SECOND, () -> nodes.restart(node));
                     });
         }
-        loop.after(trouble.lasts(), () -> event("rolling deploy: the last node drains"));
+        loop.after(trouble.durationNanos(), () -> event("rolling deploy: the last node drains"));
     }
 
     private void flap(Fault trouble, List<String> struck, boolean down) {
-        long half = Math.max(SECOND, trouble.span());
+        long half = Math.max(SECOND, trouble.spanNanos());
         event("flapping: " + String.join(" ", struck) + (down ? " down" : " up"));
         struck.forEach(down ? nodes::crash : nodes::restart);
-        boolean more = loop.now() - start + half < trouble.ends();
+        boolean more = loop.now() - start + half < trouble.endNanos();
         if (down || more) {
             loop.after(half, () -> flap(trouble, struck, !down));
         }
@@ -398,7 +400,7 @@
         if (conductors.isEmpty()) {
             return;
         }
-        ControllerProcess conductor = conductors.get(trouble.which());
+        ControllerProcess conductor = conductors.get(trouble.controllerIndex());
         int draw = strikes.nextInt(Integer.MAX_VALUE);
         Thread thread =
                 new Thread(
@@ -406,7 +408,7 @@
                             try {
                                 JsonNode tables =
                                         json.readTree(
-                                                conductor.ask("GET", "/v1/tables", "").body());
+                                                conductor.call("GET", "/v1/tables", "").body());
                                 if (tables.isEmpty()) {
                                     return;
                                 }
@@ -421,7 +423,7 @@
                                 String path = "/v1/tables/" + id;
                                 int status =
                                         conductor
-                                                .ask(
+                                                .call(
                                                         "POST",
                                                         path + "/rollback?version=" + version,
                                                         "")
@@ -441,7 +443,7 @@
                                                                 + status));
                                 Map<String, Double> lines = new TreeMap<>();
                                 JsonNode after =
-                                        json.readTree(conductor.ask("GET", path, "").body());
+                                        json.readTree(conductor.call("GET", path, "").body());
                                 after.path("lines")
                                         .properties()
                                         .forEach(
@@ -455,8 +457,8 @@
                                                     auditor.rollback(
                                                             from, conductor.name(), id, lines));
                                 }
-                                Thread.sleep(trouble.lasts() / 1_000_000);
-                                conductor.ask("POST", path + "/release", "");
+                                Thread.sleep(trouble.durationNanos() / 1_000_000);
+                                conductor.call("POST", path + "/release", "");
                             } catch (IOException e) {
                                 loop.run(
                                         () ->
@@ -483,12 +485,12 @@
         if (conductors.isEmpty()) {
             return;
         }
-        String id = "drain-" + trouble.at() + "-" + node;
+        String id = "drain-" + trouble.startNanos() + "-" + node;
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                long ends = loop.now() + trouble.lasts();
+                                long ends = loop.now() + trouble.durationNanos();
                                 List<ControllerProcess> missing = new ArrayList<>(conductors);
                                 while (!missing.isEmpty() && loop.now() < ends) {
                                     // As an operator would, the command is repeated where it was
@@ -517,7 +519,7 @@
         String what = verb + " of " + node + " at " + conductor.name() + ": ";
         try {
             HttpMessage.Response answer =
-                    conductor.ask(
+                    conductor.call(
                             "POST",
                             "/v1/nodes/" + node + "/" + verb,
                             "",
@@ -546,8 +548,8 @@
         if (conductors.isEmpty()) {
             return;
         }
-        ControllerProcess conductor = conductors.get(trouble.which());
-        String words = trouble.kind().words() + " of " + conductor.name();
+        ControllerProcess conductor = conductors.get(trouble.controllerIndex());
+        String words = trouble.kind().yamlName() + " of " + conductor.name();
         event(words);
         Thread thread =
                 new Thread(
@@ -556,13 +558,13 @@
                                 switch (trouble.kind()) {
                                     case CONDUCTOR_STALL -> {
                                         long from = loop.now();
-                                        conductor.freeze(true);
+                                        conductor.setSuspended(true);
                                         loop.run(
                                                 () ->
                                                         auditor.conductorStopped(
                                                                 conductor.name(), from));
-                                        Thread.sleep(trouble.lasts() / 1_000_000);
-                                        conductor.freeze(false);
+                                        Thread.sleep(trouble.durationNanos() / 1_000_000);
+                                        conductor.setSuspended(false);
                                         loop.run(
                                                 () ->
                                                         auditor.conductorGoesOn(
@@ -571,7 +573,7 @@
                                     case CONDUCTOR_CRASH -> {
                                         conductor.kill();
                                         loop.run(() -> auditor.conductorDown(conductor.name()));
-                                        Thread.sleep(trouble.lasts() / 1_000_000);
+                                        Thread.sleep(trouble.durationNanos() / 1_000_000);
                                         conductor.start();
                                     }
                                     case CONDUCTOR_KILLS -> kills(trouble, conductor);
@@ -602,9 +604,9 @@
         int kills = 0;
         // Its own chance: how long a process takes to start must not move what other troubles
         // strike.
-        Random moments = new Random(options.seed() ^ trouble.at());
-        while (loop.now() - start < trouble.ends() && !over) {
-            Thread.sleep(moments.nextLong(Math.max(1, trouble.span() / 1_000_000)));
+        Random moments = new Random(options.seed() ^ trouble.startNanos());
+        while (loop.now() - start < trouble.endNanos() && !over) {
+            Thread.sleep(moments.nextLong(Math.max(1, trouble.spanNanos() / 1_000_000)));
             conductor.kill();
             kills++;
             CompletableFuture<Map<Integer, TreeMap<Long, Long>>> before = new CompletableFuture<>();
@@ -615,7 +617,7 @@
                     });
             conductor.start();
             Map<Integer, TreeMap<Long, Long>> after = new TreeMap<>();
-            JsonNode tables = json.readTree(conductor.askOnceUp("/v1/tables").body());
+            JsonNode tables = json.readTree(conductor.getWhenUp("/v1/tables").body());
             tables.forEach(
                     table -> {
                         TreeMap<Long, Long> versions =
@@ -668,7 +670,7 @@
     }
 
     private void close() {
-        conductors.stream().filter(ControllerProcess::alive).forEach(ControllerProcess::kill);
+        conductors.stream().filter(ControllerProcess::isAlive).forEach(ControllerProcess::kill);
         http.close();
         if (proxies != null) {
             proxies.close();
--- a/src/main/java/rosespread/testbed/FakeNode.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -30,7 +30,7 @@
     final InetSocketAddress address;
     private final TestLoop loop;
     private final SiteDefinition site;
-    private final SiteDefinition.Kind size;
+    private final SiteDefinition.MachineType size;
     private final Map<String, Long> zoneTokens;
     private final RandomGenerator random;
     private final TrafficRecorder record;
@@ -92,7 +92,7 @@
         this.address = address;
         this.loop = loop;
         this.site = site;
-        this.size = site.kinds().get(kind);
+        this.size = site.machineTypes().get(kind);
         this.zoneTokens = zoneTokens;
         this.random = random;
         this.record = record;
@@ -110,7 +110,7 @@
         windowWork = 0;
         sent.clear();
         if (cold) {
-            record.coldStart(startedAt, name);
+            record.warmUpStarted(startedAt, name);
         }
     }
 
@@ -124,13 +124,16 @@
     }
 
     private boolean cold() {
-        return startedAt != Long.MIN_VALUE && loop.now() - startedAt < site.cold().time();
+        return startedAt != Long.MIN_VALUE
+                && loop.now() - startedAt < site.warmUp().durationNanos();
     }
 
     private double warmth() {
         return cold()
-                ? site.cold().share()
-                        + (1 - site.cold().share()) * (loop.now() - startedAt) / site.cold().time()
+                ? site.warmUp().initialRatio()
+                        + (1 - site.warmUp().initialRatio())
+                                * (loop.now() - startedAt)
+                                / site.warmUp().durationNanos()
                 : 1;
     }
 
@@ -159,7 +162,7 @@
                         .filter(m -> m.name().equals(methodName))
                         .findFirst()
                         .orElse(null);
-        if (method == null || !method.open(kind)) {
+        if (method == null || !method.isServedBy(kind)) {
             exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such method here"));
             return;
         }
@@ -171,7 +174,7 @@
             return;
         }
         if (random.nextDouble() < abortShare) {
-            record.effect(loop.now(), name, number(call), method);
+            record.effectApplied(loop.now(), name, number(call), method);
             exchange.answer(HttpMessage.Response.of(500, "text/plain", "aborted"));
             return;
         }
@@ -205,21 +208,21 @@
         long now = loop.now();
         if (!coldTold) {
             coldTold = true;
-            record.coldReached(now, name);
+            record.warmingNodeReached(now, name);
         }
         sent.addLast(new Sent(now, work, proxy));
         windowWork += work;
-        while (now - sent.peekFirst().at() > site.cold().window()) {
+        while (now - sent.peekFirst().at() > site.warmUp().windowNanos()) {
             windowWork -= sent.removeFirst().work();
         }
         double budget =
-                site.cold().multiple() * capacity() * site.cold().window() / SECOND
-                        + SLACK_RPCS * method.work() / SECOND;
+                site.warmUp().overloadFactor() * capacity() * site.warmUp().windowNanos() / SECOND
+                        + SLACK_RPCS * method.workNanos() / SECOND;
         if (!fallen && windowWork > budget) {
             fallen = true;
             Map<String, Double> by = new TreeMap<>();
             sent.forEach(s -> by.merge(s.proxy(), s.work(), Double::sum));
-            record.fell(now, name, startedAt, by);
+            record.nodeOverloaded(now, name, startedAt, by);
         }
     }
 
@@ -231,11 +234,11 @@
             Long until = zoneTokens.get(job.token);
             repeat = until != null && until > loop.now();
             if (!repeat) {
-                zoneTokens.put(job.token, loop.now() + job.method.window());
+                zoneTokens.put(job.token, loop.now() + job.method.tokenWindowNanos());
             }
         }
         if (!repeat) {
-            record.effect(loop.now(), name, job.rpc, job.method);
+            record.effectApplied(loop.now(), name, job.rpc, job.method);
         }
         double seconds = repeat ? 0.001 : job.work / (size.speed() * slowing * warmth());
         job.end =
--- a/src/main/java/rosespread/testbed/FakeNodeList.java
+++ b/src/main/java/rosespread/testbed/FakeNodeList.java
@@ -23,7 +23,7 @@
  */
 public final class FakeNodeList implements AutoCloseable {
     /** How it answers. */
-    public enum Mode {
+    public enum AnswerMode {
         USUAL,
         SILENT,
         ERRORS,
@@ -36,7 +36,8 @@
     private record Entry(
             String zone, String kind, InetSocketAddress address, long started, boolean draining) {}
 
-    private record Published(long index, String body, Map<String, TrafficRecorder.Listed> nodes) {}
+    private record Published(
+            long index, String body, Map<String, TrafficRecorder.NodeListing> nodes) {}
 
     private final class Waiting {
         final String agent;
@@ -59,7 +60,7 @@
     private final List<Waiting> waiting = new ArrayList<>();
     private long lateNanos;
     private long index = 10;
-    private Mode mode = Mode.USUAL;
+    private AnswerMode setMode = AnswerMode.USUAL;
 
     /**
      * @param port where it listens; 0: any free one
@@ -80,13 +81,13 @@
     }
 
     /** Changes are published so much later from now on. */
-    public void late(long nanos) {
+    public void setDelay(long nanos) {
         lateNanos = nanos;
     }
 
-    public void mode(Mode next) {
-        mode = next;
-        if (next == Mode.OLDER) {
+    public void setMode(AnswerMode next) {
+        setMode = next;
+        if (next == AnswerMode.OLDER) {
             List.copyOf(waiting).forEach(this::answer);
         }
     }
@@ -101,7 +102,7 @@
         changed();
     }
 
-    void drain(String name, boolean on) {
+    void setDraining(String name, boolean on) {
         entries.computeIfPresent(
                 name, (n, e) -> new Entry(e.zone(), e.kind(), e.address(), e.started(), on));
         changed();
@@ -130,7 +131,7 @@
 
     private Published render() {
         ArrayNode all = json.createArrayNode();
-        Map<String, TrafficRecorder.Listed> nodes = new TreeMap<>();
+        Map<String, TrafficRecorder.NodeListing> nodes = new TreeMap<>();
         entries.forEach(
                 (name, entry) -> {
                     ObjectNode one = all.addObject();
@@ -156,7 +157,7 @@
                     }
                     nodes.put(
                             name,
-                            new TrafficRecorder.Listed(
+                            new TrafficRecorder.NodeListing(
                                     entry.draining() ? NodeState.DRAINING : NodeState.READY,
                                     entry.started(),
                                     entry.kind()));
@@ -168,14 +169,15 @@
         String agent = call.headers().first("user-agent").orElse("").replace("rosespread/", "");
         if (!call.path().equals("/v1/health/service/nodes")) {
             exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such service"));
-        } else if (mode == Mode.ERRORS) {
+        } else if (setMode == AnswerMode.ERRORS) {
             exchange.answer(HttpMessage.Response.of(500, "text/plain", "No cluster leader"));
         } else {
             Waiting one = new Waiting(agent, exchange);
             long known = parameter(call.target(), "index");
             waiting.add(one);
             exchange.onClosed(() -> loop.run(() -> waiting.remove(one)));
-            if (mode == Mode.OLDER || known < published.get(published.size() - 1).index()) {
+            if (setMode == AnswerMode.OLDER
+                    || known < published.get(published.size() - 1).index()) {
                 answer(one);
             } else {
                 loop.after(parameter(call.target(), "wait") * MILLI, () -> answer(one));
@@ -193,14 +195,14 @@
     }
 
     private void answer(Waiting one) {
-        if (one.done || mode == Mode.SILENT || !waiting.contains(one)) {
+        if (one.done || setMode == AnswerMode.SILENT || !waiting.contains(one)) {
             return;
         }
         one.done = true;
         waiting.remove(one);
-        Published shown = published.get(mode == Mode.OLDER ? 0 : published.size() - 1);
-        if (mode == Mode.USUAL) {
-            record.told(loop.now(), one.agent, shown.nodes());
+        Published shown = published.get(setMode == AnswerMode.OLDER ? 0 : published.size() - 1);
+        if (setMode == AnswerMode.USUAL) {
+            record.nodeListServed(loop.now(), one.agent, shown.nodes());
         }
         one.exchange.answer(
                 new HttpMessage.Response(
@@ -214,7 +216,7 @@
     }
 
     /** The nodes as they are listed, for a proxy that starts: names with address, zone and kind. */
-    Map<String, InetSocketAddress> listed(String zone) {
+    Map<String, InetSocketAddress> addresses(String zone) {
         Map<String, InetSocketAddress> found = new TreeMap<>();
         entries.forEach(
                 (name, entry) -> {
@@ -225,7 +227,7 @@
         return found;
     }
 
-    String kind(String name) {
+    String machineType(String name) {
         Entry entry = entries.get(name);
         return entry == null ? "" : entry.kind();
     }
--- a/src/main/java/rosespread/testbed/FakeNodes.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -50,7 +50,7 @@
                                     });
                         });
         int number = 0;
-        for (Map.Entry<String, SiteDefinition.Kind> kind : site.kinds().entrySet()) {
+        for (Map.Entry<String, SiteDefinition.MachineType> kind : site.machineTypes().entrySet()) {
             for (int i = 0; i < kind.getValue().nodes(); i++) {
                 String zone = site.zones().get(number % site.zones().size());
                 InetSocketAddress address = http.listen(Ports.free());
@@ -114,23 +114,23 @@
     }
 
     /** Tells the list that the node drains, or ends that. */
-    public void drain(String name, boolean on) {
-        list.drain(name, on);
+    public void setDraining(String name, boolean on) {
+        list.setDraining(name, on);
     }
 
-    public void hang(String name, boolean on) {
+    public void setHung(String name, boolean on) {
         byName.get(name).hung = on;
     }
 
-    public void abort(String name, double share) {
+    public void setAbortRatio(String name, double share) {
         byName.get(name).abortShare = share;
     }
 
-    public void slow(String name, double speed) {
+    public void setSpeedFactor(String name, double speed) {
         byName.get(name).slowing = speed;
     }
 
-    public void falseReports(String name, double factor) {
+    public void setReportFactor(String name, double factor) {
         byName.get(name).reportFactor = factor;
     }
 
--- a/src/main/java/rosespread/testbed/FakeProxies.java
+++ b/src/main/java/rosespread/testbed/FakeProxies.java
@@ -26,7 +26,7 @@
 /** All stand-in proxies of a process, and the links over which conductors' messages reach them. */
 public final class FakeProxies implements AutoCloseable {
     /** A conductor that proxies can dial; no zone: any proxy's. */
-    public record Target(String name, InetSocketAddress address, String zone) {}
+    public record ControllerTarget(String name, InetSocketAddress address, String zone) {}
 
     private static final int CONNECT_MILLIS = 250;
     private static final double SECOND = 1e9;
@@ -50,7 +50,7 @@
     private final TrafficRecorder record;
     private final RandomGenerator random;
     private final boolean shares;
-    private final List<Target> conductors;
+    private final List<ControllerTarget> conductors;
     private final NioSocketConnector connector = new NioSocketConnector(2);
     private final HttpClient http = new HttpClient(2, HttpLimits.USUAL, CONNECT_MILLIS, 1);
     private final Map<String, FakeProxy> proxies = new TreeMap<>();
@@ -58,7 +58,7 @@
     private final Map<String, Long> lastDue = new HashMap<>();
     private final Map<String, ArrayDeque<Runnable>> onTheWay = new HashMap<>();
     private final Map<Integer, String> names = new HashMap<>();
-    private long reportsLater;
+    private long setReportDelay;
     private double deltasLost;
 
     /**
@@ -69,7 +69,7 @@
             TestLoop loop,
             SiteDefinition site,
             FakeNodeList list,
-            List<Target> conductors,
+            List<ControllerTarget> conductors,
             double[] rates,
             boolean shares,
             RandomGenerator random,
@@ -91,7 +91,7 @@
                                 new ChannelCodec(
                                         FrameReader.FROM_CONDUCTOR, FrameReader.FROM_CONDUCTOR)));
         connector.setHandler(new Sessions());
-        list.listed(null).forEach((name, address) -> names.put(address.getPort(), name));
+        list.addresses(null).forEach((name, address) -> names.put(address.getPort(), name));
         for (int i = 0; i < site.proxies().count(); i++) {
             String name = String.format("proxy-%03d", i);
             proxies.put(
@@ -124,40 +124,40 @@
         return proxies.get(name);
     }
 
-    public boolean allBound() {
-        return proxies.values().stream().allMatch(FakeProxy::bound);
+    public boolean allSubscribed() {
+        return proxies.values().stream().allMatch(FakeProxy::isSubscribed);
     }
 
     public void crash(String name) {
-        if (proxies.get(name).up()) {
+        if (proxies.get(name).isUp()) {
             proxies.get(name).crash();
         }
     }
 
     public void restart(String name) {
-        if (!proxies.get(name).up()) {
+        if (!proxies.get(name).isUp()) {
             proxies.get(name).start(!conductors.isEmpty());
         }
     }
 
-    public void cut(String name, boolean on, boolean quietly) {
+    public void setCut(String name, boolean on, boolean quietly) {
         if (!conductors.isEmpty()) {
             proxies.get(name).cut(on, quietly);
         }
     }
 
     /** All links carry lines so many times slower from now on; 1 is as usual. */
-    public void slowLinks(double factor) {
+    public void setLinkSlowdown(double factor) {
         conductors.forEach(c -> links.computeIfAbsent(c.name(), n -> new Link()).factor = factor);
     }
 
     /** Reports are sent so much later than usual. */
-    public void reportsLater(long nanos) {
-        reportsLater = nanos;
+    public void setReportDelay(long nanos) {
+        setReportDelay = nanos;
     }
 
     /** This share of deltas is lost from now on. */
-    public void loseDeltas(double share) {
+    public void setDeltaLossRatio(double share) {
         deltasLost = share;
     }
 
@@ -166,7 +166,7 @@
     }
 
     long reportLate() {
-        return site.reportLate() + reportsLater;
+        return site.reportDelayNanos() + setReportDelay;
     }
 
     boolean levelsAreShares() {
@@ -183,14 +183,14 @@
 
     Map<NodeId, ProxyTables.Place> standing(
             String zone, SiteDefinition.Method method, RandomGenerator from) {
-        Map<String, InetSocketAddress> near = list.listed(zone);
+        Map<String, InetSocketAddress> near = list.addresses(zone);
         List<Map.Entry<String, InetSocketAddress>> all =
-                new ArrayList<>((near.size() >= 3 ? near : list.listed(null)).entrySet());
-        all.removeIf(entry -> !method.open(list.kind(entry.getKey())));
+                new ArrayList<>((near.size() >= 3 ? near : list.addresses(null)).entrySet());
+        all.removeIf(entry -> !method.isServedBy(list.machineType(entry.getKey())));
         Collections.shuffle(all, new java.util.Random(from.nextLong()));
         Map<NodeId, ProxyTables.Place> drawn = new LinkedHashMap<>();
         all.stream()
-                .limit(site.proxies().standing())
+                .limit(site.proxies().initialEntries())
                 .forEach(
                         entry ->
                                 drawn.put(
@@ -204,9 +204,10 @@
 
     /** Dials a conductor of the proxy's zone if there is one, else any; another one at each try. */
     String dial(FakeProxy proxy, long stream) {
-        List<Target> near = conductors.stream().filter(c -> proxy.zone.equals(c.zone())).toList();
-        List<Target> among = !near.isEmpty() && random.nextInt(3) > 0 ? near : conductors;
-        Target target = among.get(random.nextInt(among.size()));
+        List<ControllerTarget> near =
+                conductors.stream().filter(c -> proxy.zone.equals(c.zone())).toList();
+        List<ControllerTarget> among = !near.isEmpty() && random.nextInt(3) > 0 ? near : conductors;
+        ControllerTarget target = among.get(random.nextInt(among.size()));
         connector
                 .connect(
                         target.address(),
@@ -229,7 +230,7 @@
         if (link.factor > 1 || link.freeAt > now) {
             double nanos =
                     mark.lines()
-                            / site.proxies().linesPerSecond()
+                            / site.proxies().entriesPerSecond()
                             * SECOND
                             * Math.max(1, link.factor);
             link.freeAt = Math.max(link.freeAt, now) + (long) nanos;
@@ -237,11 +238,13 @@
             link.lines += mark.lines();
             loop.after(leaves - now, () -> link.lines -= mark.lines());
         }
-        record.message(now, proxy.name, conductor, mark, link.lines);
+        record.messageArrived(now, proxy.name, conductor, mark, link.lines);
         long way =
                 Math.min(
-                        site.proxies().longestWay(),
-                        (long) (-Math.log(1 - random.nextDouble()) * site.proxies().way()));
+                        site.proxies().maxDelayNanos(),
+                        (long)
+                                (-Math.log(1 - random.nextDouble())
+                                        * site.proxies().meanDelayNanos()));
         long due = Math.max(lastDue.getOrDefault(proxy.name, 0L), leaves + way);
         lastDue.put(proxy.name, due);
         // Two timers for one moment may fire in either order; the stream's order must hold all the
--- a/src/main/java/rosespread/testbed/FakeProxy.java
+++ b/src/main/java/rosespread/testbed/FakeProxy.java
@@ -62,7 +62,7 @@
     private List<Frame> message = new ArrayList<>();
     private boolean joined;
     private boolean boundOnce;
-    private boolean up;
+    private boolean isUp;
     private boolean cut;
     private boolean silent;
 
@@ -92,11 +92,11 @@
         this.record = record;
     }
 
-    public boolean up() {
-        return up;
+    public boolean isUp() {
+        return isUp;
     }
 
-    public boolean bound() {
+    public boolean isSubscribed() {
         return joined && boundOnce;
     }
 
@@ -108,7 +108,7 @@
 
     /** Starts with tables drawn from the list, within its zone where that has three; dials. */
     void start(boolean dials) {
-        up = true;
+        isUp = true;
         boundOnce = false;
         tables = new ProxyTables(random);
         met.clear();
@@ -124,7 +124,7 @@
         tellPickable();
         if (dials) {
             dial();
-            long first = (long) (random.nextDouble() * site.reportPeriod());
+            long first = (long) (random.nextDouble() * site.reportPeriodNanos());
             long life = stream;
             loop.after(first, () -> report(life));
         }
@@ -132,7 +132,7 @@
 
     /** The process dies. */
     void crash() {
-        up = false;
+        isUp = false;
         List.copyOf(inHand).forEach(Runnable::run);
         inHand.clear();
         drop();
@@ -144,7 +144,7 @@
         silent = on && quietly;
         if (on) {
             if (joined) {
-                record.left(loop.now(), name);
+                record.proxyLeft(loop.now(), name);
             }
             joined = false;
             if (!quietly) {
@@ -159,7 +159,7 @@
     private void drop() {
         stream++;
         if (joined) {
-            record.left(loop.now(), name);
+            record.proxyLeft(loop.now(), name);
         }
         joined = false;
         if (session != null) {
@@ -169,7 +169,7 @@
     }
 
     private void dial() {
-        if (!up || cut || session != null) {
+        if (!isUp || cut || session != null) {
             return;
         }
         long mine = ++stream;
@@ -177,10 +177,10 @@
     }
 
     void redial() {
-        long span = site.proxies().redialMost() - site.proxies().redialLeast();
+        long span = site.proxies().maxReconnectNanos() - site.proxies().minReconnectNanos();
         long life = stream;
         loop.after(
-                site.proxies().redialLeast() + random.nextLong(span + 1),
+                site.proxies().minReconnectNanos() + random.nextLong(span + 1),
                 () -> {
                     if (life == stream && session == null) {
                         dial();
@@ -189,7 +189,7 @@
     }
 
     void opened(long of, IoSession made) {
-        if (of != stream || !up || cut) {
+        if (of != stream || !isUp || cut) {
             made.closeNow();
             return;
         }
@@ -216,7 +216,7 @@
             joined = true;
             Map<Integer, Long> versions = new TreeMap<>();
             held.forEach(h -> versions.put(h.table().value(), h.version()));
-            record.joined(loop.now(), name, conductor, versions);
+            record.proxyJoined(loop.now(), name, conductor, versions);
         } else if (frame instanceof Frame.KeepAlive alive) {
             session.write(new Frame.KeepAlive(alive.number(), true));
         } else if (frame instanceof Frame.Mark mark) {
@@ -249,14 +249,14 @@
         List<Frame> answers = new ArrayList<>();
         int lines = tables.apply(whole, answers);
         long now = loop.now();
-        stalledUntil = Math.max(now, stalledUntil) + lines * site.proxies().stallPerLine();
+        stalledUntil = Math.max(now, stalledUntil) + lines * site.proxies().stallPerEntryNanos();
         tellPickable();
-        record.applied(now, name, conductor, mark);
+        record.messageApplied(now, name, conductor, mark);
         for (Frame frame : whole) {
             if (frame instanceof Frame.Bind bind) {
-                record.table(now, name, conductor, tables.held(bind.table()));
+                record.tableChanged(now, name, conductor, tables.held(bind.table()));
             } else if (frame instanceof Frame.Lines change && tables.holds(change.table())) {
-                record.table(now, name, conductor, tables.held(change.table()));
+                record.tableChanged(now, name, conductor, tables.held(change.table()));
             }
         }
         session.write(new Frame.Installed(mark.number()));
@@ -267,16 +267,16 @@
         for (SiteDefinition.Method method : site.methods()) {
             boolean any = tables.pickable(method(method));
             if (!Boolean.valueOf(any).equals(pickable.put(method(method), any))) {
-                record.pickable(loop.now(), name, method.name(), any);
+                record.availabilityChanged(loop.now(), name, method.name(), any);
             }
         }
     }
 
     private void report(long life) {
-        if (!up) {
+        if (!isUp) {
             return;
         }
-        loop.after(site.reportPeriod(), () -> report(life));
+        loop.after(site.reportPeriodNanos(), () -> report(life));
         long now = loop.now();
         long covers = (now - reportedAt) / 1000;
         reportedAt = now;
@@ -319,7 +319,7 @@
             loop.after(stalledUntil - now, () -> rpc(rpc, until, then));
             return;
         }
-        if (!up) {
+        if (!isUp) {
             then.accept(Result.UNREACHABLE);
             return;
         }
@@ -381,7 +381,7 @@
             return;
         }
         ProxyTables.Place place = tables.place(id);
-        record.tried(now, name, place.name(), rpc.number(), rpc.method());
+        record.attemptStarted(now, name, place.name(), rpc.number(), rpc.method());
         out.merge(id, 1, Integer::sum);
         HttpHeaders headers =
                 HttpHeaders.of(
@@ -392,7 +392,7 @@
                         "x-rpc",
                         String.valueOf(rpc.number()),
                         "x-work-nanos",
-                        String.valueOf(rpc.work()));
+                        String.valueOf(rpc.workNanos()));
         if (rpc.method().effect() == SiteDefinition.Effect.TOKENED) {
             headers.add("idempotency-key", "t" + rpc.number());
         }
@@ -438,10 +438,10 @@
                                     private void ended(Result result, HttpMessage.Response answer) {
                                         inHand.remove(cancel[0]);
                                         out.merge(id, -1, Integer::sum);
-                                        if (up) {
+                                        if (isUp) {
                                             count(id, result, answer, now);
                                             if (result != Result.OK) {
-                                                record.tryFailed(
+                                                record.attemptFailed(
                                                         loop.now(),
                                                         name,
                                                         place.name(),
@@ -486,7 +486,7 @@
         }
         m.unanswered++;
         int row = failuresInRow.merge(id, 1, Integer::sum);
-        if (site.proxies().failures() > 0 && row >= site.proxies().failures()) {
+        if (site.proxies().avoidAfterFailures() > 0 && row >= site.proxies().avoidAfterFailures()) {
             failuresInRow.remove(id);
             avoidUntil.put(id, loop.now() + AVOID_LEAST + random.nextLong(AVOID_MORE));
         }
--- a/src/main/java/rosespread/testbed/OpenLoopClients.java
+++ b/src/main/java/rosespread/testbed/OpenLoopClients.java
@@ -14,35 +14,35 @@
      */
     public record Arrival(
             long number,
-            long at,
+            long dueNanos,
             SiteDefinition.Method method,
             String zone,
-            double place,
-            String hot,
-            long work,
+            double proxyPosition,
+            String hotProxy,
+            long workNanos,
             int retries,
-            long retryWait,
-            double patience) {}
+            long retryDelayNanos,
+            double deadlineRatio) {}
 
     /**
      * Takes how each RPC ended, on the loop's thread; {@code latency} in nanoseconds from when it
      * was due.
      */
-    public interface Taker {
-        void ended(Arrival rpc, FakeProxy.Result result, long latency, int tries);
+    public interface OutcomeListener {
+        void rpcEnded(Arrival rpc, FakeProxy.Result result, long latency, int tries);
     }
 
     private final TestLoop loop;
     private final FakeProxies proxies;
     private final RandomGenerator random;
-    private final Taker taker;
+    private final OutcomeListener taker;
     private List<Arrival> day = List.of();
     private long start;
     private int next;
-    private int open;
+    private int pending;
 
     public OpenLoopClients(
-            TestLoop loop, FakeProxies proxies, RandomGenerator random, Taker taker) {
+            TestLoop loop, FakeProxies proxies, RandomGenerator random, OutcomeListener taker) {
         this.loop = loop;
         this.proxies = proxies;
         this.random = random;
@@ -57,19 +57,19 @@
         step();
     }
 
-    public int open() {
-        return open;
+    public int pending() {
+        return pending;
     }
 
     private void step() {
         long now = loop.now();
-        while (next < day.size() && start + day.get(next).at() <= now) {
+        while (next < day.size() && start + day.get(next).dueNanos() <= now) {
             Arrival rpc = day.get(next++);
-            open++;
-            send(rpc, start + rpc.at(), 1);
+            pending++;
+            send(rpc, start + rpc.dueNanos(), 1);
         }
         if (next < day.size()) {
-            loop.after(start + day.get(next).at() - loop.now(), this::step);
+            loop.after(start + day.get(next).dueNanos() - loop.now(), this::step);
         }
     }
 
@@ -78,23 +78,25 @@
      * noticed.
      */
     private FakeProxy proxy(Arrival rpc) {
-        if (rpc.hot() != null && proxies.proxy(rpc.hot()).up()) {
-            return proxies.proxy(rpc.hot());
+        if (rpc.hotProxy() != null && proxies.proxy(rpc.hotProxy()).isUp()) {
+            return proxies.proxy(rpc.hotProxy());
         }
         List<String> near = proxies.names(rpc.zone());
-        FakeProxy first = proxies.proxy(near.get((int) (rpc.place() * near.size())));
-        if (first.up() || random.nextInt(4) == 0) {
+        FakeProxy first = proxies.proxy(near.get((int) (rpc.proxyPosition() * near.size())));
+        if (first.isUp() || random.nextInt(4) == 0) {
             return first;
         }
         List<FakeProxy> alive =
-                proxies.names().stream().map(proxies::proxy).filter(FakeProxy::up).toList();
+                proxies.names().stream().map(proxies::proxy).filter(FakeProxy::isUp).toList();
         return alive.isEmpty() ? first : alive.get(random.nextInt(alive.size()));
     }
 
     private void send(Arrival rpc, long due, int tries) {
-        long deadline = due + rpc.method().deadline();
+        long deadline = due + rpc.method().deadlineNanos();
         long until =
-                Math.min(deadline, loop.now() + (long) (rpc.method().deadline() * rpc.patience()));
+                Math.min(
+                        deadline,
+                        loop.now() + (long) (rpc.method().deadlineNanos() * rpc.deadlineRatio()));
         proxy(rpc)
                 .rpc(
                         rpc,
@@ -108,11 +110,11 @@
                             if (result != FakeProxy.Result.OK
                                     && repeats
                                     && tries <= rpc.retries()
-                                    && now + rpc.retryWait() < deadline) {
-                                loop.after(rpc.retryWait(), () -> send(rpc, due, tries + 1));
+                                    && now + rpc.retryDelayNanos() < deadline) {
+                                loop.after(rpc.retryDelayNanos(), () -> send(rpc, due, tries + 1));
                             } else {
-                                open--;
-                                taker.ended(rpc, result, now - due, tries);
+                                pending--;
+                                taker.rpcEnded(rpc, result, now - due, tries);
                             }
                         });
     }
--- a/src/main/java/rosespread/testbed/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -156,7 +156,7 @@
     }
 
     /** A table of this stream, by the nodes' names. */
-    TrafficRecorder.Holds held(TableId id) {
+    TrafficRecorder.TableSnapshot held(TableId id) {
         Map<String, Double> lines = new TreeMap<>();
         ofStream.get(id)
                 .rows
@@ -167,7 +167,7 @@
                                                 ? places.get(node).name()
                                                 : Long.toHexString(node.value()),
                                         row.weight));
-        return new TrafficRecorder.Holds(
+        return new TrafficRecorder.TableSnapshot(
                 id.value(), ofStream.get(id).version, digest(ofStream.get(id)), lines);
     }
 
--- a/src/main/java/rosespread/testbed/SiteDefinition.java
+++ b/src/main/java/rosespread/testbed/SiteDefinition.java
@@ -9,15 +9,15 @@
  */
 public record SiteDefinition(
         List<String> zones,
-        Map<String, Kind> kinds,
+        Map<String, MachineType> machineTypes,
         List<Method> methods,
         Proxies proxies,
-        Cold cold,
+        WarmUp warmUp,
         double queuePerCore,
-        long reportPeriod,
-        long reportLate) {
+        long reportPeriodNanos,
+        long reportDelayNanos) {
 
-    public record Kind(int cores, double speed, int nodes) {}
+    public record MachineType(int cores, double speed, int nodes) {}
 
     public enum Effect {
         IDEMPOTENT,
@@ -31,16 +31,16 @@
     public record Method(
             String name,
             double share,
-            long work,
-            long softDeadline,
-            long deadline,
-            double criticality,
-            double lateShare,
+            long workNanos,
+            long latencyObjectiveNanos,
+            long deadlineNanos,
+            double priorityWeight,
+            double lateValueRatio,
             Effect effect,
-            long window,
-            List<String> onlyKinds) {
-        boolean open(String kind) {
-            return onlyKinds.isEmpty() || onlyKinds.contains(kind);
+            long tokenWindowNanos,
+            List<String> machineTypes) {
+        boolean isServedBy(String kind) {
+            return machineTypes.isEmpty() || machineTypes.contains(kind);
         }
     }
 
@@ -51,14 +51,14 @@
     public record Proxies(
             int count,
             Pick pick,
-            int failures,
-            long stallPerLine,
-            long way,
-            long longestWay,
-            int standing,
-            long redialLeast,
-            long redialMost,
-            double linesPerSecond) {}
+            int avoidAfterFailures,
+            long stallPerEntryNanos,
+            long meanDelayNanos,
+            long maxDelayNanos,
+            int initialEntries,
+            long minReconnectNanos,
+            long maxReconnectNanos,
+            double entriesPerSecond) {}
 
     public enum Pick {
         ROUND,
@@ -67,5 +67,6 @@
     }
 
     /** {@code multiple} of what a cold node can do, for {@code window}, makes it fall. */
-    public record Cold(long time, double share, long window, double multiple) {}
+    public record WarmUp(
+            long durationNanos, double initialRatio, long windowNanos, double overloadFactor) {}
 }
--- a/src/main/java/rosespread/testbed/TrafficRecorder.java
+++ b/src/main/java/rosespread/testbed/TrafficRecorder.java
@@ -10,50 +10,51 @@
  */
 public interface TrafficRecorder {
     /** How a node is listed. */
-    record Listed(NodeState state, long startedMillis, String kind) {}
+    record NodeListing(NodeState state, long startedMillis, String machineType) {}
 
     /** The list has answered a conductor with this. */
-    default void told(long at, String conductor, Map<String, Listed> nodes) {}
+    default void nodeListServed(long at, String conductor, Map<String, NodeListing> nodes) {}
 
     /** A proxy asks to be joined and says which versions it was given of tables before. */
-    default void joined(long at, String proxy, String conductor, Map<Integer, Long> held) {}
+    default void proxyJoined(long at, String proxy, String conductor, Map<Integer, Long> held) {}
 
     /** The proxy has no stream any more, or none that works. */
-    default void left(long at, String proxy) {}
+    default void proxyLeft(long at, String proxy) {}
 
     /**
      * A message has come; {@code held} lines are on their way through a slow link, its own
      * included.
      */
-    default void message(long at, String proxy, String conductor, Frame.Mark mark, double held) {}
+    default void messageArrived(
+            long at, String proxy, String conductor, Frame.Mark mark, double held) {}
 
     /** A message has been taken up. */
-    default void applied(long at, String proxy, String conductor, Frame.Mark mark) {}
+    default void messageApplied(long at, String proxy, String conductor, Frame.Mark mark) {}
 
     /** What a proxy holds of a table, by the nodes' names. */
-    record Holds(int table, long version, long digest, Map<String, Double> lines) {}
+    record TableSnapshot(int table, long version, long digest, Map<String, Double> weights) {}
 
     /** A message changed a table, and the proxy has answered for it. */
-    default void table(long at, String proxy, String conductor, Holds held) {}
+    default void tableChanged(long at, String proxy, String conductor, TableSnapshot held) {}
 
     /** Whether the proxy has a line to pick for a method, from now on. */
-    default void pickable(long at, String proxy, String method, boolean any) {}
+    default void availabilityChanged(long at, String proxy, String method, boolean any) {}
 
-    default void tried(
+    default void attemptStarted(
             long at, String proxy, String node, long rpc, SiteDefinition.Method method) {}
 
     /** A try had no good answer. */
-    default void tryFailed(
+    default void attemptFailed(
             long at, String proxy, String node, long rpc, SiteDefinition.Method method) {}
 
-    default void effect(long at, String node, long rpc, SiteDefinition.Method method) {}
+    default void effectApplied(long at, String node, long rpc, SiteDefinition.Method method) {}
 
     /** A node has begun to warm up. */
-    default void coldStart(long at, String node) {}
+    default void warmUpStarted(long at, String node) {}
 
     /** The first RPC that a cold node got. */
-    default void coldReached(long at, String node) {}
+    default void warmingNodeReached(long at, String node) {}
 
     /** A cold node fell over; seconds of work that each proxy sent it in the window before. */
-    default void fell(long at, String node, long startedAt, Map<String, Double> work) {}
+    default void nodeOverloaded(long at, String node, long startedAt, Map<String, Double> work) {}
 }
--- a/src/test/java/rosespread/scenario/ReportKeysTest.java
+++ b/src/test/java/rosespread/scenario/ReportKeysTest.java
@@ -58,13 +58,13 @@
 
     @Test
     void aReportHasTheKeysThatItHad() throws Exception {
-        Scenario scenario = ScenarioReader.named("short-day");
+        Scenario scenario = ScenarioReader.load("short-day");
         Report report = new Report(scenario, 3);
         InvariantChecker auditor = new InvariantChecker(scenario, 0);
-        report.begins(0);
-        report.dayBegins(List.of());
+        report.setDayStart(0);
+        report.startCpuMeasurement(List.of());
         for (SiteDefinition.Method method : scenario.site().methods()) {
-            report.ended(
+            report.rpcEnded(
                     new OpenLoopClients.Arrival(1, 1, method, "north", 0.5, "", 1, 0, 1, 1),
                     FakeProxy.Result.OK,
                     1_000_000,
@@ -73,7 +73,7 @@
         report.event(1, "something happened");
         auditor.shortQueue.broke("too long");
         report.refused(new ObjectMapper().readTree("[{\"refused\":{\"LEAVING_NODE\":2}}]"));
-        report.ends(auditor, 1_000_000_000L, List.of());
+        report.complete(auditor, 1_000_000_000L, List.of());
         assertEquals(
                 recorded(
                         """
@@ -238,7 +238,7 @@
                 "rollback-day"
             })
     void aShippedScenarioIsReadInAllItsKeys(String name) throws Exception {
-        assertEquals(name, ScenarioReader.named(name).name());
+        assertEquals(name, ScenarioReader.load(name).name());
     }
 
     @Test
@@ -339,8 +339,8 @@
     /** A name that is no longer known is a fault; the settings show what came of most. */
     @Test
     void everyNameOfAScenarioIsStillRead() throws Exception {
-        Scenario scenario = ScenarioReader.read("all-names.yaml", ALL_NAMES);
-        assertEquals(1, scenario.troubles().size());
+        Scenario scenario = ScenarioReader.parse("all-names.yaml", ALL_NAMES);
+        assertEquals(1, scenario.faults().size());
         assertTrue(keys(new YAMLMapper().readTree(ALL_NAMES)).size() > 50);
         assertEquals(
                 "{\"seed\":7,\"peers\":[\"127.0.0.1:8600\"],\"zones\":[\"north\",\"south\"],\""
--- a/src/test/java/rosespread/scenario/ScenarioRunTest.java
+++ b/src/test/java/rosespread/scenario/ScenarioRunTest.java
@@ -77,9 +77,11 @@
 
     @Test
     void drawsTheSameDayFromTheSameSeed() throws Exception {
-        Scenario scenario = ScenarioReader.named("bad-day");
-        assertEquals(FaultTargets.day(scenario, 5), FaultTargets.day(scenario, 5));
-        assertNotEquals(FaultTargets.day(scenario, 5), FaultTargets.day(scenario, 6));
+        Scenario scenario = ScenarioReader.load("bad-day");
+        assertEquals(
+                ArrivalGenerator.arrivals(scenario, 5), ArrivalGenerator.arrivals(scenario, 5));
+        assertNotEquals(
+                ArrivalGenerator.arrivals(scenario, 5), ArrivalGenerator.arrivals(scenario, 6));
     }
 
     @ParameterizedTest
@@ -98,15 +100,15 @@
                 new String(
                         getClass().getResourceAsStream("/scenarios/short-day.yaml").readAllBytes(),
                         java.nio.charset.StandardCharsets.UTF_8);
-        ScenarioReader.read("good", good);
+        ScenarioReader.parse("good", good);
         String bad = good.replaceFirst(java.util.regex.Pattern.quote(from), to);
         ScenarioException e =
-                assertThrows(ScenarioException.class, () -> ScenarioReader.read("bad", bad));
+                assertThrows(ScenarioException.class, () -> ScenarioReader.parse("bad", bad));
         assertTrue(e.getMessage().contains(told), e.getMessage());
     }
 
     @Test
     void saysWhereAScenarioIsMissing() {
-        assertThrows(ScenarioException.class, () -> ScenarioReader.named("no-such-day"));
+        assertThrows(ScenarioException.class, () -> ScenarioReader.load("no-such-day"));
     }
 }
