--- a/src/main/java/rosespread/scenario/ArrivalGenerator.java
+++ b/src/main/java/rosespread/scenario/ArrivalGenerator.java
@@ -1,90 +1,148 @@
 package rosespread.scenario;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import rosespread.testbed.OpenLoopClients;
+import rosespread.testbed.OpenLoopClients.Arrival;
 import rosespread.testbed.SiteDefinition;
 
 /**
  * Draws a day's arrivals ahead from the seed: the same seed gives the same day, whatever happens in
- * it.
+ * it. Faults of clients and traffic are drawn into it.
  */
 final class ArrivalGenerator {
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private ArrivalGenerator() {}
+    /** Work spreads by a log-normal of this deviation; the shift keeps the mean at 1. */
+    private static final double WORK_DEVIATION = 0.25;
 
-    /** Usual RPCs a second of each proxy: all alike within a zone. */
+    private static final double WORK_SHIFT = -WORK_DEVIATION * WORK_DEVIATION / 2;
+
+    private static final String HOT_PROXY = "proxy-000";
+    private static final int IMPATIENT_RETRIES = 3;
+
+    private final Scenario scenario;
+    private final SiteDefinition site;
+    private final RandomGenerator random;
+    private final double totalShare;
+
+    private ArrivalGenerator(Scenario scenario, long seed) {
+        this.scenario = scenario;
+        this.site = scenario.site();
+        this.random = new SplittableRandom(seed);
+        this.totalShare = site.methods().stream().mapToDouble(SiteDefinition.Method::share).sum();
+    }
+
+    /** Usual RPCs a second of each proxy: all alike. */
     static double[] requestRates(Scenario scenario) {
         double[] rates = new double[scenario.site().proxies().count()];
-        java.util.Arrays.fill(rates, scenario.requestsPerSecond() / rates.length);
+        Arrays.fill(rates, scenario.requestsPerSecond() / rates.length);
         return rates;
     }
 
-    static List<OpenLoopClients.Arrival> arrivals(Scenario scenario, long seed) {
-        RandomGenerator random = new SplittableRandom(seed);
-        SiteDefinition site = scenario.site();
-        List<OpenLoopClients.Arrival> day = new ArrayList<>();
-        double share = site.methods().stream().mapToDouble(SiteDefinition.Method::share).sum();
-        double at = -scenario.warmUpNanos();
-        for (long number = 1; ; number++) {
-            at += -Math.log(1 - random.nextDouble()) / scenario.requestsPerSecond() * SECOND;
-            if (at >= scenario.durationNanos()) {
-                return day;
+    /** The arrivals of a scenario's warm-up and day, in order of time. */
+    static List<Arrival> arrivals(Scenario scenario, long seed) {
+        return new ArrivalGenerator(scenario, seed).generate();
+    }
+
+    private List<Arrival> generate() {
+        List<Arrival> arrivals = new ArrayList<>();
+        double dueNanos = nextDue(-scenario.warmUpNanos());
+        for (long number = 1; dueNanos < scenario.durationNanos(); number++) {
+            arrivals.add(draw(number, (long) dueNanos));
+            dueNanos = nextDue(dueNanos);
+        }
+        return arrivals;
+    }
+
+    private double nextDue(double nanos) {
+        return nanos
+                + -Math.log(1 - random.nextDouble())
+                        / scenario.requestsPerSecond()
+                        * NANOS_PER_SECOND;
+    }
+
+    private Arrival draw(long number, long dueNanos) {
+        SiteDefinition.Method method = drawMethod();
+        Draft draft = new Draft(scenario.clients(), method);
+        draft.work =
+                method.workNanos() * Math.exp(WORK_DEVIATION * random.nextGaussian() + WORK_SHIFT);
+        draft.zone = site.zones().get(random.nextInt(site.zones().size()));
+        double proxyPosition = random.nextDouble();
+        double chance = random.nextDouble();
+        for (Fault fault : scenario.faults()) {
+            if (fault.isActiveAt(dueNanos)) {
+                draft.apply(fault, chance);
             }
-            double draw = random.nextDouble() * share;
-            SiteDefinition.Method method = site.methods().get(site.methods().size() - 1);
-            for (SiteDefinition.Method each : site.methods()) {
-                draw -= each.share();
-                if (draw < 0) {
-                    method = each;
-                    break;
-                }
+        }
+        return draft.toArrival(number, dueNanos, proxyPosition);
+    }
+
+    private SiteDefinition.Method drawMethod() {
+        double draw = random.nextDouble() * totalShare;
+        for (SiteDefinition.Method method : site.methods()) {
+            draw -= method.share();
+            if (draw < 0) {
+                return method;
             }
-            // Work spreads by a log-normal of a quarter, scaled to the mean.
-            double work = method.workNanos() * Math.exp(0.25 * random.nextGaussian() - 0.03125);
-            String zone = site.zones().get(random.nextInt(site.zones().size()));
-            double place = random.nextDouble();
-            double chance = random.nextDouble();
-            String hot = null;
-            int retries = scenario.clients().retries();
-            long wait = scenario.clients().retryDelayNanos();
-            double patience = scenario.clients().deadlineRatio();
-            for (Fault trouble : scenario.faults()) {
-                if (!trouble.isActiveAt((long) at)) {
-                    continue;
+        }
+        return site.methods().get(site.methods().size() - 1);
+    }
+
+    /** An arrival to which faults are still being applied. */
+    private static final class Draft {
+        private final SiteDefinition.Method method;
+        private double work;
+        private String zone;
+        private String hotProxy;
+        private int retries;
+        private long retryDelayNanos;
+        private double deadlineRatio;
+
+        Draft(Scenario.Clients clients, SiteDefinition.Method method) {
+            this.method = method;
+            this.retries = clients.retries();
+            this.retryDelayNanos = clients.retryDelayNanos();
+            this.deadlineRatio = clients.deadlineRatio();
+        }
+
+        /**
+         * Applies a fault that lasts when the RPC is due.
+         *
+         * @param chance from 0 to 1; below the fault's share the RPC is among those it strikes
+         */
+        void apply(Fault fault, double chance) {
+            boolean struck = chance < fault.share();
+            switch (fault.kind()) {
+                case COSTLY_RPCS ->
+                        work *= struck && method.name().equals(fault.method()) ? fault.factor() : 1;
+                case SHIFT -> zone = struck ? fault.zone() : zone;
+                case HOT_PROXY -> hotProxy = struck ? HOT_PROXY : hotProxy;
+                case CLIENTS_GIVE_UP -> deadlineRatio = Math.min(deadlineRatio, fault.share());
+                case IMPATIENT_CLIENTS -> {
+                    retries = Math.max(retries, IMPATIENT_RETRIES);
+                    retryDelayNanos = 0;
                 }
-                switch (trouble.kind()) {
-                    case COSTLY_RPCS ->
-                            work *=
-                                    method.name().equals(trouble.method())
-                                                    && chance < trouble.share()
-                                            ? trouble.factor()
-                                            : 1;
-                    case SHIFT -> zone = chance < trouble.share() ? trouble.zone() : zone;
-                    case HOT_PROXY -> hot = chance < trouble.share() ? "proxy-000" : hot;
-                    case CLIENTS_GIVE_UP -> patience = Math.min(patience, trouble.share());
-                    case IMPATIENT_CLIENTS -> {
-                        retries = Math.max(retries, 3);
-                        wait = 0;
-                    }
-                    default -> {}
+                default -> {
+                    // The others strike the site, not its clients.
                 }
             }
-            day.add(
-                    new OpenLoopClients.Arrival(
-                            number,
-                            (long) at,
-                            method,
-                            zone,
-                            place,
-                            hot,
-                            (long) work,
-                            retries,
-                            wait,
-                            patience));
+        }
+
+        Arrival toArrival(long number, long dueNanos, double proxyPosition) {
+            return new Arrival(
+                    number,
+                    dueNanos,
+                    method,
+                    zone,
+                    proxyPosition,
+                    hotProxy,
+                    (long) work,
+                    retries,
+                    retryDelayNanos,
+                    deadlineRatio);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/scenario/ChangeLatency.java
@@ -0,0 +1,81 @@
+package rosespread.scenario;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.HdrHistogram.Histogram;
+import rosespread.channel.Frame;
+
+/**
+ * How long changes take from a controller's round to the last proxy that took them up. Confined to
+ * the loop's thread until the run has ended.
+ */
+final class ChangeLatency {
+    private static final int HISTOGRAM_DIGITS = 3;
+    private static final long NANOS_PER_MICRO = 1_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final int MILLIS_PER_SECOND = 1_000;
+
+    /** One round of a controller and its entries over all proxies. */
+    private static final class Round {
+        final long sentNanos;
+        long lastAppliedNanos;
+        double entries;
+
+        Round(long sentNanos) {
+            this.sentNanos = sentNanos;
+        }
+    }
+
+    private final double entriesPerSecond;
+    private final Map<String, Round> rounds = new TreeMap<>();
+
+    ChangeLatency(Scenario scenario) {
+        this.entriesPerSecond = scenario.channel().entriesPerSecond();
+    }
+
+    /** When the message of a mark that came at {@code nanos} was handed to its stream. */
+    static long sentNanos(long nanos, Frame.Mark mark) {
+        return nanos - mark.queuedMicros() * NANOS_PER_MICRO;
+    }
+
+    void messageArrived(long nanos, String controller, Frame.Mark mark) {
+        rounds.computeIfAbsent(key(controller, mark), key -> new Round(sentNanos(nanos, mark)))
+                        .entries +=
+                mark.lines();
+    }
+
+    void messageApplied(long nanos, String controller, Frame.Mark mark) {
+        Round round = rounds.get(key(controller, mark));
+        if (round != null) {
+            round.lastAppliedNanos = nanos;
+        }
+    }
+
+    /** Milliseconds from a change's commit to the last proxy that took it up. */
+    Histogram changeMillis() {
+        Histogram millis = new Histogram(HISTOGRAM_DIGITS);
+        rounds.values().stream()
+                .filter(round -> round.lastAppliedNanos > 0)
+                .mapToLong(round -> Math.max(0, round.lastAppliedNanos - round.sentNanos))
+                .forEach(nanos -> millis.recordValue(nanos / NANOS_PER_MILLI));
+        return millis;
+    }
+
+    /** What the paced channel itself needs for the entries of each change, in milliseconds. */
+    Histogram pacedMillis() {
+        Histogram millis = new Histogram(HISTOGRAM_DIGITS);
+        rounds.values()
+                .forEach(
+                        round ->
+                                millis.recordValue(
+                                        (long)
+                                                (round.entries
+                                                        / entriesPerSecond
+                                                        * MILLIS_PER_SECOND)));
+        return millis;
+    }
+
+    private static String key(String controller, Frame.Mark mark) {
+        return controller + "/" + mark.round();
+    }
+}
--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -1,6 +1,5 @@
 package rosespread.scenario;
 
-import java.io.File;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -17,28 +16,47 @@
 import rosespread.http.HttpMessage;
 import rosespread.testbed.Ports;
 
-/** A conductor as a process of its own, known only by its sockets and its process id. */
+/**
+ * A controller as a process of its own, known only by its sockets and its process id. One thread at
+ * a time starts and ends it; its state may be read from others. Its methods block, so the loop's
+ * thread calls only {@link #isAlive}, {@link #cpuTime} and {@link #residentMegabytes}.
+ */
 final class ControllerProcess {
-    private static final long CALL = 3_000_000_000L;
-    private static final int STARTS_MOST = 200;
+    private static final long CALL_TIMEOUT_NANOS = 3_000_000_000L;
+    private static final int MAX_START_ATTEMPTS = 200;
+    private static final long START_ATTEMPT_PAUSE_MILLIS = 50;
+    private static final long STOP_TIMEOUT_SECONDS = 5;
+    private static final double KILOBYTES_PER_MEGABYTE = 1024;
+    private static final int HTTP_OK = 200;
 
     private final String name;
     private final Path folder;
     private final String mainClass;
-    private final List<String> extra;
+    private final List<String> leadingArguments;
     private final InetSocketAddress channelAddress;
     private final InetSocketAddress controlAddress;
     private final HttpClient http;
-    private Process process;
-    private Duration cpuBefore = Duration.ZERO;
+    private volatile Process process;
+    private volatile Duration endedCpuTime = Duration.ZERO;
 
+    /**
+     * A controller that is yet to be started.
+     *
+     * @param folder takes its log and its state
+     * @param leadingArguments go before the usual ones
+     * @throws IOException if there is no free port
+     */
     ControllerProcess(
-            String name, Path folder, String mainClass, List<String> extra, HttpClient http)
+            String name,
+            Path folder,
+            String mainClass,
+            List<String> leadingArguments,
+            HttpClient http)
             throws IOException {
         this.name = name;
         this.folder = folder;
         this.mainClass = mainClass;
-        this.extra = extra;
+        this.leadingArguments = leadingArguments;
         this.http = http;
         this.channelAddress = Ports.free();
         this.controlAddress = Ports.free();
@@ -56,11 +74,23 @@
         return controlAddress;
     }
 
+    /** Takes what all of its processes print. */
     Path logFile() {
         return folder.resolve(name + ".log");
     }
 
+    /**
+     * Starts a process with the state that the one before has left; does not wait until it is up.
+     */
     void start() throws IOException {
+        process =
+                new ProcessBuilder(command())
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()))
+                        .start();
+    }
+
+    private List<String> command() {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -72,7 +102,7 @@
                                 "-cp",
                                 System.getProperty("java.class.path"),
                                 mainClass));
-        command.addAll(extra);
+        command.addAll(leadingArguments);
         command.addAll(
                 List.of(
                         "conductor",
@@ -81,30 +111,34 @@
                         "--state",
                         folder.resolve(name).toString(),
                         "--listen",
-                        text(channelAddress),
+                        hostAndPort(channelAddress),
                         "--control",
-                        text(controlAddress)));
-        process =
-                new ProcessBuilder(command)
-                        .redirectErrorStream(true)
-                        .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()))
-                        .start();
+                        hostAndPort(controlAddress)));
+        return command;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String hostAndPort(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Waits until the control API answers and gives the settings. */
+    /**
+     * Waits until the control API answers and gives it the settings.
+     *
+     * @throws IOException if the process ended or did not answer in time, or refused the settings
+     */
     void putSettings(String json) throws IOException {
-        HttpMessage.Response got = callWhenUp("PUT", "/v1/settings", json);
-        if (got.status() != 200) {
+        HttpMessage.Response response = callWhenUp("PUT", "/v1/settings", json);
+        if (response.status() != HTTP_OK) {
             throw new IOException(
-                    "conductor " + name + " did not take its settings: " + got.text());
+                    "conductor " + name + " did not take its settings: " + response.text());
         }
     }
 
-    /** Asks the control API as soon as it answers. */
+    /**
+     * Reads from the control API as soon as it answers.
+     *
+     * @throws IOException if the process ended or did not answer in time
+     */
     HttpMessage.Response getWhenUp(String path) throws IOException {
         return callWhenUp("GET", path, "");
     }
@@ -112,7 +146,7 @@
     private HttpMessage.Response callWhenUp(String verb, String path, String body)
             throws IOException {
         String failure = "";
-        for (int i = 0; i < STARTS_MOST && process.isAlive(); i++) {
+        for (int i = 0; i < MAX_START_ATTEMPTS && process.isAlive(); i++) {
             try {
                 return call(verb, path, body);
             } catch (IOException e) {
@@ -124,65 +158,77 @@
                 "conductor " + name + " did not start: " + failure + "; see " + logFile());
     }
 
-    /** One call to the control API. */
-    HttpMessage.Response call(String verb, String path, String body, String... headers)
-            throws IOException {
-        CompletableFuture<HttpMessage.Response> answer = new CompletableFuture<>();
-        http.call(
-                controlAddress,
-                new HttpMessage.Request(
-                        verb,
-                        path,
-                        HttpHeaders.of(headers).add("host", text(controlAddress)),
-                        body.getBytes(StandardCharsets.UTF_8)),
-                CALL,
-                new HttpClient.Taker() {
-                    @Override
-                    public void answered(HttpMessage.Response got) {
-                        answer.complete(got);
-                    }
-
-                    @Override
-                    public void failed(HttpClient.Failure why, String detail) {
-                        answer.completeExceptionally(new IOException(detail));
-                    }
-                });
+    private static void pause() throws IOException {
         try {
-            return answer.get();
-        } catch (ExecutionException e) {
-            throw new IOException(e.getCause().getMessage(), e);
+            Thread.sleep(START_ATTEMPT_PAUSE_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
     }
 
-    private static void pause() throws IOException {
-        try {
-            Thread.sleep(50);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+    /**
+     * Makes one call to the control API.
+     *
+     * @param headers names and values in turn
+     * @throws IOException if it was not answered, or the thread was interrupted
+     */
+    HttpMessage.Response call(String verb, String path, String body, String... headers)
+            throws IOException {
+        HttpMessage.Request request =
+                new HttpMessage.Request(
+                        verb,
+                        path,
+                        HttpHeaders.of(headers).add("host", hostAndPort(controlAddress)),
+                        body.getBytes(StandardCharsets.UTF_8));
+        Answer answer = new Answer();
+        http.call(controlAddress, request, CALL_TIMEOUT_NANOS, answer);
+        return answer.await();
+    }
+
+    /** Hands an answer from the client's thread to the one that waits for it. */
+    private static final class Answer implements HttpClient.Taker {
+        private final CompletableFuture<HttpMessage.Response> response = new CompletableFuture<>();
+
+        @Override
+        public void answered(HttpMessage.Response got) {
+            response.complete(got);
+        }
+
+        @Override
+        public void failed(HttpClient.Failure failure, String detail) {
+            response.completeExceptionally(new IOException(detail));
+        }
+
+        HttpMessage.Response await() throws IOException {
+            try {
+                return response.get();
+            } catch (ExecutionException e) {
+                throw new IOException(e.getCause().getMessage(), e);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+                throw new IOException("interrupted", e);
+            }
         }
     }
 
-    /** Ends the process outright. */
+    /** Ends the process outright, as a crash does, and waits until it is gone. */
     void kill() {
-        cpuBefore = cpuTime();
+        endedCpuTime = cpuTime();
         process.destroyForcibly();
-        waitFor();
+        awaitEnd();
     }
 
-    /** Asks the process to end. */
+    /** Asks the process to end and waits for it; one that goes on too long is killed. */
     void stop() {
-        cpuBefore = cpuTime();
+        endedCpuTime = cpuTime();
         process.destroy();
-        waitFor();
+        awaitEnd();
     }
 
-    private void waitFor() {
+    private void awaitEnd() {
         try {
-            if (!process.waitFor(5, TimeUnit.SECONDS)) {
+            if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.destroyForcibly().waitFor();
             }
         } catch (InterruptedException e) {
@@ -195,30 +241,30 @@
     }
 
     /** Lets the process stand still, or go on. */
-    void setSuspended(boolean on) throws IOException {
+    void setSuspended(boolean suspended) throws IOException {
+        String signal = suspended ? "-STOP" : "-CONT";
         try {
-            new ProcessBuilder("kill", on ? "-STOP" : "-CONT", String.valueOf(process.pid()))
-                    .start()
-                    .waitFor();
+            new ProcessBuilder("kill", signal, String.valueOf(process.pid())).start().waitFor();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** CPU used since the first start, over all its processes. */
+    /** CPU time used since the first start, over all its processes. */
     Duration cpuTime() {
         return isAlive()
-                ? cpuBefore.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
-                : cpuBefore;
+                ? endedCpuTime.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
+                : endedCpuTime;
     }
 
-    /** Resident memory in MB where the system tells it, else 0. */
+    /** Resident memory in MB; 0 where the system does not show it. */
     double residentMegabytes() {
-        File status = new File("/proc/" + process.pid() + "/status");
+        Path status = Path.of("/proc", String.valueOf(process.pid()), "status");
         try {
-            return Files.readAllLines(status.toPath()).stream()
+            return Files.readAllLines(status).stream()
                     .filter(line -> line.startsWith("VmRSS:"))
-                    .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024)
+                    .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")))
+                    .map(kilobytes -> kilobytes / KILOBYTES_PER_MEGABYTE)
                     .findFirst()
                     .orElse(0);
         } catch (IOException e) {
--- a/src/main/java/rosespread/scenario/OpenSite.java
+++ b/src/main/java/rosespread/scenario/OpenSite.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
@@ -11,112 +10,140 @@
 import rosespread.testbed.FakeNodeList;
 import rosespread.testbed.FakeNodes;
 import rosespread.testbed.FakeProxies;
-import rosespread.testbed.FakeProxy;
 import rosespread.testbed.OpenLoopClients;
+import rosespread.testbed.RpcResult;
 import rosespread.testbed.TestLoop;
 import rosespread.testbed.TrafficRecorder;
 
 /**
- * A scenario's stand-ins without its conductors and troubles, for conductors that were started by
- * hand.
+ * A scenario's fakes without its controllers and faults, for controllers that were started by hand.
  */
 public final class OpenSite {
-    private static final long SECOND = 1_000_000_000L;
-    private static final long TELL_EVERY = 5 * SECOND;
+    private static final long PROGRESS_PERIOD_NANOS = 5_000_000_000L;
 
-    private OpenSite() {}
+    private final Scenario scenario;
+    private final long seed;
+    private final TestLoop loop;
+    private final PrintStream out;
+    private final CountDownLatch done = new CountDownLatch(1);
+    private final Progress progress = new Progress();
 
-    /** The settings that a conductor of this scenario is given, as JSON. */
+    private OpenSite(Scenario scenario, long seed, TestLoop loop, PrintStream out) {
+        this.scenario = scenario;
+        this.seed = seed;
+        this.loop = loop;
+        this.out = out;
+    }
+
+    /**
+     * The settings that a controller of this scenario is given, as JSON.
+     *
+     * @throws ScenarioException if the scenario is faulty, with file, line and field
+     */
     public static String settings(String nameOrPath, long seed, int listPort)
             throws IOException, ScenarioException {
         return ScenarioReader.load(nameOrPath).settings(seed, listPort, List.of());
     }
 
     /**
-     * Runs nodes and list, and proxies and clients if there are conductors, for the scenario's
-     * time.
+     * Runs nodes and list, and proxies and clients if there are controllers, for the scenario's
+     * time; without controllers until the thread is interrupted.
+     *
+     * @param listPort where the list answers; 0: any free port
+     * @param controllers addresses of their channels
+     * @param out takes a line of progress every 5 s
+     * @throws ScenarioException if the scenario is faulty, with file, line and field
+     * @throws IOException if a fake cannot be started
      */
     public static void run(
             String nameOrPath,
             long seed,
             int listPort,
-            List<InetSocketAddress> conductors,
+            List<InetSocketAddress> controllers,
             PrintStream out)
             throws IOException, ScenarioException, InterruptedException {
         Scenario scenario = ScenarioReader.load(nameOrPath);
-        TrafficRecorder record = new TrafficRecorder() {};
-        CountDownLatch done = new CountDownLatch(1);
-        long[] tally = new long[2];
+        TrafficRecorder ignored = new TrafficRecorder() {};
         try (TestLoop loop = new TestLoop();
-                FakeNodeList list = new FakeNodeList(loop, listPort, record);
+                FakeNodeList list = new FakeNodeList(loop, listPort, ignored);
                 FakeNodes nodes =
                         new FakeNodes(
-                                loop, scenario.site(), list, new SplittableRandom(seed), record)) {
+                                loop, scenario.site(), list, new SplittableRandom(seed), ignored)) {
             list.setDelay(scenario.listDelayNanos());
             out.println(nodes.names().size() + " nodes; the list answers at " + list.address());
-            if (conductors.isEmpty()) {
-                done.await();
-            }
-            List<FakeProxies.ControllerTarget> targets = new ArrayList<>();
-            conductors.forEach(
-                    at -> targets.add(new FakeProxies.ControllerTarget(at.toString(), at, null)));
-            try (FakeProxies proxies =
-                    new FakeProxies(
-                            loop,
-                            scenario.site(),
-                            list,
-                            targets,
-                            ArrivalGenerator.requestRates(scenario),
-                            scenario.channel().admissionMode().equals("share"),
-                            new SplittableRandom(seed + 1),
-                            record)) {
-                OpenLoopClients clients =
-                        new OpenLoopClients(
-                                loop,
-                                proxies,
-                                new SplittableRandom(seed + 2),
-                                (rpc, result, latency, tries) -> {
-                                    tally[0]++;
-                                    tally[1] +=
-                                            result == FakeProxy.Result.OK
-                                                            && latency
-                                                                    <= rpc.method()
-                                                                            .latencyObjectiveNanos()
-                                                    ? 1
-                                                    : 0;
-                                });
-                loop.run(
-                        () -> {
-                            proxies.start();
-                            clients.play(
-                                    ArrivalGenerator.arrivals(scenario, seed),
-                                    loop.now() + scenario.warmUpNanos());
-                            tell(loop, tally, proxies, out);
-                            loop.after(
-                                    scenario.warmUpNanos() + scenario.durationNanos(),
-                                    done::countDown);
-                        });
-                done.await();
+            OpenSite site = new OpenSite(scenario, seed, loop, out);
+            if (controllers.isEmpty()) {
+                site.done.await();
             }
+            site.runTraffic(list, controllers, ignored);
+        }
+    }
+
+    private void runTraffic(
+            FakeNodeList list, List<InetSocketAddress> controllers, TrafficRecorder recorder)
+            throws InterruptedException {
+        List<FakeProxies.ControllerTarget> targets =
+                controllers.stream()
+                        .map(at -> new FakeProxies.ControllerTarget(at.toString(), at, null))
+                        .toList();
+        try (FakeProxies proxies =
+                new FakeProxies(
+                        loop,
+                        scenario.site(),
+                        list,
+                        targets,
+                        ArrivalGenerator.requestRates(scenario),
+                        scenario.channel().admissionMode() == Scenario.AdmissionMode.SHARE,
+                        new SplittableRandom(seed + 1),
+                        recorder)) {
+            OpenLoopClients clients =
+                    new OpenLoopClients(
+                            loop, proxies, new SplittableRandom(seed + 2), progress::rpcEnded);
+            loop.run(() -> start(proxies, clients));
+            done.await();
         }
     }
 
-    private static void tell(TestLoop loop, long[] tally, FakeProxies proxies, PrintStream out) {
+    private void start(FakeProxies proxies, OpenLoopClients clients) {
+        proxies.start();
+        clients.play(
+                ArrivalGenerator.arrivals(scenario, seed), loop.now() + scenario.warmUpNanos());
+        printLater(proxies);
+        loop.after(scenario.warmUpNanos() + scenario.durationNanos(), done::countDown);
+    }
+
+    private void printLater(FakeProxies proxies) {
         loop.after(
-                TELL_EVERY,
+                PROGRESS_PERIOD_NANOS,
                 () -> {
-                    out.println(
-                            String.format(
-                                    Locale.ROOT,
-                                    "%d RPCs in 5 s, %.3f in time, %s",
-                                    tally[0],
-                                    tally[0] == 0 ? 1 : tally[1] / (double) tally[0],
-                                    proxies.allSubscribed()
-                                            ? "all proxies bound"
-                                            : "not all proxies bound"));
-                    tally[0] = 0;
-                    tally[1] = 0;
-                    tell(loop, tally, proxies, out);
+                    out.println(progress.describeAndReset(proxies.allSubscribed()));
+                    printLater(proxies);
                 });
     }
+
+    /** The RPCs since the last line of progress. Lives on the loop's thread. */
+    private static final class Progress {
+        private long rpcs;
+        private long inTime;
+
+        void rpcEnded(OpenLoopClients.Arrival rpc, RpcResult result, long latencyNanos, int tries) {
+            rpcs++;
+            boolean timely =
+                    result == RpcResult.OK && latencyNanos <= rpc.method().latencyObjectiveNanos();
+            inTime += timely ? 1 : 0;
+        }
+
+        String describeAndReset(boolean allSubscribed) {
+            String line =
+                    String.format(
+                            Locale.ROOT,
+                            "%d RPCs in 5 s, %.3f in time, %s",
+                            rpcs,
+                            rpcs == 0 ? 1 : inTime / (double) rpcs,
+                            allSubscribed ? "all proxies bound" : "not all proxies bound");
+            rpcs = 0;
+            inTime = 0;
+            return line;
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/rosespread/scenario/OperatorActions.java
@@ -0,0 +1,179 @@
+package rosespread.scenario;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import rosespread.http.HttpMessage;
+import rosespread.testbed.TestLoop;
+
+/**
+ * What operators do over the control API: roll a table back, and drain a node. Calls are made on
+ * threads of their own; the checker is told on the loop's thread.
+ */
+final class OperatorActions {
+    private static final String THREAD_NAME = "operator";
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long REPEAT_MILLIS = 300;
+    private static final int HTTP_OK = 200;
+
+    /** Sets apart the bits of a draw that choose a table from those that choose its version. */
+    private static final int TABLE_DRAWS = 64;
+
+    private final ObjectMapper json = new ObjectMapper();
+    private final RunEnvironment environment;
+    private final TestLoop loop;
+
+    OperatorActions(RunEnvironment environment) {
+        this.environment = environment;
+        this.loop = environment.loop();
+    }
+
+    /**
+     * An operator goes back to a version among those that are kept, and releases the table at the
+     * end of the fault.
+     *
+     * @param draw chooses table and version
+     */
+    void rollback(Fault fault, int draw) {
+        ControllerProcess controller = environment.controllers().get(fault.controllerIndex());
+        BackgroundTask.start(
+                THREAD_NAME,
+                () -> rollbackAndRelease(fault, controller, draw),
+                e ->
+                        environment.eventLater(
+                                "rollback of a table of "
+                                        + controller.name()
+                                        + ": "
+                                        + e.getMessage()));
+    }
+
+    private void rollbackAndRelease(Fault fault, ControllerProcess controller, int draw)
+            throws IOException, InterruptedException {
+        JsonNode tables = read(controller, "/v1/tables");
+        if (tables.isEmpty()) {
+            return;
+        }
+        JsonNode table = tables.get(draw % tables.size());
+        JsonNode versions = table.path("versions");
+        long version = versions.get(draw / TABLE_DRAWS % versions.size()).path("number").asLong();
+        String path = "/v1/tables/" + table.path("table").asInt();
+        rollback(controller, table, version, path);
+        Thread.sleep(fault.durationNanos() / NANOS_PER_MILLI);
+        controller.call("POST", path + "/release", "");
+    }
+
+    private void rollback(ControllerProcess controller, JsonNode table, long version, String path)
+            throws IOException {
+        int id = table.path("table").asInt();
+        long calledNanos = loop.now();
+        int status = controller.call("POST", path + "/rollback?version=" + version, "").status();
+        environment.eventLater(
+                "rollback of table "
+                        + id
+                        + " of "
+                        + controller.name()
+                        + " from version "
+                        + table.path("version")
+                        + " to "
+                        + version
+                        + ": "
+                        + status);
+        Map<String, Double> weights = new TreeMap<>();
+        read(controller, path)
+                .path("lines")
+                .properties()
+                .forEach(entry -> weights.put(entry.getKey(), entry.getValue().asDouble()));
+        if (status == HTTP_OK) {
+            loop.run(
+                    () ->
+                            environment
+                                    .checker()
+                                    .rolledBack(calledNanos, controller.name(), id, weights));
+        }
+    }
+
+    private JsonNode read(ControllerProcess controller, String path) throws IOException {
+        return json.readTree(controller.call("GET", path, "").body());
+    }
+
+    /**
+     * An operator drains a node at all controllers at once and ends it after a while; each
+     * controller's proxies have the timeout from its answer on. One that does not answer learns of
+     * it from the others.
+     */
+    void drain(Fault fault, String node) {
+        if (environment.controllers().isEmpty()) {
+            return;
+        }
+        BackgroundTask.start(
+                THREAD_NAME,
+                () -> drainAndUndrain(fault, node),
+                e -> environment.eventLater("drain of " + node + ": " + e.getMessage()));
+    }
+
+    private void drainAndUndrain(Fault fault, String node) throws InterruptedException {
+        String idempotencyKey = "drain-" + fault.startNanos() + "-" + node;
+        long endNanos = loop.now() + fault.durationNanos();
+        List<ControllerProcess> unanswered = new ArrayList<>(environment.controllers());
+        while (!unanswered.isEmpty() && loop.now() < endNanos) {
+            // As an operator would, the command is repeated where it was not answered.
+            unanswered.removeIf(controller -> requestDrain(controller, node, idempotencyKey));
+            Thread.sleep(unanswered.isEmpty() ? 0 : REPEAT_MILLIS);
+        }
+        Thread.sleep(Math.max(0, (endNanos - loop.now()) / NANOS_PER_MILLI));
+        for (ControllerProcess controller : environment.controllers()) {
+            loop.run(() -> environment.checker().operatorUndrained(controller.name(), node));
+            command(controller, node, "undrain", idempotencyKey + "-ends", () -> {});
+        }
+    }
+
+    private boolean requestDrain(ControllerProcess controller, String node, String idempotencyKey) {
+        return command(
+                controller,
+                node,
+                "drain?force=true",
+                idempotencyKey,
+                () -> environment.checker().operatorDrained(loop.now(), controller.name(), node));
+    }
+
+    /**
+     * Gives a command about a node.
+     *
+     * @param accepted run on the loop's thread if the controller accepted it
+     * @return whether it did
+     */
+    private boolean command(
+            ControllerProcess controller,
+            String node,
+            String command,
+            String idempotencyKey,
+            Runnable accepted) {
+        String description = command + " of " + node + " at " + controller.name() + ": ";
+        try {
+            HttpMessage.Response answer =
+                    controller.call(
+                            "POST",
+                            "/v1/nodes/" + node + "/" + command,
+                            "",
+                            "idempotency-key",
+                            idempotencyKey,
+                            "x-operator",
+                            "rehearsal");
+            loop.run(
+                    () -> {
+                        environment.event(description + answer.status());
+                        if (answer.status() == HTTP_OK) {
+                            accepted.run();
+                        }
+                    });
+            return answer.status() == HTTP_OK;
+        } catch (IOException e) {
+            environment.eventLater(description + e.getMessage());
+            return false;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/scenario/RollbackInvariant.java
@@ -0,0 +1,133 @@
+package rosespread.scenario;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.HdrHistogram.Histogram;
+
+/**
+ * All proxies that follow a table hold the weights of an operator's rollback within the drain
+ * timeout. Values in milliseconds. Confined to the loop's thread; the histogram is read after the
+ * run.
+ */
+final class RollbackInvariant {
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final int HISTOGRAM_DIGITS = 3;
+
+    /** A rollback on its way; {@code reached} names the proxies that have held its weights. */
+    private record Rollback(
+            long acceptedNanos,
+            String controller,
+            int table,
+            Map<String, Double> weights,
+            Set<String> reached) {
+        Rollback restartedAt(long nanos) {
+            return new Rollback(nanos, controller, table, weights, new HashSet<>());
+        }
+    }
+
+    private final InvariantResult result;
+    private final long limitNanos;
+    private final RunTimeline timeline;
+    private final ObservedProxies proxies;
+    private final Histogram millis = new Histogram(HISTOGRAM_DIGITS);
+    private final List<Rollback> pending = new ArrayList<>();
+    private final List<Rollback> interrupted = new ArrayList<>();
+
+    RollbackInvariant(Scenario scenario, RunTimeline timeline, ObservedProxies proxies) {
+        this.limitNanos = scenario.limits().drainTimeoutNanos();
+        this.result = new InvariantResult("rollbacksInTime", limitNanos / NANOS_PER_MILLI);
+        this.timeline = timeline;
+        this.proxies = proxies;
+    }
+
+    InvariantResult result() {
+        return result;
+    }
+
+    /** How long each rollback took to reach the last proxy, or until it was late. */
+    Histogram millis() {
+        return millis;
+    }
+
+    /**
+     * An operator's rollback was accepted; a later one of the same table takes the place of an
+     * earlier one.
+     *
+     * @param weights what the controller goes back to, by node
+     */
+    void rolledBack(long nanos, String controller, int table, Map<String, Double> weights) {
+        pending.removeIf(
+                rollback -> rollback.controller().equals(controller) && rollback.table() == table);
+        result.countCheck();
+        pending.add(new Rollback(nanos, controller, table, weights, new HashSet<>()));
+        check(nanos);
+    }
+
+    /** A restarted controller goes on with what it had begun; see {@link #proxyJoined}. */
+    void controllerDown(String controller) {
+        pending.removeIf(
+                rollback -> rollback.controller().equals(controller) && interrupted.add(rollback));
+    }
+
+    /** The time of an interrupted rollback runs from the first proxy that joins again. */
+    void proxyJoined(long nanos, String controller) {
+        interrupted.removeIf(
+                rollback ->
+                        rollback.controller().equals(controller)
+                                && pending.add(rollback.restartedAt(nanos)));
+    }
+
+    /** Closes the rollbacks that are done or late. */
+    void check(long nanos) {
+        pending.removeIf(rollback -> isClosed(nanos, rollback));
+    }
+
+    private boolean isClosed(long nanos, Rollback rollback) {
+        boolean done = hasReachedAll(rollback);
+        double tookNanos = nanos - rollback.acceptedNanos();
+        boolean late =
+                tookNanos > timeline.extendedLimit(limitNanos, rollback.acceptedNanos(), nanos);
+        String where =
+                "table "
+                        + rollback.table()
+                        + " of "
+                        + rollback.controller()
+                        + " at "
+                        + timeline.describe(nanos);
+        if (done || late) {
+            millis.recordValue(RunTimeline.toMillis(tookNanos));
+            result.recordValue(tookNanos / NANOS_PER_MILLI, where);
+        }
+        if (late) {
+            result.recordViolation(
+                    where
+                            + ": not at all proxies after "
+                            + RunTimeline.toMillis(tookNanos)
+                            + " ms");
+        }
+        return done || late;
+    }
+
+    private boolean hasReachedAll(Rollback rollback) {
+        boolean reachedAll = true;
+        for (ObservedProxy proxy : proxies.all()) {
+            Map<String, Double> held = proxy.weights(rollback.table());
+            if (proxy.isJoinedTo(rollback.controller()) && held != null) {
+                if (isSubset(held, rollback.weights())) {
+                    rollback.reached().add(proxy.name());
+                }
+                reachedAll &= rollback.reached().contains(proxy.name());
+            }
+        }
+        return reachedAll;
+    }
+
+    /** Nodes that left since the rollback may be missing from what a proxy holds. */
+    private static boolean isSubset(Map<String, Double> held, Map<String, Double> weights) {
+        return held.entrySet().stream()
+                .allMatch(entry -> entry.getValue().equals(weights.get(entry.getKey())));
+    }
+}
--- /dev/null
+++ b/src/main/java/rosespread/scenario/RunDurations.java
@@ -0,0 +1,32 @@
+package rosespread.scenario;
+
+import org.HdrHistogram.Histogram;
+
+/** How long drains, rollbacks and changes of a run took; all in milliseconds. */
+record RunDurations(
+        Histogram drains,
+        Histogram operatorDrains,
+        Histogram rollbacks,
+        Histogram changes,
+        Histogram pacedChanges) {
+    private static final double MILLIS_PER_SECOND = 1_000;
+
+    static RunDurations of(InvariantChecker checker) {
+        return new RunDurations(
+                checker.drainMillis(),
+                checker.operatorDrainMillis(),
+                checker.rollbackMillis(),
+                checker.changeMillis(),
+                checker.pacedMillis());
+    }
+
+    /** A percentile of one of them in seconds; 0 if it has no values. */
+    static double seconds(Histogram millis, double percentile) {
+        return millis.getValueAtPercentile(percentile) / MILLIS_PER_SECOND;
+    }
+
+    /** The greatest value of one of them in seconds. */
+    static double maxSeconds(Histogram millis) {
+        return millis.getMaxValue() / MILLIS_PER_SECOND;
+    }
+}
--- a/src/main/java/rosespread/scenario/Scenario.java
+++ b/src/main/java/rosespread/scenario/Scenario.java
@@ -1,14 +1,16 @@
 package rosespread.scenario;
 
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
+import java.util.Locale;
 import rosespread.testbed.SiteDefinition;
 
 /**
- * A scripted day; times in nanoseconds. Load runs for {@code warmUp} before the day, which counts
- * from its end.
+ * A scripted day. Load runs for the warm-up before the day, which counts from its end.
+ *
+ * @param controllerCount how many controllers there are, each a process of its own
+ * @param requestsPerSecond of all clients together
+ * @param listDelayNanos how late the endpoint list shows a change
+ * @param healthChecksAllowed whether controllers may check nodes by themselves
  */
 record Scenario(
         String name,
@@ -24,57 +26,61 @@
         boolean healthChecksAllowed,
         List<Fault> faults) {
 
+    /**
+     * How clients behave.
+     *
+     * @param retries how often a client sends an RPC again at most
+     * @param deadlineRatio the part of a method's deadline for which a client waits for an attempt
+     */
     record Clients(int retries, long retryDelayNanos, double deadlineRatio) {}
 
+    /**
+     * Bounds on time of the contract.
+     *
+     * @param noEndpointNanos how long a proxy may lack an entry to pick
+     * @param drainTimeoutNanos how long a proxy may send to a node that drains
+     */
     record Limits(long noEndpointNanos, long drainTimeoutNanos) {}
 
+    /**
+     * What controllers may send.
+     *
+     * @param entriesPerSecond of one controller to all its proxies
+     * @param entriesPerMessage the overhead of a message, in entries
+     * @param queueLimit entries that may wait for a controller's channel
+     * @param messageLimit messages to a proxy within the window; 0: any number
+     * @param actionCost what an action costs a controller, as its settings take it
+     */
     record Channel(
             double entriesPerSecond,
             double entriesPerMessage,
             double queueLimit,
             int messageLimit,
             long messageWindowNanos,
-            String admissionMode,
+            AdmissionMode admissionMode,
             double actionCost) {}
 
-    private static final double MILLI = 1e6;
+    /** What proxies take admission limits for. The names are read from scenario files. */
+    enum AdmissionMode {
+        /** The share of RPCs that is admitted, 0 to 1. */
+        SHARE,
+        /** RPCs a second. */
+        RATE,
+        /** They know no limits. */
+        NONE;
 
-    /** The settings that a conductor of this day is given, as an operator would. */
-    String settings(long seed, int listPort, List<String> peers) {
-        ObjectNode all = JsonNodeFactory.instance.objectNode();
-        all.put("seed", seed);
-        peers.forEach(all.putArray("peers")::add);
-        site.zones().forEach(all.putArray("zones")::add);
-        site.machineTypes().keySet().forEach(all.putArray("kinds")::add);
-        ArrayNode methods = all.putArray("methods");
-        for (SiteDefinition.Method method : site.methods()) {
-            ObjectNode one =
-                    methods.addObject()
-                            .put("name", method.name())
-                            .put("criticality", method.priorityWeight());
-            method.machineTypes().forEach(one.putArray("onlyKinds")::add);
+        /** The name in scenario files and in settings. */
+        String yamlName() {
+            return name().toLowerCase(Locale.ROOT);
         }
-        all.putObject("list")
-                .put("port", listPort)
-                .put("service", "nodes")
-                .put("waitMs", 5000)
-                .put("silentAfterMs", 1500);
-        all.putObject("probes").put("allowed", healthChecksAllowed);
-        all.put("levels", channel.admissionMode());
-        all.putObject("channel")
-                .put("linesPerSecond", channel.entriesPerSecond())
-                .put("linesPerMessage", channel.entriesPerMessage())
-                .put("queueLimit", channel.queueLimit())
-                .put("orderPrice", channel.actionCost())
-                .put("messageLimit", channel.messageLimit())
-                .put("messageSpanMs", channel.messageWindowNanos() / MILLI)
-                .put("longestWayMs", site.proxies().maxDelayNanos() / MILLI);
-        all.put("reportPeriodMs", site.reportPeriodNanos() / MILLI);
-        all.put("drainGraceMs", limits.drainTimeoutNanos() / MILLI);
-        all.putObject("cold")
-                .put("timeMs", site.warmUp().durationNanos() / MILLI)
-                .put("share", site.warmUp().initialRatio())
-                .put("windowMs", site.warmUp().windowNanos() / MILLI);
-        return all.toString();
+    }
+
+    /**
+     * The settings that a controller of this day is given, as an operator would.
+     *
+     * @param peers addresses of all controllers' control APIs, as {@code host:port}
+     */
+    String settings(long seed, int listPort, List<String> peers) {
+        return new ControllerSettingsWriter(this).write(seed, listPort, peers);
     }
 }
--- a/src/main/java/rosespread/scenario/ScenarioException.java
+++ b/src/main/java/rosespread/scenario/ScenarioException.java
@@ -10,4 +10,8 @@
     ScenarioException(String message) {
         super(message);
     }
+
+    ScenarioException(String message, Throwable cause) {
+        super(message, cause);
+    }
 }
--- /dev/null
+++ b/src/main/java/rosespread/scenario/ScenarioFields.java
@@ -0,0 +1,248 @@
+package rosespread.scenario;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import rosespread.settings.JsonFields;
+import rosespread.testbed.SiteDefinition;
+
+/**
+ * Reads the fields of one scenario with their bounds and defaults. Faults are gathered in the
+ * fields, in the order of reading; a scenario with faults is made of defaults and not to be used.
+ */
+final class ScenarioFields {
+    private static final double MINUTE_MILLIS = 60_000;
+    private static final double HOUR_SECONDS = 3600;
+    private static final double DAY_SECONDS = 24 * HOUR_SECONDS;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double NANOS_PER_MICRO = 1e3;
+    private static final double REQUIRED = Double.NaN;
+    private static final long REQUIRED_WHOLE = -1;
+
+    private final JsonFields root;
+
+    ScenarioFields(JsonFields root) {
+        this.root = root;
+    }
+
+    /** Reads all fields; call it once. */
+    Scenario read() {
+        String name = root.text("name", null, "[a-z0-9-]{1,64}", "small letters, digits and -");
+        long durationNanos = seconds(root, "seconds", REQUIRED, 1, DAY_SECONDS);
+        long warmUpNanos = seconds(root, "warmUpSeconds", 15, 0.1, HOUR_SECONDS);
+        int controllerCount = whole(root, "conductors", 1, 1, 64);
+        List<String> zones = root.texts("zones", 1, 64, null);
+        Map<String, SiteDefinition.MachineType> machineTypes = readMachineTypes();
+        List<SiteDefinition.Method> methods = readMethods(List.copyOf(machineTypes.keySet()));
+        SiteDefinition.WarmUp warmUp = readWarmUp(root.object("cold"));
+        Scenario.Channel channel = readChannel(root.object("channel"));
+        JsonFields reports = root.object("reports");
+        SiteDefinition site =
+                new SiteDefinition(
+                        zones,
+                        machineTypes,
+                        methods,
+                        readProxies(root.object("proxies"), channel.entriesPerSecond()),
+                        warmUp,
+                        root.number("queuePerCore", 8, 0, 1000),
+                        reports.millis("periodMs", 1000, 20, MINUTE_MILLIS),
+                        reports.millis("lateMs", 500, 0, MINUTE_MILLIS));
+        reports.closed();
+        Scenario.Clients clients = readClients(root.object("clients"));
+        Scenario.Limits limits = readLimits(root.object("rules"));
+        long listDelayNanos = readListDelay(root.object("list"));
+        return new Scenario(
+                name,
+                durationNanos,
+                warmUpNanos,
+                controllerCount,
+                site,
+                root.number("rate", REQUIRED, 0.1, 100_000),
+                clients,
+                limits,
+                channel,
+                listDelayNanos,
+                root.flag("probes", true),
+                readFaults(zones, methods, controllerCount));
+    }
+
+    private static int whole(JsonFields fields, String name, long usual, long least, long most) {
+        return (int) fields.whole(name, usual, least, most);
+    }
+
+    private static long seconds(
+            JsonFields fields, String name, double usual, double least, double most) {
+        return Math.round(fields.number(name, usual, least, most) * NANOS_PER_SECOND);
+    }
+
+    /** The constant of a name that may have blanks or dashes; the other one if it was faulty. */
+    private static <E extends Enum<E>> E constant(Class<E> type, String yamlName, E ifFaulty) {
+        if (yamlName.isEmpty()) {
+            return ifFaulty;
+        }
+        String name = yamlName.toUpperCase(Locale.ROOT).replace(' ', '_').replace('-', '_');
+        return Enum.valueOf(type, name);
+    }
+
+    private Map<String, SiteDefinition.MachineType> readMachineTypes() {
+        Map<String, SiteDefinition.MachineType> machineTypes = new LinkedHashMap<>();
+        JsonFields kinds = root.object("kinds");
+        for (String name : kinds.names()) {
+            JsonFields kind = kinds.object(name);
+            machineTypes.put(
+                    name,
+                    new SiteDefinition.MachineType(
+                            whole(kind, "cores", REQUIRED_WHOLE, 1, 1024),
+                            kind.number("speed", 1, 0.01, 100),
+                            whole(kind, "nodes", REQUIRED_WHOLE, 1, 10_000)));
+            kind.closed();
+        }
+        if (machineTypes.isEmpty()) {
+            root.fault("kinds", "at least one kind");
+        }
+        return machineTypes;
+    }
+
+    private List<SiteDefinition.Method> readMethods(List<String> machineTypes) {
+        List<SiteDefinition.Method> methods = new ArrayList<>();
+        for (JsonFields method : root.objects("methods", 1, 32)) {
+            methods.add(readMethod(method, machineTypes));
+            method.closed();
+        }
+        return methods;
+    }
+
+    private static SiteDefinition.Method readMethod(JsonFields method, List<String> machineTypes) {
+        String effect =
+                method.text(
+                        "effect",
+                        null,
+                        "idempotent|tokened|non-idempotent",
+                        "idempotent, tokened or non-idempotent");
+        return new SiteDefinition.Method(
+                method.text("name", null, "[A-Za-z0-9_-]{1,64}", "letters, digits, _ and -"),
+                method.number("share", REQUIRED, 0, 1),
+                method.millis("workMs", REQUIRED, 0.01, MINUTE_MILLIS),
+                method.millis("softDeadlineMs", REQUIRED, 1, MINUTE_MILLIS),
+                method.millis("deadlineMs", REQUIRED, 1, MINUTE_MILLIS),
+                method.number("criticality", 1, 0, 1e6),
+                method.number("lateShare", 0.15, 0, 1),
+                constant(SiteDefinition.Effect.class, effect, SiteDefinition.Effect.IDEMPOTENT),
+                method.millis("windowMs", 2500, 0, MINUTE_MILLIS),
+                method.texts("onlyKinds", 0, 64, machineTypes));
+    }
+
+    private static SiteDefinition.WarmUp readWarmUp(JsonFields cold) {
+        SiteDefinition.WarmUp warmUp =
+                new SiteDefinition.WarmUp(
+                        seconds(cold, "seconds", 16, 0, HOUR_SECONDS),
+                        cold.number("share", 0.16, 0.01, 1),
+                        cold.millis("windowMs", 1500, 1, MINUTE_MILLIS),
+                        cold.number("multiple", 4, 1, 100));
+        cold.closed();
+        return warmUp;
+    }
+
+    private static Scenario.Channel readChannel(JsonFields channel) {
+        Scenario.Channel read =
+                new Scenario.Channel(
+                        channel.number("linesPerSecond", REQUIRED, 1, 1e9),
+                        channel.number("linesPerMessage", 8, 0, 1000),
+                        channel.number("queueLimit", REQUIRED, 1, 1e9),
+                        whole(channel, "messageLimit", 30, 0, 100_000),
+                        channel.millis("messageSpanMs", 10_000, 1, MINUTE_MILLIS),
+                        constant(
+                                Scenario.AdmissionMode.class,
+                                channel.text(
+                                        "levels", "rate", "share|rate|none", "share, rate or none"),
+                                Scenario.AdmissionMode.RATE),
+                        channel.number("orderPrice", 0.05, 0, 10));
+        channel.closed();
+        return read;
+    }
+
+    private static SiteDefinition.Proxies readProxies(JsonFields proxies, double entriesPerSecond) {
+        String pick =
+                proxies.text(
+                        "pick",
+                        "round",
+                        "round|random|best of two",
+                        "round, random or best of two");
+        SiteDefinition.Proxies read =
+                new SiteDefinition.Proxies(
+                        whole(proxies, "count", REQUIRED_WHOLE, 1, 10_000),
+                        constant(SiteDefinition.Pick.class, pick, SiteDefinition.Pick.ROUND),
+                        whole(proxies, "avoidAfterFailures", 8, 0, 1000),
+                        Math.round(proxies.number("stallPerLineUs", 30, 0, 1e6) * NANOS_PER_MICRO),
+                        proxies.millis("wayMs", 60, 0, MINUTE_MILLIS),
+                        proxies.millis("longestWayMs", 300, 0, MINUTE_MILLIS),
+                        whole(proxies, "standing", 5, 1, 10_000),
+                        proxies.millis("redialLeastMs", 300, 1, MINUTE_MILLIS),
+                        proxies.millis("redialMostMs", 1200, 1, MINUTE_MILLIS),
+                        entriesPerSecond);
+        if (read.maxReconnectNanos() < read.minReconnectNanos()) {
+            proxies.fault("redialMostMs", "at least redialLeastMs");
+        }
+        proxies.closed();
+        return read;
+    }
+
+    private static Scenario.Clients readClients(JsonFields clients) {
+        Scenario.Clients read =
+                new Scenario.Clients(
+                        whole(clients, "retries", 2, 0, 10),
+                        clients.millis("retryWaitMs", 100, 0, MINUTE_MILLIS),
+                        clients.number("patience", 1, 0.05, 1));
+        clients.closed();
+        return read;
+    }
+
+    private static Scenario.Limits readLimits(JsonFields rules) {
+        Scenario.Limits limits =
+                new Scenario.Limits(
+                        rules.millis("lackMs", 3000, 10, MINUTE_MILLIS),
+                        rules.millis("drainGraceMs", 2500, 100, MINUTE_MILLIS));
+        rules.closed();
+        return limits;
+    }
+
+    private static long readListDelay(JsonFields list) {
+        long nanos = list.millis("lateMs", 800, 0, MINUTE_MILLIS);
+        list.closed();
+        return nanos;
+    }
+
+    private List<Fault> readFaults(
+            List<String> zones, List<SiteDefinition.Method> methods, int controllerCount) {
+        List<String> methodNames = methods.stream().map(SiteDefinition.Method::name).toList();
+        List<Fault> faults = new ArrayList<>();
+        for (JsonFields trouble : root.objects("troubles", 0, 1000)) {
+            String kinds = Fault.Kind.yamlNames();
+            String kind = trouble.text("kind", null, kinds, kinds.replace("|", ", "));
+            JsonFields what = trouble.object("what");
+            faults.add(
+                    new Fault(
+                            seconds(trouble, "at", REQUIRED, 0, DAY_SECONDS),
+                            seconds(trouble, "for", REQUIRED, 0, DAY_SECONDS),
+                            constant(Fault.Kind.class, kind, Fault.Kind.HANG),
+                            what.number("share", 0.1, 0, 1),
+                            oneOf(what, "zone", zones, "one of " + String.join(", ", zones)),
+                            what.number("factor", 4, 0, 1000),
+                            what.millis("ms", 2000, 0, MINUTE_MILLIS),
+                            oneOf(what, "method", methodNames, "a method's name"),
+                            whole(what, "which", 0, 0, controllerCount - 1)));
+            what.closed();
+            trouble.closed();
+        }
+        return faults;
+    }
+
+    /** One of the names, by default the first. */
+    private static String oneOf(
+            JsonFields fields, String name, List<String> names, String allowed) {
+        String usual = names.isEmpty() ? "" : names.get(0);
+        return fields.text(name, usual, String.join("|", names), allowed);
+    }
+}
--- a/src/main/java/rosespread/testbed/FakeProxy.java
+++ b/src/main/java/rosespread/testbed/FakeProxy.java
@@ -21,15 +21,6 @@
 
 /** A plain proxy: follows tables, judges no node, reports late. Lives on the loop's thread. */
 public final class FakeProxy {
-    /** How an RPC ended for the client. */
-    public enum Result {
-        OK,
-        PUSHED_BACK,
-        ABORTED,
-        TIMED_OUT,
-        UNREACHABLE
-    }
-
     private static final double SECOND = 1e9;
     private static final long AVOID_LEAST = 2_000_000_000L;
     private static final long AVOID_MORE = 4_000_000_000L;
@@ -313,20 +304,20 @@
     // ---- RPCs ----
 
     /** One try of a client; {@code until} is when the client gives it up. */
-    void rpc(OpenLoopClients.Arrival rpc, long until, Consumer<Result> then) {
+    void rpc(OpenLoopClients.Arrival rpc, long until, Consumer<RpcResult> then) {
         long now = loop.now();
         if (stalledUntil > now) {
             loop.after(stalledUntil - now, () -> rpc(rpc, until, then));
             return;
         }
         if (!isUp) {
-            then.accept(Result.UNREACHABLE);
+            then.accept(RpcResult.UNREACHABLE);
             return;
         }
         MethodId method = method(rpc.method());
         came.merge(method, 1, Integer::sum);
         if (!letIn(method)) {
-            then.accept(Result.PUSHED_BACK);
+            then.accept(RpcResult.REJECTED);
             return;
         }
         attempt(rpc, method, until, null, then);
@@ -363,7 +354,7 @@
             MethodId method,
             long until,
             NodeId before,
-            Consumer<Result> then) {
+            Consumer<RpcResult> then) {
         long now = loop.now();
         Set<NodeId> avoided = new LinkedHashSet<>();
         avoidUntil.forEach(
@@ -377,7 +368,7 @@
         }
         NodeId id = tables.pick(method, site.proxies().pick(), avoided, out);
         if (id == null || id.equals(before)) {
-            then.accept(id == null ? Result.PUSHED_BACK : Result.ABORTED);
+            then.accept(id == null ? RpcResult.REJECTED : RpcResult.FAILED);
             return;
         }
         ProxyTables.Place place = tables.place(id);
@@ -413,10 +404,10 @@
                                                 () ->
                                                         ended(
                                                                 answer.status() < 400
-                                                                        ? Result.OK
+                                                                        ? RpcResult.OK
                                                                         : answer.status() == 503
-                                                                                ? Result.PUSHED_BACK
-                                                                                : Result.ABORTED,
+                                                                                ? RpcResult.REJECTED
+                                                                                : RpcResult.FAILED,
                                                                 answer));
                                     }
 
@@ -427,20 +418,21 @@
                                                         ended(
                                                                 switch (failure) {
                                                                     case NOT_CONNECTED ->
-                                                                            Result.UNREACHABLE;
+                                                                            RpcResult.UNREACHABLE;
                                                                     case TIMED_OUT ->
-                                                                            Result.TIMED_OUT;
-                                                                    default -> Result.ABORTED;
+                                                                            RpcResult.TIMED_OUT;
+                                                                    default -> RpcResult.FAILED;
                                                                 },
                                                                 null));
                                     }
 
-                                    private void ended(Result result, HttpMessage.Response answer) {
+                                    private void ended(
+                                            RpcResult result, HttpMessage.Response answer) {
                                         inHand.remove(cancel[0]);
                                         out.merge(id, -1, Integer::sum);
                                         if (isUp) {
                                             count(id, result, answer, now);
-                                            if (result != Result.OK) {
+                                            if (result != RpcResult.OK) {
                                                 record.attemptFailed(
                                                         loop.now(),
                                                         name,
@@ -462,19 +454,19 @@
     }
 
     /** No connection, and a push-back before any work, prove that the try never ran. */
-    private boolean again(MethodId method, Result result) {
+    private boolean again(MethodId method, RpcResult result) {
         Frame.Level level = tables.level(method);
         Frame.Tries tries = level == null ? Frame.Tries.AFTER_PROOF : level.tries();
-        boolean proof = result == Result.UNREACHABLE || result == Result.PUSHED_BACK;
-        return result != Result.OK
+        boolean proof = result == RpcResult.UNREACHABLE || result == RpcResult.REJECTED;
+        return result != RpcResult.OK
                 && (tries == Frame.Tries.AFTER_ANY_FAILURE
                         || tries == Frame.Tries.AFTER_PROOF && proof);
     }
 
-    private void count(NodeId id, Result result, HttpMessage.Response answer, long begun) {
+    private void count(NodeId id, RpcResult result, HttpMessage.Response answer, long begun) {
         Met m = met.computeIfAbsent(id, n -> new Met());
         m.tries++;
-        if (result == Result.OK) {
+        if (result == RpcResult.OK) {
             failuresInRow.remove(id);
             m.seconds += (loop.now() - begun) / SECOND;
             String load = answer.headers().first("endpoint-load-metrics").orElse("");
--- a/src/main/java/rosespread/testbed/OpenLoopClients.java
+++ b/src/main/java/rosespread/testbed/OpenLoopClients.java
@@ -29,7 +29,7 @@
      * was due.
      */
     public interface OutcomeListener {
-        void rpcEnded(Arrival rpc, FakeProxy.Result result, long latency, int tries);
+        void rpcEnded(Arrival rpc, RpcResult result, long latency, int tries);
     }
 
     private final TestLoop loop;
@@ -105,9 +105,9 @@
                             long now = loop.now();
                             boolean repeats =
                                     rpc.method().effect() == SiteDefinition.Effect.IDEMPOTENT
-                                            || result == FakeProxy.Result.PUSHED_BACK
-                                            || result == FakeProxy.Result.UNREACHABLE;
-                            if (result != FakeProxy.Result.OK
+                                            || result == RpcResult.REJECTED
+                                            || result == RpcResult.UNREACHABLE;
+                            if (result != RpcResult.OK
                                     && repeats
                                     && tries <= rpc.retries()
                                     && now + rpc.retryDelayNanos() < deadline) {
--- a/src/test/java/rosespread/scenario/ReportKeysTest.java
+++ b/src/test/java/rosespread/scenario/ReportKeysTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rosespread.testbed.FakeProxy;
 import rosespread.testbed.OpenLoopClients;
+import rosespread.testbed.RpcResult;
 import rosespread.testbed.SiteDefinition;
 
 /**
@@ -60,20 +60,20 @@
     void aReportHasTheKeysThatItHad() throws Exception {
         Scenario scenario = ScenarioReader.load("short-day");
         Report report = new Report(scenario, 3);
-        InvariantChecker auditor = new InvariantChecker(scenario, 0);
+        InvariantChecker checker = new InvariantChecker(scenario, 0);
         report.setDayStart(0);
         report.startCpuMeasurement(List.of());
         for (SiteDefinition.Method method : scenario.site().methods()) {
             report.rpcEnded(
                     new OpenLoopClients.Arrival(1, 1, method, "north", 0.5, "", 1, 0, 1, 1),
-                    FakeProxy.Result.OK,
+                    RpcResult.OK,
                     1_000_000,
                     1);
         }
         report.event(1, "something happened");
-        auditor.shortQueue.broke("too long");
-        report.refused(new ObjectMapper().readTree("[{\"refused\":{\"LEAVING_NODE\":2}}]"));
-        report.complete(auditor, 1_000_000_000L, List.of());
+        checker.queueLength().recordViolation("too long");
+        report.addRefusals(new ObjectMapper().readTree("[{\"refused\":{\"LEAVING_NODE\":2}}]"));
+        report.complete(checker, 1_000_000_000L, List.of());
         assertEquals(
                 recorded(
                         """
--- a/src/test/java/rosespread/scenario/ScenarioRunTest.java
+++ b/src/test/java/rosespread/scenario/ScenarioRunTest.java
@@ -57,13 +57,16 @@
         Report report = play("bad-planner", FaultyController.class.getName(), fault);
         assertFalse(report.kept(), report.text());
         assertTrue(
-                report.breaks(rule).stream()
+                report.violations(rule).stream()
                         .anyMatch(text -> text.contains(words) && text.matches("(?s).*[0-9] s.*")),
                 report.text());
         if (!fault.equals("FLOODS_CHANNEL")) {
             RULES.stream()
                     .filter(other -> !other.equals(rule))
-                    .forEach(other -> assertEquals(List.of(), report.breaks(other), report.text()));
+                    .forEach(
+                            other ->
+                                    assertEquals(
+                                            List.of(), report.violations(other), report.text()));
         }
     }
 
