--- a/src/main/java/rosespread/testbed/FakeNode.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -2,11 +2,9 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
-import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.TreeMap;
 import java.util.concurrent.ScheduledFuture;
 import java.util.random.RandomGenerator;
 import rosespread.http.HttpHeaders;
@@ -14,290 +12,280 @@
 import rosespread.http.HttpServer;
 
 /**
- * A node whose work is timers: cores, a queue, a speed, a cold ramp, and falling over when it is
- * sent far more than it can do while cold. Lives on the loop's thread.
+ * A node whose work is timers: cores, a queue, a speed, a warm-up, and an overload that it does not
+ * come back from when it is sent far more than it can do while warming up. Lives on the loop's
+ * thread.
  */
 final class FakeNode {
-    private static final long UTILIZATION_EVERY = 500_000_000L;
-    private static final double SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The budget of a cold node has this much room for chance, in RPCs' work. */
-    private static final int SLACK_RPCS = 4;
+    /** What a repeat costs that has no effect. */
+    private static final double REPEAT_SECONDS = 0.001;
 
-    final String name;
-    final String zone;
-    final String kind;
-    final InetSocketAddress address;
+    /** Utilization is reported to so many parts of 1. */
+    private static final double UTILIZATION_STEPS = 1000;
+
+    private static final String TEXT = "text/plain";
+
+    /**
+     * Who a node is.
+     *
+     * @param machineType a name of the site's definition
+     */
+    record Identity(String name, String zone, String machineType, InetSocketAddress address) {}
+
+    private final Identity identity;
     private final TestLoop loop;
     private final SiteDefinition site;
-    private final SiteDefinition.MachineType size;
-    private final Map<String, Long> zoneTokens;
+    private final SiteDefinition.MachineType machine;
+    private final IdempotencyTokens zoneTokens;
     private final RandomGenerator random;
-    private final TrafficRecorder record;
+    private final TrafficRecorder recorder;
     private final Set<Job> running = new LinkedHashSet<>();
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private final ArrayDeque<Sent> sent = new ArrayDeque<>();
-    private long startedAt = Long.MIN_VALUE;
-    private boolean coldTold;
-    private double windowWork;
-    private double busySeconds;
-    private long busyAt;
-    private long utilizationAt;
-    private double utilization;
-
-    boolean up;
-    boolean hung;
-    boolean fallen;
-    double abortShare;
-    double slowing = 1;
-    double reportFactor = 1;
-
-    private record Sent(long at, double work, String proxy) {}
-
-    private final class Job {
+    private final WarmUpLoad warmUpLoad;
+    private final UtilizationMeter meter;
+    private long warmUpStartNanos = Long.MIN_VALUE;
+    private boolean reachedWhileWarming;
+    private boolean up;
+    private boolean hung;
+    private boolean overloaded;
+    private double abortRatio;
+    private double speedFactor = 1;
+    private double reportFactor = 1;
+
+    /** An RPC that runs or waits. */
+    private static final class Job {
         final SiteDefinition.Method method;
         final long rpc;
-        final double work;
-        final String token;
+        final double workSeconds;
+        final Optional<String> token;
         final HttpServer.Exchange exchange;
         ScheduledFuture<?> end;
 
-        Job(
-                SiteDefinition.Method method,
-                long rpc,
-                double work,
-                String token,
-                HttpServer.Exchange exchange) {
+        Job(SiteDefinition.Method method, HttpMessage.Request call, HttpServer.Exchange exchange) {
             this.method = method;
-            this.rpc = rpc;
-            this.work = work;
-            this.token = token;
+            this.rpc = rpcNumber(call);
+            this.workSeconds = workSeconds(call);
+            this.token = call.headers().first("idempotency-key");
             this.exchange = exchange;
         }
     }
 
+    /**
+     * A node that is yet to be started.
+     *
+     * @param zoneTokens shared with the nodes of its zone
+     */
     FakeNode(
-            String name,
-            String zone,
-            String kind,
-            InetSocketAddress address,
+            Identity identity,
             TestLoop loop,
             SiteDefinition site,
-            Map<String, Long> zoneTokens,
+            IdempotencyTokens zoneTokens,
             RandomGenerator random,
-            TrafficRecorder record) {
-        this.name = name;
-        this.zone = zone;
-        this.kind = kind;
-        this.address = address;
+            TrafficRecorder recorder) {
+        this.identity = identity;
         this.loop = loop;
         this.site = site;
-        this.size = site.machineTypes().get(kind);
+        this.machine = site.machineTypes().get(identity.machineType());
         this.zoneTokens = zoneTokens;
         this.random = random;
-        this.record = record;
-        this.busyAt = loop.now();
-        this.utilizationAt = busyAt;
+        this.recorder = recorder;
+        this.warmUpLoad = new WarmUpLoad(site.warmUp());
+        this.meter = new UtilizationMeter(machine.cores(), loop.now());
+    }
+
+    Identity identity() {
+        return identity;
+    }
+
+    boolean isUp() {
+        return up;
+    }
+
+    /** A hung node takes RPCs and health checks and does not answer. */
+    void setHung(boolean isHung) {
+        hung = isHung;
+    }
+
+    /** Fails this share of RPCs and health checks at once, 0 to 1. */
+    void setAbortRatio(double ratio) {
+        abortRatio = ratio;
+    }
+
+    /** Works so many times as fast as usual. */
+    void setSpeedFactor(double factor) {
+        speedFactor = factor;
+    }
+
+    /** Reports so many times the utilization that it has. */
+    void setReportFactor(double factor) {
+        reportFactor = factor;
     }
 
     /** Starts the process; a cold one warms up from now on. */
     void start(boolean cold) {
         up = true;
         hung = false;
-        fallen = false;
-        coldTold = false;
-        startedAt = cold ? loop.now() : Long.MIN_VALUE;
-        windowWork = 0;
-        sent.clear();
+        overloaded = false;
+        reachedWhileWarming = false;
+        warmUpStartNanos = cold ? loop.now() : Long.MIN_VALUE;
+        warmUpLoad.reset();
         if (cold) {
-            record.warmUpStarted(startedAt, name);
+            recorder.warmUpStarted(warmUpStartNanos, identity.name());
         }
     }
 
     /** The process dies: what it had in hand is lost. */
     void stop() {
         up = false;
-        busy();
+        meter.update(loop.now(), running.size());
         running.forEach(job -> job.end.cancel(false));
         running.clear();
         queue.clear();
     }
 
-    private boolean cold() {
-        return startedAt != Long.MIN_VALUE
-                && loop.now() - startedAt < site.warmUp().durationNanos();
+    private boolean isWarmingUp() {
+        return warmUpStartNanos != Long.MIN_VALUE
+                && loop.now() - warmUpStartNanos < site.warmUp().durationNanos();
     }
 
-    private double warmth() {
-        return cold()
-                ? site.warmUp().initialRatio()
-                        + (1 - site.warmUp().initialRatio())
-                                * (loop.now() - startedAt)
-                                / site.warmUp().durationNanos()
-                : 1;
+    /** The part of its speed that a node has by now, 0 to 1. */
+    private double warmUpRatio() {
+        if (!isWarmingUp()) {
+            return 1;
+        }
+        SiteDefinition.WarmUp warmUp = site.warmUp();
+        return warmUp.initialRatio()
+                + (1 - warmUp.initialRatio())
+                        * (loop.now() - warmUpStartNanos)
+                        / warmUp.durationNanos();
     }
 
-    private double capacity() {
-        return size.cores() * size.speed() * slowing * warmth();
+    /** Work that a core does now, in seconds a second. */
+    private double coreSpeed() {
+        return machine.speed() * speedFactor * warmUpRatio();
     }
 
-    void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
+    /** Takes a call to the node's port. */
+    void handle(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!up) {
             exchange.hangUp();
         } else if (call.path().equals("/health")) {
-            if (!hung) {
-                exchange.answer(
-                        HttpMessage.Response.of(
-                                random.nextDouble() < abortShare ? 500 : 200, "text/plain", ""));
-            }
+            handleHealthCheck(exchange);
         } else {
-            rpc(call, exchange);
+            handleRpc(call, exchange);
+        }
+    }
+
+    private void handleHealthCheck(HttpServer.Exchange exchange) {
+        if (!hung) {
+            int status = random.nextDouble() < abortRatio ? 500 : 200;
+            exchange.answer(HttpMessage.Response.of(status, TEXT, ""));
         }
     }
 
-    private void rpc(HttpMessage.Request call, HttpServer.Exchange exchange) {
+    private void handleRpc(HttpMessage.Request call, HttpServer.Exchange exchange) {
         String methodName = call.path().substring(call.path().lastIndexOf('/') + 1);
-        SiteDefinition.Method method =
-                site.methods().stream()
-                        .filter(m -> m.name().equals(methodName))
-                        .findFirst()
-                        .orElse(null);
-        if (method == null || !method.isServedBy(kind)) {
-            exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such method here"));
+        SiteDefinition.Method method = site.method(methodName).orElse(null);
+        if (method == null || !method.isServedBy(identity.machineType())) {
+            exchange.answer(HttpMessage.Response.of(404, TEXT, "no such method here"));
             return;
         }
-        double work = Long.parseLong(call.headers().first("x-work-nanos").orElse("0")) / SECOND;
-        if (cold()) {
-            heat(work, method, call.headers().first("x-proxy").orElse(""));
+        if (isWarmingUp()) {
+            addWarmUpLoad(call, method);
         }
-        if (hung || fallen) {
+        if (hung || overloaded) {
             return;
         }
-        if (random.nextDouble() < abortShare) {
-            record.effectApplied(loop.now(), name, number(call), method);
-            exchange.answer(HttpMessage.Response.of(500, "text/plain", "aborted"));
+        if (random.nextDouble() < abortRatio) {
+            recorder.effectApplied(loop.now(), identity.name(), rpcNumber(call), method);
+            exchange.answer(HttpMessage.Response.of(500, TEXT, "aborted"));
             return;
         }
-        Job job =
-                new Job(
-                        method,
-                        number(call),
-                        work,
-                        call.headers().first("idempotency-key").orElse(null),
-                        exchange);
-        if (running.size() < size.cores()) {
-            begin(job);
-        } else if (queue.size() < site.queuePerCore() * size.cores()) {
-            queue.addLast(job);
-        } else {
-            exchange.answer(HttpMessage.Response.of(503, "text/plain", "full; not begun"));
-            return;
-        }
-        exchange.onClosed(() -> loop.run(() -> cancelled(job)));
+        admit(new Job(method, call, exchange));
     }
 
-    private static long number(HttpMessage.Request call) {
+    private static long rpcNumber(HttpMessage.Request call) {
         return Long.parseLong(call.headers().first("x-rpc").orElse("0"));
     }
 
-    /**
-     * PlatformMetrics what a cold node is sent against a budget over the window; over it, the node
-     * falls and stays down.
-     */
-    private void heat(double work, SiteDefinition.Method method, String proxy) {
+    private static double workSeconds(HttpMessage.Request call) {
+        return Long.parseLong(call.headers().first("x-work-nanos").orElse("0")) / NANOS_PER_SECOND;
+    }
+
+    /** Counts what a node that warms up is sent; with too much it is overloaded and stays so. */
+    private void addWarmUpLoad(HttpMessage.Request call, SiteDefinition.Method method) {
         long now = loop.now();
-        if (!coldTold) {
-            coldTold = true;
-            record.warmingNodeReached(now, name);
+        if (!reachedWhileWarming) {
+            reachedWhileWarming = true;
+            recorder.warmingNodeReached(now, identity.name());
         }
-        sent.addLast(new Sent(now, work, proxy));
-        windowWork += work;
-        while (now - sent.peekFirst().at() > site.warmUp().windowNanos()) {
-            windowWork -= sent.removeFirst().work();
+        warmUpLoad.add(now, workSeconds(call), call.headers().first("x-proxy").orElse(""));
+        double capacity = machine.cores() * machine.speed() * speedFactor * warmUpRatio();
+        if (!overloaded && warmUpLoad.isOverload(capacity, method.workNanos())) {
+            overloaded = true;
+            recorder.nodeOverloaded(
+                    now, identity.name(), warmUpStartNanos, warmUpLoad.workByProxy());
         }
-        double budget =
-                site.warmUp().overloadFactor() * capacity() * site.warmUp().windowNanos() / SECOND
-                        + SLACK_RPCS * method.workNanos() / SECOND;
-        if (!fallen && windowWork > budget) {
-            fallen = true;
-            Map<String, Double> by = new TreeMap<>();
-            sent.forEach(s -> by.merge(s.proxy(), s.work(), Double::sum));
-            record.nodeOverloaded(now, name, startedAt, by);
+    }
+
+    private void admit(Job job) {
+        if (running.size() < machine.cores()) {
+            begin(job);
+        } else if (queue.size() < site.queuePerCore() * machine.cores()) {
+            queue.addLast(job);
+        } else {
+            job.exchange.answer(HttpMessage.Response.of(503, TEXT, "full; not begun"));
+            return;
         }
+        job.exchange.onClosed(() -> loop.run(() -> cancel(job)));
     }
 
     private void begin(Job job) {
-        busy();
+        long now = loop.now();
+        meter.update(now, running.size());
         running.add(job);
-        boolean repeat = false;
-        if (job.token != null) {
-            Long until = zoneTokens.get(job.token);
-            repeat = until != null && until > loop.now();
-            if (!repeat) {
-                zoneTokens.put(job.token, loop.now() + job.method.tokenWindowNanos());
-            }
+        boolean isRepeat =
+                job.token
+                        .map(token -> !zoneTokens.claim(token, now, job.method.tokenWindowNanos()))
+                        .orElse(false);
+        if (!isRepeat) {
+            recorder.effectApplied(now, identity.name(), job.rpc, job.method);
         }
-        if (!repeat) {
-            record.effectApplied(loop.now(), name, job.rpc, job.method);
+        double seconds = isRepeat ? REPEAT_SECONDS : job.workSeconds / coreSpeed();
+        job.end = loop.after((long) (seconds * NANOS_PER_SECOND), () -> complete(job));
+    }
+
+    private void complete(Job job) {
+        release(job);
+        if (!hung && up) {
+            job.exchange.answer(
+                    new HttpMessage.Response(
+                            200,
+                            HttpHeaders.of(
+                                    "endpoint-load-metrics",
+                                    "TEXT cpu_utilization=" + reportedUtilization()),
+                            new byte[0]));
         }
-        double seconds = repeat ? 0.001 : job.work / (size.speed() * slowing * warmth());
-        job.end =
-                loop.after(
-                        (long) (seconds * SECOND),
-                        () -> {
-                            free(job);
-                            if (!hung && up) {
-                                job.exchange.answer(
-                                        new HttpMessage.Response(
-                                                200,
-                                                HttpHeaders.of(
-                                                        "endpoint-load-metrics",
-                                                        "TEXT cpu_utilization=" + utilization()),
-                                                new byte[0]));
-                            }
-                        });
     }
 
-    private void free(Job job) {
-        busy();
+    private void release(Job job) {
+        meter.update(loop.now(), running.size());
         if (running.remove(job) && up && !queue.isEmpty()) {
             begin(queue.removeFirst());
         }
     }
 
-    private void cancelled(Job job) {
+    private void cancel(Job job) {
         if (!queue.remove(job) && running.contains(job)) {
             job.end.cancel(false);
-            free(job);
-        }
-    }
-
-    private void busy() {
-        long now = loop.now();
-        busySeconds += running.size() * (now - busyAt) / SECOND;
-        busyAt = now;
-    }
-
-    private double utilization() {
-        long now = loop.now();
-        if (now - utilizationAt > UTILIZATION_EVERY) {
-            busy();
-            utilization =
-                    Math.min(1, busySeconds / ((now - utilizationAt) / SECOND) / size.cores());
-            busySeconds = 0;
-            utilizationAt = now;
+            release(job);
         }
-        return Math.round(utilization * reportFactor * 1000) / 1000.0;
     }
 
-    /** Drops tokens whose window is over. */
-    static void forget(Map<String, Long> tokens, long now) {
-        new LinkedHashMap<>(tokens)
-                .forEach(
-                        (token, until) -> {
-                            if (until < now) {
-                                tokens.remove(token);
-                            }
-                        });
+    private double reportedUtilization() {
+        double utilization = meter.utilization(loop.now(), running.size());
+        return Math.round(utilization * reportFactor * UTILIZATION_STEPS) / UTILIZATION_STEPS;
     }
 }
--- a/src/main/java/rosespread/testbed/FakeNodeList.java
+++ b/src/main/java/rosespread/testbed/FakeNodeList.java
@@ -1,16 +1,13 @@
 package rosespread.testbed;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
-import rosespread.api.EventHandler.NodeState;
+import java.util.Optional;
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpLimits;
 import rosespread.http.HttpMessage;
@@ -18,218 +15,189 @@
 
 /**
  * A server list that speaks Consul's {@code /v1/health/service/NAME} with blocking queries. Changes
- * are published late; on order it is silent, answers errors, or answers with an older list. Lives
- * on the loop's thread.
+ * are published late; on request it is silent, answers errors, or answers with an older list. Lives
+ * on the loop's thread; {@link #address} and {@link #close} are for any.
  */
 public final class FakeNodeList implements AutoCloseable {
     /** How it answers. */
     public enum AnswerMode {
+        /** With what was published last. */
         USUAL,
+        /** Not at all. */
         SILENT,
+        /** With errors. */
         ERRORS,
+        /** At once, with the oldest list that it still has. */
         OLDER
     }
 
-    private static final long MILLI = 1_000_000L;
-    private static final int KEPT = 64;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final int MAX_PUBLISHED_KEPT = 64;
+    private static final String PATH = "/v1/health/service/" + ConsulHealthCatalog.SERVICE;
+    private static final String TEXT = "text/plain";
 
-    private record Entry(
-            String zone, String kind, InetSocketAddress address, long started, boolean draining) {}
+    /** A blocking query of a controller, named by its user agent. */
+    private record Query(String controller, HttpServer.Exchange exchange) {}
 
-    private record Published(
-            long index, String body, Map<String, TrafficRecorder.NodeListing> nodes) {}
-
-    private final class Waiting {
-        final String agent;
-        final HttpServer.Exchange exchange;
-        boolean done;
-
-        Waiting(String agent, HttpServer.Exchange exchange) {
-            this.agent = agent;
-            this.exchange = exchange;
-        }
-    }
-
-    private final ObjectMapper json = new ObjectMapper();
     private final TestLoop loop;
-    private final TrafficRecorder record;
+    private final TrafficRecorder recorder;
     private final HttpServer http;
     private final InetSocketAddress address;
-    private final Map<String, Entry> entries = new TreeMap<>();
-    private final List<Published> published = new ArrayList<>();
-    private final List<Waiting> waiting = new ArrayList<>();
-    private long lateNanos;
-    private long index = 10;
-    private AnswerMode setMode = AnswerMode.USUAL;
+    private final ConsulHealthCatalog catalog = new ConsulHealthCatalog();
+    private final List<ConsulHealthCatalog.Snapshot> published = new ArrayList<>();
+    private final List<Query> pending = new ArrayList<>();
+    private long delayNanos;
+    private AnswerMode mode = AnswerMode.USUAL;
 
     /**
+     * An empty list that answers from now on.
+     *
      * @param port where it listens; 0: any free one
+     * @throws IOException if it cannot listen there
      */
-    public FakeNodeList(TestLoop loop, int port, TrafficRecorder record) throws IOException {
+    public FakeNodeList(TestLoop loop, int port, TrafficRecorder recorder) throws IOException {
         this.loop = loop;
-        this.record = record;
+        this.recorder = recorder;
         this.http =
                 new HttpServer(
                         1,
                         HttpLimits.USUAL,
-                        (call, exchange) -> loop.run(() -> take(call, exchange)));
+                        (call, exchange) -> loop.run(() -> handle(call, exchange)));
         this.address = http.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
+    /** Where it answers. */
     public InetSocketAddress address() {
         return address;
     }
 
     /** Changes are published so much later from now on. */
     public void setDelay(long nanos) {
-        lateNanos = nanos;
+        delayNanos = nanos;
     }
 
+    /** Answers in another way from now on. */
     public void setMode(AnswerMode next) {
-        setMode = next;
+        mode = next;
         if (next == AnswerMode.OLDER) {
-            List.copyOf(waiting).forEach(this::answer);
+            answerPending();
         }
     }
 
-    void put(String name, String zone, String kind, InetSocketAddress at, long startedMillis) {
-        entries.put(name, new Entry(zone, kind, at, startedMillis, false));
-        changed();
+    /** Lists a node as ready; {@code startedMillis} since the epoch, 0 if it was always warm. */
+    void put(FakeNode.Identity node, long startedMillis) {
+        catalog.put(node, startedMillis);
+        publishLater();
     }
 
     void remove(String name) {
-        entries.remove(name);
-        changed();
+        catalog.remove(name);
+        publishLater();
     }
 
-    void setDraining(String name, boolean on) {
-        entries.computeIfPresent(
-                name, (n, e) -> new Entry(e.zone(), e.kind(), e.address(), e.started(), on));
-        changed();
+    void setDraining(String name, boolean draining) {
+        catalog.setDraining(name, draining);
+        publishLater();
     }
 
-    private void changed() {
-        Published snapshot = render();
-        loop.after(lateNanos, () -> show(snapshot));
+    private void publishLater() {
+        ConsulHealthCatalog.Snapshot snapshot = catalog.snapshot();
+        loop.after(delayNanos, () -> publish(snapshot));
     }
 
-    /** Shows what is listed now without delay, at the start. */
+    /** Publishes what is listed now without delay, at the start. */
     void publish() {
-        show(render());
+        publish(catalog.snapshot());
     }
 
-    private void show(Published next) {
-        if (!published.isEmpty() && published.get(published.size() - 1).index() >= next.index()) {
+    private void publish(ConsulHealthCatalog.Snapshot snapshot) {
+        if (!published.isEmpty() && latest().index() >= snapshot.index()) {
             return;
         }
-        published.add(next);
-        if (published.size() > KEPT) {
+        published.add(snapshot);
+        if (published.size() > MAX_PUBLISHED_KEPT) {
             published.remove(0);
         }
-        List.copyOf(waiting).forEach(this::answer);
-    }
-
-    private Published render() {
-        ArrayNode all = json.createArrayNode();
-        Map<String, TrafficRecorder.NodeListing> nodes = new TreeMap<>();
-        entries.forEach(
-                (name, entry) -> {
-                    ObjectNode one = all.addObject();
-                    one.putObject("Node")
-                            .put("Node", "machine-" + name)
-                            .put("Address", entry.address().getHostString());
-                    ObjectNode service = one.putObject("Service");
-                    service.put("ID", name)
-                            .put("Service", "nodes")
-                            .put("Address", "127.0.0.1")
-                            .put("Port", entry.address().getPort());
-                    service.putArray("Tags").add("zone=" + entry.zone());
-                    service.putObject("Meta")
-                            .put("kind", entry.kind())
-                            .put("started", String.valueOf(entry.started()));
-                    service.putObject("Weights").put("Passing", 1).put("Warning", 1);
-                    ArrayNode checks = one.putArray("Checks");
-                    checks.addObject().put("CheckID", "serfHealth").put("Status", "passing");
-                    if (entry.draining()) {
-                        checks.addObject()
-                                .put("CheckID", "_service_maintenance:" + name)
-                                .put("Status", "critical");
-                    }
-                    nodes.put(
-                            name,
-                            new TrafficRecorder.NodeListing(
-                                    entry.draining() ? NodeState.DRAINING : NodeState.READY,
-                                    entry.started(),
-                                    entry.kind()));
-                });
-        return new Published(++index, all.toString(), nodes);
-    }
-
-    private void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
-        String agent = call.headers().first("user-agent").orElse("").replace("rosespread/", "");
-        if (!call.path().equals("/v1/health/service/nodes")) {
-            exchange.answer(HttpMessage.Response.of(404, "text/plain", "no such service"));
-        } else if (setMode == AnswerMode.ERRORS) {
-            exchange.answer(HttpMessage.Response.of(500, "text/plain", "No cluster leader"));
+        answerPending();
+    }
+
+    private ConsulHealthCatalog.Snapshot latest() {
+        return published.get(published.size() - 1);
+    }
+
+    private void answerPending() {
+        List.copyOf(pending).forEach(this::answer);
+    }
+
+    private void handle(HttpMessage.Request call, HttpServer.Exchange exchange) {
+        if (!call.path().equals(PATH)) {
+            exchange.answer(HttpMessage.Response.of(404, TEXT, "no such service"));
+        } else if (mode == AnswerMode.ERRORS) {
+            exchange.answer(HttpMessage.Response.of(500, TEXT, "No cluster leader"));
+        } else {
+            handleQuery(call, exchange);
+        }
+    }
+
+    private void handleQuery(HttpMessage.Request call, HttpServer.Exchange exchange) {
+        String agent = call.headers().first("user-agent").orElse("");
+        Query query = new Query(agent.replace("rosespread/", ""), exchange);
+        pending.add(query);
+        exchange.onClosed(() -> loop.run(() -> pending.remove(query)));
+        long knownIndex = parameter(call.target(), "index");
+        if (mode == AnswerMode.OLDER || knownIndex < latest().index()) {
+            answer(query);
         } else {
-            Waiting one = new Waiting(agent, exchange);
-            long known = parameter(call.target(), "index");
-            waiting.add(one);
-            exchange.onClosed(() -> loop.run(() -> waiting.remove(one)));
-            if (setMode == AnswerMode.OLDER
-                    || known < published.get(published.size() - 1).index()) {
-                answer(one);
-            } else {
-                loop.after(parameter(call.target(), "wait") * MILLI, () -> answer(one));
-            }
+            long waitMillis = parameter(call.target(), "wait");
+            loop.after(waitMillis * NANOS_PER_MILLI, () -> answer(query));
         }
     }
 
+    /** A number of a query string, without a unit of {@code ms}; 0 if it is not there. */
     private static long parameter(String target, String name) {
+        String prefix = name + "=";
         for (String part : target.substring(target.indexOf('?') + 1).split("&")) {
-            if (part.startsWith(name + "=")) {
-                return Long.parseLong(part.substring(name.length() + 1).replace("ms", ""));
+            if (part.startsWith(prefix)) {
+                return Long.parseLong(part.substring(prefix.length()).replace("ms", ""));
             }
         }
         return 0;
     }
 
-    private void answer(Waiting one) {
-        if (one.done || setMode == AnswerMode.SILENT || !waiting.contains(one)) {
+    /** Answers a query once; not while the list is silent. */
+    private void answer(Query query) {
+        if (mode == AnswerMode.SILENT || !pending.remove(query)) {
             return;
         }
-        one.done = true;
-        waiting.remove(one);
-        Published shown = published.get(setMode == AnswerMode.OLDER ? 0 : published.size() - 1);
-        if (setMode == AnswerMode.USUAL) {
-            record.nodeListServed(loop.now(), one.agent, shown.nodes());
+        ConsulHealthCatalog.Snapshot shown = mode == AnswerMode.OLDER ? published.get(0) : latest();
+        if (mode == AnswerMode.USUAL) {
+            recorder.nodeListServed(loop.now(), query.controller(), shown.nodes());
         }
-        one.exchange.answer(
-                new HttpMessage.Response(
-                        200,
-                        HttpHeaders.of(
-                                "content-type",
-                                "application/json",
-                                "x-consul-index",
-                                String.valueOf(shown.index())),
-                        shown.body().getBytes(java.nio.charset.StandardCharsets.UTF_8)));
-    }
-
-    /** The nodes as they are listed, for a proxy that starts: names with address, zone and kind. */
-    Map<String, InetSocketAddress> addresses(String zone) {
-        Map<String, InetSocketAddress> found = new TreeMap<>();
-        entries.forEach(
-                (name, entry) -> {
-                    if (zone == null || entry.zone().equals(zone)) {
-                        found.put(name, entry.address());
-                    }
-                });
-        return found;
+        query.exchange()
+                .answer(
+                        new HttpMessage.Response(
+                                200,
+                                HttpHeaders.of(
+                                        "content-type",
+                                        "application/json",
+                                        "x-consul-index",
+                                        String.valueOf(shown.index())),
+                                shown.body().getBytes(StandardCharsets.UTF_8)));
+    }
+
+    /** Where all nodes are that are registered now, by name, for a proxy that starts. */
+    Map<String, InetSocketAddress> addresses() {
+        return catalog.addresses(Optional.empty());
+    }
+
+    /** The same for the nodes of a zone. */
+    Map<String, InetSocketAddress> addressesIn(String zone) {
+        return catalog.addresses(Optional.of(zone));
     }
 
+    /** The machine type of a node; empty if it is not registered. */
     String machineType(String name) {
-        Entry entry = entries.get(name);
-        return entry == null ? "" : entry.kind();
+        return catalog.machineType(name);
     }
 
     @Override
--- a/src/main/java/rosespread/testbed/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -1,10 +1,10 @@
 package rosespread.testbed;
 
-import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -13,242 +13,199 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 import rosespread.channel.Frame;
-import rosespread.table.TableDigest;
 
-/** What a plain proxy holds: tables, levels and withdrawals, and how it picks a line. */
+/**
+ * What a plain proxy holds: a table for each method, the nodes that are excluded, and where nodes
+ * are. What was held when a stream ended stays in use until the next stream brings other tables.
+ * Confined to the loop's thread.
+ */
 final class ProxyTables {
-    /** Where a node is and what the stand-ins call it. */
-    record Place(String name, InetSocketAddress address) {}
+    private static final double INITIAL_WEIGHT = 1;
 
-    /**
-     * A line and when, by its table's own clock, its next turn is due: a turn comes every 1 /
-     * weight.
-     */
-    private static final class Row {
-        final double weight;
-        double due;
-
-        Row(double weight, double due) {
-            this.weight = weight;
-            this.due = due;
-        }
-    }
-
-    private static final class Table {
-        final TreeMap<NodeId, Row> rows = new TreeMap<>();
-        final Map<MethodId, Frame.Level> levels = new HashMap<>();
-        double clock;
-        long version;
-    }
-
-    private final Map<NodeId, Place> places = new HashMap<>();
-    private final Map<MethodId, Table> byMethod = new HashMap<>();
-    private final Map<TableId, Table> ofStream = new HashMap<>();
+    private final Map<NodeId, NodeAddress> addresses = new HashMap<>();
+    private final Map<MethodId, WeightedTable> byMethod = new HashMap<>();
+    private final Map<TableId, WeightedTable> ofStream = new HashMap<>();
 
     /** The highest versions that any stream brought. */
-    private final TreeMap<TableId, Long> highest = new TreeMap<>();
+    private final TreeMap<TableId, Long> highestVersions = new TreeMap<>();
 
-    private final Set<NodeId> withdrawn = new TreeSet<>();
+    private final Set<NodeId> excluded = new TreeSet<>();
     private final RandomGenerator random;
 
     ProxyTables(RandomGenerator random) {
         this.random = random;
     }
 
-    /**
-     * Each proxy begins a line anywhere in its turn, and a new weight leaves it at the same part of
-     * its turn, so that proxies that get the same change do not move in step.
-     */
-    private void put(Table table, NodeId id, double weight) {
-        Row before = table.rows.get(id);
-        double left =
-                before == null
-                        ? random.nextDouble() / weight
-                        : Math.max(0, before.due - table.clock) * before.weight / weight;
-        table.rows.put(id, new Row(weight, table.clock + left));
-    }
-
-    /** A standing table that a method starts with. */
-    void standing(MethodId method, Map<NodeId, Place> nodes) {
-        Table table = new Table();
+    /** Sets the table with which a method starts; all its nodes weigh the same. */
+    void putInitial(MethodId method, Map<NodeId, NodeAddress> nodes) {
+        WeightedTable table = new WeightedTable(random);
         nodes.forEach(
-                (id, place) -> {
-                    places.put(id, place);
-                    put(table, id, 1);
+                (node, address) -> {
+                    addresses.put(node, address);
+                    table.put(node, INITIAL_WEIGHT);
                 });
         byMethod.put(method, table);
     }
 
-    /** A new stream: what is held stays, but its tables are not this conductor's. */
-    void streamBegins() {
+    /** A new stream: what is held stays in use, but its tables are not this controller's. */
+    void streamStarted() {
         ofStream.clear();
     }
 
-    void named(NodeId id, Place place) {
-        places.put(id, place);
+    /** Takes up where a node is. */
+    void putAddress(NodeId node, NodeAddress address) {
+        addresses.put(node, address);
     }
 
-    /** Takes a message up as a whole; returns its lines. */
-    int apply(List<Frame> message, List<Frame> answers) {
-        int lines = 0;
+    /** What applying a message did: how many entries it had, and what to answer for it. */
+    record Applied(int entries, List<Frame.Missed> missed) {}
+
+    /** Takes up a message as a whole. */
+    Applied apply(List<Frame> message) {
+        List<Frame.Missed> missed = new ArrayList<>();
+        int entries = 0;
         if (message.stream().anyMatch(frame -> frame instanceof Frame.Bind)) {
-            withdrawn.clear();
+            excluded.clear();
         }
         for (Frame frame : message) {
             if (frame instanceof Frame.Bind bind) {
-                Table table = new Table();
-                bind.lines().forEach(line -> put(table, line.node(), line.weight()));
-                bind.levels().forEach(level -> table.levels.put(level.method(), level));
-                bind.methods().forEach(method -> byMethod.put(method, table));
-                table.version = bind.version();
-                highest.merge(bind.table(), table.version, Math::max);
-                ofStream.put(bind.table(), table);
-                if (digest(table) != bind.digest()) {
-                    answers.add(new Frame.Missed(bind.table(), table.version));
-                }
-                lines += bind.lines().size();
-            } else if (frame instanceof Frame.Lines change
-                    && ofStream.containsKey(change.table())) {
-                Table table = ofStream.get(change.table());
-                boolean follows = table.version == change.from();
-                // A delta that does not follow may still take nodes out: that can only keep a
-                // drain.
-                for (Frame.Line line : change.lines()) {
-                    if (line.weight() == 0) {
-                        table.rows.remove(line.node());
-                    } else if (follows) {
-                        put(table, line.node(), line.weight());
-                    }
-                }
-                lines += change.lines().size();
-                table.version = follows ? change.to() : table.version;
-                highest.merge(change.table(), table.version, Math::max);
-                if (!follows || digest(table) != change.digest()) {
-                    answers.add(new Frame.Missed(change.table(), table.version));
-                }
-            } else if (frame instanceof Frame.Levels change
-                    && ofStream.containsKey(change.table())) {
-                change.levels()
-                        .forEach(
-                                level ->
-                                        ofStream.get(change.table())
-                                                .levels
-                                                .put(level.method(), level));
-            } else if (frame instanceof Frame.Withdraw withdraw) {
-                if (withdraw.out()) {
-                    withdrawn.add(withdraw.node());
-                } else {
-                    withdrawn.remove(withdraw.node());
-                }
+                applyFull(bind, missed);
+                entries += bind.lines().size();
+            } else if (frame instanceof Frame.Lines delta && holds(delta.table())) {
+                applyDelta(delta, missed);
+                entries += delta.lines().size();
+            } else if (frame instanceof Frame.Levels limits && holds(limits.table())) {
+                limits.levels().forEach(ofStream.get(limits.table())::putAdmissionLimit);
+            } else if (frame instanceof Frame.Withdraw exclusion) {
+                setExcluded(exclusion.node(), exclusion.out());
+            }
+        }
+        return new Applied(entries, missed);
+    }
+
+    private void applyFull(Frame.Bind bind, List<Frame.Missed> missed) {
+        WeightedTable table = new WeightedTable(random);
+        bind.lines().forEach(entry -> table.put(entry.node(), entry.weight()));
+        bind.levels().forEach(table::putAdmissionLimit);
+        bind.methods().forEach(method -> byMethod.put(method, table));
+        table.setVersion(bind.version());
+        highestVersions.merge(bind.table(), table.version(), Math::max);
+        ofStream.put(bind.table(), table);
+        if (table.digest() != bind.digest()) {
+            missed.add(new Frame.Missed(bind.table(), table.version()));
+        }
+    }
+
+    private void applyDelta(Frame.Lines delta, List<Frame.Missed> missed) {
+        WeightedTable table = ofStream.get(delta.table());
+        boolean follows = table.version() == delta.from();
+        for (Frame.Line entry : delta.lines()) {
+            // A delta that does not follow may still take nodes out: that can only keep a drain.
+            if (entry.weight() == 0) {
+                table.remove(entry.node());
+            } else if (follows) {
+                table.put(entry.node(), entry.weight());
             }
         }
-        return lines;
+        if (follows) {
+            table.setVersion(delta.to());
+        }
+        highestVersions.merge(delta.table(), table.version(), Math::max);
+        if (!follows || table.digest() != delta.digest()) {
+            missed.add(new Frame.Missed(delta.table(), table.version()));
+        }
+    }
+
+    private void setExcluded(NodeId node, boolean isExcluded) {
+        if (isExcluded) {
+            excluded.add(node);
+        } else {
+            excluded.remove(node);
+        }
     }
 
-    boolean holds(TableId id) {
-        return ofStream.containsKey(id);
+    /** Whether this stream brought a table. */
+    boolean holds(TableId table) {
+        return ofStream.containsKey(table);
     }
 
-    List<Frame.Holding> held() {
-        return highest.entrySet().stream()
-                .map(e -> new Frame.Holding(e.getKey(), e.getValue()))
+    /** The highest versions that any stream brought, in order of tables. */
+    List<Frame.Holding> highestVersions() {
+        return highestVersions.entrySet().stream()
+                .map(entry -> new Frame.Holding(entry.getKey(), entry.getValue()))
                 .toList();
     }
 
-    /** A table of this stream, by the nodes' names. */
-    TrafficRecorder.TableSnapshot held(TableId id) {
-        Map<String, Double> lines = new TreeMap<>();
-        ofStream.get(id)
-                .rows
-                .forEach(
-                        (node, row) ->
-                                lines.put(
-                                        places.containsKey(node)
-                                                ? places.get(node).name()
-                                                : Long.toHexString(node.value()),
-                                        row.weight));
+    /** A table that this stream brought, by the nodes' names. */
+    TrafficRecorder.TableSnapshot snapshot(TableId id) {
+        WeightedTable table = ofStream.get(id);
+        Map<String, Double> weights = new TreeMap<>();
+        table.nodes().forEach(node -> weights.put(name(node), table.weight(node)));
         return new TrafficRecorder.TableSnapshot(
-                id.value(), ofStream.get(id).version, digest(ofStream.get(id)), lines);
+                id.value(), table.version(), table.digest(), weights);
     }
 
-    private static long digest(Table table) {
-        long sum = 0;
-        for (Map.Entry<NodeId, Row> line : table.rows.entrySet()) {
-            sum += TableDigest.of(line.getKey(), line.getValue().weight);
-        }
-        return sum;
+    private String name(NodeId node) {
+        NodeAddress address = addresses.get(node);
+        return address == null ? Long.toHexString(node.value()) : address.name();
+    }
+
+    /** Whether there is a node to pick for a method. */
+    boolean isAvailable(MethodId method) {
+        WeightedTable table = byMethod.get(method);
+        return table != null && table.nodes().stream().anyMatch(this::isUsable);
     }
 
-    boolean pickable(MethodId method) {
-        Table table = byMethod.get(method);
-        return table != null
-                && table.rows.keySet().stream()
-                        .anyMatch(id -> !withdrawn.contains(id) && places.containsKey(id));
+    private boolean isUsable(NodeId node) {
+        return !excluded.contains(node) && addresses.containsKey(node);
     }
 
-    Frame.Level level(MethodId method) {
-        Table table = byMethod.get(method);
-        return table == null ? null : table.levels.get(method);
+    /** The admission limit of a method; empty if all is admitted and retries are as usual. */
+    Optional<Frame.Level> admissionLimit(MethodId method) {
+        WeightedTable table = byMethod.get(method);
+        return table == null ? Optional.empty() : table.admissionLimit(method);
     }
 
-    Place place(NodeId id) {
-        return places.get(id);
+    /** Where a node is that {@link #pick} returned. */
+    NodeAddress address(NodeId node) {
+        return addresses.get(node);
     }
 
-    /** Picks a line that is not withdrawn, nor among the avoided as long as there are others. */
-    NodeId pick(
+    /**
+     * Picks a node that is not excluded, nor among the avoided as long as there are others.
+     *
+     * @param inFlight RPCs at each node now
+     * @return empty if there is no node to pick
+     */
+    Optional<NodeId> pick(
             MethodId method,
-            SiteDefinition.Pick way,
+            SiteDefinition.Pick policy,
             Set<NodeId> avoided,
-            Map<NodeId, Integer> out) {
-        Table table = byMethod.get(method);
+            Map<NodeId, Integer> inFlight) {
+        WeightedTable table = byMethod.get(method);
         if (table == null) {
-            return null;
+            return Optional.empty();
         }
-        List<NodeId> open = new ArrayList<>(table.rows.keySet());
-        open.removeIf(id -> withdrawn.contains(id) || !places.containsKey(id));
-        List<NodeId> preferred = new ArrayList<>(open);
+        List<NodeId> usable = new ArrayList<>(table.nodes());
+        usable.removeIf(node -> !isUsable(node));
+        List<NodeId> preferred = new ArrayList<>(usable);
         preferred.removeAll(avoided);
-        List<NodeId> among = preferred.isEmpty() ? open : preferred;
-        if (among.isEmpty()) {
-            return null;
+        List<NodeId> candidates = preferred.isEmpty() ? usable : preferred;
+        if (candidates.isEmpty()) {
+            return Optional.empty();
         }
-        return switch (way) {
-            case ROUND -> round(table, among);
-            case RANDOM -> drawn(table, among);
-            case BEST_OF_TWO -> {
-                NodeId one = drawn(table, among);
-                NodeId two = drawn(table, among);
-                yield out.getOrDefault(two, 0) < out.getOrDefault(one, 0) ? two : one;
-            }
-        };
+        return Optional.of(
+                switch (policy) {
+                    case ROUND -> table.pickRoundRobin(candidates);
+                    case RANDOM -> table.pickRandom(candidates);
+                    case BEST_OF_TWO -> pickBestOfTwo(table, candidates, inFlight);
+                });
     }
 
-    /** The line whose turn is due first. One that was kept out meanwhile begins its turn anew. */
-    private NodeId round(Table table, List<NodeId> among) {
-        NodeId best = null;
-        for (NodeId id : among) {
-            Row row = table.rows.get(id);
-            if (row.due < table.clock) {
-                row.due = table.clock + random.nextDouble() / row.weight;
-            }
-            best = best == null || row.due < table.rows.get(best).due ? id : best;
-        }
-        Row row = table.rows.get(best);
-        table.clock = row.due;
-        row.due += 1 / row.weight;
-        return best;
-    }
-
-    private NodeId drawn(Table table, List<NodeId> among) {
-        double sum = among.stream().mapToDouble(id -> table.rows.get(id).weight).sum();
-        double at = random.nextDouble() * sum;
-        for (NodeId id : among) {
-            at -= table.rows.get(id).weight;
-            if (at < 0) {
-                return id;
-            }
-        }
-        return among.get(among.size() - 1);
+    private static NodeId pickBestOfTwo(
+            WeightedTable table, List<NodeId> candidates, Map<NodeId, Integer> inFlight) {
+        NodeId one = table.pickRandom(candidates);
+        NodeId two = table.pickRandom(candidates);
+        return inFlight.getOrDefault(two, 0) < inFlight.getOrDefault(one, 0) ? two : one;
     }
 }
--- /dev/null
+++ b/src/main/java/rosespread/testbed/RpcForwarder.java
@@ -0,0 +1,262 @@
+package rosespread.testbed;
+
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import rosespread.api.MethodId;
+import rosespread.api.NodeId;
+import rosespread.channel.Frame;
+import rosespread.http.HttpClient;
+import rosespread.http.HttpHeaders;
+import rosespread.http.HttpMessage;
+
+/**
+ * Forwards RPCs of clients to nodes as a plain proxy does: admits by the limits it was sent, picks
+ * by weight, and retries once where that was allowed. Confined to the loop's thread; the HTTP
+ * client's outcomes are brought there.
+ */
+final class RpcForwarder {
+    private static final long MIN_ATTEMPT_NANOS = 1_000_000L;
+
+    /** A retry is not worth while with less time left than this. */
+    private static final long MIN_RETRY_NANOS = 20_000_000L;
+
+    private static final int FIRST_ERROR_STATUS = 400;
+    private static final int UNAVAILABLE_STATUS = 503;
+    private static final String UTILIZATION_FIELD = "cpu_utilization=";
+
+    private final String proxy;
+    private final ProxyContext context;
+    private final TestLoop loop;
+    private final TrafficRecorder recorder;
+    private final LoadReporter reporter;
+    private final NodeAvoidance avoidance;
+    private final AdmissionLimiter limiter;
+    private final Map<NodeId, Integer> inFlight = new HashMap<>();
+    private final Set<Runnable> cancellations = new LinkedHashSet<>();
+    private ProxyTables tables;
+    private boolean running;
+    private long stalledUntilNanos;
+
+    RpcForwarder(String proxy, ProxyContext context, LoadReporter reporter) {
+        this.proxy = proxy;
+        this.context = context;
+        this.loop = context.loop();
+        this.recorder = context.recorder();
+        this.reporter = reporter;
+        this.avoidance =
+                new NodeAvoidance(context.site().proxies().avoidAfterFailures(), context.random());
+        this.limiter =
+                new AdmissionLimiter(
+                        context.limitsAreShares(), context.methodIds(), context.random());
+    }
+
+    /** The proxy's process starts with these tables. */
+    void start(ProxyTables startingTables) {
+        running = true;
+        tables = startingTables;
+        inFlight.clear();
+        avoidance.reset();
+    }
+
+    /** The proxy's process dies, and with it all attempts. */
+    void stop() {
+        running = false;
+        List.copyOf(cancellations).forEach(Runnable::run);
+        cancellations.clear();
+    }
+
+    /** Taking up a message holds the proxy up for so long. */
+    void stall(long nanos) {
+        stalledUntilNanos = Math.max(loop.now(), stalledUntilNanos) + nanos;
+    }
+
+    /**
+     * Forwards an RPC.
+     *
+     * @param untilNanos when its client gives it up
+     * @param listener takes how it ended, once
+     */
+    void forward(OpenLoopClients.Arrival rpc, long untilNanos, Consumer<RpcResult> listener) {
+        long now = loop.now();
+        if (stalledUntilNanos > now) {
+            loop.after(stalledUntilNanos - now, () -> forward(rpc, untilNanos, listener));
+            return;
+        }
+        if (!running) {
+            listener.accept(RpcResult.UNREACHABLE);
+            return;
+        }
+        MethodId method = context.methodId(rpc.method());
+        reporter.requestReceived(method);
+        if (!limiter.admits(method, tables, loop.now())) {
+            listener.accept(RpcResult.REJECTED);
+            return;
+        }
+        attemptFirst(new Call(rpc, method, untilNanos, listener));
+    }
+
+    /** An RPC on its way. */
+    private record Call(
+            OpenLoopClients.Arrival rpc,
+            MethodId method,
+            long untilNanos,
+            Consumer<RpcResult> listener) {
+        void end(RpcResult result) {
+            listener.accept(result);
+        }
+    }
+
+    private void attemptFirst(Call call) {
+        Set<NodeId> avoided = avoidance.avoidedAt(loop.now());
+        pick(call, avoided)
+                .ifPresentOrElse(
+                        node -> new Attempt(call, node, false).start(),
+                        () -> call.end(RpcResult.REJECTED));
+    }
+
+    private void retry(Call call, NodeId failed) {
+        Set<NodeId> avoided = avoidance.avoidedAt(loop.now());
+        avoided.add(failed);
+        Optional<NodeId> picked = pick(call, avoided);
+        if (picked.isEmpty()) {
+            call.end(RpcResult.REJECTED);
+        } else if (picked.get().equals(failed)) {
+            call.end(RpcResult.FAILED);
+        } else {
+            new Attempt(call, picked.get(), true).start();
+        }
+    }
+
+    private Optional<NodeId> pick(Call call, Set<NodeId> avoided) {
+        return tables.pick(call.method(), context.site().proxies().pick(), avoided, inFlight);
+    }
+
+    /** No connection, and a rejection before any work, prove that an attempt had no effect. */
+    private boolean mayRetry(MethodId method, RpcResult result) {
+        if (result == RpcResult.OK) {
+            return false;
+        }
+        boolean hadNoEffect = result == RpcResult.UNREACHABLE || result == RpcResult.REJECTED;
+        return switch (tables.admissionLimit(method)
+                .map(Frame.Level::tries)
+                .orElse(Frame.Tries.AFTER_PROOF)) {
+            case NONE -> false;
+            case AFTER_PROOF -> hadNoEffect;
+            case AFTER_ANY_FAILURE -> true;
+        };
+    }
+
+    /** One attempt of an RPC at one node. */
+    private final class Attempt implements HttpClient.Taker {
+        private final Call call;
+        private final NodeId node;
+        private final NodeAddress address;
+        private final boolean isRetry;
+        private final long startNanos = loop.now();
+        private Runnable cancellation;
+
+        Attempt(Call call, NodeId node, boolean isRetry) {
+            this.call = call;
+            this.node = node;
+            this.address = tables.address(node);
+            this.isRetry = isRetry;
+        }
+
+        void start() {
+            OpenLoopClients.Arrival rpc = call.rpc();
+            recorder.attemptStarted(startNanos, proxy, address.name(), rpc.number(), rpc.method());
+            inFlight.merge(node, 1, Integer::sum);
+            long timeoutNanos = Math.max(MIN_ATTEMPT_NANOS, call.untilNanos() - startNanos);
+            cancellation = context.http().call(address.address(), request(rpc), timeoutNanos, this);
+            cancellations.add(cancellation);
+        }
+
+        private HttpMessage.Request request(OpenLoopClients.Arrival rpc) {
+            HttpHeaders headers =
+                    HttpHeaders.of(
+                            "host",
+                            address.address().getHostString(),
+                            "x-proxy",
+                            proxy,
+                            "x-rpc",
+                            String.valueOf(rpc.number()),
+                            "x-work-nanos",
+                            String.valueOf(rpc.workNanos()));
+            if (rpc.method().effect() == SiteDefinition.Effect.TOKENED) {
+                headers.add("idempotency-key", "t" + rpc.number());
+            }
+            return new HttpMessage.Request(
+                    "POST", "/rpc/" + rpc.method().name(), headers, new byte[0]);
+        }
+
+        @Override
+        public void answered(HttpMessage.Response answer) {
+            loop.run(() -> ended(toResult(answer.status()), answer));
+        }
+
+        @Override
+        public void failed(HttpClient.Failure failure, String detail) {
+            loop.run(() -> ended(toResult(failure), null));
+        }
+
+        private void ended(RpcResult result, HttpMessage.Response answer) {
+            cancellations.remove(cancellation);
+            inFlight.merge(node, -1, Integer::sum);
+            if (running && result == RpcResult.OK) {
+                recordSuccess(answer);
+            } else if (running) {
+                recordFailure();
+                boolean inTime = call.untilNanos() - loop.now() > MIN_RETRY_NANOS;
+                if (!isRetry && inTime && mayRetry(call.method(), result)) {
+                    retry(call, node);
+                    return;
+                }
+            }
+            call.end(result);
+        }
+
+        private void recordSuccess(HttpMessage.Response answer) {
+            avoidance.attemptSucceeded(node);
+            reporter.attemptSucceeded(node, loop.now() - startNanos, utilization(answer));
+        }
+
+        private void recordFailure() {
+            long now = loop.now();
+            reporter.attemptFailed(node);
+            avoidance.attemptFailed(node, now);
+            OpenLoopClients.Arrival rpc = call.rpc();
+            recorder.attemptFailed(now, proxy, address.name(), rpc.number(), rpc.method());
+        }
+    }
+
+    private static RpcResult toResult(int status) {
+        if (status < FIRST_ERROR_STATUS) {
+            return RpcResult.OK;
+        }
+        return status == UNAVAILABLE_STATUS ? RpcResult.REJECTED : RpcResult.FAILED;
+    }
+
+    private static RpcResult toResult(HttpClient.Failure failure) {
+        return switch (failure) {
+            case NOT_CONNECTED -> RpcResult.UNREACHABLE;
+            case TIMED_OUT -> RpcResult.TIMED_OUT;
+            default -> RpcResult.FAILED;
+        };
+    }
+
+    /** The utilization that a node told in ORCA's text form, 0 to 1; NaN if it told none. */
+    private static double utilization(HttpMessage.Response answer) {
+        String metrics = answer.headers().first("endpoint-load-metrics").orElse("");
+        int at = metrics.indexOf(UTILIZATION_FIELD);
+        if (at < 0) {
+            return Double.NaN;
+        }
+        String value = metrics.substring(at + UTILIZATION_FIELD.length()).split("[, ]")[0];
+        return Double.parseDouble(value);
+    }
+}
--- a/src/main/java/rosespread/testbed/TestLoop.java
+++ b/src/main/java/rosespread/testbed/TestLoop.java
@@ -3,46 +3,58 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread on which all stand-ins of a process live, and its clock. */
+/** The one thread on which all fakes of a process live, and its clock. Safe for any thread. */
 public final class TestLoop implements AutoCloseable {
-    private final ScheduledThreadPoolExecutor thread =
-            new ScheduledThreadPoolExecutor(
-                    1,
-                    task -> {
-                        Thread made = new Thread(task, "standins");
-                        made.setDaemon(true);
-                        return made;
-                    });
+    private static final Logger LOG = LoggerFactory.getLogger(TestLoop.class);
 
+    private final ScheduledThreadPoolExecutor executor =
+            new ScheduledThreadPoolExecutor(1, TestLoop::newThread);
+
+    /** Starts the loop; its thread does not keep the process alive. */
     public TestLoop() {
-        thread.setRemoveOnCancelPolicy(true);
+        executor.setRemoveOnCancelPolicy(true);
+    }
+
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "testbed");
+        thread.setDaemon(true);
+        return thread;
     }
 
+    /** The loop's clock in nanoseconds, from an arbitrary origin. */
     public long now() {
         return System.nanoTime();
     }
 
+    /** Runs a task on the loop's thread, after those that were handed over before. */
     public void run(Runnable task) {
         after(0, task);
     }
 
+    /**
+     * Runs a task on the loop's thread after so many nanoseconds. A task that fails is logged, and
+     * the loop goes on.
+     *
+     * @return cancels the task
+     */
     public ScheduledFuture<?> after(long nanos, Runnable task) {
-        return thread.schedule(
-                () -> {
-                    try {
-                        task.run();
-                    } catch (RuntimeException e) {
-                        LoggerFactory.getLogger(TestLoop.class).error("a stand-in failed", e);
-                    }
-                },
-                Math.max(0, nanos),
-                TimeUnit.NANOSECONDS);
+        return executor.schedule(() -> runLogged(task), Math.max(0, nanos), TimeUnit.NANOSECONDS);
+    }
+
+    private static void runLogged(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.atError().setCause(e).log("testbed task failed");
+        }
     }
 
+    /** Ends the loop; tasks that have not begun are dropped. */
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
