--- /dev/null
+++ b/src/test/java/rosespread/scenario/ForwardingActions.java
@@ -0,0 +1,62 @@
+package rosespread.scenario;
+
+import rosespread.api.MethodId;
+import rosespread.api.NodeId;
+import rosespread.api.PolicyActions;
+import rosespread.api.ProxyId;
+import rosespread.api.TableId;
+import rosespread.controller.TableUpdateWriter;
+
+/** Passes a policy's actions on as they are. */
+class ForwardingActions implements PolicyActions {
+    private final TableUpdateWriter out;
+
+    ForwardingActions(TableUpdateWriter out) {
+        this.out = out;
+    }
+
+    @Override
+    public void setWeight(TableId table, NodeId node, double weight) {
+        out.setWeight(table, node, weight);
+    }
+
+    @Override
+    public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
+        out.subscribe(proxy, methods, table);
+    }
+
+    @Override
+    public void setExcluded(NodeId node, boolean excluded) {
+        out.setExcluded(node, excluded);
+    }
+
+    @Override
+    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
+        out.setAdmissionLimit(table, method, admitted);
+    }
+
+    @Override
+    public void requestAcknowledgement(int token) {
+        out.requestAcknowledgement(token);
+    }
+
+    @Override
+    public void checkHealth(NodeId node) {
+        out.checkHealth(node);
+    }
+
+    @Override
+    public void watchNodes() {
+        out.watchNodes();
+    }
+
+    @Override
+    public void startTimer(long nanos) {
+        out.startTimer(nanos);
+    }
+
+    @Override
+    public void log(String line) {
+        out.log(line);
+    }
+}
--- a/src/test/java/rosespread/scenario/ScenarioRunTest.java
+++ b/src/test/java/rosespread/scenario/ScenarioRunTest.java
@@ -6,7 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -52,7 +54,7 @@
         "EMPTIES,noProxyWithoutNode,no line to pick",
         "FLOODS_CHANNEL,shortQueue,lines waiting"
     })
-    void namesTheRuleThatABadPlannerBreaks(String fault, String rule, String words)
+    void namesTheRuleThatAFaultyPolicyBreaks(String fault, String rule, String words)
             throws Exception {
         Report report = play("bad-planner", FaultyController.class.getName(), fault);
         assertFalse(report.kept(), report.text());
@@ -70,10 +72,12 @@
         }
     }
 
-    /** The same wrong tables, checked before release: none reaches a proxy, and the rules hold. */
+    /**
+     * The same wrong tables, validated before rollout: none reaches a proxy, and the rules hold.
+     */
     @ParameterizedTest
     @CsvSource({"IGNORES_DRAINS", "FLOODS_COLD", "EMPTIES", "BAD_TABLES"})
-    void theGateKeepsWrongTablesFromProxies(String fault) throws Exception {
+    void tableValidatorKeepsWrongTablesFromProxies(String fault) throws Exception {
         Report report = play("bad-planner", FaultyController.class.getName(), fault, "gated");
         assertTrue(report.kept(), report.text());
     }
@@ -98,16 +102,17 @@
                 "zones: [north|zones: [[north|bad:",
                 "cores: 2, speed: 1.0|cores: -2, speed: 1.0|bad:6: field kinds.large.cores is -2"
             })
-    void namesLineAndFieldOfAFault(String from, String to, String told) throws Exception {
+    void namesLineAndFieldOfAFault(String from, String to, String expectedMessage)
+            throws Exception {
         String good =
                 new String(
                         getClass().getResourceAsStream("/scenarios/short-day.yaml").readAllBytes(),
-                        java.nio.charset.StandardCharsets.UTF_8);
+                        StandardCharsets.UTF_8);
         ScenarioReader.parse("good", good);
-        String bad = good.replaceFirst(java.util.regex.Pattern.quote(from), to);
+        String bad = good.replaceFirst(Pattern.quote(from), to);
         ScenarioException e =
                 assertThrows(ScenarioException.class, () -> ScenarioReader.parse("bad", bad));
-        assertTrue(e.getMessage().contains(told), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
