--- a/src/main/java/rosespread/scenario/ControllerFaults.java
+++ b/src/main/java/rosespread/scenario/ControllerFaults.java
@@ -9,7 +9,7 @@
 
 /**
  * Crashes, restarts, suspends and kills controllers' processes. Processes are ended and started on
- * a thread of their own; the checker is told on the loop's thread.
+ * a thread of their own; the checker is notified on the loop's thread.
  */
 final class ControllerFaults {
     private static final long NANOS_PER_MILLI = 1_000_000L;
--- a/src/main/java/rosespread/scenario/DrainInvariant.java
+++ b/src/main/java/rosespread/scenario/DrainInvariant.java
@@ -5,9 +5,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * No joined proxy sends to a node for longer than the drain timeout after its controller was told
- * by the list, or by an operator, that the node is not to be used. Values in milliseconds. Confined
- * to the loop's thread; the histograms are read after the run.
+ * No joined proxy sends to a node for longer than the drain timeout after its controller learned
+ * from the list, or from an operator, that the node is not to be used. Values in milliseconds.
+ * Confined to the loop's thread; the histograms are read after the run.
  */
 final class DrainInvariant implements ServedNodeLists.Listener {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -34,7 +34,9 @@
         return result;
     }
 
-    /** For each drain, how long a proxy went on sending once it was joined and the list told it. */
+    /**
+     * For each drain, how long a proxy went on sending once it was joined and its controller knew.
+     */
     Histogram drainMillis() {
         return drainMillis;
     }
@@ -61,7 +63,7 @@
         }
     }
 
-    /** A controller accepted that a node drains; from here on it is as if the list had told it. */
+    /** A controller accepted that a node drains; from here on it is as if the list had shown it. */
     void operatorDrained(long nanos, String controller, String node) {
         operatorDrains.computeIfAbsent(controller, c -> new TreeMap<>()).putIfAbsent(node, nanos);
         result.countChecks(proxies.joinedTo(controller));
@@ -74,7 +76,7 @@
     /**
      * A proxy sent to a node.
      *
-     * @param node as the proxy's controller was told of it; null if it was not
+     * @param node as the proxy's controller knows it; null if it does not
      */
     void attemptStarted(long nanos, ObservedProxy proxy, String nodeName, ObservedNode node) {
         if (!proxy.isJoined()) {
--- a/src/main/java/rosespread/scenario/DurabilityInvariant.java
+++ b/src/main/java/rosespread/scenario/DurabilityInvariant.java
@@ -33,7 +33,7 @@
         return acknowledged.getOrDefault(controller, new TableVersions()).copy();
     }
 
-    /** A controller that ended and started again tells its versions. */
+    /** A controller that ended and started again has these versions. */
     void controllerRestored(
             long nanos, String controller, TableVersions before, TableVersions after) {
         before.forEach(
--- a/src/main/java/rosespread/scenario/ObservedNode.java
+++ b/src/main/java/rosespread/scenario/ObservedNode.java
@@ -4,7 +4,7 @@
 import rosespread.testbed.TrafficRecorder.NodeListing;
 
 /**
- * A node as a controller was last told of it by the list, and how proxies used it since. Times in
+ * A node as the list last showed it to a controller, and how proxies used it since. Times in
  * nanoseconds of the loop's clock but for {@link #startedMillis}. Confined to the loop's thread.
  */
 final class ObservedNode {
@@ -38,7 +38,7 @@
         state = NodeState.GONE;
     }
 
-    /** What a controller was told while it stood still it learns only when it goes on. */
+    /** What a controller was sent while it stood still it learns only when it goes on. */
     void deferKnowledge(long stoppedNanos, long resumedNanos) {
         if (sinceNanos > stoppedNanos) {
             sinceNanos = resumedNanos;
--- a/src/main/java/rosespread/scenario/ObservedProxies.java
+++ b/src/main/java/rosespread/scenario/ObservedProxies.java
@@ -8,7 +8,7 @@
 final class ObservedProxies {
     private final Map<String, ObservedProxy> byName = new TreeMap<>();
 
-    /** The proxy of a name; made if it is the first that is heard of it. */
+    /** The proxy of a name; made at its first use. */
     ObservedProxy get(String name) {
         return byName.computeIfAbsent(name, ObservedProxy::new);
     }
--- a/src/main/java/rosespread/scenario/OperatorActions.java
+++ b/src/main/java/rosespread/scenario/OperatorActions.java
@@ -12,7 +12,7 @@
 
 /**
  * What operators do over the control API: roll a table back, and drain a node. Calls are made on
- * threads of their own; the checker is told on the loop's thread.
+ * threads of their own; the checker is notified on the loop's thread.
  */
 final class OperatorActions {
     private static final String THREAD_NAME = "operator";
--- a/src/main/java/rosespread/scenario/ServedNodeLists.java
+++ b/src/main/java/rosespread/scenario/ServedNodeLists.java
@@ -68,12 +68,12 @@
         byController.remove(controller);
     }
 
-    /** What a controller was told while it stood still counts from its resumption on. */
+    /** What a controller was sent while it stood still counts from its resumption on. */
     void deferKnowledge(String controller, long stoppedNanos, long resumedNanos) {
         nodes(controller).forEach(node -> node.deferKnowledge(stoppedNanos, resumedNanos));
     }
 
-    /** A node as a controller knows it; null if it was never told of it. */
+    /** A node as a controller knows it; null if no list it was sent named it. */
     ObservedNode node(String controller, String name) {
         return byController.getOrDefault(controller, Map.of()).get(name);
     }
@@ -82,7 +82,7 @@
         return byController.getOrDefault(controller, Map.of()).values();
     }
 
-    /** Whether a controller was told of any node by now. */
+    /** Whether a controller was sent any node by now. */
     boolean isServed(String controller) {
         return !byController.getOrDefault(controller, Map.of()).isEmpty();
     }
--- a/src/main/java/rosespread/testbed/FakeProxy.java
+++ b/src/main/java/rosespread/testbed/FakeProxy.java
@@ -29,7 +29,7 @@
     /**
      * A proxy that is yet to be started.
      *
-     * @param requestsPerSecond its usual RPCs, as it tells controllers
+     * @param requestsPerSecond its usual RPCs, as it reports on joining
      */
     FakeProxy(String name, String zone, double requestsPerSecond, ProxyContext context) {
         this.name = name;
--- a/src/main/java/rosespread/testbed/LoadReporter.java
+++ b/src/main/java/rosespread/testbed/LoadReporter.java
@@ -51,7 +51,7 @@
     /**
      * A node answered an attempt with success.
      *
-     * @param utilization as the node told it; NaN if it did not
+     * @param utilization as the node reported it; NaN if it did not
      */
     void attemptSucceeded(NodeId node, long latencyNanos, double utilization) {
         NodeLoad load = load(node);
--- a/src/main/java/rosespread/testbed/RpcForwarder.java
+++ b/src/main/java/rosespread/testbed/RpcForwarder.java
@@ -70,7 +70,7 @@
         cancellations.clear();
     }
 
-    /** Taking up a message holds the proxy up for so long. */
+    /** Applying a message blocks the proxy for so long. */
     void stall(long nanos) {
         stalledUntilNanos = Math.max(loop.now(), stalledUntilNanos) + nanos;
     }
@@ -249,7 +249,9 @@
         };
     }
 
-    /** The utilization that a node told in ORCA's text form, 0 to 1; NaN if it told none. */
+    /**
+     * The utilization that a node reported in ORCA's text form, 0 to 1; NaN if it reported none.
+     */
     private static double utilization(HttpMessage.Response answer) {
         String metrics = answer.headers().first("endpoint-load-metrics").orElse("");
         int at = metrics.indexOf(UTILIZATION_FIELD);
--- a/src/main/java/rosespread/testbed/TrafficRecorder.java
+++ b/src/main/java/rosespread/testbed/TrafficRecorder.java
@@ -42,7 +42,7 @@
     default void messageArrived(
             long nanos, String proxy, String controller, Frame.Mark mark, double onLink) {}
 
-    /** A message has been taken up. */
+    /** A message has been applied. */
     default void messageApplied(long nanos, String proxy, String controller, Frame.Mark mark) {}
 
     /** A message changed a table that the proxy holds. */
--- a/src/main/java/rosespread/testbed/WeightedTable.java
+++ b/src/main/java/rosespread/testbed/WeightedTable.java
@@ -97,7 +97,8 @@
     }
 
     /**
-     * Takes the node whose turn is due first. One that was left out meanwhile begins its turn anew.
+     * Takes the node whose turn is due first. One that was left out meanwhile starts its turn
+     * again.
      *
      * @param candidates nodes of this table, at least one
      */
--- a/src/test/java/rosespread/scenario/NodeObservations.java
+++ b/src/test/java/rosespread/scenario/NodeObservations.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import rosespread.api.NodeId;
 
-/** What the list told of nodes; starts in nanoseconds since the policy's first round. */
+/** What the list showed of nodes; starts in nanoseconds since the policy's first round. */
 final class NodeObservations {
     private final Set<NodeId> draining = new TreeSet<>();
     private final Map<NodeId, Long> startedNanos = new TreeMap<>();
