--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -35,7 +35,7 @@
 import rosespread.http.HttpServer;
 import rosespread.settings.SettingsException;
 import rosespread.settings.SettingsReader;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 
 /**
  * The API for operators; docs/daemon.md lists its calls. Acts name their caller, may name the
@@ -86,7 +86,7 @@
     public AdminServer(Controller conductor, AuditLog audit) {
         this.conductor = conductor;
         this.audit = audit;
-        this.http = new HttpServer(1, HttpLimits.USUAL, this::take);
+        this.http = new HttpServer(1, HttpLimits.DEFAULT, this::take);
     }
 
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
@@ -103,9 +103,9 @@
 
     private void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         try {
-            worker.execute(() -> exchange.answer(answer(call)));
+            worker.execute(() -> exchange.respond(answer(call)));
         } catch (RejectedExecutionException e) {
-            exchange.answer(error(503, "too many calls at once"));
+            exchange.respond(error(503, "too many calls at once"));
         }
     }
 
@@ -115,23 +115,23 @@
             return switch (call.path()) {
                 case "/v1/settings" -> settings(call, caller);
                 case "/v1/state" ->
-                        call.verb().equals("GET")
+                        call.method().equals("GET")
                                 ? json(200, conductor.state())
                                 : error(405, "only GET " + call.path());
                 case "/v1/health" ->
-                        call.verb().equals("GET")
+                        call.method().equals("GET")
                                 ? health(conductor.state())
                                 : error(405, "only GET " + call.path());
                 case "/v1/status" ->
-                        call.verb().equals("GET")
+                        call.method().equals("GET")
                                 ? json(200, status(conductor.state()))
                                 : error(405, "only GET " + call.path());
                 case "/v1/acts" ->
-                        call.verb().equals("GET")
+                        call.method().equals("GET")
                                 ? json(200, audit == null ? List.of() : audit.recent())
                                 : error(405, "only GET " + call.path());
                 case "/v1/drains" ->
-                        call.verb().equals("GET")
+                        call.method().equals("GET")
                                 ? json(200, DrainJson.write(conductor.drains()))
                                 : error(405, "only GET " + call.path());
                 default ->
@@ -149,7 +149,7 @@
         } catch (IllegalArgumentException e) {
             return error(400, e.getMessage());
         } catch (IOException | RuntimeException e) {
-            LOG.error("control call {} {} failed", call.verb(), call.path(), e);
+            LOG.error("control call {} {} failed", call.method(), call.path(), e);
             return error(500, "see the conductor's log");
         }
     }
@@ -185,7 +185,7 @@
         return new AuditLog.Act(
                 caller.who(),
                 call.headers().first("host").orElse(""),
-                call.verb() + " " + call.target(),
+                call.method() + " " + call.target(),
                 caller.id(),
                 outcome);
     }
@@ -196,7 +196,7 @@
      */
     private HttpMessage.Response nodes(HttpMessage.Request call, Caller caller) throws IOException {
         if (call.path().equals("/v1/nodes")) {
-            return call.verb().equals("GET")
+            return call.method().equals("GET")
                     ? json(200, conductor.state().nodes())
                     : error(405, "only GET " + call.path());
         }
@@ -207,7 +207,7 @@
                     "not /v1/nodes, /v1/nodes/NAME/drain or /v1/nodes/NAME/undrain: "
                             + call.target());
         }
-        if (!call.verb().equals("POST")) {
+        if (!call.method().equals("POST")) {
             return error(405, "only POST " + call.path());
         }
         String name = URLDecoder.decode(act.group(1).replace("+", "%2B"), StandardCharsets.UTF_8);
@@ -270,13 +270,13 @@
                         .put("listTrouble", state.listTrouble())
                         .put("settingsTrouble", conductor.settingsTrouble())
                         .put("storageTrouble", state.storage().trouble())
-                        .put("auditTrouble", audit == null ? "" : audit.trouble());
+                        .put("auditTrouble", audit == null ? "" : audit.fault());
         conductor
                 .settings()
                 .ifPresent(
                         is ->
                                 all.put("settingsRevision", is.revision())
-                                        .put("settingsBy", is.by()));
+                                        .put("settingsBy", is.operator()));
         ObjectNode nodes = all.putObject("nodes");
         state.nodes()
                 .forEach(node -> nodes.put(node.state(), nodes.path(node.state()).asInt() + 1));
@@ -304,13 +304,13 @@
                         .put("phase", state.phase())
                         .put("trouble", conductor.settingsTrouble())
                         .put("storage", state.storage().trouble())
-                        .put("audit", audit == null ? "" : audit.trouble()));
+                        .put("audit", audit == null ? "" : audit.fault()));
     }
 
     private HttpMessage.Response settings(HttpMessage.Request call, Caller caller)
             throws IOException {
-        Optional<Snapshot.Saved> now = conductor.settings();
-        if (call.verb().equals("GET")) {
+        Optional<SettingsFile.Saved> now = conductor.settings();
+        if (call.method().equals("GET")) {
             return now.isEmpty()
                     ? error(
                             404,
@@ -326,10 +326,10 @@
                                     "etag",
                                     "\"" + now.get().revision() + "\"",
                                     "x-applied-by",
-                                    now.get().by()),
-                            now.get().text().getBytes(StandardCharsets.UTF_8));
+                                    now.get().operator()),
+                            now.get().json().getBytes(StandardCharsets.UTF_8));
         }
-        if (!call.verb().equals("PUT")) {
+        if (!call.method().equals("PUT")) {
             return error(405, "only GET and PUT " + call.path());
         }
         if (call.target().equals("/v1/settings?dry-run=true")) {
@@ -351,7 +351,7 @@
                         Controller.Applied applied =
                                 conductor.apply(
                                         call.text(), caller.who(), caller.id(), caller.revision());
-                        long revision = applied.inForce().map(Snapshot.Saved::revision).orElse(0L);
+                        long revision = applied.inForce().map(SettingsFile.Saved::revision).orElse(0L);
                         if (applied.done()) {
                             return json(
                                     200,
@@ -366,10 +366,10 @@
                                                         "revision "
                                                                 + is.revision()
                                                                 + " was applied by "
-                                                                + is.by()
+                                                                + is.operator()
                                                                 + " at "
                                                                 + Instant.ofEpochMilli(
-                                                                        is.atMillis()))
+                                                                        is.savedAtMillis()))
                                         .orElse("there are no settings");
                         return ProblemDetails.of(
                                 412, "Changed since", since, List.of(since), revision);
@@ -397,12 +397,12 @@
     private static HttpMessage.Response faults(SettingsException e) {
         ObjectNode told = ProblemDetails.members(422, "Settings not applied", e.getMessage());
         ArrayNode faults = told.putArray("faults");
-        e.faults()
+        e.invalidFields()
                 .forEach(
                         fault ->
                                 faults.addObject()
                                         .put("field", fault.field())
-                                        .put("value", fault.value())
+                                        .put("value", fault.found())
                                         .put("allowed", fault.allowed()));
         return ProblemDetails.answer(told);
     }
@@ -415,12 +415,12 @@
     private HttpMessage.Response tables(HttpMessage.Request call, Caller caller)
             throws IOException {
         if (call.path().equals("/v1/tables")) {
-            return call.verb().equals("GET")
+            return call.method().equals("GET")
                     ? json(200, conductor.state().tables())
                     : error(405, "only GET " + call.path());
         }
         Matcher one = ONE.matcher(call.target());
-        if (one.matches() && call.verb().equals("GET")) {
+        if (one.matches() && call.method().equals("GET")) {
             Optional<ControllerStatus.Table> table =
                     conductor.table(Integer.parseInt(one.group(1)));
             return table.isPresent()
@@ -428,7 +428,7 @@
                     : error(404, "no table " + one.group(1));
         }
         Matcher diff = DIFF.matcher(call.target());
-        if (diff.matches() && call.verb().equals("GET")) {
+        if (diff.matches() && call.method().equals("GET")) {
             return difference(diff);
         }
         Matcher act = ACT.matcher(call.target());
@@ -439,7 +439,7 @@
                             + "/v1/tables/N/rollback?version=V, /v1/tables/N/pin or /v1/tables/N/release: "
                             + call.target());
         }
-        if (!call.verb().equals("POST")) {
+        if (!call.method().equals("POST")) {
             return error(405, "only POST " + call.path());
         }
         Controller.TableAct what =
--- a/src/main/java/rosespread/admin/Daemon.java
+++ b/src/main/java/rosespread/admin/Daemon.java
@@ -23,7 +23,7 @@
             Path state,
             InetSocketAddress listen,
             InetSocketAddress control,
-            Controller.Planning planning,
+            Controller.PolicyFactory planning,
             TableChangeValidator gate)
             throws IOException, InterruptedException {
         CountDownLatch forever = new CountDownLatch(1);
--- a/src/main/java/rosespread/audit/AuditLog.java
+++ b/src/main/java/rosespread/audit/AuditLog.java
@@ -23,7 +23,7 @@
 /**
  * Who did what, one line of JSON each, forced to the disk. Each line's {@code chain} is the SHA-256
  * of the line before's chain and of this line without it, so that a line that is changed, taken out
- * or put in later is found by {@link #check}; cutting off the end is not, but for a copy of an
+ * or put in later is found by {@link #verify}; cutting off the end is not, but for a copy of an
  * earlier chain.
  */
 public final class AuditLog implements AutoCloseable {
@@ -42,19 +42,19 @@
     /**
      * @param fault with the line's place; empty if the chain holds
      */
-    public record Verdict(long lines, String chain, String fault) {}
+    public record Verification(long lines, String chain, String fault) {}
 
     /** An act and its moment, by wall clock. */
-    public record Line(long number, long atMillis, Act act) {}
+    public record Entry(long number, long atMillis, Act act) {}
 
     private static final int RECENT = 256;
 
     private final LongSupplier wallMillis;
-    private final ArrayDeque<Line> recent = new ArrayDeque<>();
+    private final ArrayDeque<Entry> recent = new ArrayDeque<>();
     private final FileChannel file;
     private long number;
     private String chain = BEGIN;
-    private String trouble = "";
+    private String fault = "";
 
     /**
      * Goes on with a file, or begins it. A last line that is not whole is cut.
@@ -68,7 +68,7 @@
         long whole = 0;
         if (Files.exists(path)) {
             whole = wholeLines(path);
-            Verdict verdict = check(path, whole);
+            Verification verdict = verify(path, whole);
             if (!verdict.fault().isEmpty()) {
                 throw new IOException(path + ": " + verdict.fault());
             }
@@ -127,38 +127,38 @@
                 throw e;
             }
             number++;
-            recent.addLast(new Line(number, now, act));
+            recent.addLast(new Entry(number, now, act));
             if (recent.size() > RECENT) {
                 recent.removeFirst();
             }
             chain = next;
-            trouble = "";
+            fault = "";
             return true;
         } catch (IOException e) {
-            if (trouble.isEmpty()) {
+            if (fault.isEmpty()) {
                 LOG.error("acts are not audited: {}", e.toString());
             }
-            trouble = String.valueOf(e.getMessage());
+            fault = String.valueOf(e.getMessage());
             return false;
         }
     }
 
     /** The last lines of this process, oldest first. */
-    public synchronized List<Line> recent() {
+    public synchronized List<Entry> recent() {
         return List.copyOf(recent);
     }
 
     /** Why nothing is written at the moment; empty if all is well. */
-    public synchronized String trouble() {
-        return trouble;
+    public synchronized String fault() {
+        return fault;
     }
 
     /** Follows a file's chain from its beginning; stops at the first line at fault. */
-    public static Verdict check(Path path) throws IOException {
-        return check(path, Long.MAX_VALUE);
+    public static Verification verify(Path path) throws IOException {
+        return verify(path, Long.MAX_VALUE);
     }
 
-    private static Verdict check(Path path, long bytes) throws IOException {
+    private static Verification verify(Path path, long bytes) throws IOException {
         String chain = BEGIN;
         long lines = 0;
         long at = 0;
@@ -169,17 +169,17 @@
                 try {
                     line = text.length() > LONGEST ? null : JSON.readTree(text);
                 } catch (IOException e) {
-                    return new Verdict(lines, chain, place + "not JSON");
+                    return new Verification(lines, chain, place + "not JSON");
                 }
                 if (!(line instanceof ObjectNode object) || !line.path("chain").isTextual()) {
-                    return new Verdict(lines, chain, place + "not a line of an audit log");
+                    return new Verification(lines, chain, place + "not a line of an audit log");
                 }
                 String told = object.remove("chain").asText();
                 if (object.path("n").asLong() != lines + 1) {
-                    return new Verdict(lines, chain, place + "its number is " + object.path("n"));
+                    return new Verification(lines, chain, place + "its number is " + object.path("n"));
                 }
                 if (!chain(chain, object).equals(told)) {
-                    return new Verdict(
+                    return new Verification(
                             lines, chain, place + "its chain does not follow from the line before");
                 }
                 chain = told;
@@ -187,7 +187,7 @@
                 at += text.getBytes(StandardCharsets.UTF_8).length + 1;
             }
         }
-        return new Verdict(lines, chain, "");
+        return new Verification(lines, chain, "");
     }
 
     private static String chain(String before, ObjectNode line) {
--- a/src/main/java/rosespread/channel/Packing.java
+++ b/src/main/java/rosespread/channel/FrameCompression.java
@@ -8,12 +8,12 @@
 /**
  * Packs bytes with Zstandard. Its library is native: where it cannot be loaded, nothing is packed.
  */
-public final class Packing {
-    private static final Logger LOG = LoggerFactory.getLogger(Packing.class);
+public final class FrameCompression {
+    private static final Logger LOG = LoggerFactory.getLogger(FrameCompression.class);
     private static final int LEVEL = 3;
     private static final boolean AVAILABLE = available();
 
-    private Packing() {}
+    private FrameCompression() {}
 
     private static boolean available() {
         try {
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -17,7 +17,7 @@
  */
 public final class FrameReader {
     /** Longest frames in bytes that a conductor and a proxy take. */
-    public static final int FROM_PROXY = 1 << 20, FROM_CONDUCTOR = 1 << 20;
+    public static final int MAX_BYTES_FROM_PROXY = 1 << 20, MAX_BYTES_FROM_CONTROLLER = 1 << 20;
 
     private static final int HEAD = 4;
     private static final int FIRST_ROOM = 256;
@@ -155,7 +155,7 @@
         }
         byte[] packed = new byte[body.remaining()];
         body.get(packed);
-        byte[] frames = Packing.unpack(packed, length);
+        byte[] frames = FrameCompression.unpack(packed, length);
         if (frames == null) {
             throw error(
                     Frame.Reason.BAD_FRAME,
--- a/src/main/java/rosespread/channel/FrameWriter.java
+++ b/src/main/java/rosespread/channel/FrameWriter.java
@@ -18,7 +18,7 @@
 
     /** Whole frames, one after another, as one that holds them packed. */
     public static byte[] packed(byte[] frames) {
-        byte[] packed = Packing.pack(frames);
+        byte[] packed = FrameCompression.pack(frames);
         return frame(
                 Kind.PACKED,
                 out -> {
--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -33,7 +33,7 @@
         if (!Files.isRegularFile(file)) {
             throw new ParameterException(spec.commandLine(), file + " is not a file");
         }
-        AuditLog.Verdict verdict = AuditLog.check(file);
+        AuditLog.Verification verdict = AuditLog.verify(file);
         if (verdict.fault().isEmpty()) {
             spec.commandLine()
                     .getOut()
--- a/src/main/java/rosespread/cli/ConductorCommand.java
+++ b/src/main/java/rosespread/cli/ConductorCommand.java
@@ -47,7 +47,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Daemon.run(name, state, listen, control, Controller.MODULE, new TableChangeValidator());
+        Daemon.run(name, state, listen, control, Controller.ROUTING_POLICY, new TableChangeValidator());
         return 0;
     }
 }
--- a/src/main/java/rosespread/controller/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -42,7 +42,7 @@
         acceptor.getFilterChain()
                 .addLast(
                         "frames",
-                        new ProtocolCodecFilter(new ChannelCodec(FrameReader.FROM_PROXY, 0)));
+                        new ProtocolCodecFilter(new ChannelCodec(FrameReader.MAX_BYTES_FROM_PROXY, 0)));
         acceptor.setHandler(new Sessions());
     }
 
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -28,7 +28,7 @@
 import rosespread.settings.FleetSettings;
 import rosespread.settings.SettingsException;
 import rosespread.settings.SettingsReader;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 import rosespread.store.LogOutput;
 import rosespread.store.TableStore;
 import rosespread.validation.TableChangeValidator;
@@ -41,14 +41,14 @@
 public final class Controller implements AutoCloseable {
     /** Makes the planner; the module by default, something worse in experiments. */
     @FunctionalInterface
-    public interface Planning {
-        Policy planner(FleetSettings settings, long seed);
+    public interface PolicyFactory {
+        Policy newPolicy(FleetSettings settings, long seed);
     }
 
-    public static final Planning MODULE =
+    public static final PolicyFactory ROUTING_POLICY =
             (settings, seed) -> {
                 RoutingPolicy brain =
-                        new RoutingPolicy(settings.module(), new SplittableRandom(seed));
+                        new RoutingPolicy(settings.policySettings(), new SplittableRandom(seed));
                 return brain::round;
             };
 
@@ -65,8 +65,8 @@
     private static final int IDLE_SECONDS = 10;
 
     private final String name;
-    private final Planning planning;
-    private final Snapshot snapshot;
+    private final PolicyFactory planning;
+    private final SettingsFile snapshot;
     private final EventQueue inbox = new EventQueue();
     private final TableStore store;
     private final TableRegistry book;
@@ -86,17 +86,17 @@
     private final EventLoop loop;
     private volatile ControllerStatus state;
     private volatile String settingsTrouble = "";
-    private volatile Snapshot.Saved inForce;
+    private volatile SettingsFile.Saved inForce;
     private NodeListClient list;
     private HealthChecker prober;
 
     /**
      * @param folder where the snapshot of the settings is; made if it is not there
      */
-    public Controller(String name, Path folder, Planning planning, TableChangeValidator gate) {
+    public Controller(String name, Path folder, PolicyFactory planning, TableChangeValidator gate) {
         this.name = name;
         this.planning = planning;
-        this.snapshot = new Snapshot(folder);
+        this.snapshot = new SettingsFile(folder);
         // The store wakes the decision thread, as messages may wait for what is now kept.
         this.store =
                 new TableStore(
@@ -135,9 +135,9 @@
         state = core.state();
         thread.start();
         try {
-            Optional<Snapshot.Saved> saved = snapshot.load();
+            Optional<SettingsFile.Saved> saved = snapshot.load();
             if (saved.isPresent()) {
-                FleetSettings settings = SettingsReader.read(saved.get().text());
+                FleetSettings settings = SettingsReader.read(saved.get().json());
                 inForce = saved.get();
                 take(settings);
                 peers.pull(PEERS_NANOS);
@@ -160,7 +160,7 @@
      * @param done whether they hold now, or held since a call of the same id
      * @param inForce what holds now, empty before any settings
      */
-    public record Applied(boolean done, Optional<Snapshot.Saved> inForce) {}
+    public record Applied(boolean done, Optional<SettingsFile.Saved> inForce) {}
 
     /**
      * Applies settings and saves them; they hold as a whole or not at all. Those of a call that was
@@ -173,15 +173,15 @@
     public synchronized Applied apply(String text, String by, String call, long revision)
             throws SettingsException, IOException {
         long known = inForce == null ? 0 : inForce.revision();
-        if (inForce != null && inForce.call().equals(call)) {
+        if (inForce != null && inForce.requestId().equals(call)) {
             return new Applied(true, Optional.of(inForce));
         }
         FleetSettings settings = SettingsReader.read(text);
         if (revision >= 0 && revision != known) {
             return new Applied(false, Optional.ofNullable(inForce));
         }
-        Snapshot.Saved next =
-                new Snapshot.Saved(text, known + 1, by, call, System.currentTimeMillis());
+        SettingsFile.Saved next =
+                new SettingsFile.Saved(text, known + 1, by, call, System.currentTimeMillis());
         Optional<Path> aside = snapshot.save(next);
         aside.ifPresent(path -> LOG.warn("the damaged snapshot was set aside as {}", path));
         settingsTrouble = "";
@@ -202,19 +202,19 @@
                     if (list != null) {
                         list.close();
                     }
-                    FleetSettings.Catalogue at = settings.list();
+                    FleetSettings.Discovery at = settings.discovery();
                     prober =
                             new HealthChecker(
-                                    http, settings.probes().path(), settings.probes().timeout());
+                                    http, settings.healthChecks().path(), settings.healthChecks().timeoutNanos());
                     list =
                             new NodeListClient(
                                     http,
                                     new InetSocketAddress(at.host(), at.port()),
                                     at.service(),
                                     "rosespread/" + name,
-                                    at.block(),
-                                    at.silentAfter(),
-                                    at.backwardsAfter(),
+                                    at.blockingWaitNanos(),
+                                    at.responseTimeoutNanos(),
+                                    at.indexRollbackGraceNanos(),
                                     at.onDemand(),
                                     timer,
                                     System::nanoTime,
@@ -223,7 +223,7 @@
                     core.apply(now, settings);
                     peers.follow(settings.peers());
                     if (!at.onDemand()) {
-                        list.follow();
+                        list.start();
                     }
                     taken.complete(null);
                 });
@@ -342,7 +342,7 @@
     }
 
     /** The settings in force as they were given. */
-    public Optional<Snapshot.Saved> settings() {
+    public Optional<SettingsFile.Saved> settings() {
         return Optional.ofNullable(inForce);
     }
 
@@ -364,14 +364,14 @@
         }
     }
 
-    private final class ListEars implements NodeListClient.Follower {
+    private final class ListEars implements NodeListClient.Listener {
         @Override
-        public void whole(List<ListedNode> nodes) {
+        public void nodeListReceived(List<ListedNode> nodes) {
             inbox.put(now -> core.list(now, nodes));
         }
 
         @Override
-        public void unavailable(String why) {
+        public void nodeListUnavailable(String why) {
             inbox.put(now -> core.listUnavailable(now, why));
         }
     }
@@ -379,7 +379,7 @@
     private final class Outside implements ControllerState.Environment {
         @Override
         public Policy newPolicy(FleetSettings settings, long seed) {
-            return planning.planner(settings, seed);
+            return planning.newPolicy(settings, seed);
         }
 
         @Override
@@ -391,7 +391,7 @@
 
         @Override
         public void watchNodes() {
-            list.follow();
+            list.start();
         }
     }
 }
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -40,7 +40,7 @@
     public interface Environment {
         Policy newPolicy(FleetSettings settings, long seed);
 
-        /** Probes; {@link ControllerState#healthChecked} is called later. */
+        /** HealthChecks; {@link ControllerState#healthChecked} is called later. */
         void checkHealth(ListedNode node);
 
         void watchNodes();
@@ -141,22 +141,22 @@
         zones.clear();
         kinds.clear();
         next.zones().forEach(zone -> zones.put(zone, zones.size()));
-        next.kinds().forEach(kind -> kinds.put(kind, kinds.size()));
+        next.machineTypes().forEach(kind -> kinds.put(kind, kinds.size()));
         book.layout(layout(next));
         begin("settings were applied");
     }
 
     /** What tables are laid out by: the places, and where methods may go. */
     private static long layout(FleetSettings settings) {
-        StringBuilder text = new StringBuilder().append(settings.zones()).append(settings.kinds());
+        StringBuilder text = new StringBuilder().append(settings.zones()).append(settings.machineTypes());
         settings.methods()
                 .forEach(
                         m ->
                                 text.append('|')
                                         .append(m.name())
-                                        .append(m.onlyKinds())
-                                        .append(m.onlyZones())
-                                        .append(m.ownZone()));
+                                        .append(m.allowedMachineTypes())
+                                        .append(m.allowedZones())
+                                        .append(m.localZoneOnly()));
         return Hashing.xxh3_64().hashBytesToLong(text.toString().getBytes(StandardCharsets.UTF_8));
     }
 
@@ -168,9 +168,9 @@
         sums = new LoadReportAggregator();
         channel =
                 new PacedChannel(
-                        settings.channel().linesPerSecond(),
+                        settings.channel().entriesPerSecond(),
                         book.log(),
-                        new DurabilityTimeout(settings.drainGrace()));
+                        new DurabilityTimeout(settings.drainTimeoutNanos()));
         number = runDue == null ? number : runDue.number();
         lastCause = now;
         book.moduleBegins();
@@ -179,7 +179,7 @@
                 new TableUpdateWriter(
                         joined, nodes, channel, settings, gate, book, number, new Acts());
         planner = world.newPolicy(settings, settings.seed());
-        sumsAt = now + settings.reportPeriod();
+        sumsAt = now + settings.reportPeriodNanos();
         if (listKnown) {
             tellList(EventHandler.NodeListKind.CACHED);
         }
@@ -465,8 +465,8 @@
         warmAt = Long.MAX_VALUE;
         for (ListedNode node : nodes.values()) {
             long up = started(node);
-            if (up != Long.MIN_VALUE && up + settings.cold().time() > now) {
-                warmAt = Math.min(warmAt, up + settings.cold().time());
+            if (up != Long.MIN_VALUE && up + settings.warmUp().durationNanos() > now) {
+                warmAt = Math.min(warmAt, up + settings.warmUp().durationNanos());
             }
         }
     }
@@ -487,7 +487,7 @@
                     for (ListedNode node : told) {
                         observer.nodeListed(
                                 node.id(),
-                                new MachineTypeId(place(kinds, node.kind())),
+                                new MachineTypeId(place(kinds, node.machineType())),
                                 new ZoneId(place(zones, node.zone())),
                                 node.weight(),
                                 node.state(),
@@ -549,14 +549,14 @@
             return Long.MAX_VALUE;
         }
         if (now >= sumsAt) {
-            sumsAt = now + settings.reportPeriod();
+            sumsAt = now + settings.reportPeriodNanos();
             LoadReportAggregator gathered = sums;
             sums = new LoadReportAggregator();
             rounds.add(gathered::handTo);
         }
         long next = Math.min(sumsAt, rounds.runDue(now, player));
-        if (book.log().wantsImage()) {
-            book.log().image(book.image());
+        if (book.log().wantsSnapshot()) {
+            book.log().writeSnapshot(book.image());
         }
         next = Math.min(next, channel.pump(now));
         return Math.min(next, keepAlive());
@@ -578,7 +578,7 @@
     }
 
     private long keepAlive() {
-        long every = settings.channel().keepAlive();
+        long every = settings.channel().keepAliveNanos();
         long next = Long.MAX_VALUE;
         for (ProxySession link : List.copyOf(links)) {
             if (now - link.heardAt > KEEP_ALIVES_MISSED * every && link.joined()) {
@@ -632,10 +632,10 @@
     private ControllerStatus.Storage storage() {
         DurabilityTimeout patience = channel == null ? null : channel.patience();
         return new ControllerStatus.Storage(
-                book.log().trouble(),
+                book.log().fault(),
                 patience != null && patience.late(),
                 Math.max(0, book.last() - book.log().durable()),
-                patience == null ? 0 : patience.unkept(),
+                patience == null ? 0 : patience.sentBeforeDurable(),
                 book.log().bytes());
     }
 
@@ -692,8 +692,8 @@
         ListedNode node = named.get(0);
         List<String> against =
                 call.on() && !call.force() && settings != null
-                        ? new DrainGuard(settings.drainLeastShare())
-                                .against(
+                        ? new DrainGuard(settings.minCapacityRatioWhileDraining())
+                                .violations(
                                         node.name(),
                                         listed.values().stream()
                                                 .map(
@@ -701,7 +701,7 @@
                                                                 new DrainGuard.Node(
                                                                         n.name(),
                                                                         n.zone(),
-                                                                        n.kind(),
+                                                                        n.machineType(),
                                                                         n.weight(),
                                                                         n.state()
                                                                                 == EventHandler
@@ -713,8 +713,8 @@
                                                         m ->
                                                                 new DrainGuard.Method(
                                                                         m.name(),
-                                                                        Set.copyOf(m.onlyKinds()),
-                                                                        Set.copyOf(m.onlyZones())))
+                                                                        Set.copyOf(m.allowedMachineTypes()),
+                                                                        Set.copyOf(m.allowedZones())))
                                                 .toList())
                         : List.of();
         if (!against.isEmpty()) {
@@ -742,7 +742,7 @@
         now = time;
         int changes = 0;
         for (Drain word : words) {
-            if (word.after(book.drains().latest(word.node()).orElse(null)) && book.take(word)) {
+            if (word.supersedes(book.drains().latest(word.node()).orElse(null)) && book.take(word)) {
                 changes++;
                 LOG.atInfo()
                         .addKeyValue("node", word.name())
@@ -836,11 +836,11 @@
 
         private double warmth(ListedNode node) {
             long up = started(node);
-            long time = settings.cold().time();
+            long time = settings.warmUp().durationNanos();
             return up == Long.MIN_VALUE || now - up >= time
                     ? 1
-                    : settings.cold().share()
-                            + (1 - settings.cold().share()) * Math.max(0, now - up) / time;
+                    : settings.warmUp().coldCapacityRatio()
+                            + (1 - settings.warmUp().coldCapacityRatio()) * Math.max(0, now - up) / time;
         }
 
         /**
@@ -853,11 +853,11 @@
                             .map(m -> settings.methods().get(m.value()))
                             .anyMatch(
                                     m ->
-                                            (m.onlyKinds().isEmpty()
-                                                            || m.onlyKinds().contains(node.kind()))
-                                                    && (m.onlyZones().isEmpty()
-                                                            || m.onlyZones().contains(node.zone()))
-                                                    && (!m.ownZone() || homes.contains(zone)));
+                                            (m.allowedMachineTypes().isEmpty()
+                                                            || m.allowedMachineTypes().contains(node.machineType()))
+                                                    && (m.allowedZones().isEmpty()
+                                                            || m.allowedZones().contains(node.zone()))
+                                                    && (!m.localZoneOnly() || homes.contains(zone)));
         }
 
         @Override
--- a/src/main/java/rosespread/controller/ControllerStatus.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -103,7 +103,7 @@
                                                 link ->
                                                         now - link.reportedAt
                                                                 > REPORTS_MISSED
-                                                                        * settings.reportPeriod())
+                                                                        * settings.reportPeriodNanos())
                                         .count();
         List<Node> nodeList = new ArrayList<>();
         for (ListedNode node : listed) {
@@ -112,7 +112,7 @@
                             node.name(),
                             node.host() + ":" + node.port(),
                             node.zone(),
-                            node.kind(),
+                            node.machineType(),
                             node.state().name(),
                             withdrawn.contains(node.id()),
                             drains.latest(node.id()).filter(Drain::on).map(Drain::by).orElse(""),
--- a/src/main/java/rosespread/controller/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -71,10 +71,10 @@
             if (due > now) {
                 return due;
             }
-            if (!patience.mayLeave(
+            if (!patience.maySend(
                     head.after,
                     log.durable(),
-                    !log.trouble().isEmpty(),
+                    !log.fault().isEmpty(),
                     now - head.marked.orderedAt())) {
                 held = true;
                 return now + LOOK_EVERY;
--- a/src/main/java/rosespread/controller/PeerDrains.java
+++ b/src/main/java/rosespread/controller/PeerDrains.java
@@ -51,9 +51,9 @@
                             HttpHeaders.of("host", peer.getHostString() + ":" + peer.getPort()),
                             new byte[0]),
                     TIMEOUT,
-                    new HttpClient.Taker() {
+                    new HttpClient.ResponseHandler() {
                         @Override
-                        public void answered(HttpMessage.Response answer) {
+                        public void onResponse(HttpMessage.Response answer) {
                             if (answer.status() == 200) {
                                 take(peer, answer);
                             }
@@ -61,7 +61,7 @@
                         }
 
                         @Override
-                        public void failed(HttpClient.Failure failure, String detail) {
+                        public void onFailure(HttpClient.Failure failure, String detail) {
                             open.countDown();
                         }
                     });
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -13,7 +13,7 @@
 import rosespread.channel.Frame;
 import rosespread.channel.FrameReader;
 import rosespread.channel.FrameWriter;
-import rosespread.channel.Packing;
+import rosespread.channel.FrameCompression;
 import rosespread.discovery.ListedNode;
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
@@ -61,12 +61,12 @@
     byte[] bind(VersionHistory history, Set<MethodId> methods, boolean named, boolean packed) {
         TableId table = history.current().table();
         return wholes.computeIfAbsent(
-                new Whole(table, methods, named, packed && Packing.isAvailable()),
+                new Whole(table, methods, named, packed && FrameCompression.isAvailable()),
                 key -> {
                     byte[] frames = whole(history, key);
                     if (!key.packed
                             || frames.length < PACKED_FROM
-                            || frames.length > FrameReader.FROM_CONDUCTOR) {
+                            || frames.length > FrameReader.MAX_BYTES_FROM_CONTROLLER) {
                         return frames;
                     }
                     byte[] smaller = FrameWriter.packed(frames);
@@ -93,7 +93,7 @@
                                 version.digest(),
                                 List.copyOf(key.methods),
                                 all,
-                                levels(history.levels()))));
+                                levels(history.admissionLimits()))));
         return frames.toByteArray();
     }
 
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -67,7 +67,7 @@
         long steppedAt = Long.MIN_VALUE / 2;
 
         /** What the gate knows of the lines that are out. */
-        final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+        final TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
 
         /** When, and by which facts, a table that is held was looked at last. */
         long lookedAt = Long.MIN_VALUE / 2;
@@ -105,8 +105,8 @@
         image.drains().forEach(drains::apply);
         for (TableSnapshot kept : image.tables()) {
             Table table = new Table(kept.current().table(), new VersionHistory(kept));
-            table.hold = kept.hold();
-            table.to = kept.to();
+            table.hold = kept.pinState();
+            table.to = kept.rollbackTarget();
             table.pending.putAll(kept.pending());
             tables.put(table.id, table);
         }
@@ -119,7 +119,7 @@
             table.wanted.clear();
             table.methods.clear();
             table.homes.clear();
-            table.history.levels().clear();
+            table.history.admissionLimits().clear();
             table.standing.forget();
             table.refusals = List.of();
             table.hold = table.hold.lasting();
@@ -136,9 +136,9 @@
             return;
         }
         layout = next;
-        last = log.append(new LogEntry.LaidOut(next));
+        last = log.append(new LogEntry.LayoutChanged(next));
         for (Table table : tables.values()) {
-            table.history.forget();
+            table.history.dropAllButCurrent();
             table.hold = PinState.NONE;
             table.to = 0;
             table.pending.clear();
@@ -174,7 +174,7 @@
         TableVersion before = table.out();
         TableVersion next = table.history.commit(delta, cause, wallMillis);
         if (next != before) {
-            last = log.append(new LogEntry.Committed(next));
+            last = log.append(new LogEntry.VersionCommitted(next));
         }
         return next;
     }
@@ -195,7 +195,7 @@
         if (lasts && !table.history.isEmpty()) {
             last =
                     log.append(
-                            new LogEntry.Holding(
+                            new LogEntry.PinChanged(
                                     table.id, hold.lasting(), to, new TreeMap<>(pending)));
         }
     }
@@ -214,11 +214,11 @@
         floors.put(id, number);
         if (table != null && table.history.isEmpty()) {
             VersionHistory fresh = new VersionHistory(id, number);
-            fresh.levels().putAll(table.history.levels());
+            fresh.admissionLimits().putAll(table.history.admissionLimits());
             table.history = fresh;
             table.sent = number;
         } else if (table != null) {
-            last = log.append(new LogEntry.Committed(table.history.renumber(number, wallMillis)));
+            last = log.append(new LogEntry.VersionCommitted(table.history.renumber(number, wallMillis)));
         }
     }
 
@@ -229,13 +229,13 @@
     /** Takes an operator's word on a node; tells whether it changes anything. */
     boolean take(Drain word) {
         boolean changes = drains.apply(word);
-        last = log.append(new LogEntry.Drained(word));
+        last = log.append(new LogEntry.DrainChanged(word));
         return changes;
     }
 
     StoreSnapshot image() {
         List<TableSnapshot> all = new ArrayList<>();
-        tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
+        tables.values().forEach(t -> t.history.snapshot(t.hold, t.to, t.pending).ifPresent(all::add));
         return new StoreSnapshot(layout, all, drains.all());
     }
 }
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -99,8 +99,8 @@
         this.nodes = nodes;
         this.channel = channel;
         this.limits = settings.channel();
-        this.grace = settings.drainGrace();
-        this.linesPerMessage = (int) Math.ceil(limits.linesPerMessage());
+        this.grace = settings.drainTimeoutNanos();
+        this.linesPerMessage = (int) Math.ceil(limits.messageOverheadEntries());
         this.number = firstNumber;
         this.effects = effects;
     }
@@ -151,7 +151,7 @@
 
     @Override
     public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-        book.table(table).history.levels().put(method, admitted);
+        book.table(table).history.admissionLimits().put(method, admitted);
         leveled.computeIfAbsent(table, t -> new LinkedHashMap<>()).put(method, admitted);
     }
 
@@ -159,7 +159,7 @@
      * When proxies make a further try of a method, from the next order about it on. The module
      * never asks for other than the channel's default, after proof that the first try never ran.
      */
-    public void furtherTries(MethodId method, Frame.Tries when) {
+    public void setRetryCondition(MethodId method, Frame.Tries when) {
         tries.put(method, when);
     }
 
@@ -220,7 +220,7 @@
             return "table " + id.value() + " has no version " + version + " any more";
         }
         Map<NodeId, Double> lines =
-                effects.listKnown() ? gate.kept(target.lines(), scene(table)) : target.lines();
+                effects.listKnown() ? gate.retainableEntries(target.lines(), scene(table)) : target.lines();
         book.hold(table, PinState.PINNED, version, table.out().changesTo(lines));
         effects.log(
                 "table "
@@ -270,10 +270,10 @@
         return effects.scene(
                 table.methods,
                 table.homes,
-                ChannelCapacity.carried(
-                        limits.linesPerSecond(),
+                ChannelCapacity.deliverableEntries(
+                        limits.entriesPerSecond(),
                         grace,
-                        limits.queueLimit(),
+                        limits.queueLimitEntries(),
                         channel.linesWaiting() + committed,
                         users(table.id).size(),
                         linesPerMessage + 1));
@@ -295,7 +295,7 @@
                                                         m ->
                                                                 ChannelCapacity.overdue(
                                                                         now - m.writtenAt(),
-                                                                        limits.longestWay()))
+                                                                        limits.maxPropagationDelayNanos()))
                                                 .mapToLong(ProxySession.Marked::lines)
                                                 .sum())
                         .filter(lines -> lines > 0)
@@ -405,7 +405,7 @@
     /** Until the module has spoken of a table, only what may not stay goes. */
     private TableVersion awaited(
             Table table, TableChangeValidator.ValidationContext scene, long now, long wallMillis) {
-        Map<NodeId, Double> delta = table.out().changesTo(gate.kept(table.out().lines(), scene));
+        Map<NodeId, Double> delta = table.out().changesTo(gate.retainableEntries(table.out().lines(), scene));
         return book.commit(
                 table, fitting(table, delta, scene, now), TableVersion.Cause.GUARD, wallMillis);
     }
@@ -422,7 +422,7 @@
                         target.remove(node);
                     }
                 });
-        Map<NodeId, Double> all = out.changesTo(gate.kept(target, scene));
+        Map<NodeId, Double> all = out.changesTo(gate.retainableEntries(target, scene));
         Map<NodeId, Double> delta = fitting(table, all, scene, now);
         TableVersion next = book.commit(table, delta, TableVersion.Cause.ROLLBACK, wallMillis);
         table.pending.keySet().removeAll(delta.keySet());
@@ -438,8 +438,8 @@
         boolean due = now - table.steppedAt >= STEP_EVERY;
         Map<NodeId, Double> aim =
                 due && !table.awaited
-                        ? gate.towards(out.lines(), table.wanted, scene)
-                        : gate.kept(out.lines(), scene);
+                        ? gate.stepTowards(out.lines(), table.wanted, scene)
+                        : gate.retainableEntries(out.lines(), scene);
         Map<NodeId, Double> delta = fitting(table, out.changesTo(aim), scene, now);
         table.steppedAt = due ? now : table.steppedAt;
         if (!table.awaited && out.changesTo(table.wanted).isEmpty()) {
@@ -511,15 +511,15 @@
         if (!users.stream()
                 .allMatch(
                         link ->
-                                ChannelCapacity.message(
+                                ChannelCapacity.mayWriteMessage(
                                         limits.messageLimit(),
-                                        link.writtenWithin(now, limits.messageSpan()),
+                                        link.writtenWithin(now, limits.messageWindowNanos()),
                                         drain || table.hold == PinState.PINNED))) {
             return Map.of();
         }
         int fit =
-                ChannelCapacity.lines(
-                        limits.queueLimit(),
+                ChannelCapacity.availableEntries(
+                        limits.queueLimitEntries(),
                         channel.linesWaiting() + overdue + committed,
                         users.size(),
                         linesPerMessage + 1,
@@ -587,9 +587,9 @@
      */
     private void owed(ProxySession link, Map<TableId, Set<MethodId>> bound, long now) {
         if (link.owes.isEmpty()
-                || !ChannelCapacity.message(
+                || !ChannelCapacity.mayWriteMessage(
                         limits.messageLimit(),
-                        link.writtenWithin(now, limits.messageSpan()),
+                        link.writtenWithin(now, limits.messageWindowNanos()),
                         true)) {
             return;
         }
@@ -598,8 +598,8 @@
             if (!link.bound.containsKey(id) || bound.containsKey(id)) {
                 link.owes.remove(id);
             } else if (lines
-                    <= ChannelCapacity.lines(
-                            limits.queueLimit(),
+                    <= ChannelCapacity.availableEntries(
+                            limits.queueLimitEntries(),
                             channel.linesWaiting() + overdue + committed,
                             1,
                             linesPerMessage + 1,
@@ -631,7 +631,7 @@
         }
         message.add(
                 frames.bind(history, methods, fresh, link.unpacks),
-                1 + named.size() + history.levels().size());
+                1 + named.size() + history.admissionLimits().size());
         for (NodeId node : withdrawn) {
             if (named.contains(node)) {
                 message.add(FrameWriter.bytes(new Frame.Withdraw(node, true)), 1);
--- a/src/main/java/rosespread/discovery/HealthChecker.java
+++ b/src/main/java/rosespread/discovery/HealthChecker.java
@@ -7,7 +7,7 @@
 import rosespread.http.HttpHeaders;
 import rosespread.http.HttpMessage;
 
-/** Probes a node by one GET; 429 and 503 are a push-back, other statuses from 400 on an abort. */
+/** HealthChecks a node by one GET; 429 and 503 are a push-back, other statuses from 400 on an abort. */
 public final class HealthChecker {
     private final HttpClient http;
     private final String path;
@@ -30,9 +30,9 @@
                 node,
                 call,
                 timeout,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response answer) {
+                    public void onResponse(HttpMessage.Response answer) {
                         int status = answer.status();
                         then.accept(
                                 status < 400
@@ -43,7 +43,7 @@
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         then.accept(
                                 switch (failure) {
                                     case TIMED_OUT -> HealthCheckResult.TIMED_OUT;
--- a/src/main/java/rosespread/discovery/ListedNode.java
+++ b/src/main/java/rosespread/discovery/ListedNode.java
@@ -18,7 +18,7 @@
         String host,
         int port,
         String zone,
-        String kind,
+        String machineType,
         double weight,
         NodeState state,
         long startedMillis) {
@@ -42,7 +42,7 @@
                         host,
                         port,
                         zone,
-                        kind,
+                        machineType,
                         weight,
                         NodeState.DRAINING,
                         startedMillis);
--- a/src/main/java/rosespread/discovery/NodeListClient.java
+++ b/src/main/java/rosespread/discovery/NodeListClient.java
@@ -18,10 +18,10 @@
  */
 public final class NodeListClient implements AutoCloseable {
     /** Called on I/O and timer threads; must not block. */
-    public interface Follower {
-        void whole(List<ListedNode> nodes);
+    public interface Listener {
+        void nodeListReceived(List<ListedNode> nodes);
 
-        void unavailable(String why);
+        void nodeListUnavailable(String why);
     }
 
     /** Waits between tries after failures, in nanoseconds, doubled up to the most, with jitter. */
@@ -38,7 +38,7 @@
     private final ScheduledExecutorService timer;
     private final LongSupplier clock;
     private final RandomGenerator random;
-    private final Follower follower;
+    private final Listener follower;
     private boolean following;
     private boolean closed;
     private long index;
@@ -47,7 +47,7 @@
 
     /**
      * @param agent who asks, as the list's operators see it
-     * @param onDemand after a failure, whether to wait for {@link #follow} instead of going on by
+     * @param onDemand after a failure, whether to wait for {@link #start} instead of going on by
      *     itself
      */
     public NodeListClient(
@@ -62,7 +62,7 @@
             ScheduledExecutorService timer,
             LongSupplier clock,
             RandomGenerator random,
-            Follower follower) {
+            Listener follower) {
         this.http = http;
         this.server = server;
         this.path = "/v1/health/service/" + service;
@@ -78,7 +78,7 @@
     }
 
     /** Begins to follow; nothing happens if it does already. */
-    public synchronized void follow() {
+    public synchronized void start() {
         if (!following && !closed) {
             following = true;
             ask();
@@ -112,14 +112,14 @@
                 server,
                 call,
                 patience,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response answer) {
+                    public void onResponse(HttpMessage.Response answer) {
                         take(answer);
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         NodeListClient.this.failed(failure + ": " + detail);
                     }
                 });
@@ -159,7 +159,7 @@
         boolean news = next != index;
         index = next;
         if (news) {
-            follower.whole(nodes);
+            follower.nodeListReceived(nodes);
         }
         ask();
     }
@@ -168,12 +168,12 @@
         if (closed) {
             return;
         }
-        follower.unavailable(why);
+        follower.nodeListUnavailable(why);
         long pause = Math.min(MOST_WAIT, FIRST_WAIT << Math.min(failures, 10));
         failures++;
         following = false;
         if (!onDemand) {
-            timer.schedule(this::follow, pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
+            timer.schedule(this::start, pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
         }
     }
 }
--- a/src/main/java/rosespread/drain/Drain.java
+++ b/src/main/java/rosespread/drain/Drain.java
@@ -16,7 +16,7 @@
         NodeId node, String name, boolean on, long stamp, String by, String call, long atMillis) {
 
     /** Whether this word takes the place of another one on the same node, wherever it was given. */
-    public boolean after(Drain other) {
+    public boolean supersedes(Drain other) {
         return other == null
                 || stamp > other.stamp
                 || stamp == other.stamp
--- a/src/main/java/rosespread/drain/DrainGuard.java
+++ b/src/main/java/rosespread/drain/DrainGuard.java
@@ -21,7 +21,7 @@
 
     /** Where a method may go; empty sets allow all. */
     public record Method(String name, Set<String> onlyKinds, Set<String> onlyZones) {
-        boolean opens(Node node) {
+        boolean allows(Node node) {
             return (onlyKinds.isEmpty() || onlyKinds.contains(node.kind()))
                     && (onlyZones.isEmpty() || onlyZones.contains(node.zone()));
         }
@@ -37,7 +37,7 @@
     }
 
     /** Why the node may not drain, a sentence for each reason with its figures; empty if it may. */
-    public List<String> against(String draining, List<Node> nodes, List<Method> methods) {
+    public List<String> violations(String draining, List<Node> nodes, List<Method> methods) {
         List<String> reasons = new ArrayList<>();
         for (Method method : methods) {
             double all = 0;
@@ -46,7 +46,7 @@
             TreeMap<String, Integer> ofZone = new TreeMap<>();
             TreeSet<String> zonesHit = new TreeSet<>();
             for (Node node : nodes) {
-                if (!method.opens(node)) {
+                if (!method.allows(node)) {
                     continue;
                 }
                 boolean goes = node.name().equals(draining);
--- a/src/main/java/rosespread/drain/DrainRegistry.java
+++ b/src/main/java/rosespread/drain/DrainRegistry.java
@@ -32,7 +32,7 @@
     public boolean apply(Drain word) {
         stamp = Math.max(stamp, word.stamp());
         remember(word);
-        if (!word.after(allLatest.get(word.node()))) {
+        if (!word.supersedes(allLatest.get(word.node()))) {
             return false;
         }
         allLatest.put(word.node(), word);
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -65,9 +65,9 @@
                 to,
                 new HttpMessage.Request(verb, path, all, body.getBytes(StandardCharsets.UTF_8)),
                 nanos,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response answer) {
+                    public void onResponse(HttpMessage.Response answer) {
                         JsonNode read = read(answer.body());
                         done.complete(
                                 new FleetResponse(
@@ -79,7 +79,7 @@
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         done.complete(
                                 new FleetResponse(
                                         to,
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -38,10 +38,10 @@
     }
 
     /** Takes the outcome on an I/O or timer thread and must not block. */
-    public interface Taker {
-        void answered(HttpMessage.Response answer);
+    public interface ResponseHandler {
+        void onResponse(HttpMessage.Response answer);
 
-        void failed(Failure failure, String detail);
+        void onFailure(Failure failure, String detail);
     }
 
     private static final String TALK = "talk";
@@ -84,7 +84,7 @@
      * Makes a call; {@code nanos} runs until the whole answer is there. A call that is given up on
      * closes its connection, so that the other side can stop. Returns what cancels it.
      */
-    public Runnable call(InetSocketAddress to, HttpMessage.Request call, long nanos, Taker taker) {
+    public Runnable call(InetSocketAddress to, HttpMessage.Request call, long nanos, ResponseHandler taker) {
         Talk talk = new Talk(to, call, taker);
         talk.deadline =
                 timer(
@@ -97,7 +97,7 @@
                                                 + " ms"));
         IoSession kept = take(to);
         if (kept != null) {
-            talk.again = SAFE.contains(call.verb());
+            talk.again = SAFE.contains(call.method());
             talk.start(kept);
         } else {
             connect(talk);
@@ -190,7 +190,7 @@
     private final class Talk {
         private final InetSocketAddress to;
         private final HttpMessage.Request call;
-        private final Taker taker;
+        private final ResponseHandler taker;
         private final AtomicBoolean over = new AtomicBoolean();
         private volatile IoSession session;
         private volatile ScheduledFuture<?> deadline;
@@ -200,7 +200,7 @@
          */
         private volatile boolean again;
 
-        Talk(InetSocketAddress to, HttpMessage.Request call, Taker taker) {
+        Talk(InetSocketAddress to, HttpMessage.Request call, ResponseHandler taker) {
             this.to = to;
             this.call = call;
             this.taker = taker;
@@ -248,7 +248,7 @@
                 } else {
                     session.closeNow();
                 }
-                taker.answered(answer);
+                taker.onResponse(answer);
             }
         }
 
@@ -262,7 +262,7 @@
                 if (on != null) {
                     on.closeNow();
                 }
-                taker.failed(failure, detail);
+                taker.onFailure(failure, detail);
             }
         }
     }
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -20,7 +20,7 @@
     /**
      * @param target the path and query as they stand in the first line
      */
-    record Request(String verb, String target, HttpHeaders headers, byte[] body)
+    record Request(String method, String target, HttpHeaders headers, byte[] body)
             implements HttpMessage {
         public String path() {
             int query = target.indexOf('?');
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -21,7 +21,7 @@
      */
     @FunctionalInterface
     public interface Handler {
-        void take(HttpMessage.Request call, Exchange exchange);
+        void handle(HttpMessage.Request call, Exchange exchange);
     }
 
     /** One call to be answered once. */
@@ -30,10 +30,10 @@
         int port();
 
         /** The answer; a second one, or one after the caller has hung up, is dropped. */
-        void answer(HttpMessage.Response answer);
+        void respond(HttpMessage.Response answer);
 
         /** Closes without an answer. */
-        void hangUp();
+        void abort();
 
         /** Runs once if the connection closes before the answer. */
         void onClosed(Runnable then);
@@ -109,7 +109,7 @@
                 }
                 current = new Turn(this, call.keepsAlive());
             }
-            handler.take(call, current);
+            handler.handle(call, current);
         }
 
         void done(Turn turn) {
@@ -122,7 +122,7 @@
                 current = next == null ? null : new Turn(this, next.keepsAlive());
             }
             if (next != null) {
-                handler.take(next, current);
+                handler.handle(next, current);
             }
         }
 
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void answer(HttpMessage.Response answer) {
+        public void respond(HttpMessage.Response answer) {
             synchronized (this) {
                 if (answered) {
                     return;
@@ -165,7 +165,7 @@
         }
 
         @Override
-        public void hangUp() {
+        public void abort() {
             lane.session.closeNow();
         }
 
--- a/src/main/java/rosespread/http/HttpWriter.java
+++ b/src/main/java/rosespread/http/HttpWriter.java
@@ -10,7 +10,7 @@
     static byte[] bytes(HttpMessage message) {
         StringBuilder head = new StringBuilder(128);
         if (message instanceof HttpMessage.Request call) {
-            head.append(call.verb()).append(' ').append(call.target()).append(" HTTP/1.1\r\n");
+            head.append(call.method()).append(' ').append(call.target()).append(" HTTP/1.1\r\n");
         } else if (message instanceof HttpMessage.Response answer) {
             head.append("HTTP/1.1 ")
                     .append(answer.status())
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -110,11 +110,11 @@
     }
 
     /** One call; what comes of it after another has been made is not heard. */
-    private final class Call implements HttpClient.Taker {
+    private final class Call implements HttpClient.ResponseHandler {
         private Runnable cancel = () -> {};
 
         @Override
-        public void answered(HttpMessage.Response answer) {
+        public void onResponse(HttpMessage.Response answer) {
             if (answer.status() != 200) {
                 failed("status " + answer.status());
                 return;
@@ -129,7 +129,7 @@
         }
 
         @Override
-        public void failed(HttpClient.Failure failure, String detail) {
+        public void onFailure(HttpClient.Failure failure, String detail) {
             failed(failure + ": " + detail);
         }
 
--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -58,7 +58,7 @@
                         return thread;
                     });
     private final HttpClient http =
-            new HttpClient(1, HttpLimits.USUAL, CONNECT_MILLIS, IDLE_SECONDS);
+            new HttpClient(1, HttpLimits.DEFAULT, CONNECT_MILLIS, IDLE_SECONDS);
     private final HealthChecker prober = new HealthChecker(http, "/-/healthy", PROBE_NANOS);
     private final DiscoveryWatch watch;
     private final PlatformState core;
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -77,7 +77,7 @@
     private static final long PROBE_SUSPECT = SECOND, PROBE_EVERY = 4 * SECOND;
 
     /**
-     * Cold nodes are sent at most this multiple of what they can do by now; the load taken while
+     * WarmUp nodes are sent at most this multiple of what they can do by now; the load taken while
      * unheard.
      */
     private static final double COLD_LOAD = 1.2, UNHEARD_LOAD = 5;
--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -187,16 +187,16 @@
     }
 
     /** Hands an answer from the client's thread to the one that waits for it. */
-    private static final class Answer implements HttpClient.Taker {
+    private static final class Answer implements HttpClient.ResponseHandler {
         private final CompletableFuture<HttpMessage.Response> response = new CompletableFuture<>();
 
         @Override
-        public void answered(HttpMessage.Response got) {
+        public void onResponse(HttpMessage.Response got) {
             response.complete(got);
         }
 
         @Override
-        public void failed(HttpClient.Failure failure, String detail) {
+        public void onFailure(HttpClient.Failure failure, String detail) {
             response.completeExceptionally(new IOException(detail));
         }
 
--- a/src/main/java/rosespread/scenario/ScenarioFields.java
+++ b/src/main/java/rosespread/scenario/ScenarioFields.java
@@ -29,11 +29,11 @@
 
     /** Reads all fields; call it once. */
     Scenario read() {
-        String name = root.text("name", null, "[a-z0-9-]{1,64}", "small letters, digits and -");
+        String name = root.string("name", null, "[a-z0-9-]{1,64}", "small letters, digits and -");
         long durationNanos = seconds(root, "seconds", REQUIRED, 1, DAY_SECONDS);
         long warmUpNanos = seconds(root, "warmUpSeconds", 15, 0.1, HOUR_SECONDS);
         int controllerCount = whole(root, "conductors", 1, 1, 64);
-        List<String> zones = root.texts("zones", 1, 64, null);
+        List<String> zones = root.strings("zones", 1, 64, null);
         Map<String, SiteDefinition.MachineType> machineTypes = readMachineTypes();
         List<SiteDefinition.Method> methods = readMethods(List.copyOf(machineTypes.keySet()));
         SiteDefinition.WarmUp warmUp = readWarmUp(root.object("cold"));
@@ -46,10 +46,10 @@
                         methods,
                         readProxies(root.object("proxies"), channel.entriesPerSecond()),
                         warmUp,
-                        root.number("queuePerCore", 8, 0, 1000),
-                        reports.millis("periodMs", 1000, 20, MINUTE_MILLIS),
-                        reports.millis("lateMs", 500, 0, MINUTE_MILLIS));
-        reports.closed();
+                        root.doubleValue("queuePerCore", 8, 0, 1000),
+                        reports.millisAsNanos("periodMs", 1000, 20, MINUTE_MILLIS),
+                        reports.millisAsNanos("lateMs", 500, 0, MINUTE_MILLIS));
+        reports.rejectUnknownFields();
         Scenario.Clients clients = readClients(root.object("clients"));
         Scenario.Limits limits = readLimits(root.object("rules"));
         long listDelayNanos = readListDelay(root.object("list"));
@@ -59,22 +59,22 @@
                 warmUpNanos,
                 controllerCount,
                 site,
-                root.number("rate", REQUIRED, 0.1, 100_000),
+                root.doubleValue("rate", REQUIRED, 0.1, 100_000),
                 clients,
                 limits,
                 channel,
                 listDelayNanos,
-                root.flag("probes", true),
+                root.booleanValue("probes", true),
                 readFaults(zones, methods, controllerCount));
     }
 
     private static int whole(JsonFields fields, String name, long usual, long least, long most) {
-        return (int) fields.whole(name, usual, least, most);
+        return (int) fields.longValue(name, usual, least, most);
     }
 
     private static long seconds(
             JsonFields fields, String name, double usual, double least, double most) {
-        return Math.round(fields.number(name, usual, least, most) * NANOS_PER_SECOND);
+        return Math.round(fields.doubleValue(name, usual, least, most) * NANOS_PER_SECOND);
     }
 
     /** The constant of a name that may have blanks or dashes; the other one if it was faulty. */
@@ -95,12 +95,12 @@
                     name,
                     new SiteDefinition.MachineType(
                             whole(kind, "cores", REQUIRED_WHOLE, 1, 1024),
-                            kind.number("speed", 1, 0.01, 100),
+                            kind.doubleValue("speed", 1, 0.01, 100),
                             whole(kind, "nodes", REQUIRED_WHOLE, 1, 10_000)));
-            kind.closed();
+            kind.rejectUnknownFields();
         }
         if (machineTypes.isEmpty()) {
-            root.fault("kinds", "at least one kind");
+            root.reject("kinds", "at least one kind");
         }
         return machineTypes;
     }
@@ -109,63 +109,63 @@
         List<SiteDefinition.Method> methods = new ArrayList<>();
         for (JsonFields method : root.objects("methods", 1, 32)) {
             methods.add(readMethod(method, machineTypes));
-            method.closed();
+            method.rejectUnknownFields();
         }
         return methods;
     }
 
     private static SiteDefinition.Method readMethod(JsonFields method, List<String> machineTypes) {
         String effect =
-                method.text(
+                method.string(
                         "effect",
                         null,
                         "idempotent|tokened|non-idempotent",
                         "idempotent, tokened or non-idempotent");
         return new SiteDefinition.Method(
-                method.text("name", null, "[A-Za-z0-9_-]{1,64}", "letters, digits, _ and -"),
-                method.number("share", REQUIRED, 0, 1),
-                method.millis("workMs", REQUIRED, 0.01, MINUTE_MILLIS),
-                method.millis("softDeadlineMs", REQUIRED, 1, MINUTE_MILLIS),
-                method.millis("deadlineMs", REQUIRED, 1, MINUTE_MILLIS),
-                method.number("criticality", 1, 0, 1e6),
-                method.number("lateShare", 0.15, 0, 1),
+                method.string("name", null, "[A-Za-z0-9_-]{1,64}", "letters, digits, _ and -"),
+                method.doubleValue("share", REQUIRED, 0, 1),
+                method.millisAsNanos("workMs", REQUIRED, 0.01, MINUTE_MILLIS),
+                method.millisAsNanos("softDeadlineMs", REQUIRED, 1, MINUTE_MILLIS),
+                method.millisAsNanos("deadlineMs", REQUIRED, 1, MINUTE_MILLIS),
+                method.doubleValue("criticality", 1, 0, 1e6),
+                method.doubleValue("lateShare", 0.15, 0, 1),
                 constant(SiteDefinition.Effect.class, effect, SiteDefinition.Effect.IDEMPOTENT),
-                method.millis("windowMs", 2500, 0, MINUTE_MILLIS),
-                method.texts("onlyKinds", 0, 64, machineTypes));
+                method.millisAsNanos("windowMs", 2500, 0, MINUTE_MILLIS),
+                method.strings("onlyKinds", 0, 64, machineTypes));
     }
 
     private static SiteDefinition.WarmUp readWarmUp(JsonFields cold) {
         SiteDefinition.WarmUp warmUp =
                 new SiteDefinition.WarmUp(
                         seconds(cold, "seconds", 16, 0, HOUR_SECONDS),
-                        cold.number("share", 0.16, 0.01, 1),
-                        cold.millis("windowMs", 1500, 1, MINUTE_MILLIS),
-                        cold.number("multiple", 4, 1, 100));
-        cold.closed();
+                        cold.doubleValue("share", 0.16, 0.01, 1),
+                        cold.millisAsNanos("windowMs", 1500, 1, MINUTE_MILLIS),
+                        cold.doubleValue("multiple", 4, 1, 100));
+        cold.rejectUnknownFields();
         return warmUp;
     }
 
     private static Scenario.Channel readChannel(JsonFields channel) {
         Scenario.Channel read =
                 new Scenario.Channel(
-                        channel.number("linesPerSecond", REQUIRED, 1, 1e9),
-                        channel.number("linesPerMessage", 8, 0, 1000),
-                        channel.number("queueLimit", REQUIRED, 1, 1e9),
+                        channel.doubleValue("linesPerSecond", REQUIRED, 1, 1e9),
+                        channel.doubleValue("linesPerMessage", 8, 0, 1000),
+                        channel.doubleValue("queueLimit", REQUIRED, 1, 1e9),
                         whole(channel, "messageLimit", 30, 0, 100_000),
-                        channel.millis("messageSpanMs", 10_000, 1, MINUTE_MILLIS),
+                        channel.millisAsNanos("messageSpanMs", 10_000, 1, MINUTE_MILLIS),
                         constant(
                                 Scenario.AdmissionMode.class,
-                                channel.text(
+                                channel.string(
                                         "levels", "rate", "share|rate|none", "share, rate or none"),
                                 Scenario.AdmissionMode.RATE),
-                        channel.number("orderPrice", 0.05, 0, 10));
-        channel.closed();
+                        channel.doubleValue("orderPrice", 0.05, 0, 10));
+        channel.rejectUnknownFields();
         return read;
     }
 
     private static SiteDefinition.Proxies readProxies(JsonFields proxies, double entriesPerSecond) {
         String pick =
-                proxies.text(
+                proxies.string(
                         "pick",
                         "round",
                         "round|random|best of two",
@@ -175,17 +175,17 @@
                         whole(proxies, "count", REQUIRED_WHOLE, 1, 10_000),
                         constant(SiteDefinition.Pick.class, pick, SiteDefinition.Pick.ROUND),
                         whole(proxies, "avoidAfterFailures", 8, 0, 1000),
-                        Math.round(proxies.number("stallPerLineUs", 30, 0, 1e6) * NANOS_PER_MICRO),
-                        proxies.millis("wayMs", 60, 0, MINUTE_MILLIS),
-                        proxies.millis("longestWayMs", 300, 0, MINUTE_MILLIS),
+                        Math.round(proxies.doubleValue("stallPerLineUs", 30, 0, 1e6) * NANOS_PER_MICRO),
+                        proxies.millisAsNanos("wayMs", 60, 0, MINUTE_MILLIS),
+                        proxies.millisAsNanos("longestWayMs", 300, 0, MINUTE_MILLIS),
                         whole(proxies, "standing", 5, 1, 10_000),
-                        proxies.millis("redialLeastMs", 300, 1, MINUTE_MILLIS),
-                        proxies.millis("redialMostMs", 1200, 1, MINUTE_MILLIS),
+                        proxies.millisAsNanos("redialLeastMs", 300, 1, MINUTE_MILLIS),
+                        proxies.millisAsNanos("redialMostMs", 1200, 1, MINUTE_MILLIS),
                         entriesPerSecond);
         if (read.maxReconnectNanos() < read.minReconnectNanos()) {
-            proxies.fault("redialMostMs", "at least redialLeastMs");
+            proxies.reject("redialMostMs", "at least redialLeastMs");
         }
-        proxies.closed();
+        proxies.rejectUnknownFields();
         return read;
     }
 
@@ -193,24 +193,24 @@
         Scenario.Clients read =
                 new Scenario.Clients(
                         whole(clients, "retries", 2, 0, 10),
-                        clients.millis("retryWaitMs", 100, 0, MINUTE_MILLIS),
-                        clients.number("patience", 1, 0.05, 1));
-        clients.closed();
+                        clients.millisAsNanos("retryWaitMs", 100, 0, MINUTE_MILLIS),
+                        clients.doubleValue("patience", 1, 0.05, 1));
+        clients.rejectUnknownFields();
         return read;
     }
 
     private static Scenario.Limits readLimits(JsonFields rules) {
         Scenario.Limits limits =
                 new Scenario.Limits(
-                        rules.millis("lackMs", 3000, 10, MINUTE_MILLIS),
-                        rules.millis("drainGraceMs", 2500, 100, MINUTE_MILLIS));
-        rules.closed();
+                        rules.millisAsNanos("lackMs", 3000, 10, MINUTE_MILLIS),
+                        rules.millisAsNanos("drainGraceMs", 2500, 100, MINUTE_MILLIS));
+        rules.rejectUnknownFields();
         return limits;
     }
 
     private static long readListDelay(JsonFields list) {
-        long nanos = list.millis("lateMs", 800, 0, MINUTE_MILLIS);
-        list.closed();
+        long nanos = list.millisAsNanos("lateMs", 800, 0, MINUTE_MILLIS);
+        list.rejectUnknownFields();
         return nanos;
     }
 
@@ -220,21 +220,21 @@
         List<Fault> faults = new ArrayList<>();
         for (JsonFields trouble : root.objects("troubles", 0, 1000)) {
             String kinds = Fault.Kind.yamlNames();
-            String kind = trouble.text("kind", null, kinds, kinds.replace("|", ", "));
+            String kind = trouble.string("kind", null, kinds, kinds.replace("|", ", "));
             JsonFields what = trouble.object("what");
             faults.add(
                     new Fault(
                             seconds(trouble, "at", REQUIRED, 0, DAY_SECONDS),
                             seconds(trouble, "for", REQUIRED, 0, DAY_SECONDS),
                             constant(Fault.Kind.class, kind, Fault.Kind.HANG),
-                            what.number("share", 0.1, 0, 1),
+                            what.doubleValue("share", 0.1, 0, 1),
                             oneOf(what, "zone", zones, "one of " + String.join(", ", zones)),
-                            what.number("factor", 4, 0, 1000),
-                            what.millis("ms", 2000, 0, MINUTE_MILLIS),
+                            what.doubleValue("factor", 4, 0, 1000),
+                            what.millisAsNanos("ms", 2000, 0, MINUTE_MILLIS),
                             oneOf(what, "method", methodNames, "a method's name"),
                             whole(what, "which", 0, 0, controllerCount - 1)));
-            what.closed();
-            trouble.closed();
+            what.rejectUnknownFields();
+            trouble.rejectUnknownFields();
         }
         return faults;
     }
@@ -243,6 +243,6 @@
     private static String oneOf(
             JsonFields fields, String name, List<String> names, String allowed) {
         String usual = names.isEmpty() ? "" : names.get(0);
-        return fields.text(name, usual, String.join("|", names), allowed);
+        return fields.string(name, usual, String.join("|", names), allowed);
     }
 }
--- a/src/main/java/rosespread/scenario/ScenarioReader.java
+++ b/src/main/java/rosespread/scenario/ScenarioReader.java
@@ -65,11 +65,11 @@
             throws ScenarioException {
         try {
             Scenario scenario = new ScenarioFields(fields).read();
-            fields.end();
+            fields.throwIfInvalid();
             return scenario;
         } catch (SettingsException e) {
             throw new ScenarioException(
-                    e.faults().stream()
+                    e.invalidFields().stream()
                             .map(
                                     fault ->
                                             String.format(
@@ -77,7 +77,7 @@
                                                     file,
                                                     locations.lineOf(fault.field()),
                                                     fault.field(),
-                                                    fault.value(),
+                                                    fault.found(),
                                                     fault.allowed()))
                             .collect(Collectors.joining("\n")),
                     e);
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -52,7 +52,7 @@
     private final ObjectMapper json = new ObjectMapper();
     private final TestLoop loop = new TestLoop();
     private final HttpClient http =
-            new HttpClient(1, HttpLimits.USUAL, HTTP_CONNECT_MILLIS, HTTP_IDLE_SECONDS);
+            new HttpClient(1, HttpLimits.DEFAULT, HTTP_CONNECT_MILLIS, HTTP_IDLE_SECONDS);
     private final List<ControllerProcess> controllers = new ArrayList<>();
     private final RunEnd end = new RunEnd();
     private final Report report;
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -20,24 +20,24 @@
 public record FleetSettings(
         long seed,
         List<String> zones,
-        List<String> kinds,
+        List<String> machineTypes,
         List<Method> methods,
-        Catalogue list,
-        Probes probes,
+        Discovery discovery,
+        HealthChecks healthChecks,
         PolicySettings.Throttle levels,
         Channel channel,
-        long reportPeriod,
-        long drainGrace,
-        double drainLeastShare,
+        long reportPeriodNanos,
+        long drainTimeoutNanos,
+        double minCapacityRatioWhileDraining,
         List<InetSocketAddress> peers,
-        Cold cold) {
+        WarmUp warmUp) {
 
     public record Method(
             String name,
             double criticality,
-            List<String> onlyKinds,
-            List<String> onlyZones,
-            boolean ownZone) {}
+            List<String> allowedMachineTypes,
+            List<String> allowedZones,
+            boolean localZoneOnly) {}
 
     /**
      * Where the list is; {@code block} is how long one query may block, {@code silentAfter} how
@@ -45,63 +45,63 @@
      * how long answers must stay older than what is known until they are taken as a list that has
      * begun anew.
      */
-    public record Catalogue(
+    public record Discovery(
             String host,
             int port,
             String service,
             boolean onDemand,
-            long block,
-            long silentAfter,
-            long backwardsAfter) {}
+            long blockingWaitNanos,
+            long responseTimeoutNanos,
+            long indexRollbackGraceNanos) {}
 
-    public record Probes(boolean allowed, String path, long timeout) {}
+    public record HealthChecks(boolean allowed, String path, long timeoutNanos) {}
 
     /** The pace and limits of the channel; a message limit of 0 is none. */
     public record Channel(
-            double linesPerSecond,
-            double linesPerMessage,
-            double queueLimit,
+            double entriesPerSecond,
+            double messageOverheadEntries,
+            double queueLimitEntries,
             double orderPrice,
             int messageLimit,
-            long messageSpan,
-            long longestWay,
-            long keepAlive) {}
+            long messageWindowNanos,
+            long maxPropagationDelayNanos,
+            long keepAliveNanos) {}
 
     /**
      * How nodes warm up: how long at most, from what share of their size, and over what window they
      * fall.
      */
-    public record Cold(long time, double share, long window) {}
+    public record WarmUp(long durationNanos, double coldCapacityRatio, long window) {}
 
     /** What the decision module is told. */
-    public PolicySettings module() {
+    public PolicySettings policySettings() {
         return new PolicySettings(
                 methods.stream().map(this::method).toList(),
                 zones.size(),
                 false,
-                list.onDemand(),
-                probes.allowed(),
+                discovery.onDemand(),
+                healthChecks.allowed(),
                 levels,
-                channel.linesPerSecond(),
-                channel.linesPerMessage(),
-                channel.queueLimit(),
+                channel.entriesPerSecond(),
+                channel.messageOverheadEntries(),
+                channel.queueLimitEntries(),
                 channel.orderPrice(),
                 channel.messageLimit(),
-                channel.messageSpan(),
-                channel.longestWay(),
-                reportPeriod,
-                drainGrace,
-                cold.time(),
-                cold.share(),
-                cold.window());
+                channel.messageWindowNanos(),
+                channel.maxPropagationDelayNanos(),
+                reportPeriodNanos,
+                drainTimeoutNanos,
+                warmUp.durationNanos(),
+                warmUp.coldCapacityRatio(),
+                warmUp.window());
     }
 
     private PolicySettings.Method method(Method method) {
         return new PolicySettings.Method(
                 method.criticality(),
-                places(method.onlyKinds(), kinds, MachineTypeId::new),
-                places(method.onlyZones(), zones, ZoneId::new),
-                method.ownZone());
+                places(method.allowedMachineTypes(), machineTypes, MachineTypeId::new),
+                places(method.allowedZones(), zones, ZoneId::new),
+                method.localZoneOnly());
     }
 
     private static <T> Set<T> places(List<String> names, List<String> among, IntFunction<T> id) {
--- a/src/main/java/rosespread/settings/JsonFields.java
+++ b/src/main/java/rosespread/settings/JsonFields.java
@@ -9,7 +9,7 @@
 
 /**
  * An object of JSON or YAML read field by field; what is at fault is noted and reading goes on, so
- * that all faults are told at once. Values stand in for faulty fields until {@link #end} throws.
+ * that all faults are told at once. Values stand in for faulty fields until {@link #throwIfInvalid} throws.
  */
 public final class JsonFields {
     private static final double NANOS_PER_MILLI = 1e6;
@@ -17,32 +17,32 @@
 
     private final String path;
     private final JsonNode node;
-    private final List<SettingsException.Fault> faults;
+    private final List<SettingsException.InvalidField> faults;
     private final Set<String> known = new TreeSet<>();
 
     public JsonFields(JsonNode node) {
         this("", node, new ArrayList<>());
     }
 
-    private JsonFields(String path, JsonNode node, List<SettingsException.Fault> faults) {
+    private JsonFields(String path, JsonNode node, List<SettingsException.InvalidField> faults) {
         this.path = path;
         this.node = node;
         this.faults = faults;
         if (!node.isObject() && !node.isMissingNode()) {
             faults.add(
-                    new SettingsException.Fault(
+                    new SettingsException.InvalidField(
                             path.isEmpty() ? "(whole)" : path, shown(node), "an object"));
         }
     }
 
     /** Notes the fields that nobody asked for. */
-    public void closed() {
+    public void rejectUnknownFields() {
         node.fieldNames()
                 .forEachRemaining(
                         name -> {
                             if (!known.contains(name)) {
                                 faults.add(
-                                        new SettingsException.Fault(
+                                        new SettingsException.InvalidField(
                                                 at(name),
                                                 shown(node.get(name)),
                                                 "no such field; known are "
@@ -51,8 +51,8 @@
                         });
     }
 
-    public void end() throws SettingsException {
-        closed();
+    public void throwIfInvalid() throws SettingsException {
+        rejectUnknownFields();
         if (!faults.isEmpty()) {
             throw new SettingsException(faults);
         }
@@ -93,14 +93,14 @@
             return array;
         }
         if (!array.isArray() || array.size() < least || array.size() > most) {
-            fault(name, "an array of " + least + " to " + most);
+            reject(name, "an array of " + least + " to " + most);
             return MissingNode.getInstance();
         }
         return array;
     }
 
     /** Texts of up to 64 characters, all different; from {@code among} unless that is null. */
-    public List<String> texts(String name, int least, int most, List<String> among) {
+    public List<String> strings(String name, int least, int most, List<String> among) {
         List<String> all = new ArrayList<>();
         JsonNode array = array(name, least, most);
         for (int i = 0; i < array.size(); i++) {
@@ -114,7 +114,7 @@
                 all.add(entry.asText());
             } else {
                 faults.add(
-                        new SettingsException.Fault(
+                        new SettingsException.InvalidField(
                                 at(name) + "[" + i + "]",
                                 shown(entry),
                                 among == null
@@ -125,42 +125,42 @@
         return all;
     }
 
-    public String text(String name, String absent, String pattern, String allowed) {
+    public String string(String name, String absent, String pattern, String allowed) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && absent != null) {
             return absent;
         }
         if (!value.isTextual() || !value.asText().matches(pattern)) {
-            fault(name, allowed);
+            reject(name, allowed);
             return "";
         }
         return value.asText();
     }
 
-    public boolean flag(String name, boolean absent) {
+    public boolean booleanValue(String name, boolean absent) {
         known.add(name);
         JsonNode value = node.path(name);
         if (!value.isMissingNode() && !value.isBoolean()) {
-            fault(name, "true or false");
+            reject(name, "true or false");
         }
         return value.asBoolean(absent);
     }
 
-    public double number(String name, double absent, double least, double most) {
+    public double doubleValue(String name, double absent, double least, double most) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && !Double.isNaN(absent)) {
             return absent;
         }
         if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            fault(name, "a number from " + least + " to " + most);
+            reject(name, "a number from " + least + " to " + most);
             return Math.max(least, 1);
         }
         return value.asDouble();
     }
 
-    public long whole(String name, long absent, long least, long most) {
+    public long longValue(String name, long absent, long least, long most) {
         known.add(name);
         JsonNode value = node.path(name);
         if (value.isMissingNode() && absent >= least) {
@@ -170,20 +170,20 @@
                 || !value.canConvertToLong()
                 || value.asLong() < least
                 || value.asLong() > most) {
-            fault(name, "a whole number from " + least + " to " + most);
+            reject(name, "a whole number from " + least + " to " + most);
             return least;
         }
         return value.asLong();
     }
 
     /** Milliseconds in the text, nanoseconds in the result. */
-    public long millis(String name, double absent, double least, double most) {
-        return Math.round(number(name, absent, least, most) * NANOS_PER_MILLI);
+    public long millisAsNanos(String name, double absent, double least, double most) {
+        return Math.round(doubleValue(name, absent, least, most) * NANOS_PER_MILLI);
     }
 
-    public void fault(String name, String allowed) {
+    public void reject(String name, String allowed) {
         JsonNode value = node.path(name);
-        faults.add(new SettingsException.Fault(at(name), shown(value), allowed));
+        faults.add(new SettingsException.InvalidField(at(name), shown(value), allowed));
     }
 
     private String at(String name) {
--- a/src/main/java/rosespread/settings/SettingsException.java
+++ b/src/main/java/rosespread/settings/SettingsException.java
@@ -8,19 +8,19 @@
     private static final long serialVersionUID = 1L;
 
     /** A field by its path, the value found there as JSON, and what would be allowed. */
-    public record Fault(String field, String value, String allowed) {}
+    public record InvalidField(String field, String found, String allowed) {}
 
-    private final transient List<Fault> faults;
+    private final transient List<InvalidField> invalidFields;
 
-    SettingsException(List<Fault> faults) {
+    SettingsException(List<InvalidField> faults) {
         super(
                 faults.stream()
-                        .map(f -> f.field() + " is " + f.value() + "; allowed: " + f.allowed())
+                        .map(f -> f.field() + " is " + f.found() + "; allowed: " + f.allowed())
                         .collect(Collectors.joining("; ")));
-        this.faults = List.copyOf(faults);
+        this.invalidFields = List.copyOf(faults);
     }
 
-    public List<Fault> faults() {
-        return faults;
+    public List<InvalidField> invalidFields() {
+        return invalidFields;
     }
 }
--- a/src/main/java/rosespread/settings/Snapshot.java
+++ b/src/main/java/rosespread/settings/SettingsFile.java
@@ -20,7 +20,7 @@
  * so that it is always whole; a digest over the settings tells damage. A damaged file is never
  * overwritten: it is set aside.
  */
-public final class Snapshot {
+public final class SettingsFile {
     private static final int FORMAT = 2;
 
     /** Before settings had a revision; its digest is over the settings alone. */
@@ -34,12 +34,12 @@
      * @param revision rises by one with each that is applied; @param by who applied it; @param call
      *     the id of the call that did
      */
-    public record Saved(String text, long revision, String by, String call, long atMillis) {}
+    public record Saved(String json, long revision, String operator, String requestId, long savedAtMillis) {}
 
     private final Path file;
     private boolean damaged;
 
-    public Snapshot(Path folder) {
+    public SettingsFile(Path folder) {
         this.file = folder.resolve("settings.json");
     }
 
@@ -102,14 +102,14 @@
 
     /** Saves; returns where a damaged file that stood in the way was set aside. */
     public Optional<Path> save(Saved settings) throws IOException {
-        JsonNode parsed = JSON.readTree(settings.text());
-        long wallMillis = settings.atMillis();
+        JsonNode parsed = JSON.readTree(settings.json());
+        long wallMillis = settings.savedAtMillis();
         ObjectNode saved = JSON.createObjectNode();
         saved.put("format", FORMAT);
         saved.put("savedAtMillis", wallMillis);
         saved.put("revision", settings.revision())
-                .put("by", settings.by())
-                .put("call", settings.call());
+                .put("by", settings.operator())
+                .put("call", settings.requestId());
         saved.set("settings", parsed);
         saved.put("digest", digest(saved.toString()));
         Files.createDirectories(file.getParent());
--- a/src/main/java/rosespread/store/LogEntry.java
+++ b/src/main/java/rosespread/store/LogEntry.java
@@ -10,21 +10,21 @@
 /** What is kept as it happens, in the order in which it happened. */
 public sealed interface LogEntry {
     /** A version was committed. */
-    record Committed(TableVersion version) implements LogEntry {}
+    record VersionCommitted(TableVersion version) implements LogEntry {}
 
     /**
      * A table is held, goes back to a version ({@code to}, 0 if to none) by changing these lines,
      * or follows the module.
      */
-    record Holding(TableId table, PinState hold, long to, Map<NodeId, Double> pending)
+    record PinChanged(TableId table, PinState state, long rollbackTarget, Map<NodeId, Double> pending)
             implements LogEntry {}
 
     /** An operator's word on a node, given here or heard of. */
-    record Drained(Drain word) implements LogEntry {}
+    record DrainChanged(Drain drain) implements LogEntry {}
 
     /**
      * From here on tables are laid out another way: numbers go on, but holds and earlier versions
      * mean nothing any more. {@code layout} is a digest of what tables are laid out by.
      */
-    record LaidOut(long layout) implements LogEntry {}
+    record LayoutChanged(long layout) implements LogEntry {}
 }
--- a/src/main/java/rosespread/store/LogEntryWriter.java
+++ b/src/main/java/rosespread/store/LogEntryWriter.java
@@ -40,7 +40,7 @@
     }
 
     /** The line after an image's last table: from here on entries follow. */
-    static byte[] imageEnds(long sequence, int tables) {
+    static byte[] snapshotEnd(long sequence, int tables) {
         return line(sequence, out -> out.writeNumberField("tables", tables));
     }
 
@@ -48,19 +48,19 @@
         return line(
                 sequence,
                 out -> {
-                    if (entry instanceof LogEntry.Committed committed) {
+                    if (entry instanceof LogEntry.VersionCommitted committed) {
                         out.writeFieldName("version");
                         version(out, committed.version(), false);
-                    } else if (entry instanceof LogEntry.Holding held) {
+                    } else if (entry instanceof LogEntry.PinChanged held) {
                         out.writeObjectFieldStart("hold");
                         out.writeNumberField("table", held.table().value());
-                        out.writeStringField("state", held.hold().name());
-                        out.writeNumberField("to", held.to());
+                        out.writeStringField("state", held.state().name());
+                        out.writeNumberField("to", held.rollbackTarget());
                         lines(out, "pending", held.pending());
                         out.writeEndObject();
-                    } else if (entry instanceof LogEntry.Drained drained) {
-                        drain(out, drained.word());
-                    } else if (entry instanceof LogEntry.LaidOut laid) {
+                    } else if (entry instanceof LogEntry.DrainChanged drained) {
+                        drain(out, drained.drain());
+                    } else if (entry instanceof LogEntry.LayoutChanged laid) {
                         out.writeStringField("laidOut", Long.toHexString(laid.layout()));
                     }
                 });
@@ -88,11 +88,11 @@
                 sequence,
                 out -> {
                     out.writeObjectFieldStart("table");
-                    out.writeStringField("hold", image.hold().name());
-                    out.writeNumberField("to", image.to());
+                    out.writeStringField("hold", image.pinState().name());
+                    out.writeNumberField("to", image.rollbackTarget());
                     lines(out, "pending", image.pending());
                     out.writeArrayFieldStart("kept");
-                    for (long number : image.kept()) {
+                    for (long number : image.retained()) {
                         out.writeNumber(number);
                     }
                     out.writeEndArray();
--- a/src/main/java/rosespread/store/LogOutput.java
+++ b/src/main/java/rosespread/store/LogOutput.java
@@ -17,12 +17,12 @@
 
     /** Opens files. */
     @FunctionalInterface
-    interface Disk {
+    interface Factory {
         /** A new, empty file. */
         LogOutput create(Path path) throws IOException;
     }
 
-    Disk DISK =
+    Factory DISK =
             path -> {
                 FileChannel file =
                         FileChannel.open(
--- a/src/main/java/rosespread/store/LogReplay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -37,8 +37,8 @@
     void begin(TableSnapshot image) {
         Table table = new Table();
         table.history = new VersionHistory(image);
-        table.hold = image.hold();
-        table.to = image.to();
+        table.hold = image.pinState();
+        table.to = image.rollbackTarget();
         table.pending.putAll(image.pending());
         tables.put(image.current().table(), table);
     }
@@ -48,8 +48,8 @@
     }
 
     /** Takes an entry that was made in this process. */
-    public void take(LogEntry entry) throws StoreException {
-        if (entry instanceof LogEntry.Committed c) {
+    public void apply(LogEntry entry) throws StoreException {
+        if (entry instanceof LogEntry.VersionCommitted c) {
             TableVersion v = c.version();
             committed(
                     v.table(),
@@ -59,16 +59,16 @@
                     v.atMillis(),
                     v.changes(),
                     v.digest());
-        } else if (entry instanceof LogEntry.Holding h) {
+        } else if (entry instanceof LogEntry.PinChanged h) {
             hold(h);
-        } else if (entry instanceof LogEntry.Drained d) {
-            drains.apply(d.word());
-        } else if (entry instanceof LogEntry.LaidOut l) {
+        } else if (entry instanceof LogEntry.DrainChanged d) {
+            drains.apply(d.drain());
+        } else if (entry instanceof LogEntry.LayoutChanged l) {
             layout = l.layout();
             tables.values()
                     .forEach(
                             table -> {
-                                table.history.forget();
+                                table.history.dropAllButCurrent();
                                 table.hold = PinState.NONE;
                                 table.to = 0;
                                 table.pending.clear();
@@ -102,7 +102,7 @@
                             + " does not follow version "
                             + before.number());
         }
-        TableVersion next = before.after(number, changes, cause, atMillis);
+        TableVersion next = before.successor(number, changes, cause, atMillis);
         if (next.digest() != digest) {
             throw new StoreException(
                     "table "
@@ -120,24 +120,24 @@
         }
     }
 
-    private void hold(LogEntry.Holding held) throws StoreException {
+    private void hold(LogEntry.PinChanged held) throws StoreException {
         Table table = tables.get(held.table());
         if (table == null) {
             throw new StoreException(
                     "table " + held.table().value() + " is held but has no version");
         }
-        table.hold = held.hold();
-        table.to = held.to();
+        table.hold = held.state();
+        table.to = held.rollbackTarget();
         table.pending.clear();
         table.pending.putAll(held.pending());
-        if (held.to() > 0) {
-            table.history.keep(held.to(), true);
+        if (held.rollbackTarget() > 0) {
+            table.history.keep(held.rollbackTarget(), true);
         }
     }
 
-    public StoreSnapshot image() {
+    public StoreSnapshot snapshot() {
         List<TableSnapshot> all = new ArrayList<>();
-        tables.values().forEach(t -> t.history.image(t.hold, t.to, t.pending).ifPresent(all::add));
+        tables.values().forEach(t -> t.history.snapshot(t.hold, t.to, t.pending).ifPresent(all::add));
         return new StoreSnapshot(layout, all, drains.all());
     }
 }
--- a/src/main/java/rosespread/store/TableFile.java
+++ b/src/main/java/rosespread/store/TableFileReader.java
@@ -26,7 +26,7 @@
  * Reads a table file. What a crash can leave, a last part that is not whole, is cut; what it cannot
  * leave, damage with whole lines after it, is refused with file and offset.
  */
-final class TableFile {
+final class TableFileReader {
     /** A file is rewritten long before it is so large. */
     private static final long LONGEST = 1L << 30;
 
@@ -45,7 +45,7 @@
     private long entries;
     private LogReplay replay;
 
-    private TableFile(Path path, byte[] bytes) {
+    private TableFileReader(Path path, byte[] bytes) {
         this.path = path;
         this.bytes = bytes;
     }
@@ -57,7 +57,7 @@
         if (Files.size(path) > LONGEST) {
             throw new StoreException(path + ": " + Files.size(path) + " bytes; at most " + LONGEST);
         }
-        return new TableFile(path, Files.readAllBytes(path)).read();
+        return new TableFileReader(path, Files.readAllBytes(path)).read();
     }
 
     private Content read() throws IOException {
@@ -111,7 +111,7 @@
         if (!whole) {
             throw damaged("the file ends within its image");
         }
-        return new Content(replay.image(), sequence, entries, bytes.length - cutAt, cutAt);
+        return new Content(replay.snapshot(), sequence, entries, bytes.length - cutAt, cutAt);
     }
 
     private int end(int from) {
@@ -188,16 +188,16 @@
                     hex(v.path("digest")));
         } else if (line.has("hold")) {
             JsonNode h = line.path("hold");
-            replay.take(
-                    new LogEntry.Holding(
+            replay.apply(
+                    new LogEntry.PinChanged(
                             id(h),
                             PinState.valueOf(h.path("state").asText()),
                             number(h, "to"),
                             lines(h.path("pending"))));
         } else if (line.has("drain")) {
-            replay.take(new LogEntry.Drained(drain(line.path("drain"))));
+            replay.apply(new LogEntry.DrainChanged(drain(line.path("drain"))));
         } else if (line.has("laidOut")) {
-            replay.take(new LogEntry.LaidOut(hex(line.path("laidOut"))));
+            replay.apply(new LogEntry.LayoutChanged(hex(line.path("laidOut"))));
         } else {
             throw new StoreException("an entry of no known kind");
         }
@@ -222,7 +222,7 @@
                 }
                 version =
                         versions.get(versions.size() - 1)
-                                .after(
+                                .successor(
                                         number(v, "number"),
                                         lines(v.path("changes")),
                                         cause(v),
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -12,13 +12,13 @@
     long durable();
 
     /** Whether a whole image is asked for: to begin a shorter file, or anew after a fault. */
-    boolean wantsImage();
+    boolean wantsSnapshot();
 
     /** An image of everything appended so far. */
-    void image(StoreSnapshot image);
+    void writeSnapshot(StoreSnapshot image);
 
     /** Why nothing is kept at the moment; empty if all is well. */
-    String trouble();
+    String fault();
 
     /** Bytes of the file that is written now. */
     long bytes();
@@ -37,15 +37,15 @@
                 }
 
                 @Override
-                public boolean wantsImage() {
+                public boolean wantsSnapshot() {
                     return false;
                 }
 
                 @Override
-                public void image(StoreSnapshot image) {}
+                public void writeSnapshot(StoreSnapshot image) {}
 
                 @Override
-                public String trouble() {
+                public String fault() {
                     return "";
                 }
 
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -44,7 +44,7 @@
     private record Item(long sequence, LogEntry entry, StoreSnapshot image) {}
 
     private final Path folder;
-    private final LogOutput.Disk disk;
+    private final LogOutput.Factory disk;
     private final LongSupplier wallMillis;
     private final Runnable written;
     private final long grown;
@@ -76,7 +76,7 @@
     /**
      * @param written called on the store's thread after {@link #durable} has risen or trouble began
      */
-    public TableStore(Path folder, LogOutput.Disk disk, LongSupplier wallMillis, Runnable written) {
+    public TableStore(Path folder, LogOutput.Factory disk, LongSupplier wallMillis, Runnable written) {
         this(folder, disk, wallMillis, written, GROWN);
     }
 
@@ -85,7 +85,7 @@
      */
     TableStore(
             Path folder,
-            LogOutput.Disk disk,
+            LogOutput.Factory disk,
             LongSupplier wallMillis,
             Runnable written,
             long grown) {
@@ -164,7 +164,7 @@
 
     private StoreSnapshot read(Path file) throws IOException {
         try {
-            TableFile.Content content = TableFile.read(file);
+            TableFileReader.Content content = TableFileReader.read(file);
             if (content.cut() > 0) {
                 LOG.warn(
                         "{}: the last {} bytes, from byte {} on, were not whole and are cut",
@@ -234,12 +234,12 @@
     }
 
     @Override
-    public boolean wantsImage() {
+    public boolean wantsSnapshot() {
         return wantsImage;
     }
 
     @Override
-    public void image(StoreSnapshot image) {
+    public void writeSnapshot(StoreSnapshot image) {
         wantsImage = false;
         if (queue.offer(new Item(appended, null, image))) {
             dropped = false;
@@ -249,7 +249,7 @@
     }
 
     @Override
-    public String trouble() {
+    public String fault() {
         return trouble;
     }
 
@@ -336,7 +336,7 @@
             for (Drain word : image.drains()) {
                 lines.add(LogEntryWriter.drain(sequence, word));
             }
-            lines.add(LogEntryWriter.imageEnds(sequence, image.tables().size()));
+            lines.add(LogEntryWriter.snapshotEnd(sequence, image.tables().size()));
             for (byte[] line : lines) {
                 fresh.write(ByteBuffer.wrap(line));
                 length += line.length;
--- a/src/main/java/rosespread/table/TableSnapshot.java
+++ b/src/main/java/rosespread/table/TableSnapshot.java
@@ -15,9 +15,9 @@
  */
 public record TableSnapshot(
         List<TableVersion> versions,
-        Set<Long> kept,
-        PinState hold,
-        long to,
+        Set<Long> retained,
+        PinState pinState,
+        long rollbackTarget,
         Map<NodeId, Double> pending) {
     /** What an image holds must be what is out: a table that was never committed has none. */
     public TableSnapshot {
--- a/src/main/java/rosespread/table/TableVersion.java
+++ b/src/main/java/rosespread/table/TableVersion.java
@@ -58,12 +58,12 @@
 
     /** The next version, or this one if the changes change nothing. Weight 0 removes a line. */
     public TableVersion with(Map<NodeId, Double> wanted, Cause why, long nowMillis) {
-        TableVersion next = after(number + 1, wanted, why, nowMillis);
+        TableVersion next = successor(number + 1, wanted, why, nowMillis);
         return next.changes.isEmpty() ? this : next;
     }
 
     /** A later version of a given number, also if the changes change nothing. */
-    public TableVersion after(long later, Map<NodeId, Double> wanted, Cause why, long nowMillis) {
+    public TableVersion successor(long later, Map<NodeId, Double> wanted, Cause why, long nowMillis) {
         PMap<NodeId, Double> next = lines;
         Map<NodeId, Double> truly = new TreeMap<>();
         long sum = digest;
--- a/src/main/java/rosespread/table/VersionHistory.java
+++ b/src/main/java/rosespread/table/VersionHistory.java
@@ -22,7 +22,7 @@
 
     private final TreeMap<Long, TableVersion> versions = new TreeMap<>();
     private final TreeSet<Long> kept = new TreeSet<>();
-    private final TreeMap<MethodId, Double> levels = new TreeMap<>();
+    private final TreeMap<MethodId, Double> admissionLimits = new TreeMap<>();
     private TableVersion current;
 
     /**
@@ -35,7 +35,7 @@
     /** A history as it was kept. */
     public VersionHistory(TableSnapshot image) {
         image.versions().forEach(version -> versions.put(version.number(), version));
-        kept.addAll(image.kept());
+        kept.addAll(image.retained());
         current = image.current();
     }
 
@@ -48,8 +48,8 @@
         return current;
     }
 
-    public NavigableMap<MethodId, Double> levels() {
-        return levels;
+    public NavigableMap<MethodId, Double> admissionLimits() {
+        return admissionLimits;
     }
 
     /** Commits changes; the version stays as it is if nothing truly changes. */
@@ -64,7 +64,7 @@
 
     /** The lines as they are, under a later number: a proxy was met that holds a higher one. */
     public TableVersion renumber(long number, long nowMillis) {
-        add(current.after(number, Map.of(), TableVersion.Cause.REJOIN, nowMillis));
+        add(current.successor(number, Map.of(), TableVersion.Cause.REJOIN, nowMillis));
         return current;
     }
 
@@ -76,13 +76,13 @@
     }
 
     /** Lets go of all versions but the one that is out: their lines no longer mean the same. */
-    public void forget() {
+    public void dropAllButCurrent() {
         kept.clear();
         versions.keySet().removeIf(number -> number != current.number());
     }
 
     /** What is kept on disk of it; nothing before the first commit. */
-    public Optional<TableSnapshot> image(PinState hold, long to, Map<NodeId, Double> pending) {
+    public Optional<TableSnapshot> snapshot(PinState hold, long to, Map<NodeId, Double> pending) {
         return versions.isEmpty()
                 ? Optional.empty()
                 : Optional.of(
--- a/src/main/java/rosespread/testbed/ControllerConnector.java
+++ b/src/main/java/rosespread/testbed/ControllerConnector.java
@@ -48,7 +48,7 @@
                         "frames",
                         new ProtocolCodecFilter(
                                 new ChannelCodec(
-                                        FrameReader.FROM_CONDUCTOR, FrameReader.FROM_CONDUCTOR)));
+                                        FrameReader.MAX_BYTES_FROM_CONTROLLER, FrameReader.MAX_BYTES_FROM_CONTROLLER)));
         connector.setHandler(new SessionHandler());
     }
 
--- a/src/main/java/rosespread/testbed/ControllerStream.java
+++ b/src/main/java/rosespread/testbed/ControllerStream.java
@@ -7,7 +7,7 @@
 import java.util.random.RandomGenerator;
 import org.apache.mina.core.session.IoSession;
 import rosespread.channel.Frame;
-import rosespread.channel.Packing;
+import rosespread.channel.FrameCompression;
 
 /**
  * A proxy's stream to a controller: dialling, joining, and gathering frames into messages. Each
@@ -170,7 +170,7 @@
 
     private void join() {
         List<Frame.Holding> held = owner.heldVersions();
-        session.write(new Frame.Join(proxy, zone, requestsPerSecond, Packing.isAvailable(), held));
+        session.write(new Frame.Join(proxy, zone, requestsPerSecond, FrameCompression.isAvailable(), held));
         joined = true;
         Map<Integer, Long> versions = new TreeMap<>();
         held.forEach(holding -> versions.put(holding.table().value(), holding.version()));
--- a/src/main/java/rosespread/testbed/FakeNode.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -170,7 +170,7 @@
     /** Takes a call to the node's port. */
     void handle(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!up) {
-            exchange.hangUp();
+            exchange.abort();
         } else if (call.path().equals("/health")) {
             handleHealthCheck(exchange);
         } else {
@@ -181,7 +181,7 @@
     private void handleHealthCheck(HttpServer.Exchange exchange) {
         if (!hung) {
             int status = random.nextDouble() < abortRatio ? 500 : 200;
-            exchange.answer(HttpMessage.Response.of(status, TEXT, ""));
+            exchange.respond(HttpMessage.Response.of(status, TEXT, ""));
         }
     }
 
@@ -189,7 +189,7 @@
         String methodName = call.path().substring(call.path().lastIndexOf('/') + 1);
         SiteDefinition.Method method = site.method(methodName).orElse(null);
         if (method == null || !method.isServedBy(identity.machineType())) {
-            exchange.answer(HttpMessage.Response.of(404, TEXT, "no such method here"));
+            exchange.respond(HttpMessage.Response.of(404, TEXT, "no such method here"));
             return;
         }
         if (isWarmingUp()) {
@@ -200,7 +200,7 @@
         }
         if (random.nextDouble() < abortRatio) {
             recorder.effectApplied(loop.now(), identity.name(), rpcNumber(call), method);
-            exchange.answer(HttpMessage.Response.of(500, TEXT, "aborted"));
+            exchange.respond(HttpMessage.Response.of(500, TEXT, "aborted"));
             return;
         }
         admit(new Job(method, call, exchange));
@@ -236,7 +236,7 @@
         } else if (queue.size() < site.queuePerCore() * machine.cores()) {
             queue.addLast(job);
         } else {
-            job.exchange.answer(HttpMessage.Response.of(503, TEXT, "full; not begun"));
+            job.exchange.respond(HttpMessage.Response.of(503, TEXT, "full; not begun"));
             return;
         }
         job.exchange.onClosed(() -> loop.run(() -> cancel(job)));
@@ -260,7 +260,7 @@
     private void complete(Job job) {
         release(job);
         if (!hung && up) {
-            job.exchange.answer(
+            job.exchange.respond(
                     new HttpMessage.Response(
                             200,
                             HttpHeaders.of(
--- a/src/main/java/rosespread/testbed/FakeNodeList.java
+++ b/src/main/java/rosespread/testbed/FakeNodeList.java
@@ -61,7 +61,7 @@
         this.http =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> loop.run(() -> handle(call, exchange)));
         this.address = http.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
@@ -131,9 +131,9 @@
 
     private void handle(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!call.path().equals(PATH)) {
-            exchange.answer(HttpMessage.Response.of(404, TEXT, "no such service"));
+            exchange.respond(HttpMessage.Response.of(404, TEXT, "no such service"));
         } else if (mode == AnswerMode.ERRORS) {
-            exchange.answer(HttpMessage.Response.of(500, TEXT, "No cluster leader"));
+            exchange.respond(HttpMessage.Response.of(500, TEXT, "No cluster leader"));
         } else {
             handleQuery(call, exchange);
         }
@@ -174,7 +174,7 @@
             recorder.nodeListServed(loop.now(), query.controller(), shown.nodes());
         }
         query.exchange()
-                .answer(
+                .respond(
                         new HttpMessage.Response(
                                 200,
                                 HttpHeaders.of(
--- a/src/main/java/rosespread/testbed/FakeNodes.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -47,7 +47,7 @@
         this.loop = loop;
         this.site = site;
         this.list = list;
-        this.http = new HttpServer(HTTP_THREADS, HttpLimits.USUAL, this::handle);
+        this.http = new HttpServer(HTTP_THREADS, HttpLimits.DEFAULT, this::handle);
         for (Map.Entry<String, SiteDefinition.MachineType> type : site.machineTypes().entrySet()) {
             for (int i = 0; i < type.getValue().nodes(); i++) {
                 startNode(nextIdentity(type.getKey()), random, recorder);
@@ -80,7 +80,7 @@
         loop.run(
                 () -> {
                     if (node == null) {
-                        exchange.hangUp();
+                        exchange.abort();
                     } else {
                         node.handle(call, exchange);
                     }
--- a/src/main/java/rosespread/testbed/FakeProxies.java
+++ b/src/main/java/rosespread/testbed/FakeProxies.java
@@ -32,7 +32,7 @@
     private final ProxyDisturbances disturbances = new ProxyDisturbances();
     private final HttpClient http =
             new HttpClient(
-                    HTTP_THREADS, HttpLimits.USUAL, CONNECT_TIMEOUT_MILLIS, HTTP_IDLE_SECONDS);
+                    HTTP_THREADS, HttpLimits.DEFAULT, CONNECT_TIMEOUT_MILLIS, HTTP_IDLE_SECONDS);
     private final Map<String, FakeProxy> proxies = new TreeMap<>();
 
     /**
--- a/src/main/java/rosespread/testbed/RpcForwarder.java
+++ b/src/main/java/rosespread/testbed/RpcForwarder.java
@@ -152,7 +152,7 @@
     }
 
     /** One attempt of an RPC at one node. */
-    private final class Attempt implements HttpClient.Taker {
+    private final class Attempt implements HttpClient.ResponseHandler {
         private final Call call;
         private final NodeId node;
         private final NodeAddress address;
@@ -195,12 +195,12 @@
         }
 
         @Override
-        public void answered(HttpMessage.Response answer) {
+        public void onResponse(HttpMessage.Response answer) {
             loop.run(() -> ended(toResult(answer.status()), answer));
         }
 
         @Override
-        public void failed(HttpClient.Failure failure, String detail) {
+        public void onFailure(HttpClient.Failure failure, String detail) {
             loop.run(() -> ended(toResult(failure), null));
         }
 
--- a/src/main/java/rosespread/validation/ChannelCapacity.java
+++ b/src/main/java/rosespread/validation/ChannelCapacity.java
@@ -20,7 +20,7 @@
      * @param limit of lines in the queue; @param waiting lines there; @param head what a message
      *     counts by itself
      */
-    public static int lines(double limit, double waiting, int proxies, double head, boolean drain) {
+    public static int availableEntries(double limit, double waiting, int proxies, double head, boolean drain) {
         double room = (drain ? QUEUE_DRAIN : QUEUE) * limit - waiting;
         return (int) Math.max(0, Math.floor(room / Math.max(1, proxies) - head));
     }
@@ -35,7 +35,7 @@
      * @param waiting lines there and on their way to it; @param head what a message counts by
      *     itself
      */
-    public static double carried(
+    public static double deliverableEntries(
             double perSecond, long grace, double limit, double waiting, int proxies, double head) {
         return proxies == 0
                 ? Double.POSITIVE_INFINITY
@@ -65,7 +65,7 @@
     /**
      * Whether a proxy that was written so many messages within the span may be written one more.
      */
-    public static boolean message(int limit, int written, boolean drain) {
+    public static boolean mayWriteMessage(int limit, int written, boolean drain) {
         return limit == 0 || written + 1 <= (drain ? MESSAGES_DRAIN : MESSAGES) * limit;
     }
 }
--- a/src/main/java/rosespread/validation/DurabilityTimeout.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -13,7 +13,7 @@
 
     private final long most;
     private boolean late;
-    private long unkept;
+    private long sentBeforeDurable;
 
     /**
      * @param grace in nanoseconds
@@ -26,14 +26,14 @@
      * @param after what the message waits for; @param durable what is kept by now; @param broken
      *     whether nothing can be kept; @param waited nanoseconds since the message was ordered
      */
-    public boolean mayLeave(long after, long durable, boolean broken, long waited) {
+    public boolean maySend(long after, long durable, boolean broken, long waited) {
         if (durable >= after) {
             late = false;
             return true;
         }
         late |= waited >= most;
         if (broken || late) {
-            unkept++;
+            sentBeforeDurable++;
             return true;
         }
         return false;
@@ -45,7 +45,7 @@
     }
 
     /** Messages that left before what they told was kept. */
-    public long unkept() {
-        return unkept;
+    public long sentBeforeDurable() {
+        return sentBeforeDurable;
     }
 }
--- a/src/main/java/rosespread/validation/TableChangeValidator.java
+++ b/src/main/java/rosespread/validation/TableChangeValidator.java
@@ -37,7 +37,7 @@
      */
     public record NodeFact(NodeState state, double warmth, boolean open) {
         /** Whether lines may go there. */
-        public boolean able() {
+        public boolean eligible() {
             return state == NodeState.READY && open;
         }
 
@@ -58,7 +58,7 @@
      * @param carried lines that the channel can carry to one proxy of this table within the grace
      */
     public record ValidationContext(
-            Map<NodeId, NodeFact> nodes, long version, boolean causeSeen, double carried) {}
+            Map<NodeId, NodeFact> nodes, long factsVersion, boolean largeMoveExpected, double deliverableEntries) {}
 
     /**
      * @param lines what goes out now; @param refusals empty if that is what was wanted
@@ -78,7 +78,7 @@
      * What is known of lines that passed as a whole, so that a change of a few is judged at its own
      * cost. It holds for one version of the facts.
      */
-    public static final class Standing {
+    public static final class AcceptedTotals {
         private boolean known;
         private long version;
         private double sum;
@@ -95,7 +95,7 @@
 
         private void count(NodeId node, double weight, NodeFact fact, int sign) {
             sum += sign * weight;
-            if (fact != null && fact.able() && weight > 0) {
+            if (fact != null && fact.eligible() && weight > 0) {
                 able += sign;
                 if (fact.warmth() >= 1) {
                     warm += sign;
@@ -117,7 +117,7 @@
             changes = 0;
             cold.clear();
             lines.forEach((node, weight) -> count(node, weight, scene.nodes().get(node), 1));
-            version = scene.version();
+            version = scene.factsVersion();
             known = true;
         }
 
@@ -137,9 +137,9 @@
             changes++;
         }
 
-        private Standing after(
+        private AcceptedTotals after(
                 Map<NodeId, Double> out, Map<NodeId, Double> changed, ValidationContext scene) {
-            Standing next = new Standing();
+            AcceptedTotals next = new AcceptedTotals();
             next.sum = sum;
             next.warmSum = warmSum;
             next.warm = warm;
@@ -161,13 +161,13 @@
      *     others
      */
     public ValidationResult validate(
-            Standing standing,
+            AcceptedTotals standing,
             Map<NodeId, Double> out,
             Map<NodeId, Double> wanted,
             Map<NodeId, Double> changed,
             ValidationContext scene) {
         if (!standing.known
-                || standing.version != scene.version()
+                || standing.version != scene.factsVersion()
                 || standing.changes >= CHANGES_MOST) {
             ValidationResult verdict = validate(out, wanted, scene);
             if (verdict.refusals().isEmpty()) {
@@ -177,7 +177,7 @@
             }
             return verdict;
         }
-        Standing next = standing.after(out, changed, scene);
+        AcceptedTotals next = standing.after(out, changed, scene);
         double warmMean = next.warm == 0 ? Double.POSITIVE_INFINITY : next.warmSum / next.warm;
         TreeSet<NodeId> looked = new TreeSet<>(next.cold);
         looked.addAll(changed.keySet());
@@ -203,9 +203,9 @@
                                                                             ? null
                                                                             : line.getValue()))
                                             .count()
-                                    <= scene.carried()
-                            && (scene.causeSeen()
-                                    || moved(standing.sum, next.sum, out, changed) <= MOVE_MOST);
+                                    <= scene.deliverableEntries()
+                            && (scene.largeMoveExpected()
+                                    || movedShare(standing.sum, next.sum, out, changed) <= MOVE_MOST);
         }
         if (!good) {
             // The whole table is looked at for reasons and figures: a refusal is rare.
@@ -223,7 +223,7 @@
      * The part of all weight that goes to other nodes; lines that stay move by what all sums
      * changed.
      */
-    private static double moved(
+    private static double movedShare(
             double fromSum, double toSum, Map<NodeId, Double> out, Map<NodeId, Double> changed) {
         if (!(fromSum > 0) || !(toSum > 0)) {
             return 1;
@@ -255,7 +255,7 @@
     public ValidationResult validate(
             Map<NodeId, Double> out, Map<NodeId, Double> wanted, ValidationContext scene) {
         List<Refusal> refusals = check(out, wanted, scene);
-        return new ValidationResult(refusals.isEmpty() ? wanted : kept(out, scene), refusals);
+        return new ValidationResult(refusals.isEmpty() ? wanted : retainableEntries(out, scene), refusals);
     }
 
     private List<Refusal> check(
@@ -279,8 +279,8 @@
                                 line ->
                                         line.getValue() > 0
                                                 && scene.nodes().containsKey(line.getKey())
-                                                && scene.nodes().get(line.getKey()).able());
-        if (!has && scene.nodes().values().stream().anyMatch(f -> f.able() && f.warmth() >= 1)) {
+                                                && scene.nodes().get(line.getKey()).eligible());
+        if (!has && scene.nodes().values().stream().anyMatch(f -> f.eligible() && f.warmth() >= 1)) {
             refusals.add(
                     new Refusal(
                             Reason.NO_NODE,
@@ -288,8 +288,8 @@
                             "no ready node of " + wanted.size() + " lines"));
         }
         if (refusals.isEmpty()) {
-            double moved = moved(out, wanted);
-            if (!out.isEmpty() && moved > MOVE_MOST && !scene.causeSeen() && stays(out, scene)) {
+            double moved = movedShare(out, wanted);
+            if (!out.isEmpty() && moved > MOVE_MOST && !scene.largeMoveExpected() && stays(out, scene)) {
                 refusals.add(
                         new Refusal(
                                 Reason.MOVES_TOO_MUCH,
@@ -297,14 +297,14 @@
                                 Math.round(100 * moved) + "% of all weight"));
             }
             long changed = changes(out, wanted);
-            if (!out.isEmpty() && changed > scene.carried()) {
+            if (!out.isEmpty() && changed > scene.deliverableEntries()) {
                 refusals.add(
                         new Refusal(
                                 Reason.TOO_MANY_LINES,
                                 List.of(),
                                 changed
                                         + " lines, "
-                                        + Math.round(scene.carried())
+                                        + Math.round(scene.deliverableEntries())
                                         + " can be carried"));
             }
         }
@@ -318,7 +318,7 @@
         for (Map.Entry<NodeId, Double> line : out.entrySet()) {
             NodeFact fact = scene.nodes().get(line.getKey());
             all += line.getValue();
-            able += fact != null && fact.able() ? line.getValue() : 0;
+            able += fact != null && fact.eligible() ? line.getValue() : 0;
         }
         return able > all / 2;
     }
@@ -330,7 +330,7 @@
                                 line -> {
                                     NodeFact fact = scene.nodes().get(line.getKey());
                                     return fact != null
-                                            && fact.able()
+                                            && fact.eligible()
                                             && fact.warmth() >= 1
                                             && Double.isFinite(line.getValue());
                                 })
@@ -352,7 +352,7 @@
     }
 
     /** The part of all weight that goes to other nodes. */
-    static double moved(Map<NodeId, Double> from, Map<NodeId, Double> to) {
+    static double movedShare(Map<NodeId, Double> from, Map<NodeId, Double> to) {
         double fromSum = from.values().stream().mapToDouble(w -> w).sum();
         double toSum = to.values().stream().mapToDouble(w -> w).sum();
         if (!(fromSum > 0) || !(toSum > 0)) {
@@ -376,13 +376,13 @@
      * node that was warm and has started since. If nothing is left, all that can serve take the
      * place: guards against a version that names only nodes that are gone.
      */
-    public Map<NodeId, Double> kept(Map<NodeId, Double> lines, ValidationContext scene) {
+    public Map<NodeId, Double> retainableEntries(Map<NodeId, Double> lines, ValidationContext scene) {
         Map<NodeId, Double> left = new TreeMap<>();
         double warmMean = warmMean(lines, scene);
         lines.forEach(
                 (node, weight) -> {
                     NodeFact fact = scene.nodes().get(node);
-                    if (fact != null && fact.able() && Double.isFinite(weight) && weight > 0) {
+                    if (fact != null && fact.eligible() && Double.isFinite(weight) && weight > 0) {
                         left.put(
                                 node,
                                 fact.warmth() < 1
@@ -394,7 +394,7 @@
             scene.nodes()
                     .forEach(
                             (node, fact) -> {
-                                if (fact.able()) {
+                                if (fact.eligible()) {
                                     left.put(node, fact.warmth());
                                 }
                             });
@@ -407,20 +407,20 @@
      * releasing a table moves no more than a stated part of all weight at once. Wrong lines are not
      * approached.
      */
-    public Map<NodeId, Double> towards(
+    public Map<NodeId, Double> stepTowards(
             Map<NodeId, Double> out, Map<NodeId, Double> wanted, ValidationContext scene) {
-        Map<NodeId, Double> from = kept(out, scene);
+        Map<NodeId, Double> from = retainableEntries(out, scene);
         // SimulatorActionWriter are what keeps the move small, so size and count of it are no
         // faults here.
         if (!check(
                         out,
                         wanted,
                         new ValidationContext(
-                                scene.nodes(), scene.version(), true, Double.POSITIVE_INFINITY))
+                                scene.nodes(), scene.factsVersion(), true, Double.POSITIVE_INFINITY))
                 .isEmpty()) {
             return from;
         }
-        double moved = moved(from, wanted);
+        double moved = movedShare(from, wanted);
         if (moved <= STEP) {
             return wanted;
         }
@@ -437,6 +437,6 @@
                             + part * wanted.getOrDefault(node, 0.0);
             next.put(node, weight);
         }
-        return kept(next, scene);
+        return retainableEntries(next, scene);
     }
 }
--- a/src/test/java/rosespread/admin/AdminFuzzTest.java
+++ b/src/test/java/rosespread/admin/AdminFuzzTest.java
@@ -79,7 +79,7 @@
     @BeforeContainer
     static void begin() throws IOException {
         folder = Files.createTempDirectory("rosespread-fuzz");
-        conductor = new Controller("fuzz", folder, Controller.MODULE, new TableChangeValidator());
+        conductor = new Controller("fuzz", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         conductor.start(ANY);
         control = new AdminServer(conductor);
         at = control.listen(ANY);
--- a/src/test/java/rosespread/admin/OpenApiTest.java
+++ b/src/test/java/rosespread/admin/OpenApiTest.java
@@ -35,7 +35,7 @@
                         .readTree(Path.of("docs", "api", "openapi.yaml").toFile())
                         .path("paths");
         Controller conductor =
-                new Controller("api", folder, Controller.MODULE, new TableChangeValidator());
+                new Controller("api", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         conductor.start(ANY);
         int calls = 0;
         try (AdminServer control = new AdminServer(conductor)) {
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -44,10 +44,10 @@
                         .getBytes(StandardCharsets.UTF_8);
         return new HttpServer(
                 1,
-                HttpLimits.USUAL,
+                HttpLimits.DEFAULT,
                 (call, exchange) -> {
                     if (!call.target().contains("index=7")) {
-                        exchange.answer(
+                        exchange.respond(
                                 new HttpMessage.Response(
                                         200, HttpHeaders.of("x-consul-index", "7"), body));
                     }
@@ -60,7 +60,7 @@
         String settings =
                 SettingsTest.GOOD.replace("8500", String.valueOf(list.listen(ANY).getPort()));
         Controller conductor =
-                new Controller("race", folder, Controller.MODULE, new TableChangeValidator());
+                new Controller("race", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         conductor.start(ANY);
         Path log = folder.resolve("audit.log");
         Random random = new Random(1);
@@ -130,7 +130,7 @@
             conductor.close();
             list.close();
         }
-        assertEquals("", AuditLog.check(log).fault());
+        assertEquals("", AuditLog.verify(log).fault());
         long done =
                 Files.readAllLines(log).stream().filter(line -> line.contains("200 done")).count();
         assertEquals(1 + wins + repeats, done, "no act is lost");
--- a/src/test/java/rosespread/audit/AuditLogTest.java
+++ b/src/test/java/rosespread/audit/AuditLogTest.java
@@ -34,7 +34,7 @@
     void goesOnWithAFileAndItsChain() throws IOException {
         log(3);
         Path path = log(2);
-        AuditLog.Verdict verdict = AuditLog.check(path);
+        AuditLog.Verification verdict = AuditLog.verify(path);
         assertEquals("", verdict.fault());
         assertEquals(5, verdict.lines());
     }
@@ -66,7 +66,7 @@
             default -> lines.set(2, "x" + lines.get(2));
         }
         Files.write(path, lines);
-        AuditLog.Verdict verdict = AuditLog.check(path);
+        AuditLog.Verification verdict = AuditLog.verify(path);
         assertTrue(
                 verdict.fault().startsWith(place) && verdict.fault().contains(why),
                 verdict.fault());
@@ -79,7 +79,7 @@
         Path path = log(2);
         Files.writeString(path, Files.readString(path) + "{\"n\":3,\"who\":");
         log(1);
-        assertEquals(3, AuditLog.check(path).lines());
-        assertEquals("", AuditLog.check(path).fault());
+        assertEquals(3, AuditLog.verify(path).lines());
+        assertEquals("", AuditLog.verify(path).fault());
     }
 }
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -55,7 +55,7 @@
     private byte[] whole;
     private final Map<NodeId, Double> out = new TreeMap<>();
     private final Map<NodeId, Double> wanted = new TreeMap<>();
-    private final TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+    private final TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
     private TableChangeValidator gate;
     private int turn;
 
--- a/src/test/java/rosespread/cli/FleetCommandTest.java
+++ b/src/test/java/rosespread/cli/FleetCommandTest.java
@@ -61,12 +61,12 @@
         list =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> {
                             // A blocking query that names the index it has seen waits; nothing
                             // changes here.
                             if (!call.target().contains("index=7")) {
-                                exchange.answer(
+                                exchange.respond(
                                         new HttpMessage.Response(
                                                 200, HttpHeaders.of("x-consul-index", "7"), body));
                             }
@@ -76,7 +76,7 @@
         for (int i = 0; i < CONDUCTORS; i++) {
             Path state = folder.resolve("c" + i);
             Controller conductor =
-                    new Controller("c" + i, state, Controller.MODULE, new TableChangeValidator());
+                    new Controller("c" + i, state, Controller.ROUTING_POLICY, new TableChangeValidator());
             conductor.start(ANY);
             AuditLog audit = new AuditLog(state.resolve("audit.log"), System::currentTimeMillis);
             AdminServer control = new AdminServer(conductor, audit);
--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -168,7 +168,7 @@
     }
 
     private static void furtherTries(PolicyActions orders, int method, Frame.Tries when) {
-        ((TableUpdateWriter) orders).furtherTries(new MethodId(method), when);
+        ((TableUpdateWriter) orders).setRetryCondition(new MethodId(method), when);
     }
 
     private String digests() {
--- a/src/test/java/rosespread/controller/ControllerTest.java
+++ b/src/test/java/rosespread/controller/ControllerTest.java
@@ -57,12 +57,12 @@
         list =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> {
                             if (call.target().contains("index")) {
                                 blocked.add(exchange);
                             } else {
-                                exchange.answer(listed("5", ""));
+                                exchange.respond(listed("5", ""));
                             }
                         });
         settings =
@@ -86,7 +86,7 @@
     }
 
     private void begin() throws IOException {
-        conductor = new Controller("test", folder, Controller.MODULE, new TableChangeValidator());
+        conductor = new Controller("test", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
         at = conductor.start(ANY);
         control = new AdminServer(conductor);
         api = control.listen(ANY);
@@ -286,13 +286,13 @@
                                 + api.getPort()
                                 + "\",\"127.0.0.1:1\"],\"drainGraceMs\"");
         Controller first =
-                new Controller("late", other, Controller.MODULE, new TableChangeValidator());
+                new Controller("late", other, Controller.ROUTING_POLICY, new TableChangeValidator());
         first.start(ANY);
         first.apply(withPeers, "o", "c", -1);
         first.close();
         Files.delete(other.resolve("tables-000001.log"));
         Controller late =
-                new Controller("late", other, Controller.MODULE, new TableChangeValidator());
+                new Controller("late", other, Controller.ROUTING_POLICY, new TableChangeValidator());
         try {
             InetSocketAddress dial = late.start(ANY);
             assertEquals(
@@ -486,7 +486,7 @@
         await().until(() -> conductor.state().proxiesBound() == 2 && !blocked.isEmpty());
         long told = System.nanoTime();
         blocked.get(0)
-                .answer(
+                .respond(
                         listed(
                                 "6",
                                 "{\"CheckID\":\"_service_maintenance:n\",\"Status\":\"critical\"}"));
--- a/src/test/java/rosespread/controller/MemoryLog.java
+++ b/src/test/java/rosespread/controller/MemoryLog.java
@@ -34,7 +34,7 @@
     void keep() {
         try {
             for (LogEntry entry : waiting) {
-                kept.take(entry);
+                kept.apply(entry);
             }
         } catch (StoreException e) {
             throw new AssertionError(e);
@@ -49,15 +49,15 @@
     }
 
     @Override
-    public boolean wantsImage() {
+    public boolean wantsSnapshot() {
         return false;
     }
 
     @Override
-    public void image(StoreSnapshot image) {}
+    public void writeSnapshot(StoreSnapshot image) {}
 
     @Override
-    public String trouble() {
+    public String fault() {
         return trouble;
     }
 
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -132,7 +132,7 @@
 
     /** Ends outright; all that was not kept is lost. */
     private void restart() throws SettingsException {
-        begin(disk.kept.image(), SettingsTest.GOOD);
+        begin(disk.kept.snapshot(), SettingsTest.GOOD);
     }
 
     private void pass(long millis) {
@@ -425,7 +425,7 @@
                 SettingsReader.read(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod")));
         assertEquals("PINNED", table().held(), "the same settings change nothing");
         begin(
-                disk.kept.image(),
+                disk.kept.snapshot(),
                 SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -42,7 +42,7 @@
 import rosespread.api.TableId;
 import rosespread.audit.AuditLog;
 import rosespread.drain.Drain;
-import rosespread.settings.Snapshot;
+import rosespread.settings.SettingsFile;
 import rosespread.store.LogEntry;
 import rosespread.store.LogOutput;
 import rosespread.store.StoreSnapshot;
@@ -158,11 +158,11 @@
     private static String tables(StoreSnapshot image) {
         StringBuilder all = new StringBuilder();
         for (TableSnapshot table : image.tables()) {
-            all.append(table.hold().name())
+            all.append(table.pinState().name())
                     .append(" to ")
-                    .append(table.to())
+                    .append(table.rollbackTarget())
                     .append(" kept ")
-                    .append(table.kept())
+                    .append(table.retained())
                     .append(" pending ")
                     .append(weights(table.pending()))
                     .append('\n');
@@ -236,11 +236,11 @@
 
     @Test
     void restoresSettings() throws IOException {
-        Snapshot.Saved saved = new Snapshot(folder).load().orElseThrow();
+        SettingsFile.Saved saved = new SettingsFile(folder).load().orElseThrow();
         assertEquals(2, saved.revision());
-        assertEquals("bo", saved.by());
-        assertEquals("settings-2", saved.call());
-        assertEquals(1796224299644L, saved.atMillis());
+        assertEquals("bo", saved.operator());
+        assertEquals("settings-2", saved.requestId());
+        assertEquals(1796224299644L, saved.savedAtMillis());
         assertEquals(
                 "{\"zones\":[\"a\",\"b\"],\"kinds\":[\"k\"],\"methods\":[{\"name\":\"quote\","
                         + "\"criticality\":1},{\"name\":\"book\",\"criticality\":3,\"onlyKinds\":[]}],"
@@ -248,14 +248,14 @@
                         + "\"channel\":{\"linesPerSecond\":20000,\"linesPerMessage\":10,\"queueLimit\":30000,"
                         + "\"messageLimit\":30},\"reportPeriodMs\":1000,\"seed\":7,\"drainLeastShare\":0.3,"
                         + "\"drainGraceMs\":2000,\"cold\":{\"timeMs\":16000,\"share\":0.2,\"windowMs\":1500}}",
-                saved.text());
+                saved.json());
     }
 
     /** The whole process takes it up: nothing is listed, so that nothing moves. */
     @Test
     void aProcessGoesOnFromIt() throws Exception {
         try (Controller conductor =
-                new Controller("c", folder, Controller.MODULE, new TableChangeValidator())) {
+                new Controller("c", folder, Controller.ROUTING_POLICY, new TableChangeValidator())) {
             conductor.start(ANY);
             assertEquals("", conductor.settingsTrouble());
             assertEquals(2, conductor.settings().orElseThrow().revision());
@@ -307,8 +307,8 @@
 
     @Test
     void theAuditChainHoldsAndGoesOn() throws IOException {
-        AuditLog.Verdict verdict = AuditLog.check(file(AUDIT));
-        assertEquals(new AuditLog.Verdict(AUDIT_LINES, AUDIT_CHAIN, ""), verdict);
+        AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
+        assertEquals(new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, ""), verdict);
         try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
             assertTrue(log.write(act()));
         }
@@ -319,7 +319,7 @@
                         + "in\":\"59201fd965218631cf9227fa8d323eefe80b7d29afac13fee765941aa7772c80\""
                         + "}\n",
                 Files.readString(file(AUDIT)));
-        assertEquals(AUDIT_LINES + 1, AuditLog.check(file(AUDIT)).lines());
+        assertEquals(AUDIT_LINES + 1, AuditLog.verify(file(AUDIT)).lines());
     }
 
     private static AuditLog.Act act() {
@@ -360,9 +360,9 @@
         int end = all.indexOf("1c08174b {\"n\":25");
         Files.writeString(file(TABLES), all.substring(0, end + 40));
         TableSnapshot table = restored().tables().get(2);
-        assertEquals("PINNED", table.hold().name());
-        assertEquals(1, table.to());
-        assertEquals(Set.of(1L), table.kept());
+        assertEquals("PINNED", table.pinState().name());
+        assertEquals(1, table.rollbackTarget());
+        assertEquals(Set.of(1L), table.retained());
         assertEquals(
                 Map.of("93c218910c6b496c", 1.0, "5d8619fdc4715e", 1.0, "6a284bbb7df2b3a6", 1.0),
                 weights(table.pending()));
@@ -491,16 +491,16 @@
         try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
             assertTrue(log.write(act()));
         }
-        assertEquals(AUDIT_LINES, AuditLog.check(file(AUDIT)).lines());
-        assertEquals("", AuditLog.check(file(AUDIT)).fault());
+        assertEquals(AUDIT_LINES, AuditLog.verify(file(AUDIT)).lines());
+        assertEquals("", AuditLog.verify(file(AUDIT)).fault());
     }
 
     @Test
     void garbageWithoutAnEndAfterAnAuditLogIsCut() throws IOException {
         add(AUDIT, "garbage");
         assertEquals(
-                new AuditLog.Verdict(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
-                AuditLog.check(file(AUDIT)));
+                new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
+                AuditLog.verify(file(AUDIT)));
         new AuditLog(file(AUDIT), () -> WALL).close();
         assertArrayEquals(resource("v1/" + AUDIT), Files.readAllBytes(file(AUDIT)));
     }
@@ -527,7 +527,7 @@
     void aChangedAuditLineIsFound() throws IOException {
         String all = text("v1/" + AUDIT);
         Files.writeString(file(AUDIT), all.replaceFirst("drain-n1", "drain-n7"));
-        AuditLog.Verdict verdict = AuditLog.check(file(AUDIT));
+        AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
         assertEquals(12, verdict.lines());
         assertEquals(
                 "line 13, byte 2542: its chain does not follow from the line before",
@@ -551,7 +551,7 @@
     }
 
     private String refusal() {
-        return assertThrows(IOException.class, () -> new Snapshot(folder).load())
+        return assertThrows(IOException.class, () -> new SettingsFile(folder).load())
                 .getMessage()
                 .replace(folder.toString(), "");
     }
@@ -560,24 +560,24 @@
     @Test
     void entriesHaveTheFormThatTheyHad(@TempDir Path empty) throws IOException {
         TableVersion version = TableVersion.empty(new TableId(7), 4);
-        List<LogEntry> entries = new ArrayList<>(List.of(new LogEntry.LaidOut(-3)));
+        List<LogEntry> entries = new ArrayList<>(List.of(new LogEntry.LayoutChanged(-3)));
         double weight = 1;
         for (TableVersion.Cause cause : TableVersion.Cause.values()) {
             version =
                     version.with(
                             Map.of(LOW, weight, HIGH, weight / 4), cause, WALL + (long) weight);
-            entries.add(new LogEntry.Committed(version));
+            entries.add(new LogEntry.VersionCommitted(version));
             weight++;
         }
         for (PinState hold : PinState.values()) {
             entries.add(
-                    new LogEntry.Holding(
+                    new LogEntry.PinChanged(
                             new TableId(7),
                             hold,
                             hold == PinState.PINNED ? 5 : 0,
                             hold == PinState.PINNED ? Map.of(LOW, 0.25, HIGH, 0.0) : Map.of()));
         }
-        entries.add(new LogEntry.Drained(drain()));
+        entries.add(new LogEntry.DrainChanged(drain()));
         try (TableStore store = store(empty)) {
             store.open();
             entries.forEach(store::append);
@@ -606,7 +606,7 @@
                         List.of(whole, next), Set.of(5L), PinState.PINNED, 5, Map.of(HIGH, 0.1));
         try (TableStore store = store(empty)) {
             store.open();
-            store.image(new StoreSnapshot(-3, List.of(table), List.of(drain())));
+            store.writeSnapshot(new StoreSnapshot(-3, List.of(table), List.of(drain())));
             await().until(() -> Files.exists(empty.resolve("tables-000002.log")));
         }
         assertEquals(text("image.log"), Files.readString(empty.resolve("tables-000002.log")));
@@ -614,9 +614,9 @@
 
     @Test
     void aSnapshotHasTheFormThatItHad(@TempDir Path empty) throws IOException {
-        new Snapshot(empty)
+        new SettingsFile(empty)
                 .save(
-                        new Snapshot.Saved(
+                        new SettingsFile.Saved(
                                 "{\"zones\":[\"a\"],\"seed\":7}", 12, "eve", "call-9", WALL));
         assertEquals(
                 """
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -375,7 +375,7 @@
                 case 3 -> goBack(random);
                 case 4 -> core.release(now, TABLE);
                 case 8 -> {
-                    conductor(log.kept.image());
+                    conductor(log.kept.snapshot());
                     list();
                     followers.forEach(Follower::dial);
                 }
--- a/src/test/java/rosespread/discovery/HealthCheckerTest.java
+++ b/src/test/java/rosespread/discovery/HealthCheckerTest.java
@@ -41,20 +41,20 @@
         try (HttpServer server =
                         new HttpServer(
                                 1,
-                                HttpLimits.USUAL,
+                                HttpLimits.DEFAULT,
                                 (call, exchange) -> {
                                     switch (node) {
                                         case "late" -> late.add(exchange);
-                                        case "closes" -> exchange.hangUp();
+                                        case "closes" -> exchange.abort();
                                         default ->
-                                                exchange.answer(
+                                                exchange.respond(
                                                         HttpMessage.Response.of(
                                                                 Integer.parseInt(node),
                                                                 "text/plain",
                                                                 ""));
                                     }
                                 });
-                HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 5)) {
+                HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 5)) {
             InetSocketAddress at = server.listen(ANY);
             if (node.equals("down")) {
                 try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -65,7 +65,7 @@
             prober.check(at, told::add);
             await().until(() -> told.size() == 1);
             late.forEach(
-                    exchange -> exchange.answer(HttpMessage.Response.of(200, "text/plain", "")));
+                    exchange -> exchange.respond(HttpMessage.Response.of(200, "text/plain", "")));
             prober.check(at, told::add);
             await().until(() -> told.size() == 2);
             assertEquals(List.of(verdict, verdict), told);
--- a/src/test/java/rosespread/discovery/NodeListClientTest.java
+++ b/src/test/java/rosespread/discovery/NodeListClientTest.java
@@ -48,7 +48,7 @@
         server =
                 new HttpServer(
                         1,
-                        HttpLimits.USUAL,
+                        HttpLimits.DEFAULT,
                         (call, exchange) -> {
                             targets.add(call.target());
                             answers.accept(targets.size(), exchange);
@@ -68,9 +68,9 @@
                         timer,
                         clock::get,
                         new SplittableRandom(1),
-                        new NodeListClient.Follower() {
+                        new NodeListClient.Listener() {
                             @Override
-                            public void whole(List<ListedNode> nodes) {
+                            public void nodeListReceived(List<ListedNode> nodes) {
                                 heard.add(
                                         nodes.stream()
                                                 .map(n -> n.name() + " " + n.state())
@@ -79,11 +79,11 @@
                             }
 
                             @Override
-                            public void unavailable(String why) {
+                            public void nodeListUnavailable(String why) {
                                 heard.add("unavailable: " + why);
                             }
                         });
-        client.follow();
+        client.start();
     }
 
     private static String entry(String name, String checks) {
@@ -97,7 +97,7 @@
 
     private static void answer(
             HttpServer.Exchange exchange, int status, String index, String body) {
-        exchange.answer(
+        exchange.respond(
                 new HttpMessage.Response(
                         status,
                         HttpHeaders.of("x-consul-index", index),
@@ -197,14 +197,14 @@
                 "{\"CheckID\":\"_node_maintenance\",\"Status\":\"critical\"}|DRAINING"
             })
     void readsTheStateFromChecks(String checks, NodeState state) throws Exception {
-        server = new HttpServer(1, HttpLimits.USUAL, (call, exchange) -> {});
+        server = new HttpServer(1, HttpLimits.DEFAULT, (call, exchange) -> {});
         client =
                 new NodeListClient(
                         http, null, "", "", 0, 0, 0, true, timer, clock::get, null, null);
         ListedNode node =
                 CatalogReader.read("[" + entry("x", checks == null ? "" : checks) + "]").get(0);
         assertEquals(state, node.state());
-        assertEquals("a k 77", node.zone() + " " + node.kind() + " " + node.startedMillis());
+        assertEquals("a k 77", node.zone() + " " + node.machineType() + " " + node.startedMillis());
         assertThrows(
                 NodeListException.class,
                 () -> CatalogReader.read("[" + entry("x", "") + "," + entry("x", "") + "]"));
--- a/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
+++ b/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
@@ -39,12 +39,12 @@
                 timer,
                 System::nanoTime,
                 new SplittableRandom(1),
-                new NodeListClient.Follower() {
+                new NodeListClient.Listener() {
                     @Override
-                    public void whole(List<ListedNode> nodes) {}
+                    public void nodeListReceived(List<ListedNode> nodes) {}
 
                     @Override
-                    public void unavailable(String why) {}
+                    public void nodeListUnavailable(String why) {}
                 });
     }
 
@@ -55,7 +55,7 @@
                         new RecordingServer(RecordingServer.json("X-Consul-Index: 42\r\n", "[]"));
                 HttpClient http = new HttpClient(1, HttpLimits.LARGE, 300, 5);
                 NodeListClient client = client(http, server, timer)) {
-            client.follow();
+            client.start();
             await().until(() -> server.requests().size() >= 2);
             assertEquals(List.of(FIRST, BLOCKING), server.requests().subList(0, 2));
         } finally {
@@ -66,7 +66,7 @@
     @Test
     void probeRequestIsUnchanged() throws IOException {
         try (RecordingServer server = new RecordingServer(RecordingServer.json("", "{}"));
-                HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 5)) {
+                HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 5)) {
             new HealthChecker(http, "/health", 2000 * MILLI).check(server.address(), verdict -> {});
             await().until(() -> !server.requests().isEmpty());
             assertEquals(PROBE, server.requests().get(0));
--- a/src/test/java/rosespread/drain/DrainRegistryTest.java
+++ b/src/test/java/rosespread/drain/DrainRegistryTest.java
@@ -88,7 +88,7 @@
     void guards(String nodes, String draining, String kinds, String zones, String reasons) {
         List<String> told =
                 new DrainGuard(0.5)
-                        .against(
+                        .violations(
                                 draining,
                                 nodes(nodes),
                                 List.of(new DrainGuard.Method("m", set(kinds), set(zones))));
--- a/src/test/java/rosespread/http/HttpClientTest.java
+++ b/src/test/java/rosespread/http/HttpClientTest.java
@@ -17,7 +17,7 @@
 
 class HttpClientTest {
     private static final long PATIENCE = 10_000_000_000L;
-    private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, 1000, 10);
+    private final HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 1000, 10);
     private final List<String> outcomes = new CopyOnWriteArrayList<>();
 
     @AfterEach
@@ -33,14 +33,14 @@
                 to,
                 call,
                 PATIENCE,
-                new HttpClient.Taker() {
+                new HttpClient.ResponseHandler() {
                     @Override
-                    public void answered(HttpMessage.Response answer) {
+                    public void onResponse(HttpMessage.Response answer) {
                         outcomes.add(new String(answer.body(), StandardCharsets.US_ASCII));
                     }
 
                     @Override
-                    public void failed(HttpClient.Failure failure, String detail) {
+                    public void onFailure(HttpClient.Failure failure, String detail) {
                         outcomes.add(failure.name());
                     }
                 });
@@ -68,9 +68,9 @@
             HttpServer server =
                     new HttpServer(
                             1,
-                            HttpLimits.USUAL,
+                            HttpLimits.DEFAULT,
                             (call, exchange) ->
-                                    exchange.answer(HttpMessage.Response.json(200, "{}")));
+                                    exchange.respond(HttpMessage.Response.json(200, "{}")));
             servers.add(server);
             call(server.listen(new InetSocketAddress(local, 0)), "GET");
         }
--- a/src/test/java/rosespread/http/HttpParserTest.java
+++ b/src/test/java/rosespread/http/HttpParserTest.java
@@ -31,7 +31,7 @@
                         m ->
                                 read.add(
                                         m instanceof HttpMessage.Request c
-                                                ? c.verb()
+                                                ? c.method()
                                                         + " "
                                                         + c.target()
                                                         + " "
--- a/src/test/java/rosespread/platform/DiscoveryRequestTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryRequestTest.java
@@ -45,7 +45,7 @@
                                         "{\"version\":7,\"full\":true,\"servers\":["
                                                 + Sample.node("s-1", "SERVING")
                                                 + "]}"));
-                HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 1);
+                HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 1);
                 DiscoveryWatch watch = watch(http, timer)) {
             watch.follow(server.address());
             await().until(() -> server.requests().size() >= 2);
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -21,7 +21,7 @@
 class DiscoveryWatchTest {
     private final List<String> heard = new CopyOnWriteArrayList<>();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-    private final HttpClient http = new HttpClient(1, HttpLimits.USUAL, 300, 1);
+    private final HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 1);
     private final DiscoveryWatch watch =
             new DiscoveryWatch(
                     http,
--- a/src/test/java/rosespread/platform/FakeDiscovery.java
+++ b/src/test/java/rosespread/platform/FakeDiscovery.java
@@ -26,7 +26,7 @@
 
     FakeDiscovery(String... nodes) throws IOException {
         this.nodes.addAll(List.of(nodes));
-        server = new HttpServer(1, HttpLimits.USUAL, this::take);
+        server = new HttpServer(1, HttpLimits.DEFAULT, this::take);
         address = server.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     }
 
@@ -46,14 +46,14 @@
     private synchronized void take(HttpMessage.Request call, HttpServer.Exchange exchange) {
         asked.add(call.target());
         if (!cut.isEmpty()) {
-            exchange.answer(HttpMessage.Response.json(200, cut));
+            exchange.respond(HttpMessage.Response.json(200, cut));
             cut = "";
         } else if (call.target().contains("since=" + version + "&")) {
             waiting.add(exchange);
             long millis = Long.parseLong(call.target().replaceAll(".*timeout_ms=", ""));
             timer.schedule(() -> nothingNew(exchange), millis, TimeUnit.MILLISECONDS);
         } else {
-            exchange.answer(list(!call.target().contains("since="), nodes));
+            exchange.respond(list(!call.target().contains("since="), nodes));
         }
     }
 
@@ -71,7 +71,7 @@
 
     private synchronized void nothingNew(HttpServer.Exchange exchange) {
         if (waiting.remove(exchange)) {
-            exchange.answer(list(false, List.of()));
+            exchange.respond(list(false, List.of()));
         }
     }
 
@@ -80,7 +80,7 @@
         version++;
         nodes.removeIf(node -> node.substring(0, 12).equals(entry.substring(0, 12)));
         nodes.add(entry);
-        waiting.forEach(exchange -> exchange.answer(list(false, List.of(entry))));
+        waiting.forEach(exchange -> exchange.respond(list(false, List.of(entry))));
         waiting.clear();
     }
 
--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -60,7 +60,7 @@
         String firstLate = "";
 
         /**
-         * Cold nodes that were pushed over, and the most that one bore, in times of what it could
+         * WarmUp nodes that were pushed over, and the most that one bore, in times of what it could
          * do.
          */
         final Set<NodeId> fallen = new TreeSet<>();
@@ -529,7 +529,7 @@
                 });
     }
 
-    /** Holding a line is held to be sending: a proxy sends often enough for it to come true. */
+    /** PinChanged a line is held to be sending: a proxy sends often enough for it to come true. */
     private void judgeDrains() {
         toldAt.forEach(
                 (node, told) -> {
--- a/src/test/java/rosespread/scenario/FaultyController.java
+++ b/src/test/java/rosespread/scenario/FaultyController.java
@@ -67,7 +67,7 @@
                 Path.of(options.get("--state")),
                 address(options.get("--listen")),
                 address(options.get("--control")),
-                (settings, seed) -> new FaultyPolicy(fault, settings.module(), seed),
+                (settings, seed) -> new FaultyPolicy(fault, settings.policySettings(), seed),
                 validated ? new TableChangeValidator() : new AcceptingValidator());
     }
 
--- a/src/test/java/rosespread/scenario/FaultyPolicy.java
+++ b/src/test/java/rosespread/scenario/FaultyPolicy.java
@@ -69,7 +69,7 @@
             if (!knownTables.contains(table)) {
                 for (int i = 0; i < settings.methods().size(); i++) {
                     MethodId method = new MethodId(i);
-                    out.furtherTries(method, Frame.Tries.AFTER_ANY_FAILURE);
+                    out.setRetryCondition(method, Frame.Tries.AFTER_ANY_FAILURE);
                     out.setAdmissionLimit(table, method, Double.POSITIVE_INFINITY);
                 }
             }
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -26,10 +26,10 @@
     @Test
     void readsWhatTheModuleIsTold() throws SettingsException {
         FleetSettings settings = SettingsReader.read(GOOD);
-        assertEquals(2_000_000_000L, settings.module().drainTimeoutNanos());
-        assertEquals(2, settings.module().zones());
-        assertEquals(1, settings.module().methods().get(1).allowedMachineTypes().size());
-        assertEquals(10_000_000_000L, settings.channel().messageSpan());
+        assertEquals(2_000_000_000L, settings.policySettings().drainTimeoutNanos());
+        assertEquals(2, settings.policySettings().zones());
+        assertEquals(1, settings.policySettings().methods().get(1).allowedMachineTypes().size());
+        assertEquals(10_000_000_000L, settings.channel().messageWindowNanos());
     }
 
     @ParameterizedTest
@@ -55,11 +55,11 @@
                 assertThrows(
                         SettingsException.class, () -> SettingsReader.read(GOOD.replace(from, to)));
         assertTrue(
-                e.faults().stream()
+                e.invalidFields().stream()
                         .anyMatch(
                                 f ->
                                         f.field().equals(field)
-                                                && f.value().startsWith(value)
+                                                && f.found().startsWith(value)
                                                 && !f.allowed().isEmpty()),
                 e.getMessage());
     }
@@ -68,17 +68,17 @@
     void tellsAllFaultsAtOnce() {
         SettingsException e =
                 assertThrows(SettingsException.class, () -> SettingsReader.read("{}"));
-        assertTrue(e.faults().size() > 8, e.getMessage());
+        assertTrue(e.invalidFields().size() > 8, e.getMessage());
     }
 
     @Test
     void refusesASnapshotDamagedAtAnyByteAndSetsItAside(@TempDir Path folder) throws IOException {
-        Snapshot snapshot = new Snapshot(folder);
+        SettingsFile snapshot = new SettingsFile(folder);
         assertEquals(Optional.empty(), snapshot.load());
-        snapshot.save(new Snapshot.Saved(GOOD, 3, "o", "c", 1));
+        snapshot.save(new SettingsFile.Saved(GOOD, 3, "o", "c", 1));
         Path file = folder.resolve("settings.json");
         byte[] good = Files.readAllBytes(file);
-        Snapshot.Saved saved = new Snapshot(folder).load().orElseThrow();
+        SettingsFile.Saved saved = new SettingsFile(folder).load().orElseThrow();
         assertEquals(3, saved.revision());
         for (int at = 0; at < good.length; at++) {
             byte[] cut = java.util.Arrays.copyOf(good, at);
@@ -88,17 +88,17 @@
                 Files.write(file, damaged);
                 try {
                     // A flip may fall on what does not matter: a space.
-                    assertEquals(Optional.of(saved), new Snapshot(folder).load(), "byte " + at);
+                    assertEquals(Optional.of(saved), new SettingsFile(folder).load(), "byte " + at);
                 } catch (IOException e) {
                     assertTrue(e.getMessage().contains("settings.json"), e.getMessage());
                 }
             }
         }
         Files.write(file, new byte[] {'{'});
-        Snapshot after = new Snapshot(folder);
+        SettingsFile after = new SettingsFile(folder);
         assertThrows(IOException.class, after::load);
         Path aside = after.save(saved).orElseThrow();
         assertEquals("{", Files.readString(aside));
-        assertEquals(saved, new Snapshot(folder).load().orElseThrow());
+        assertEquals(saved, new SettingsFile(folder).load().orElseThrow());
     }
 }
--- a/src/test/java/rosespread/store/TableStoreTest.java
+++ b/src/test/java/rosespread/store/TableStoreTest.java
@@ -56,7 +56,7 @@
             int what = random.nextInt(12);
             if (what == 0 && !history.isEmpty()) {
                 long to = random.nextBoolean() ? 0 : history.versions().get(0).number();
-                return new LogEntry.Holding(
+                return new LogEntry.PinChanged(
                         id,
                         to > 0 ? PinState.PINNED : PinState.RELEASING,
                         to,
@@ -64,7 +64,7 @@
             }
             if (what == 2) {
                 stamp++;
-                return new LogEntry.Drained(
+                return new LogEntry.DrainChanged(
                         new Drain(
                                 new NodeId(random.nextInt(4)),
                                 "n",
@@ -75,7 +75,7 @@
                                 wall));
             }
             if (what == 1 && !history.isEmpty()) {
-                return new LogEntry.Committed(
+                return new LogEntry.VersionCommitted(
                         history.renumber(history.current().number() + 1024, wall));
             }
             TableVersion before = history.current();
@@ -91,7 +91,7 @@
                                 TableVersion.Cause.MODULE,
                                 wall);
             }
-            return new LogEntry.Committed(next);
+            return new LogEntry.VersionCommitted(next);
         }
     }
 
@@ -102,9 +102,9 @@
                 .forEach(
                         t -> {
                             text.append("\n")
-                                    .append(t.hold())
-                                    .append(t.to())
-                                    .append(t.kept())
+                                    .append(t.pinState())
+                                    .append(t.rollbackTarget())
+                                    .append(t.retained())
                                     .append(t.pending());
                             t.versions()
                                     .forEach(
@@ -126,7 +126,7 @@
         assertEquals(told(expected), told(is));
     }
 
-    private StoreSnapshot open(LogOutput.Disk disk, long grown) throws IOException {
+    private StoreSnapshot open(LogOutput.Factory disk, long grown) throws IOException {
         store = new TableStore(folder, disk, () -> wall++, () -> {}, grown);
         return store.open();
     }
@@ -139,7 +139,7 @@
         for (int i = 0; i < count; i++) {
             LogEntry entry = past.next(random, wall++);
             past.last = store.append(entry);
-            past.model.take(entry);
+            past.model.apply(entry);
         }
     }
 
@@ -170,15 +170,15 @@
         Random random = new Random(seed);
         Past past = new Past();
         for (int life = 0; life < 3; life++) {
-            same(past.model.image(), open(LogOutput.DISK, random.nextBoolean() ? 2000 : 1 << 20));
+            same(past.model.snapshot(), open(LogOutput.DISK, random.nextBoolean() ? 2000 : 1 << 20));
             append(past, random, random.nextInt(60));
-            if (store.wantsImage()) {
-                store.image(past.model.image());
+            if (store.wantsSnapshot()) {
+                store.writeSnapshot(past.model.snapshot());
                 append(past, random, random.nextInt(10));
             }
             store.close();
         }
-        same(past.model.image(), open());
+        same(past.model.snapshot(), open());
         store.close();
         assertEquals(2, names().size(), "a file and the lock: " + names());
         for (String name : names()) {
@@ -203,13 +203,13 @@
             }
         }
         LogReplay model = new LogReplay(StoreSnapshot.EMPTY);
-        models.add(model.image());
+        models.add(model.snapshot());
         Past again = new Past();
         Random same = new Random(1);
         wall = 1_700_000_000_000L;
         for (int i = 0; i < 6; i++) {
-            model.take(again.next(same, wall++));
-            models.add(model.image());
+            model.apply(again.next(same, wall++));
+            models.add(model.snapshot());
         }
         Path file = file();
         int imageEnds = ends.get(1);
@@ -219,14 +219,14 @@
             for (int end : ends) {
                 wholeLines += end <= length && end > imageEnds ? 1 : 0;
             }
-            TableFile.Content content = TableFile.read(file);
+            TableFileReader.Content content = TableFileReader.read(file);
             same(models.get(wholeLines), content.image());
             assertEquals(length - ends.get(1 + wholeLines), content.cut());
             byte[] rubbish = Arrays.copyOf(Arrays.copyOf(whole, length), length + 300);
             Files.write(file, rubbish);
             assertEquals(
                     wholeLines,
-                    TableFile.read(file).entries(),
+                    TableFileReader.read(file).entries(),
                     "zeros that a crash left are cut too");
         }
     }
@@ -248,14 +248,14 @@
         while (lineAt > 0 && bytes[lineAt - 1] != '\n') {
             lineAt--;
         }
-        StoreException told = assertThrows(StoreException.class, () -> TableFile.read(file));
+        StoreException told = assertThrows(StoreException.class, () -> TableFileReader.read(file));
         assertTrue(
                 told.getMessage().startsWith(file + ": damaged at byte " + lineAt + " of "),
                 told.getMessage());
         same(StoreSnapshot.EMPTY, open());
         assertTrue(names().stream().anyMatch(name -> name.contains("damaged")), names().toString());
         append(past, new Random(3), 0);
-        assertEquals("", store.trouble());
+        assertEquals("", store.fault());
     }
 
     @Test
@@ -268,11 +268,11 @@
         store.close();
         byte[] bytes = Files.readAllBytes(file());
         Files.write(file(), Arrays.copyOf(bytes, bytes.length / 2));
-        assertThrows(StoreException.class, () -> TableFile.read(file()));
+        assertThrows(StoreException.class, () -> TableFileReader.read(file()));
     }
 
     /** A disk that takes so many bytes more, and breaks in the middle of a write. */
-    private static LogOutput.Disk filling(AtomicLong room) {
+    private static LogOutput.Factory filling(AtomicLong room) {
         return path -> {
             LogOutput to = LogOutput.DISK.create(path);
             return new LogOutput() {
@@ -307,18 +307,18 @@
         Past past = new Past();
         Random random = new Random(4);
         append(past, random, 100);
-        await().until(() -> store.trouble().contains("No space left on device"));
+        await().until(() -> store.fault().contains("No space left on device"));
         assertTrue(store.durable() < past.last);
         append(past, random, 20);
         room.set(10 << 20);
-        await().until(store::wantsImage);
+        await().until(store::wantsSnapshot);
         append(past, random, 5);
-        store.image(past.model.image());
+        store.writeSnapshot(past.model.snapshot());
         append(past, random, 5);
         kept(past);
-        assertEquals("", store.trouble());
+        assertEquals("", store.fault());
         store.close();
-        same(past.model.image(), open());
+        same(past.model.snapshot(), open());
     }
 
     /** Killed while the disk is full: what was kept before comes back, the torn end is cut. */
@@ -328,13 +328,13 @@
         open(filling(room), 1 << 20);
         Past past = new Past();
         append(past, new Random(4), 100);
-        await().until(() -> !store.trouble().isEmpty());
+        await().until(() -> !store.fault().isEmpty());
         long kept = store.durable();
         store.close();
-        TableFile.Content content = TableFile.read(file());
+        TableFileReader.Content content = TableFileReader.read(file());
         assertTrue(content.sequence() >= kept, content.sequence() + " of " + kept);
         open();
-        assertEquals("", store.trouble());
+        assertEquals("", store.fault());
     }
 
     @Test
@@ -344,15 +344,15 @@
         Random random = new Random(5);
         for (int i = 0; i < 2000; i++) {
             append(past, random, 1);
-            if (store.wantsImage()) {
-                store.image(past.model.image());
+            if (store.wantsSnapshot()) {
+                store.writeSnapshot(past.model.snapshot());
             }
         }
         kept(past);
         assertEquals(2, names().size(), names().toString());
         assertTrue(!names().contains("tables-000001.log"), names().toString());
         store.close();
-        same(past.model.image(), open());
+        same(past.model.snapshot(), open());
     }
 
     /** The two moments between which a file is followed by another. */
@@ -366,7 +366,7 @@
         Path now = file();
         Files.write(folder.resolve("tables-000009.log.next"), new byte[] {1, 2, 3});
         Files.copy(now, folder.resolve("tables-000000.log"));
-        same(past.model.image(), open());
+        same(past.model.snapshot(), open());
         assertEquals(2, names().size(), names().toString());
     }
 
@@ -416,21 +416,21 @@
         stands[0] = true;
         Past past = new Past();
         Random random = new Random(7);
-        while (store.trouble().isEmpty()) {
+        while (store.fault().isEmpty()) {
             append(past, random, 1000);
         }
-        assertTrue(store.trouble().contains("behind"), store.trouble());
+        assertTrue(store.fault().contains("behind"), store.fault());
         goesOn.countDown();
         await().until(
                         () -> {
-                            if (store.wantsImage()) {
-                                store.image(past.model.image());
+                            if (store.wantsSnapshot()) {
+                                store.writeSnapshot(past.model.snapshot());
                             }
-                            return store.trouble().isEmpty();
+                            return store.fault().isEmpty();
                         });
         append(past, random, 3);
         kept(past);
         store.close();
-        same(past.model.image(), open());
+        same(past.model.snapshot(), open());
     }
 }
--- a/src/test/java/rosespread/validation/TableChangeValidatorTest.java
+++ b/src/test/java/rosespread/validation/TableChangeValidatorTest.java
@@ -107,7 +107,7 @@
                 "1=1|1d|-"
             })
     void keepsWhatMayStay(String lines, String nodes, String left) {
-        assertEquals(lines(left), gate.kept(lines(lines), scene(nodes, true, ANY)));
+        assertEquals(lines(left), gate.retainableEntries(lines(lines), scene(nodes, true, ANY)));
     }
 
     /**
@@ -129,8 +129,8 @@
         for (Map<NodeId, Double> gone :
                 List.of(
                         gate.validate(before, after, scene).lines(),
-                        gate.kept(before, scene),
-                        gate.towards(before, gate.kept(before, scene), scene))) {
+                        gate.retainableEntries(before, scene),
+                        gate.stepTowards(before, gate.retainableEntries(before, scene), scene))) {
             assertTrue(!gone.isEmpty());
             gone.forEach(
                     (node, weight) -> assertTrue(weight > 0 && node.value() <= 1, gone.toString()));
@@ -141,13 +141,13 @@
     @Property(seed = "1")
     void judgesAChangeAsItJudgesTheWhole(@ForAll long seed) {
         Random random = new Random(seed);
-        TableChangeValidator.Standing standing = new TableChangeValidator.Standing();
+        TableChangeValidator.AcceptedTotals standing = new TableChangeValidator.AcceptedTotals();
         Map<NodeId, Double> out = new TreeMap<>();
         String nodes = "0 1 2 3 4c 5c";
         for (int step = 0; step < 60; step++) {
             if (random.nextInt(15) == 0) {
                 nodes = random.nextBoolean() ? "0 1 2 3d 4 5c 6" : "0 1 2 3 4c 5c";
-                out.keySet().retainAll(gate.kept(out, scene(nodes, true, ANY)).keySet());
+                out.keySet().retainAll(gate.retainableEntries(out, scene(nodes, true, ANY)).keySet());
                 standing.forget();
             }
             TableChangeValidator.ValidationContext scene =
@@ -186,8 +186,8 @@
         Map<NodeId, Double> wanted = lines("3=1 4=1");
         int steps = 0;
         while (!out.equals(wanted)) {
-            Map<NodeId, Double> next = gate.towards(out, wanted, scene);
-            assertTrue(TableChangeValidator.moved(out, next) < 0.16, next.toString());
+            Map<NodeId, Double> next = gate.stepTowards(out, wanted, scene);
+            assertTrue(TableChangeValidator.movedShare(out, next) < 0.16, next.toString());
             out = next;
             assertTrue(++steps < 12, out.toString());
         }
@@ -213,6 +213,6 @@
     })
     void leavesRoomToTheModule(
             double limit, double waiting, int proxies, double head, boolean drain, int lines) {
-        assertEquals(lines, ChannelCapacity.lines(limit, waiting, proxies, head, drain));
+        assertEquals(lines, ChannelCapacity.availableEntries(limit, waiting, proxies, head, drain));
     }
 }
