--- a/src/main/java/rosespread/scenario/FaultTargets.java
+++ b/src/main/java/rosespread/scenario/FaultTargets.java
@@ -1,90 +1,34 @@
 package rosespread.scenario;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
-import java.util.SplittableRandom;
-import java.util.random.RandomGenerator;
-import rosespread.testbed.OpenLoopClients;
-import rosespread.testbed.SiteDefinition;
+import java.util.Random;
 
-/**
- * Draws a day's arrivals ahead from the seed: the same seed gives the same day, whatever happens in
- * it.
- */
+/** Draws what a fault strikes; the same seed gives the same targets. On the loop's thread. */
 final class FaultTargets {
-    private static final double SECOND = 1e9;
+    private final Random random;
 
-    private FaultTargets() {}
+    FaultTargets(long seed) {
+        this.random = new Random(seed);
+    }
+
+    /** Draws a share of the names, one at least as long as there are any. */
+    List<String> draw(List<String> names, double share) {
+        List<String> drawn = new ArrayList<>(names);
+        Collections.sort(drawn);
+        Collections.shuffle(drawn, random);
+        int count = Math.max(1, (int) Math.round(share * drawn.size()));
+        return drawn.subList(0, Math.min(drawn.size(), count));
+    }
 
-    /** Usual RPCs a second of each proxy: all alike within a zone. */
-    static double[] rates(Scenario scenario) {
-        double[] rates = new double[scenario.site().proxies().count()];
-        java.util.Arrays.fill(rates, scenario.rate() / rates.length);
-        return rates;
+    /** Draws one of the names, of which there is one at least. */
+    String drawOne(List<String> names) {
+        return draw(names, 0).get(0);
     }
 
-    static List<OpenLoopClients.Arrival> day(Scenario scenario, long seed) {
-        RandomGenerator random = new SplittableRandom(seed);
-        SiteDefinition site = scenario.site();
-        List<OpenLoopClients.Arrival> day = new ArrayList<>();
-        double share = site.methods().stream().mapToDouble(SiteDefinition.Method::share).sum();
-        double at = -scenario.warmUp();
-        for (long number = 1; ; number++) {
-            at += -Math.log(1 - random.nextDouble()) / scenario.rate() * SECOND;
-            if (at >= scenario.lasts()) {
-                return day;
-            }
-            double draw = random.nextDouble() * share;
-            SiteDefinition.Method method = site.methods().get(site.methods().size() - 1);
-            for (SiteDefinition.Method each : site.methods()) {
-                draw -= each.share();
-                if (draw < 0) {
-                    method = each;
-                    break;
-                }
-            }
-            // Work spreads by a log-normal of a quarter, scaled to the mean.
-            double work = method.work() * Math.exp(0.25 * random.nextGaussian() - 0.03125);
-            String zone = site.zones().get(random.nextInt(site.zones().size()));
-            double place = random.nextDouble();
-            double chance = random.nextDouble();
-            String hot = null;
-            int retries = scenario.clients().retries();
-            long wait = scenario.clients().retryWait();
-            double patience = scenario.clients().patience();
-            for (Fault trouble : scenario.troubles()) {
-                if (!trouble.during((long) at)) {
-                    continue;
-                }
-                switch (trouble.kind()) {
-                    case COSTLY_RPCS ->
-                            work *=
-                                    method.name().equals(trouble.method())
-                                                    && chance < trouble.share()
-                                            ? trouble.factor()
-                                            : 1;
-                    case SHIFT -> zone = chance < trouble.share() ? trouble.zone() : zone;
-                    case HOT_PROXY -> hot = chance < trouble.share() ? "proxy-000" : hot;
-                    case CLIENTS_GIVE_UP -> patience = Math.min(patience, trouble.share());
-                    case IMPATIENT_CLIENTS -> {
-                        retries = Math.max(retries, 3);
-                        wait = 0;
-                    }
-                    default -> {}
-                }
-            }
-            day.add(
-                    new OpenLoopClients.Arrival(
-                            number,
-                            (long) at,
-                            method,
-                            zone,
-                            place,
-                            hot,
-                            (long) work,
-                            retries,
-                            wait,
-                            patience));
-        }
+    /** Draws a number from 0 on. */
+    int drawNumber() {
+        return random.nextInt(Integer.MAX_VALUE);
     }
 }
