--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -105,7 +105,7 @@
         command.addAll(leadingArguments);
         command.addAll(
                 List.of(
-                        "conductor",
+                        "controller",
                         "--name",
                         name,
                         "--state",
