--- a/src/main/java/rosespread/api/PolicyActions.java
+++ b/src/main/java/rosespread/api/PolicyActions.java
@@ -42,7 +42,7 @@
     /** Has a node health-checked; the result comes as an event. */
     void checkHealth(NodeId node);
 
-    /** Asks for the node list and to be told of its changes. */
+    /** Asks for the node list and for its changes from then on. */
     void watchNodes();
 
     /**
--- a/src/main/java/rosespread/audit/AuditLog.java
+++ b/src/main/java/rosespread/audit/AuditLog.java
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Writes one line and forces it to the disk. A failure is logged once and told by {@link
+     * Writes one line and forces it to the disk. A failure is logged once and reported by {@link
      * #fault} until a line is written again; nothing of the failed line stays in the file.
      *
      * @return whether the act is on the disk
--- a/src/main/java/rosespread/cli/ControllerCommand.java
+++ b/src/main/java/rosespread/cli/ControllerCommand.java
@@ -10,7 +10,7 @@
 import rosespread.controller.Controller;
 import rosespread.validation.TableChangeValidator;
 
-/** Runs one controller on the project's own channel until the process is told to stop. */
+/** Runs one controller on the project's own channel until the process is stopped. */
 @Command(
         name = "controller",
         mixinStandardHelpOptions = true,
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -9,7 +9,7 @@
         name = "rosespread",
         mixinStandardHelpOptions = true,
         version = "rosespread 0.1.0",
-        description = "A central planner behind plain proxies.",
+        description = "A control plane behind plain proxies.",
         synopsisSubcommandLabel = "SUBCOMMAND",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
--- a/src/main/java/rosespread/controller/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -45,7 +45,7 @@
         this.state = state;
         acceptor = new NioSocketAcceptor(threads);
         acceptor.setReuseAddress(true);
-        // Unbinding would close all streams at once, and proxies could not be told why.
+        // Unbinding would close all streams at once, and proxies could not get the reason.
         acceptor.setCloseOnDeactivation(false);
         acceptor.setBacklog(ACCEPT_BACKLOG);
         acceptor.getSessionConfig().setTcpNoDelay(true);
--- a/src/main/java/rosespread/controller/DrainRequest.java
+++ b/src/main/java/rosespread/controller/DrainRequest.java
@@ -19,7 +19,7 @@
         return node.equals(listed.name()) || node.equals(qualifiedName(listed));
     }
 
-    /** Returns the name by which a node can be told from others of its name. */
+    /** Returns the name by which a node can be distinguished from others of its name. */
     static String qualifiedName(ListedNode node) {
         return node.name() + "@" + node.host() + ":" + node.port();
     }
--- a/src/main/java/rosespread/controller/DrainResult.java
+++ b/src/main/java/rosespread/controller/DrainResult.java
@@ -6,7 +6,7 @@
  * What came of an operator's request to drain a node or to end a drain.
  *
  * @param revision of all drains after the request
- * @param told why it was rejected, or what changed since its revision; empty if it was done
+ * @param details why it was rejected, or what changed since its revision; empty if it was done
  */
 public record DrainResult(Kind kind, long revision, List<String> details) {
     /** How a request ended. */
--- a/src/main/java/rosespread/controller/NodeListHandler.java
+++ b/src/main/java/rosespread/controller/NodeListHandler.java
@@ -11,8 +11,8 @@
 import rosespread.drain.Drain;
 
 /**
- * Takes the node lists of discovery, and works out what the policy is told: nodes that operators
- * drain are told as discovery would tell of a draining node.
+ * Takes the node lists of discovery, and works out what the policy gets: nodes that operators drain
+ * look like nodes that discovery calls draining.
  *
  * <p>Owned by the event-loop thread.
  */
--- a/src/main/java/rosespread/policy/CapacityEstimator.java
+++ b/src/main/java/rosespread/policy/CapacityEstimator.java
@@ -40,7 +40,7 @@
     /** How fast the spare capacity ratio may grow with each adjustment. */
     private static final double SPARE_RATIO_GROWTH = 0.05;
 
-    /** The most spare capacity that the planner counts on. */
+    /** The most spare capacity that plans count on. */
     private static final double MAX_SPARE_RATIO = 0.6;
 
     private final NodeRegistry nodes;
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -48,7 +48,7 @@
     /**
      * Creates a policy that knows no node and no proxy.
      *
-     * @param settings what the controller is told at its start
+     * @param settings what the controller gets at its start
      * @param random spreads health checks; used by the policy alone
      */
     public RoutingPolicy(PolicySettings settings, RandomGenerator random) {
--- a/src/main/java/rosespread/policy/state/Node.java
+++ b/src/main/java/rosespread/policy/state/Node.java
@@ -258,7 +258,7 @@
         return excluded;
     }
 
-    /** Notes that the proxies are told to exclude the node, or to include it again. */
+    /** Notes that the proxies got the order to exclude the node, or to readmit it. */
     public void setExcluded(boolean out) {
         excluded = out;
     }
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -80,7 +80,7 @@
     public static Report play(String nameOrPath, Options options)
             throws IOException, ScenarioException {
         Scenario scenario = ScenarioReader.load(nameOrPath);
-        Path folder = Files.createTempDirectory("rosespread-rehearsal");
+        Path folder = Files.createTempDirectory("rosespread-scenario");
         ScenarioRun run = new ScenarioRun(scenario, options);
         try {
             run.run(folder);
--- a/src/main/java/rosespread/store/StoreException.java
+++ b/src/main/java/rosespread/store/StoreException.java
@@ -15,7 +15,7 @@
         super(message);
     }
 
-    /** An exception with what was found and what told of it. */
+    /** An exception with what was found and its cause. */
     public StoreException(String message, Throwable cause) {
         super(message, cause);
     }
