--- a/src/main/java/rosespread/adapter/SimulatorActionWriter.java
+++ b/src/main/java/rosespread/adapter/SimulatorActionWriter.java
@@ -6,6 +6,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 import rosespread.config.NameRegistry;
@@ -126,7 +127,11 @@
     }
 
     @Override
-    public void log(String line) {
+    public void report(PolicyEvent event) {
+        writeLog(event.text());
+    }
+
+    void writeLog(String line) {
         writeAction("Log", () -> reply.writeStringField(WireNames.TEXT, line));
     }
 
--- a/src/main/java/rosespread/api/PolicyActions.java
+++ b/src/main/java/rosespread/api/PolicyActions.java
@@ -52,6 +52,6 @@
      */
     void startTimer(long nanos);
 
-    /** Logs a line for operators. */
-    void log(String line);
+    /** Reports a change of the policy's modes to operators. */
+    void report(PolicyEvent event);
 }
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -70,9 +70,10 @@
         this.registry = registry;
         this.clock = new EventClock(wallClockMillis);
         this.sessions = new SessionRegistry(rounds);
-        LoopContext context =
-                new LoopContext(clock, rounds, new ControllerCounters(), new ModeLog());
         NodeDirectory directory = new NodeDirectory();
+        LoopContext context =
+                new LoopContext(
+                        clock, rounds, new ControllerCounters(), new ModeLog(directory::nameOf));
         NodeStartTimes startTimes = new NodeStartTimes(clock);
         NodeListPublisher publisher = new NodeListPublisher(directory, startTimes, names, rounds);
         this.facts = new NodeFacts(directory, startTimes, names, clock);
--- a/src/main/java/rosespread/controller/ModeLog.java
+++ b/src/main/java/rosespread/controller/ModeLog.java
@@ -1,7 +1,11 @@
 package rosespread.controller;
 
+import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import rosespread.api.NodeId;
+import rosespread.api.PolicyEvent;
+import rosespread.eventloop.PolicyEventLogger;
 
 /**
  * Changes of how the controller and its tables run, in the words of the policy and of table acts.
@@ -13,8 +17,23 @@
 final class ModeLog {
     private static final Logger LOG = LoggerFactory.getLogger(ModeLog.class);
 
+    private final PolicyEventLogger events;
     private String last = "";
 
+    /**
+     * @param nodeNames the name by which operators know a node
+     */
+    ModeLog(Function<NodeId, String> nodeNames) {
+        events = new PolicyEventLogger(LOG, nodeNames);
+    }
+
+    /** The policy changed a mode of its own. */
+    void report(PolicyEvent event) {
+        last = event.text();
+        events.log(event);
+    }
+
+    /** A table changed how it follows the policy. */
     void report(String change) {
         last = change;
         LOG.atInfo().addKeyValue("mode", true).log(change);
--- a/src/main/java/rosespread/controller/NodeDirectory.java
+++ b/src/main/java/rosespread/controller/NodeDirectory.java
@@ -88,6 +88,12 @@
         return Collections.unmodifiableCollection(listed.values());
     }
 
+    /** Returns the name of a known node, the number of any other. */
+    String nameOf(NodeId id) {
+        ListedNode node = known.get(id);
+        return node == null ? Long.toString(id.value()) : node.name();
+    }
+
     /** Returns a live view of all known nodes. */
     Map<NodeId, ListedNode> known() {
         return knownView;
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -6,6 +6,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 import rosespread.channel.Frame;
@@ -130,8 +131,8 @@
     }
 
     @Override
-    public void log(String line) {
-        modes.report(line);
+    public void report(PolicyEvent event) {
+        modes.report(event);
     }
 
     /** Closes a round: commits what was ordered and queues one message for each proxy concerned. */
--- a/src/main/java/rosespread/platform/NodeNameRegistry.java
+++ b/src/main/java/rosespread/platform/NodeNameRegistry.java
@@ -10,9 +10,6 @@
  * first listed. A name keeps its id for good. Owned by the event-loop thread.
  */
 final class NodeNameRegistry {
-    private static final String NODE_LINE = "node";
-    private static final int NODE_LINE_WORDS = 3;
-
     private final Map<String, NodeId> ids = new HashMap<>();
     private final Map<NodeId, String> names = new HashMap<>();
     private long lastId;
@@ -45,17 +42,4 @@
         }
         return name;
     }
-
-    /** The policy logs nodes by number, as in {@code node 7 ...}; readers know them by name. */
-    String replaceNodeNumber(String line) {
-        String[] words = line.split(" ", NODE_LINE_WORDS);
-        boolean aboutNode =
-                words.length == NODE_LINE_WORDS
-                        && words[0].equals(NODE_LINE)
-                        && words[1].matches("[0-9]{1,18}");
-        if (!aboutNode) {
-            return line;
-        }
-        return NODE_LINE + " " + nameOf(new NodeId(Long.parseLong(words[1]))) + " " + words[2];
-    }
 }
--- a/src/main/java/rosespread/platform/PlatformState.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -13,8 +13,10 @@
 import rosespread.api.EventHandler.NodeListKind;
 import rosespread.api.EventSource;
 import rosespread.api.NodeId;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
+import rosespread.eventloop.PolicyEventLogger;
 import rosespread.eventloop.RoundScheduler;
 import rosespread.policy.RoutingPolicy;
 
@@ -40,6 +42,7 @@
     private final RoundScheduler rounds = new RoundScheduler();
     private final RoundScheduler.RoundHandler roundHandler = new PolicyRounds();
     private final NodeNameRegistry nodeNames = new NodeNameRegistry();
+    private final PolicyEventLogger policyEvents = new PolicyEventLogger(LOG, nodeNames::nameOf);
     private final NodeDirectory directory = new NodeDirectory(nodeNames);
     private final ProxySessions sessions = new ProxySessions();
     private final LoadReportStatistics statistics = new LoadReportStatistics();
@@ -314,8 +317,8 @@
         }
 
         @Override
-        public void log(String line) {
-            LOG.info("{}", nodeNames.replaceNodeNumber(line));
+        public void report(PolicyEvent event) {
+            policyEvents.log(event);
         }
     }
 }
--- a/src/main/java/rosespread/platform/PlatformUpdateWriter.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -9,6 +9,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
@@ -29,8 +30,8 @@
         /** Wakes the policy after so many nanoseconds. */
         void startTimer(long nanos);
 
-        /** Logs a line of the policy. */
-        void log(String line);
+        /** Reports a change of the policy's modes. */
+        void report(PolicyEvent event);
     }
 
     /** Takes the updates of a round. */
@@ -142,8 +143,8 @@
     }
 
     @Override
-    public void log(String line) {
-        requests.log(line);
+    public void report(PolicyEvent event) {
+        requests.report(event);
     }
 
     private WeightTable table(TableId id) {
--- a/src/main/java/rosespread/policy/AcknowledgementTracker.java
+++ b/src/main/java/rosespread/policy/AcknowledgementTracker.java
@@ -1,5 +1,6 @@
 package rosespread.policy;
 
+import rosespread.api.PolicyEvent;
 import rosespread.api.PolicySettings;
 import rosespread.api.ProxyId;
 import rosespread.policy.state.Proxy;
@@ -89,14 +90,9 @@
 
     private void close(ShardTable table, RoundContext round) {
         round.actions()
-                .log(
-                        "table "
-                                + table.id().value()
-                                + " version "
-                                + table.version()
-                                + " not acknowledged in time by "
-                                + table.unacknowledged()
-                                + " proxies: resubscribing them");
+                .report(
+                        new PolicyEvent.AcknowledgementTimedOut(
+                                table.id(), table.version(), table.unacknowledged()));
         for (ProxyId id : table.laggards()) {
             Proxy proxy = proxies.find(id);
             if (proxy.fullTableBefore(table.deliverySequence())) {
--- a/src/main/java/rosespread/policy/AdmissionController.java
+++ b/src/main/java/rosespread/policy/AdmissionController.java
@@ -1,11 +1,10 @@
 package rosespread.policy;
 
-import static rosespread.policy.LogFigures.figure;
-
 import java.util.Arrays;
 import java.util.List;
 import java.util.Objects;
 import rosespread.api.MethodId;
+import rosespread.api.PolicyEvent;
 import rosespread.api.PolicySettings;
 import rosespread.policy.state.Node;
 import rosespread.policy.state.NodeRegistry;
@@ -142,15 +141,7 @@
                         && !nodesIdle(now);
         if (shed != shedding) {
             shedding = shed;
-            round.actions()
-                    .log(
-                            (shed
-                                            ? "load shedding started: offered "
-                                            : "load shedding ended: offered ")
-                                    + figure(offered)
-                                    + "/s, available "
-                                    + figure(available)
-                                    + "/s");
+            round.actions().report(new PolicyEvent.LoadSheddingChanged(shed, offered, available));
         }
     }
 
--- a/src/main/java/rosespread/policy/OutlierDetector.java
+++ b/src/main/java/rosespread/policy/OutlierDetector.java
@@ -1,8 +1,7 @@
 package rosespread.policy;
 
-import static rosespread.policy.LogFigures.figure;
-
 import java.util.List;
+import rosespread.api.PolicyEvent;
 import rosespread.policy.state.Node;
 import rosespread.policy.state.NodeRegistry;
 import rosespread.policy.state.ShardRegistry;
@@ -99,38 +98,15 @@
         double attempts = node.attempts(now);
         if (!node.ejected() && attempts >= MIN_ATTEMPTS_TO_EJECT && ratio > limit) {
             node.eject(now);
-            logEjected(node, ratio, others, round);
+            round.actions().report(new PolicyEvent.NodeEjected(node.id(), ratio, attempts, others));
         } else if (node.ejected() && attempts >= MIN_ATTEMPTS_TO_READMIT && ratio < outlier / 2) {
             node.readmit();
-            logReadmitted(node, ratio, round);
+            double ejectedSeconds = TimeUnits.seconds(now - node.ejectedAt());
+            round.actions()
+                    .report(new PolicyEvent.NodeReadmitted(node.id(), ratio, ejectedSeconds));
         }
     }
 
-    private static void logEjected(Node node, double ratio, double others, RoundContext round) {
-        round.actions()
-                .log(
-                        "node "
-                                + node.id().value()
-                                + " ejected: "
-                                + figure(ratio)
-                                + " of "
-                                + figure(node.attempts(round.now()))
-                                + " attempts failed, others "
-                                + figure(others));
-    }
-
-    private static void logReadmitted(Node node, double ratio, RoundContext round) {
-        round.actions()
-                .log(
-                        "node "
-                                + node.id().value()
-                                + " readmitted: "
-                                + figure(ratio)
-                                + " failed after "
-                                + figure(TimeUnits.seconds(round.now() - node.ejectedAt()))
-                                + " s");
-    }
-
     private void evaluatePanic(ShardTable table, RoundContext round) {
         List<Node> open = eligible.of(table, round.now());
         double ejected = open.stream().filter(Node::ejected).mapToDouble(Node::capacity).sum();
@@ -138,14 +114,7 @@
         boolean panic = ejected > PANIC_THRESHOLD * all;
         if (panic != table.panicking()) {
             round.actions()
-                    .log(
-                            "table "
-                                    + table.id().value()
-                                    + (panic ? " panic mode started: " : " panic mode ended: ")
-                                    + figure(ejected)
-                                    + " of "
-                                    + figure(all)
-                                    + " capacity ejected");
+                    .report(new PolicyEvent.PanicModeChanged(table.id(), panic, ejected, all));
         }
         table.setPanicking(panic);
     }
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -3,6 +3,7 @@
 import java.util.random.RandomGenerator;
 import rosespread.api.EventSource;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.PolicySettings;
 import rosespread.policy.state.NodeRegistry;
 import rosespread.policy.state.ProxyRegistry;
@@ -141,7 +142,7 @@
 
     private void leaveKeyRangeTables(PolicyActions actions) {
         if (!started) {
-            actions.log("key range tables are not decided by this policy: they stay as they are");
+            actions.report(new PolicyEvent.KeyRangeTablesIgnored());
         }
         started = true;
     }
--- a/src/test/java/rosespread/adapter/SimulatorWireTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorWireTest.java
@@ -89,7 +89,7 @@
                             orders.checkHealth(new NodeId(7));
                             orders.watchNodes();
                             orders.startTimer(1_500_000_000L);
-                            orders.log("line");
+                            ((SimulatorActionWriter) orders).writeLog("line");
                         }));
     }
 
--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -15,6 +15,7 @@
 import rosespread.api.EventHandler.NodeState;
 import rosespread.api.MachineTypeId;
 import rosespread.api.NodeId;
+import rosespread.api.PolicyEvent;
 import rosespread.api.PolicySettings;
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
@@ -290,8 +291,8 @@
         }
 
         @Override
-        public void log(String line) {
-            findings.digest(line.hashCode());
+        public void report(PolicyEvent event) {
+            findings.digest(event.text().hashCode());
         }
     }
 }
--- a/src/test/java/rosespread/platform/TableCountingActions.java
+++ b/src/test/java/rosespread/platform/TableCountingActions.java
@@ -5,6 +5,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
@@ -63,7 +64,7 @@
     }
 
     @Override
-    public void log(String line) {
-        next.log(line);
+    public void report(PolicyEvent event) {
+        next.report(event);
     }
 }
--- a/src/test/java/rosespread/policy/PolicyFixture.java
+++ b/src/test/java/rosespread/policy/PolicyFixture.java
@@ -16,6 +16,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.PolicySettings;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
@@ -294,8 +295,8 @@
         }
 
         @Override
-        public void log(String line) {
-            lines.add("log " + line);
+        public void report(PolicyEvent event) {
+            lines.add("log " + event.text());
         }
     }
 }
--- a/src/test/java/rosespread/policy/RecordingActions.java
+++ b/src/test/java/rosespread/policy/RecordingActions.java
@@ -10,6 +10,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
@@ -141,5 +142,5 @@
     }
 
     @Override
-    public void log(String line) {}
+    public void report(PolicyEvent event) {}
 }
--- a/src/test/java/rosespread/scenario/ForwardingActions.java
+++ b/src/test/java/rosespread/scenario/ForwardingActions.java
@@ -3,6 +3,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 import rosespread.api.PolicyActions;
+import rosespread.api.PolicyEvent;
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 import rosespread.controller.TableUpdateWriter;
@@ -56,7 +57,7 @@
     }
 
     @Override
-    public void log(String line) {
-        out.log(line);
+    public void report(PolicyEvent event) {
+        out.report(event);
     }
 }
