--- a/src/main/java/rosespread/cli/FleetCommand.java
+++ b/src/main/java/rosespread/cli/FleetCommand.java
@@ -7,7 +7,7 @@
         name = "fleet",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "SUBCOMMAND",
-        description = "Shows several conductors, drains nodes and applies settings across them.",
+        description = "Shows several controllers, drains nodes and applies settings across them.",
         subcommands = {
             FleetStatusCommand.class,
             FleetNodesCommand.class,
@@ -18,7 +18,7 @@
         },
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
-            "0:done at all conductors",
+            "0:done at all controllers",
             "1:done at none",
             "2:bad input",
             "4:done at some; the same command can be repeated"
--- a/src/main/java/rosespread/cli/FleetLogCommand.java
+++ b/src/main/java/rosespread/cli/FleetLogCommand.java
@@ -9,7 +9,7 @@
 @Command(
         name = "log",
         mixinStandardHelpOptions = true,
-        description = "Acts at all conductors, by time.")
+        description = "Acts at all controllers, by time.")
 final class FleetLogCommand extends FleetQueryCommand {
     FleetLogCommand() {
         super("/v1/acts");
--- a/src/main/java/rosespread/cli/FleetNodesCommand.java
+++ b/src/main/java/rosespread/cli/FleetNodesCommand.java
@@ -13,7 +13,8 @@
 @Command(
         name = "nodes",
         mixinStandardHelpOptions = true,
-        description = "Nodes as the conductors list them; one line a node, with where they differ.")
+        description =
+                "Nodes as the controllers list them; one line a node, with where they differ.")
 final class FleetNodesCommand extends FleetQueryCommand {
     FleetNodesCommand() {
         super("/v1/nodes");
--- a/src/main/java/rosespread/cli/FleetOptions.java
+++ b/src/main/java/rosespread/cli/FleetOptions.java
@@ -18,7 +18,7 @@
             converter = AddressConverter.class,
             paramLabel = "ADDRESS",
             required = true,
-            description = "The conductors' control addresses, by commas.")
+            description = "The controllers' admin addresses, by commas.")
     private List<InetSocketAddress> addresses;
 
     @Option(
