--- a/src/main/java/rosespread/policy/AcknowledgementTracker.java
+++ b/src/main/java/rosespread/policy/AcknowledgementTracker.java
@@ -93,9 +93,9 @@
                 .report(
                         new PolicyEvent.AcknowledgementTimedOut(
                                 table.id(), table.version(), table.unacknowledged()));
-        for (ProxyId id : table.laggards()) {
+        for (ProxyId id : table.unacknowledgedProxies()) {
             Proxy proxy = proxies.find(id);
-            if (proxy.fullTableBefore(table.deliverySequence())) {
+            if (proxy.fullTableSentBefore(table.deliverySequence())) {
                 proxy.requireFullTable();
             }
         }
--- a/src/main/java/rosespread/policy/LoadEstimator.java
+++ b/src/main/java/rosespread/policy/LoadEstimator.java
@@ -52,7 +52,8 @@
     }
 
     private double deliveredCapacity(ShardTable table, long now) {
-        List<ShardTable> like = shards.tables().stream().filter(t -> t.isLike(table)).toList();
+        List<ShardTable> like =
+                shards.tables().stream().filter(t -> t.isCounterpartOf(table)).toList();
         return eligible.of(table, now).stream()
                 .filter(node -> like.stream().anyMatch(t -> t.holds(node.id())))
                 .mapToDouble(node -> node.capacity() * effectiveRatio(node, table, now))
--- a/src/main/java/rosespread/policy/PartialTables.java
+++ b/src/main/java/rosespread/policy/PartialTables.java
@@ -33,10 +33,10 @@
             double wanted = table.committed().getOrDefault(id, 0.0);
             double weight = place % parts == 0 ? wanted : 0;
             place++;
-            if (table.deliverPartially(id, weight)) {
+            if (table.setDeliveredWeight(id, weight)) {
                 round.actions().setWeight(table.id(), id, weight);
             }
         }
-        table.forgetPendingCounts();
+        table.invalidatePendingCounts();
     }
 }
--- a/src/main/java/rosespread/policy/PendingChanges.java
+++ b/src/main/java/rosespread/policy/PendingChanges.java
@@ -60,7 +60,7 @@
     }
 
     private void count(ShardTable table, long now) {
-        if (table.pendingCounted()) {
+        if (table.pendingCountsValid()) {
             return;
         }
         int removals = (int) table.pending().keySet().stream().filter(id -> !ready(id)).count();
@@ -69,7 +69,7 @@
                         table.pending().keySet().stream()
                                 .filter(id -> ready(id) && warmingTooHigh(table, id, now))
                                 .count();
-        table.countPending(removals, removals + tooHigh + replacements(table));
+        table.setPendingCounts(removals, removals + tooHigh + replacements(table));
     }
 
     /**
--- a/src/main/java/rosespread/policy/PolicyEventHandler.java
+++ b/src/main/java/rosespread/policy/PolicyEventHandler.java
@@ -81,8 +81,8 @@
                 long startedAt) {
             listed.add(id);
             Node node = findOrAdd(id, machineType);
-            node.describe(machineType, zone, weight);
-            node.become(state, now);
+            node.setListedAttributes(machineType, zone, weight);
+            node.setState(state, now);
             if (startedAt > node.startedAt()) {
                 node.restart(startedAt, OutlierDetector.HEALTH_WINDOW_NANOS);
             }
@@ -107,7 +107,7 @@
             if (listKind == NodeListKind.FULL || listKind == NodeListKind.CACHED) {
                 nodes.all().stream()
                         .filter(node -> !listed.contains(node.id()))
-                        .forEach(node -> node.become(NodeState.GONE, now));
+                        .forEach(node -> node.setState(NodeState.GONE, now));
             }
             if (listKind == NodeListKind.UNAVAILABLE) {
                 triggers.nodeListLost();
@@ -183,7 +183,7 @@
             Proxy proxy = proxies.find(id);
             if (proxy != null) {
                 windows.addDemand(
-                        proxy.offeredRateToAddTo(method),
+                        proxy.findOrAddOfferedRate(method),
                         now,
                         requests,
                         TimeUnits.seconds(coveredNanos));
--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -82,7 +82,7 @@
     }
 
     /** Sees whether a mass reconnect is in progress, and gathers its proxies in partial shards. */
-    void gather(long now) {
+    void evaluate(long now) {
         nodesChangedLately = nodesChangedLately(now);
         if (nodesChangedLately) {
             releaseWhatCannotBeRemoved(now);
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -130,7 +130,7 @@
         }
         start(actions);
         evaluate(round);
-        reconnects.gather(now);
+        reconnects.evaluate(now);
         if (triggers.takePlanNeeded()) {
             planner.commitAll(now);
         }
@@ -164,7 +164,7 @@
             triggers.requirePlan();
         }
         if (triggers.planNeeded()) {
-            shards.tables().forEach(ShardTable::forgetPendingCounts);
+            shards.tables().forEach(ShardTable::invalidatePendingCounts);
         }
         if (triggers.takeEvaluationNeeded()) {
             round.actions().startTimer(EVALUATION_INTERVAL_NANOS);
--- a/src/main/java/rosespread/policy/TablePlanner.java
+++ b/src/main/java/rosespread/policy/TablePlanner.java
@@ -83,7 +83,8 @@
     }
 
     private void commitLike(ShardTable like, Map<NodeId, Double> desired) {
-        for (ShardTable table : shards.tables().stream().filter(t -> t.isLike(like)).toList()) {
+        for (ShardTable table :
+                shards.tables().stream().filter(t -> t.isCounterpartOf(like)).toList()) {
             commit(table, desired);
         }
     }
--- a/src/main/java/rosespread/policy/TableUpdateSender.java
+++ b/src/main/java/rosespread/policy/TableUpdateSender.java
@@ -59,7 +59,7 @@
                 nodes.find(id).markRemoved(round.now());
             }
         }
-        table.forgetPendingCounts();
+        table.invalidatePendingCounts();
         entries.forEach(id -> exclusions.update(nodes.find(id), round));
         table.deliverPendingLimits(
                 (method, limit) -> round.actions().setAdmissionLimit(table.id(), method, limit));
--- a/src/main/java/rosespread/policy/state/Node.java
+++ b/src/main/java/rosespread/policy/state/Node.java
@@ -67,7 +67,7 @@
     }
 
     /** Takes what an entry of the endpoint list says of the node, but for its state and start. */
-    public void describe(MachineTypeId listedType, ZoneId listedZone, double weight) {
+    public void setListedAttributes(MachineTypeId listedType, ZoneId listedZone, double weight) {
         machineType = listedType;
         zone = listedZone;
         listedWeight = weight > 0 ? weight : 1;
@@ -84,7 +84,7 @@
     }
 
     /** Takes the listed state; the time is kept at which it last ceased to be ready. */
-    public void become(EventHandler.NodeState next, long now) {
+    public void setState(EventHandler.NodeState next, long now) {
         leftAt =
                 next != EventHandler.NodeState.READY && (ready() || leftAt == NEVER) ? now : leftAt;
         state = next;
--- a/src/main/java/rosespread/policy/state/Proxy.java
+++ b/src/main/java/rosespread/policy/state/Proxy.java
@@ -138,7 +138,7 @@
     }
 
     /** Whether its last full tables were sent before this message. */
-    public boolean fullTableBefore(long sequence) {
+    public boolean fullTableSentBefore(long sequence) {
         return fullTableSequence < sequence;
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** The rate offered of a method, to be added to. */
-    public WindowedRate offeredRateToAddTo(MethodId method) {
+    public WindowedRate findOrAddOfferedRate(MethodId method) {
         return offered.computeIfAbsent(method, m -> new WindowedRate());
     }
 
--- a/src/main/java/rosespread/policy/state/ShardTable.java
+++ b/src/main/java/rosespread/policy/state/ShardTable.java
@@ -106,7 +106,7 @@
      * Whether another table is open to the same nodes: each shard has one table for each set of
      * nodes, in the same order.
      */
-    public boolean isLike(ShardTable other) {
+    public boolean isCounterpartOf(ShardTable other) {
         return index == other.index;
     }
 
@@ -234,7 +234,7 @@
      *
      * @return whether the delivered weight has changed
      */
-    public boolean deliverPartially(NodeId node, double weight) {
+    public boolean setDeliveredWeight(NodeId node, double weight) {
         double wanted = committed.getOrDefault(node, 0.0);
         boolean changed = delivered.getOrDefault(node, 0.0) != weight;
         put(delivered, node, weight);
@@ -314,7 +314,7 @@
     }
 
     /** The proxies that have not acknowledged the delivery in flight, in order. */
-    public Iterable<ProxyId> laggards() {
+    public Iterable<ProxyId> unacknowledgedProxies() {
         return unacknowledged;
     }
 
@@ -341,17 +341,17 @@
     }
 
     /** Whether the counts of pending entries hold. */
-    public boolean pendingCounted() {
+    public boolean pendingCountsValid() {
         return counted;
     }
 
     /** Drops the counts of pending entries, as they depend on the nodes and on time too. */
-    public void forgetPendingCounts() {
+    public void invalidatePendingCounts() {
         counted = false;
     }
 
     /** Keeps the counts of pending entries until something changes. */
-    public void countPending(int removals, int urgent) {
+    public void setPendingCounts(int removals, int urgent) {
         pendingRemovals = removals;
         urgentEntries = urgent;
         counted = true;
--- a/src/test/java/rosespread/policy/OutlierDetectorTest.java
+++ b/src/test/java/rosespread/policy/OutlierDetectorTest.java
@@ -36,8 +36,8 @@
 
     private Node addNode(int id) {
         Node node = new Node(new NodeId(id), OutlierDetector.HEALTH_WINDOW_NANOS);
-        node.describe(new MachineTypeId(0), new ZoneId(0), 1);
-        node.become(NodeState.READY, NOW);
+        node.setListedAttributes(new MachineTypeId(0), new ZoneId(0), 1);
+        node.setState(NodeState.READY, NOW);
         nodes.add(node);
         return node;
     }
--- a/src/test/java/rosespread/policy/ReconnectHandlerTest.java
+++ b/src/test/java/rosespread/policy/ReconnectHandlerTest.java
@@ -48,8 +48,8 @@
 
     private Node addNode(int id, NodeState state) {
         Node node = new Node(new NodeId(id), OutlierDetector.HEALTH_WINDOW_NANOS);
-        node.describe(new MachineTypeId(0), new ZoneId(0), 1);
-        node.become(state, NOW);
+        node.setListedAttributes(new MachineTypeId(0), new ZoneId(0), 1);
+        node.setState(state, NOW);
         nodes.add(node);
         return node;
     }
@@ -74,7 +74,7 @@
         for (int i = 0; i < 200; i++) {
             join(i);
         }
-        handler.gather(NOW);
+        handler.evaluate(NOW);
         assertEquals(parts, first.tables().get(0).parts());
     }
 
@@ -87,7 +87,7 @@
         for (int i = 0; i < 50; i++) {
             join(i);
         }
-        handler.gather(NOW + (long) (seconds * TimeUnits.SECOND) - 1);
+        handler.evaluate(NOW + (long) (seconds * TimeUnits.SECOND) - 1);
         assertEquals(inProgress, handler.inProgress());
     }
 
@@ -106,7 +106,7 @@
         for (int i = 1; i < 240; i++) {
             join(i);
         }
-        handler.gather(NOW);
+        handler.evaluate(NOW);
         assertEquals(members, first.size());
     }
 }
