--- a/src/main/java/rosespread/policy/state/Node.java
+++ b/src/main/java/rosespread/policy/state/Node.java
@@ -14,7 +14,7 @@
  * readings in nanoseconds. Owned by the thread that runs the policy.
  */
 public final class Node {
-    /** A time before all others; differences to it do not overflow. */
+    /** A clock reading before all others; differences to it do not overflow. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
     private final NodeId id;
@@ -44,7 +44,7 @@
      * Creates a node that is not listed yet.
      *
      * @param id the node's identity
-     * @param healthWindowNanos time constant over which evidence of health decays
+     * @param healthWindowNanos time constant of the decaying counts of attempts and failures
      */
     public Node(NodeId id, long healthWindowNanos) {
         this.id = id;
@@ -66,7 +66,12 @@
         return zone;
     }
 
-    /** Takes what an entry of the endpoint list says of the node, but for its state and start. */
+    /**
+     * Sets the attributes from the node's entry in the endpoint list, except its state and start
+     * time.
+     *
+     * @param weight the listed weight; 0 or less sets the default of 1
+     */
     public void setListedAttributes(MachineTypeId listedType, ZoneId listedZone, double weight) {
         machineType = listedType;
         zone = listedZone;
@@ -78,26 +83,29 @@
         return listedWeight;
     }
 
-    /** Whether the endpoint list names the node as ready to take requests. */
+    /** Whether the endpoint list states that the node is ready to take requests. */
     public boolean ready() {
         return state == EventHandler.NodeState.READY;
     }
 
-    /** Takes the listed state; the time is kept at which it last ceased to be ready. */
+    /** Sets the listed state and records when the node last ceased to be ready. */
     public void setState(EventHandler.NodeState next, long now) {
         leftAt =
                 next != EventHandler.NodeState.READY && (ready() || leftAt == NEVER) ? now : leftAt;
         state = next;
     }
 
-    /** When the node last ceased to be ready, {@link #NEVER} if it never did. */
+    /** Clock reading at which the node last ceased to be ready, {@link #NEVER} if it never did. */
     public long leftAt() {
         return leftAt;
     }
 
     /**
-     * Drops what was measured, as a process that has just started tells nothing of the machine; the
-     * capacity factor is kept from before.
+     * Discards all measurements, as a process that has just started says nothing about the machine;
+     * the capacity factor is kept.
+     *
+     * @param at clock reading of the process start, {@link Long#MIN_VALUE} if long ago
+     * @param healthWindowNanos time constant of the decaying counts of attempts and failures
      */
     public void restart(long at, long healthWindowNanos) {
         startedAt = at;
@@ -111,22 +119,22 @@
         ejected = false;
     }
 
-    /** When the process started, {@link Long#MIN_VALUE} if long ago. */
+    /** Clock reading at which the process started, {@link Long#MIN_VALUE} if long ago. */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Whether the process started less than this long ago. */
+    /** Whether the process started less than the given time ago. */
     public boolean startedWithin(long now, long nanos) {
         return startedAt != Long.MIN_VALUE && now - startedAt < nanos;
     }
 
-    /** The listed weight corrected by what the node has shown since. */
+    /** The listed weight multiplied by the capacity factor. */
     public double capacity() {
         return listedWeight * capacityFactor;
     }
 
-    /** What the listed weight is multiplied by. */
+    /** The factor that corrects the listed weight by measurements. */
     public double capacityFactor() {
         return capacityFactor;
     }
@@ -136,23 +144,23 @@
         return capacityAdjusted;
     }
 
-    /** Sets the capacity factor from the node's own measurements or those of its like. */
+    /** Sets the capacity factor, measured at the node itself or at nodes of its machine type. */
     public void adjustCapacity(double factor) {
         capacityFactor = factor;
         capacityAdjusted = true;
     }
 
-    /** The rate of answers to the proxies of a zone, to be added to. */
+    /** The rate of answers to the proxies of a zone, created on first use; callers add to it. */
     public WindowedRate answeredRate(ZoneId proxyZone) {
         return answered.computeIfAbsent(proxyZone, z -> new WindowedRate());
     }
 
-    /** The rates of answers, by zone of the proxies. */
+    /** The rates of answers, one per zone of the proxies. */
     public Collection<WindowedRate> answeredRates() {
         return answered.values();
     }
 
-    /** Answers a second to the proxies of all zones. */
+    /** Answers per second to the proxies of all zones. */
     public double answeredPerSecond(long now) {
         return perSecond(answered, now);
     }
@@ -162,12 +170,12 @@
         return answered.values().stream().mapToDouble(rate -> rate.counted(now)).sum();
     }
 
-    /** The rate of attempts by the proxies of a zone, to be added to. */
+    /** The rate of attempts by the proxies of a zone, created on first use; callers add to it. */
     public WindowedRate attemptedRate(ZoneId proxyZone) {
         return attempted.computeIfAbsent(proxyZone, z -> new WindowedRate());
     }
 
-    /** Attempts a second by the proxies of all zones. */
+    /** Attempts per second by the proxies of all zones. */
     public double attemptedPerSecond(long now) {
         return perSecond(attempted, now);
     }
@@ -176,22 +184,22 @@
         return byZone.values().stream().mapToDouble(rate -> rate.perSecond(now)).sum();
     }
 
-    /** Utilization over the window of answers, as a part of the node's cores. */
+    /** Utilization over the window of answers, as a fraction of the node's cores. */
     public WindowedRate utilization() {
         return utilization;
     }
 
-    /** Utilization over the shorter window of demand. */
+    /** Utilization over the shorter demand window, as a fraction of the node's cores. */
     public WindowedRate recentUtilization() {
         return recentUtilization;
     }
 
-    /** Latency in seconds. */
+    /** Latency of answers in seconds. */
     public WindowedRate latency() {
         return latency;
     }
 
-    /** Adds evidence of health: attempts, and how many of them failed. */
+    /** Counts attempts, and how many of them failed, as evidence of the node's health. */
     public void addAttempts(long now, double count, double failed) {
         attempts.add(now, count);
         failures.add(now, failed);
@@ -207,17 +215,20 @@
         return failures.read(now);
     }
 
-    /** The part of the attempts that failed. */
+    /** The ratio of failed attempts to attempts. */
     public double failureRatio(long now) {
         return failures.read(now) / Math.max(1e-9, attempts.read(now));
     }
 
-    /** Notes that a report brought an answer. */
+    /** Records that a load report contained an answer. */
     public void markAnswered(long now) {
         answeredAt = now;
     }
 
-    /** When the last report came that held an answer, {@link #NEVER} if none did. */
+    /**
+     * Clock reading at which the last report with an answer arrived, {@link #NEVER} if there was
+     * none.
+     */
     public long answeredAt() {
         return answeredAt;
     }
@@ -227,7 +238,7 @@
         return ejected;
     }
 
-    /** When the node was last ejected. */
+    /** Clock reading at which the node was last ejected. */
     public long ejectedAt() {
         return ejectedAt;
     }
@@ -243,7 +254,7 @@
         ejected = false;
     }
 
-    /** When the interval between health checks last began. */
+    /** Clock reading at which the current health check interval started. */
     public long healthCheckedAt() {
         return healthCheckedAt;
     }
@@ -253,22 +264,25 @@
         healthCheckedAt = at;
     }
 
-    /** Whether the node is excluded from all that joined proxies hold. */
+    /** Whether joined proxies without a subscription were told to exclude the node. */
     public boolean excluded() {
         return excluded;
     }
 
-    /** Notes that the proxies got the order to exclude the node, or to readmit it. */
-    public void setExcluded(boolean out) {
-        excluded = out;
+    /** Records whether proxies were told to exclude the node or to include it again. */
+    public void setExcluded(boolean exclude) {
+        excluded = exclude;
     }
 
-    /** When the last removal of one of the node's weight entries was sent. */
+    /**
+     * Clock reading at which a removal of one of the node's weight entries was last sent, {@link
+     * #NEVER} if none was.
+     */
     public long removedAt() {
         return removedAt;
     }
 
-    /** Notes that a removal of one of the node's weight entries is sent. */
+    /** Records that a removal of one of the node's weight entries is sent. */
     public void markRemoved(long now) {
         removedAt = now;
     }
--- a/src/main/java/rosespread/policy/state/NodeRegistry.java
+++ b/src/main/java/rosespread/policy/state/NodeRegistry.java
@@ -8,9 +8,8 @@
 import rosespread.api.NodeId;
 
 /**
- * All nodes ever listed, in the order of their identities. Both maps hold the same nodes: the
- * sorted one gives the order in which sums are taken, the other is for look-ups, of which a round
- * does many.
+ * All nodes ever listed, sorted by identity. Both maps hold the same nodes: the sorted map fixes
+ * the order in which sums are computed, the hash map is for lookups, of which each round does many.
  */
 public final class NodeRegistry {
     private final TreeMap<NodeId, Node> sorted = new TreeMap<>();
@@ -27,7 +26,7 @@
         return byId.get(id);
     }
 
-    /** All nodes, gone ones too, in order. */
+    /** All nodes, including gone ones, in order. */
     public Collection<Node> all() {
         return sorted.values();
     }
--- a/src/main/java/rosespread/policy/state/Proxy.java
+++ b/src/main/java/rosespread/policy/state/Proxy.java
@@ -8,8 +8,8 @@
 import rosespread.stats.WindowedRate;
 
 /**
- * A joined proxy: its shard, the shard whose tables it is subscribed to, what it was written and
- * what it reports. It is a member of one shard at any time; until it is subscribed there it may
+ * A joined proxy: its shard, the shard whose tables it follows, the messages sent to it and its
+ * demand reports. A proxy is a member of exactly one shard; until it is subscribed there, it may
  * follow the tables of the shard that it was moved from.
  */
 public final class Proxy {
@@ -28,13 +28,13 @@
     private long acknowledgedSequence;
 
     /**
-     * Joins a shard without a subscription.
+     * Creates a proxy that is a member of a shard and has no subscription.
      *
      * @param id the proxy's identity
-     * @param zone where it runs
-     * @param usualRate its usual RPCs a second
-     * @param shard whose member it becomes
-     * @param now the clock reading in nanoseconds
+     * @param zone the zone that the proxy runs in
+     * @param usualRate the proxy's usual RPCs per second
+     * @param shard the shard that the proxy joins
+     * @param now clock reading in nanoseconds
      */
     public Proxy(ProxyId id, ZoneId zone, double usualRate, ProxyShard shard, long now) {
         this.id = id;
@@ -49,17 +49,17 @@
         return id;
     }
 
-    /** The zone that it runs in. */
+    /** The zone that the proxy runs in. */
     public ZoneId zone() {
         return zone;
     }
 
-    /** Its usual RPCs a second. */
+    /** The proxy's usual RPCs per second. */
     public double usualRate() {
         return usualRate;
     }
 
-    /** The shard that it is a member of. */
+    /** The shard that the proxy is a member of. */
     public ProxyShard shard() {
         return shard;
     }
@@ -69,13 +69,16 @@
         next.addMember(this);
     }
 
-    /** Makes it a member of another shard; it follows the former one's tables until subscribed. */
+    /**
+     * Makes the proxy a member of another shard. The proxy follows the tables of its former shard
+     * until it is subscribed in the new one.
+     */
     public void moveTo(ProxyShard next) {
         shard.removeMember(this);
         join(next);
     }
 
-    /** Its stream ended: it is a member of no shard and follows none. */
+    /** Removes the proxy from its shard and from the followers, as its stream has ended. */
     public void leave() {
         shard.removeMember(this);
         follow(null);
@@ -93,10 +96,11 @@
     }
 
     /**
-     * Subscribes it to its shard's tables, which it is sent in full; it stops following others.
+     * Subscribes the proxy to its shard's tables, which are sent to it in full. The proxy then
+     * follows no other shard.
      *
-     * @param sequence of the message that carries the tables
-     * @param now the clock reading in nanoseconds
+     * @param sequence sequence number of the message that carries the tables
+     * @param now clock reading in nanoseconds
      */
     public void subscribe(long sequence, long now) {
         follow(shard);
@@ -106,10 +110,11 @@
     }
 
     /**
-     * Ends its subscription though it still follows the tables, so that it can move to another
-     * shard.
+     * Ends the subscription so that the proxy can move to another shard; the proxy still follows
+     * the tables.
      *
-     * @param departedAt when the first node left that its tables still hold
+     * @param departedAt clock reading in nanoseconds at which the first of the departed nodes in
+     *     the proxy's tables left
      */
     public void endSubscription(long departedAt) {
         waitingSince = subscribed ? Math.max(departedAt, waitingSince) : waitingSince;
@@ -117,59 +122,59 @@
         needsFullTable = true;
     }
 
-    /** Whether it is subscribed to its shard's tables. */
+    /** Whether the proxy is subscribed to its shard's tables. */
     public boolean subscribed() {
         return subscribed;
     }
 
-    /** Since when it may hold entries of nodes that left. */
+    /** Clock reading in nanoseconds since which the proxy may hold entries of departed nodes. */
     public long waitingSince() {
         return waitingSince;
     }
 
-    /** Whether full tables must be sent to it. */
+    /** Whether full tables must be sent to the proxy. */
     public boolean needsFullTable() {
         return needsFullTable;
     }
 
-    /** Has full tables sent to it. */
+    /** Requires that full tables are sent to the proxy. */
     public void requireFullTable() {
         needsFullTable = true;
     }
 
-    /** Whether its last full tables were sent before this message. */
+    /** Whether the last full tables were sent before the message with this sequence number. */
     public boolean fullTableSentBefore(long sequence) {
         return fullTableSequence < sequence;
     }
 
-    /** Whether its last full tables were not acknowledged within this time. */
+    /** Whether the proxy has not acknowledged its last full tables within the timeout. */
     public boolean fullTableTimedOut(long now, long timeoutNanos) {
         return subscribed
                 && fullTableSequence > acknowledgedSequence
                 && now - fullTableSentAt > timeoutNanos;
     }
 
-    /** It acknowledged this message, and so all before. */
+    /** Records that the proxy acknowledged this message, and thereby all earlier ones. */
     public void acknowledged(long sequence) {
         acknowledgedSequence = sequence;
     }
 
-    /** The rate offered of a method, null before any report. */
+    /** The rate of requests offered for a method, null before the first report. */
     public WindowedRate offeredRate(MethodId method) {
         return offered.get(method);
     }
 
-    /** The rate offered of a method, to be added to. */
+    /** The rate of requests offered for a method, created if there is none; callers add to it. */
     public WindowedRate findOrAddOfferedRate(MethodId method) {
         return offered.computeIfAbsent(method, m -> new WindowedRate());
     }
 
-    /** Notes that a message was written to it. */
+    /** Records that a message was written to the proxy. */
     public void messageWritten(long now) {
         messageTimes.addLast(now);
     }
 
-    /** How many messages it was written within the window. */
+    /** Number of messages written to the proxy within the window. */
     public int messages(long now, long windowNanos) {
         while (!messageTimes.isEmpty() && now - messageTimes.peekFirst() > windowNanos) {
             messageTimes.removeFirst();
--- a/src/main/java/rosespread/policy/state/ProxyRegistry.java
+++ b/src/main/java/rosespread/policy/state/ProxyRegistry.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import rosespread.api.ProxyId;
 
-/** The joined proxies, in the order of their identities. */
+/** The joined proxies, sorted by identity. */
 public final class ProxyRegistry {
     private final TreeMap<ProxyId, Proxy> proxies = new TreeMap<>();
 
@@ -14,7 +14,7 @@
         proxies.put(proxy.id(), proxy);
     }
 
-    /** Removes a proxy; returns it, or null if it had not joined. */
+    /** Removes a proxy and returns it, or returns null if it had not joined. */
     public Proxy remove(ProxyId id) {
         return proxies.remove(id);
     }
@@ -29,7 +29,7 @@
         return proxies.values();
     }
 
-    /** How many proxies have joined. */
+    /** Number of joined proxies. */
     public int size() {
         return proxies.size();
     }
--- a/src/main/java/rosespread/policy/state/ProxyShard.java
+++ b/src/main/java/rosespread/policy/state/ProxyShard.java
@@ -12,8 +12,9 @@
 import rosespread.api.ZoneId;
 
 /**
- * Proxies that share tables. Proxies that were moved elsewhere follow the shard's tables until they
- * are subscribed there, so that members and followers may differ; {@link Proxy} keeps both.
+ * A group of proxies that share tables. Members are the proxies assigned to the shard; followers
+ * are the proxies that receive the updates of its tables. Members and followers differ while a
+ * proxy that was moved to another shard is not subscribed there yet. {@link Proxy} updates both.
  */
 public final class ProxyShard {
     private final List<ShardTable> tables = new ArrayList<>();
@@ -23,11 +24,11 @@
     private int followers;
 
     /**
-     * Creates a table for each set of methods open to the same nodes, one a zone where methods stay
-     * in the proxy's own.
+     * Creates a table for each set of methods open to the same nodes; for methods restricted to the
+     * proxy's own zone, creates one table per zone.
      *
-     * @param settings name the methods
-     * @param firstTable number of the first table; the others follow on
+     * @param settings settings that list the methods and the number of zones
+     * @param firstTable number of the first table; the other tables get the following numbers
      */
     public ProxyShard(PolicySettings settings, int firstTable) {
         for (int m = 0; m < settings.methods().size(); m++) {
@@ -54,17 +55,17 @@
         return table;
     }
 
-    /** The shard's tables; like ones have the same place in all shards. */
+    /** The shard's tables; counterparts have the same index in all shards. */
     public List<ShardTable> tables() {
         return tablesView;
     }
 
-    /** The proxies that are to have its tables, in order. */
+    /** The proxies assigned to the shard, in order. */
     public Collection<Proxy> members() {
         return members.values();
     }
 
-    /** How many proxies are to have its tables. */
+    /** Number of proxies assigned to the shard. */
     public int size() {
         return members.size();
     }
@@ -90,42 +91,44 @@
         followers--;
     }
 
-    /** The admission limits of another shard's like tables hold here too, and are pending. */
+    /** Copies the admission limits of the counterparts in another shard; the copies are pending. */
     public void copyAdmissionLimits(ProxyShard other) {
         for (int i = 0; i < tables.size(); i++) {
             tables.get(i).copyAdmissionLimits(other.tables.get(i));
         }
     }
 
-    /** Whether no proxy follows it, so that its tables can be written again at no cost. */
+    /**
+     * Whether no proxy follows the tables, so that writing them again takes no channel capacity.
+     */
     public boolean withoutFollowers() {
         return followers == 0;
     }
 
     /**
-     * Whether all members were moved elsewhere while some still follow the tables: until they are
-     * subscribed there, what is written here goes to them.
+     * Whether all members were moved to other shards while some still follow these tables. Until
+     * they are subscribed in their new shards, they receive the updates of these tables.
      */
     public boolean abandoned() {
         return members.isEmpty() && !withoutFollowers();
     }
 
-    /** How many proxies get what is written to its tables. */
+    /** Number of proxies that receive the updates of the shard's tables. */
     public int followers() {
         return followers;
     }
 
-    /** How many entries all its tables have at the proxies. */
+    /** Number of delivered weight entries in all of the shard's tables. */
     public int deliveredEntries() {
         return tables.stream().mapToInt(table -> table.delivered().size()).sum();
     }
 
-    /** When a delivery last left for it, {@link Node#NEVER} before the first. */
+    /** Clock reading of the shard's last delivery, {@link Node#NEVER} before the first. */
     public long deliveredAt() {
         return deliveredAt;
     }
 
-    /** Notes that a delivery leaves. */
+    /** Records the start of a delivery to the shard. */
     public void deliveryStarted(long now) {
         deliveredAt = now;
     }
--- a/src/main/java/rosespread/policy/state/ShardRegistry.java
+++ b/src/main/java/rosespread/policy/state/ShardRegistry.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import rosespread.api.PolicySettings;
 
-/** The shards of the fleet of proxies and the tables of all of them, in the order of creation. */
+/** All shards of the proxy fleet and all of their tables, in the order of creation. */
 public final class ShardRegistry {
     private final PolicySettings settings;
     private final List<ProxyShard> shards = new ArrayList<>();
@@ -13,13 +13,13 @@
     private final List<ProxyShard> shardsView = Collections.unmodifiableList(shards);
     private final List<ShardTable> tablesView = Collections.unmodifiableList(tables);
 
-    /** Creates a registry with one shard, which stays. */
+    /** Creates a registry with one shard, which is never removed. */
     public ShardRegistry(PolicySettings settings) {
         this.settings = settings;
         addShard();
     }
 
-    /** Adds a shard without members; the admission limits of the first shard hold there too. */
+    /** Adds a shard without members and copies the admission limits of the first shard to it. */
     public ProxyShard addShard() {
         ProxyShard shard = new ProxyShard(settings, tables.size() + 1);
         if (!shards.isEmpty()) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The tables of the first shard: which nodes are allowed in a table and what it should say is
-     * the same in each shard.
+     * The tables of the first shard. They stand for their counterparts in all shards, which allow
+     * the same nodes and have the same desired weights.
      */
     public List<ShardTable> firstTables() {
         return shards.get(0).tables();
--- a/src/main/java/rosespread/policy/state/ShardTable.java
+++ b/src/main/java/rosespread/policy/state/ShardTable.java
@@ -18,10 +18,10 @@
 import rosespread.api.ZoneId;
 
 /**
- * A shard's table for methods open to the same nodes: the committed weights, those delivered to the
- * proxies, and the one pending delivery that leads from the latter to the former. A node is pending
- * exactly if its delivered weight differs from the committed one; a weight is never 0 but in the
- * pending delivery, where 0 removes the entry.
+ * A shard's table for methods open to the same nodes. It holds the committed weights, the weights
+ * delivered to the proxies, and one pending delivery with the changes from the delivered weights to
+ * the committed ones. A node is pending if and only if its delivered weight differs from its
+ * committed weight. Only the pending delivery contains weights of 0, which remove entries.
  */
 public final class ShardTable {
     private final TableId id;
@@ -45,7 +45,7 @@
     private long parts = 1;
     private int pendingRemovals;
     private int urgentEntries;
-    private boolean counted;
+    private boolean pendingCountsValid;
     private boolean panicking;
     private boolean limitUrgent;
 
@@ -53,10 +53,11 @@
      * Creates an empty table.
      *
      * @param id the table's number
-     * @param shard whose proxies share it
-     * @param index its place among the shard's tables
-     * @param restrictions a method whose allowed nodes are the table's
-     * @param localZone the only zone of nodes and proxies, or null
+     * @param shard the shard whose proxies share the table
+     * @param index the table's index in the shard
+     * @param restrictions a method whose allowed nodes are those of the table
+     * @param localZone the only zone of the table's nodes and proxies, null if all zones are
+     *     allowed
      */
     ShardTable(
             TableId id,
@@ -80,22 +81,26 @@
         return id;
     }
 
-    /** The shard whose proxies share it. */
+    /** The shard whose proxies share the table. */
     public ProxyShard shard() {
         return shard;
     }
 
-    /** Its place among the shard's tables, the same for like tables of all shards. */
+    /** The table's index in its shard, the same for counterparts in all shards. */
     public int index() {
         return index;
     }
 
-    /** The methods that follow it. */
+    /** The methods that use the table. */
     public List<MethodId> methods() {
         return methods;
     }
 
-    /** Whether a method is open to the same nodes. */
+    /**
+     * Whether a method is open to the same nodes as the table.
+     *
+     * @param zone the only zone of nodes and proxies, or null
+     */
     public boolean serves(PolicySettings.Method method, ZoneId zone) {
         return restrictions.allowedMachineTypes().equals(method.allowedMachineTypes())
                 && restrictions.allowedZones().equals(method.allowedZones())
@@ -103,14 +108,14 @@
     }
 
     /**
-     * Whether another table is open to the same nodes: each shard has one table for each set of
-     * nodes, in the same order.
+     * Whether another table is this table or its counterpart in another shard. Each shard has one
+     * table per set of allowed nodes, in the same order.
      */
     public boolean isCounterpartOf(ShardTable other) {
         return index == other.index;
     }
 
-    /** Whether it may name the node. */
+    /** Whether the table's restrictions allow the node. */
     public boolean allows(Node node) {
         return (restrictions.allowedMachineTypes().isEmpty()
                         || restrictions.allowedMachineTypes().contains(node.machineType()))
@@ -119,39 +124,39 @@
                 && (localZone == null || localZone.equals(node.zone()));
     }
 
-    /** Whether the proxy is to have it. */
+    /** Whether the table is one of the tables for the proxy. */
     public boolean isFor(Proxy proxy) {
         return shard == proxy.shard() && (localZone == null || localZone.equals(proxy.zone()));
     }
 
-    /** The subscribed proxies that get what is written to it. */
+    /** The subscribed members that receive the table's updates. */
     public List<Proxy> subscribers() {
         return shard.members().stream()
                 .filter(proxy -> proxy.subscribed() && isFor(proxy))
                 .toList();
     }
 
-    /** The committed weights, in the order in which nodes came in. */
+    /** The committed weights, in the order in which the nodes were added. */
     public Map<NodeId, Double> committed() {
         return committedView;
     }
 
-    /** The weights at the proxies, in the order in which nodes came in. */
+    /** The weights delivered to the proxies, in the order in which the nodes were added. */
     public Map<NodeId, Double> delivered() {
         return deliveredView;
     }
 
-    /** The weights to be delivered, 0 for entries to remove, in the order of the nodes. */
+    /** The weights to deliver, 0 for entries to remove, sorted by node. */
     public Map<NodeId, Double> pending() {
         return pendingView;
     }
 
-    /** Whether the proxies hold an entry of the node. */
+    /** Whether the delivered weights contain an entry of the node. */
     public boolean holds(NodeId node) {
         return delivered.containsKey(node);
     }
 
-    /** Whether weights or admission limits are to be delivered. */
+    /** Whether weights or admission limits are pending. */
     public boolean hasPendingDelivery() {
         return !pending.isEmpty() || !pendingLimits.isEmpty();
     }
@@ -161,7 +166,7 @@
         return committed.values().stream().mapToDouble(w -> w).sum();
     }
 
-    /** The sum of the weights at the proxies of these nodes. */
+    /** The sum of the delivered weights of the nodes that match the predicate. */
     public double deliveredWeight(Predicate<NodeId> nodes) {
         return delivered.entrySet().stream()
                 .filter(entry -> nodes.test(entry.getKey()))
@@ -169,14 +174,14 @@
                 .sum();
     }
 
-    /** How far a node's delivered weight is from the pending one. */
+    /** The absolute difference between a node's delivered weight and its pending weight. */
     public double pendingDifference(NodeId node) {
         return Math.abs(pending.get(node) - delivered.getOrDefault(node, 0.0));
     }
 
     /**
-     * How many pending entries, those that gain most first, add up to so much weight; all of them
-     * if they don't.
+     * Number of pending entries, in descending order of gain, whose gains add up to the given
+     * weight. If the sum of all gains is lower, this is the number of all entries that gain weight.
      */
     public int entriesToGain(double weight) {
         double[] losses =
@@ -188,10 +193,10 @@
                         .filter(loss -> loss < 0)
                         .sorted()
                         .toArray();
-        double missing = weight;
+        double remaining = weight;
         int entries = 0;
-        while (entries < losses.length && missing > 0) {
-            missing += losses[entries++];
+        while (entries < losses.length && remaining > 0) {
+            remaining += losses[entries++];
         }
         return entries;
     }
@@ -200,9 +205,12 @@
         weights.compute(node, (same, old) -> weight > 0 ? Double.valueOf(weight) : null);
     }
 
-    /** Commits a weight; a newer one overwrites the pending one, a return to it drops out. */
+    /**
+     * Commits a weight, 0 to remove the entry. It overwrites the node's pending weight; if it
+     * equals the delivered weight, the node is no longer pending.
+     */
     public void commit(NodeId node, double weight) {
-        counted = false;
+        pendingCountsValid = false;
         put(committed, node, weight);
         if (delivered.getOrDefault(node, 0.0) == weight) {
             pending.remove(node);
@@ -211,53 +219,54 @@
         }
     }
 
-    /** Counts a new version of what is committed. */
+    /** Starts a new version of the committed table. */
     public void nextVersion() {
         version++;
     }
 
-    /** The version of what is committed. */
+    /** The version of the committed table. */
     public long version() {
         return version;
     }
 
-    /** Takes a pending weight as delivered and returns it. */
+    /** Moves a pending weight to the delivered weights and returns it. */
     public double deliverPending(NodeId node) {
         double weight = pending.remove(node);
         put(delivered, node, weight);
-        counted = false;
+        pendingCountsValid = false;
         return weight;
     }
 
     /**
-     * Takes a weight as delivered that may differ from the committed one, which is pending then.
+     * Sets a node's delivered weight. If it differs from the committed weight, the committed weight
+     * is pending.
      *
      * @return whether the delivered weight has changed
      */
     public boolean setDeliveredWeight(NodeId node, double weight) {
-        double wanted = committed.getOrDefault(node, 0.0);
+        double committedWeight = committed.getOrDefault(node, 0.0);
         boolean changed = delivered.getOrDefault(node, 0.0) != weight;
         put(delivered, node, weight);
-        put(pending, node, weight == wanted ? 0 : wanted);
+        put(pending, node, weight == committedWeight ? 0 : committedWeight);
         return changed;
     }
 
-    /** In how many parts its entries are dealt to shards; 1 unless it is partial. */
+    /** Number of parts into which the entries are split over shards; 1 unless it is partial. */
     public long parts() {
         return parts;
     }
 
-    /** Sets in how many parts its entries are dealt to shards. */
+    /** Sets the number of parts into which the entries are split over shards. */
     public void splitInto(long count) {
         parts = count;
     }
 
-    /** The admission limit of a method, infinite if there is none. */
+    /** The admission limit of a method, infinite if the method has none. */
     public double admissionLimit(MethodId method) {
         return admissionLimits.getOrDefault(method, Double.POSITIVE_INFINITY);
     }
 
-    /** Sets an admission limit, to be delivered; an urgent one waits for no other delivery. */
+    /** Sets a pending admission limit; an urgent limit does not wait for the delivery in flight. */
     public void setAdmissionLimit(MethodId method, double limit, boolean urgent) {
         limitUrgent |= urgent;
         admissionLimits.put(method, limit);
@@ -270,40 +279,40 @@
         pendingLimits.putAll(other.admissionLimits);
     }
 
-    /** How many admission limits are to be delivered. */
+    /** Number of pending admission limits. */
     public int pendingLimits() {
         return pendingLimits.size();
     }
 
-    /** Hands over all admission limits to be delivered; none is pending then. */
+    /** Passes all pending admission limits to the writer; none is pending afterwards. */
     public void deliverPendingLimits(BiConsumer<MethodId, Double> writer) {
         pendingLimits.forEach(writer);
         pendingLimits.clear();
         limitUrgent = false;
     }
 
-    /** Whether an admission limit waits for no other delivery. */
+    /** Whether a pending admission limit does not wait for the delivery in flight. */
     public boolean limitUrgent() {
         return limitUrgent;
     }
 
-    /** Notes the message that a delivery leaves with. */
+    /** Records the sequence number and clock reading of the message that carries a delivery. */
     public void deliveryStarted(long sequence, long now) {
         deliverySequence = sequence;
         deliveredAt = now;
     }
 
-    /** Notes a proxy that the delivery leaves for. */
+    /** Records a proxy that the delivery is sent to. */
     public void deliveredTo(ProxyId proxy) {
         unacknowledged.add(proxy);
     }
 
-    /** The message that the last delivery left with. */
+    /** Sequence number of the message that carries the last delivery. */
     public long deliverySequence() {
         return deliverySequence;
     }
 
-    /** How many proxies have not acknowledged the delivery in flight; 0 if there is none. */
+    /** Number of proxies that have not acknowledged the delivery in flight; 0 if there is none. */
     public int unacknowledged() {
         return unacknowledged.size();
     }
@@ -318,56 +327,56 @@
         return unacknowledged;
     }
 
-    /** Whether a delivery is in flight for longer than this. */
+    /** Whether the delivery in flight has been unacknowledged for longer than the timeout. */
     public boolean deliveryTimedOut(long now, long timeoutNanos) {
         return !unacknowledged.isEmpty() && now - deliveredAt > timeoutNanos;
     }
 
-    /** A proxy acknowledged a message, and with it what was delivered up to it. */
+    /** Records that a proxy acknowledged a message, and thereby all earlier ones. */
     public void acknowledged(ProxyId proxy, long sequence) {
         if (deliverySequence <= sequence) {
             unacknowledged.remove(proxy);
         }
     }
 
-    /** A proxy left: its acknowledgement is not waited for any more. */
+    /** Stops waiting for the acknowledgement of a proxy that has left. */
     public void forget(ProxyId proxy) {
         unacknowledged.remove(proxy);
     }
 
-    /** Closes the delivery in flight, whoever has acknowledged it. */
+    /** Closes the delivery in flight, regardless of missing acknowledgements. */
     public void closeDelivery() {
         unacknowledged.clear();
     }
 
-    /** Whether the counts of pending entries hold. */
+    /** Whether the counts of pending entries are up to date. */
     public boolean pendingCountsValid() {
-        return counted;
+        return pendingCountsValid;
     }
 
-    /** Drops the counts of pending entries, as they depend on the nodes and on time too. */
+    /** Invalidates the counts of pending entries, which also depend on the nodes and on time. */
     public void invalidatePendingCounts() {
-        counted = false;
+        pendingCountsValid = false;
     }
 
-    /** Keeps the counts of pending entries until something changes. */
+    /** Sets the counts of pending entries, which stay valid until something changes. */
     public void setPendingCounts(int removals, int urgent) {
         pendingRemovals = removals;
         urgentEntries = urgent;
-        counted = true;
+        pendingCountsValid = true;
     }
 
-    /** The counted pending entries of nodes that are not ready. */
+    /** Number of pending entries of nodes that are not ready. */
     public int pendingRemovals() {
         return pendingRemovals;
     }
 
-    /** The counted pending entries that can't wait, removals among them. */
+    /** Number of pending entries that cannot wait, including removals. */
     public int urgentEntries() {
         return urgentEntries;
     }
 
-    /** Whether so many nodes are ejected that all count as healthy. */
+    /** Whether so many nodes are ejected that all nodes count as healthy. */
     public boolean panicking() {
         return panicking;
     }
--- a/src/main/java/rosespread/policy/state/package-info.java
+++ b/src/main/java/rosespread/policy/state/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What the decisions know of nodes, proxies, shards and tables. It holds no tuned values and
- * decides nothing; methods keep what belongs together in step. It uses {@link rosespread.stats} and
- * {@link rosespread.api}; the thread that runs the decisions owns all of it.
+ * State of the policy: nodes, proxies, shards and tables. The package holds no tuning constants and
+ * makes no decisions; its methods keep related values consistent. It uses {@link rosespread.stats}
+ * and {@link rosespread.api}. The thread that runs the policy owns all of its objects.
  */
 package rosespread.policy.state;
