--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -14,27 +14,32 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Mass reconnects. Proxies bring tables of another controller, and keep what left lately in them
- * until they are subscribed. Where full tables for all that wait take over half a drain timeout,
- * the proxies gather in shards whose tables are partial, each with other entries; the rest follows
- * as ordinary deliveries. Guards against requests to nodes that left when a whole fleet of proxies
- * comes; it does harm where a part's nodes are slow.
+ * Handles mass reconnects. Reconnecting proxies bring tables from another controller, and recently
+ * departed nodes stay in those tables until the proxies are subscribed here. If full tables for all
+ * waiting proxies would occupy the channel for more than half a drain timeout, the proxies are
+ * assigned to shards with partial tables, each with a different subset of the entries; the
+ * remaining entries follow as ordinary deliveries. Partial tables prevent requests to departed
+ * nodes when a whole fleet of proxies reconnects. Partial tables do harm if the nodes of one part
+ * are slow.
  */
 final class ReconnectHandler {
-    /** Drain timeouts for which a gone node may be held, or a young one tells of a release. */
+    /**
+     * Number of drain timeouts during which proxies may hold a departed node, and during which a
+     * newly started node indicates a release in progress.
+     */
     private static final long RECENT_DRAIN_TIMEOUTS = 2;
 
-    /** The most parts that the entries of partial tables are dealt in. */
+    /** Maximum number of parts into which the entries are split for partial tables. */
     private static final int MAX_PARTS = 25;
 
     /**
-     * The part that partial tables take of the entries that would fit: more proxies may be about to
-     * come.
+     * Partial tables use this fraction of the entries that fit in the channel, as more proxies may
+     * be about to connect.
      */
     private static final double PARTIAL_SHARE = 0.5;
 
-    /** A shard is partial while it has at most so many times the entries of a partial table. */
-    private static final double PARTIAL_BAND = 1.5;
+    /** A shard counts as partial up to this multiple of the entries of a partial table. */
+    private static final double MAX_PARTIAL_SIZE_RATIO = 1.5;
 
     private final PolicySettings settings;
     private final NodeRegistry nodes;
@@ -45,7 +50,7 @@
     private final ChannelBudget budget;
     private final ShardAssigner assigner;
     private boolean inProgress;
-    private boolean nodesChangedLately;
+    private boolean nodesChangedRecently;
 
     ReconnectHandler(
             PolicySettings settings,
@@ -72,35 +77,40 @@
     }
 
     /**
-     * Whether the proxy may hold what left, and has waited a third of its drain timeout: while no
-     * node comes or goes there is no haste.
+     * Whether the proxy may hold departed nodes and has waited more than a third of its drain
+     * timeout. While no node has started or left recently, there is no urgency and no proxy is
+     * overdue.
      */
     boolean overdue(Proxy proxy, long now) {
-        return nodesChangedLately
+        return nodesChangedRecently
                 && !proxy.subscribed()
                 && now - proxy.waitingSince() > budget.longestTurnNanos();
     }
 
-    /** Sees whether a mass reconnect is in progress, and gathers its proxies in partial shards. */
+    /**
+     * Determines whether a mass reconnect is in progress, assigns its waiting proxies to partial
+     * shards, and sets the number of parts of each table.
+     */
     void evaluate(long now) {
-        nodesChangedLately = nodesChangedLately(now);
-        if (nodesChangedLately) {
-            releaseWhatCannotBeRemoved(now);
+        nodesChangedRecently = nodesChangedRecently(now);
+        if (nodesChangedRecently) {
+            endSubscriptionsWithTooManyRemovals(now);
         }
-        int full =
+        int fullTableEntries =
                 shards.firstTables().stream()
                         .mapToInt(table -> eligible.of(table, now).size())
                         .sum();
         List<Proxy> waiting = proxies.unsubscribed();
-        double entriesEach =
+        double entriesPerProxy =
                 (budget.entriesWithinHalfDrainTimeout() - budget.queuedEntries())
                                 / Math.max(1, waiting.size())
                         - budget.messageOverhead();
-        inProgress = !waiting.isEmpty() && entriesEach < full && nodesChangedLately;
-        double wantedEntries = Math.max(PartialTables.MIN_ENTRIES, PARTIAL_SHARE * entriesEach);
-        int parts = (int) Math.max(1, Math.min(MAX_PARTS, full / wantedEntries));
+        inProgress =
+                !waiting.isEmpty() && entriesPerProxy < fullTableEntries && nodesChangedRecently;
+        double targetEntries = Math.max(PartialTables.MIN_ENTRIES, PARTIAL_SHARE * entriesPerProxy);
+        int parts = (int) Math.max(1, Math.min(MAX_PARTS, fullTableEntries / targetEntries));
         if (inProgress) {
-            gatherInPartialShards(waiting, full, parts, now);
+            assignToPartialShards(waiting, fullTableEntries, parts, now);
         }
         for (ShardTable table : shards.tables()) {
             if (inProgress && table.shard().withoutFollowers()) {
@@ -111,31 +121,34 @@
         }
     }
 
-    private boolean nodesChangedLately(long now) {
-        long lately = now - RECENT_DRAIN_TIMEOUTS * settings.drainTimeoutNanos();
+    private boolean nodesChangedRecently(long now) {
+        long cutoff = now - RECENT_DRAIN_TIMEOUTS * settings.drainTimeoutNanos();
         return nodes.all().stream()
                 .anyMatch(
                         node ->
-                                node.startedAt() > lately
-                                        || !node.ready() && node.leftAt() > lately);
+                                node.startedAt() > cutoff
+                                        || !node.ready() && node.leftAt() > cutoff);
     }
 
     /**
-     * As many shards as there are parts share the proxies: guards against parts that no shard has,
-     * whose nodes would stand idle while the others bear all. A partial shard takes more until it
-     * is full: else each few that are subscribed would leave the rest a new shard, and rounds grow
-     * with shards. One that still holds what left takes no more.
+     * Distributes the proxies over as many shards as there are parts. With fewer shards, some parts
+     * would be in no table, and their nodes would be idle while the others carry the whole load. A
+     * partial shard accepts proxies until it has its share. Otherwise each small batch of
+     * subscribed proxies would leave the remaining ones to a new shard, and the work of a round
+     * grows with the number of shards. A shard that holds departed nodes accepts no more proxies.
      */
-    private void gatherInPartialShards(List<Proxy> waiting, int full, int parts, long now) {
-        int leastEntries = PartialTables.MIN_ENTRIES * shards.firstTables().size();
-        double mostEntries = PARTIAL_BAND * Math.max(leastEntries, (double) full / parts);
+    private void assignToPartialShards(
+            List<Proxy> waiting, int fullTableEntries, int parts, long now) {
+        int minEntries = PartialTables.MIN_ENTRIES * shards.firstTables().size();
+        double maxEntries =
+                MAX_PARTIAL_SIZE_RATIO * Math.max(minEntries, (double) fullTableEntries / parts);
         Set<ProxyShard> partial = new HashSet<>(shards.shards());
-        partial.removeIf(shard -> !takesWaiting(shard, mostEntries));
-        long gathered =
+        partial.removeIf(shard -> !acceptsWaitingProxies(shard, maxEntries));
+        long proxyCount =
                 proxies.all().stream()
                         .filter(proxy -> !proxy.subscribed() || partial.contains(proxy.shard()))
                         .count();
-        long share = (gathered + parts - 1) / parts;
+        long share = (proxyCount + parts - 1) / parts;
         for (Proxy proxy : waiting) {
             if (!partial.contains(proxy.shard()) || proxy.shard().size() > share) {
                 proxy.moveTo(
@@ -146,44 +159,50 @@
         }
     }
 
-    private boolean takesWaiting(ProxyShard shard, double mostEntries) {
+    private boolean acceptsWaitingProxies(ProxyShard shard, double maxEntries) {
         return shard.withoutFollowers()
-                || shard.deliveredEntries() <= mostEntries
+                || shard.deliveredEntries() <= maxEntries
                         && departed.heldBy(shard).findAny().isEmpty();
     }
 
     /**
-     * Shards that hold more of what left than a partial table has entries are subscribed again,
-     * where the channel can't take all removals within half a drain timeout: guards against a
-     * release of most nodes within one.
+     * Ends the subscriptions of shards that hold too many departed nodes if the channel cannot
+     * carry all removals within half a drain timeout; their proxies are then subscribed in other
+     * shards. A shard holds too many if their number exceeds the minimum entries of a partial
+     * table. The new subscriptions prevent late removals when a release replaces most nodes within
+     * one drain timeout.
      */
-    private void releaseWhatCannotBeRemoved(long now) {
+    private void endSubscriptionsWithTooManyRemovals(long now) {
         Map<ProxyShard, Long> removals = new LinkedHashMap<>();
         shards.shards().stream()
                 .filter(shard -> !shard.withoutFollowers() && !shard.abandoned())
                 .forEach(shard -> removals.put(shard, departed.heldBy(shard).count()));
         removals.values().removeIf(entries -> entries == 0);
-        double all =
+        double removalEntries =
                 removals.entrySet().stream()
                         .mapToDouble(
                                 entry ->
                                         entry.getKey().followers()
                                                 * (entry.getValue() + budget.messageOverhead()))
                         .sum();
-        if (budget.queuedEntries() + all < budget.entriesWithinHalfDrainTimeout()) {
+        if (budget.queuedEntries() + removalEntries < budget.entriesWithinHalfDrainTimeout()) {
             return;
         }
         removals.forEach(
                 (shard, entries) -> {
                     if (entries > PartialTables.MIN_ENTRIES) {
-                        List.copyOf(shard.members()).forEach(proxy -> release(proxy, now));
+                        List.copyOf(shard.members())
+                                .forEach(proxy -> moveToUnfollowedShard(proxy, now));
                         shard.tables().forEach(ShardTable::closeDelivery);
                     }
                 });
     }
 
-    /** It follows its former shard's tables until it is subscribed in another. */
-    private void release(Proxy proxy, long now) {
+    /**
+     * Ends the proxy's subscription and moves it to a shard without followers. The proxy follows
+     * the tables of its former shard until it is subscribed in the new one.
+     */
+    private void moveToUnfollowedShard(Proxy proxy, long now) {
         proxy.endSubscription(departed.earliestDeparture(proxy.shard(), now));
         proxy.moveTo(assigner.shardToJoin(ProxyShard::withoutFollowers, now));
     }
--- a/src/main/java/rosespread/policy/ReportWindows.java
+++ b/src/main/java/rosespread/policy/ReportWindows.java
@@ -6,21 +6,25 @@
 import rosespread.stats.WindowedRate;
 
 /**
- * Over which time reports are averaged, and until when they count as fresh. Where the intake spaces
- * reports out, the windows grow with their spacing.
+ * Time windows over which reports are averaged, and the age up to which they count as fresh. If the
+ * intake delivers reports at longer intervals, the windows grow with the interval.
  */
 final class ReportWindows {
-    /** Load and answers are averaged over so many reports at least: fewer waver too much. */
+    /** Minimum number of reports over which load and answers are averaged; fewer vary too much. */
     private static final double LOAD_REPORTS = 20;
 
-    /** Demand is averaged over so many reports: it has to be seen sooner. */
+    /**
+     * Minimum number of reports over which demand is averaged; fewer than for load, as a change in
+     * demand must become visible sooner.
+     */
     private static final double DEMAND_REPORTS = 2.5;
 
-    /** Time constant of the mean interval between reports: a few reports of any pace. */
+    /** Time constant of the mean interval between reports; covers a few reports at any rate. */
     private static final long INTERVAL_WINDOW_NANOS = 5 * TimeUnits.SECOND;
 
     /**
-     * A node without an answer for so many reports, while others have them, is silent, not busy.
+     * Number of report intervals after which a node without an answer, while other nodes have
+     * answers, is silent and not busy.
      */
     private static final double FRESH_REPORTS = 2.5;
 
@@ -33,32 +37,37 @@
         this.settings = settings;
     }
 
-    /** Counts a load report that covers so many nanoseconds. */
-    void reportReceived(long now, long nanos) {
-        coveredNanos.add(now, nanos);
+    /**
+     * Counts a load report.
+     *
+     * @param now clock reading in nanoseconds
+     * @param reportNanos time that the report covers
+     */
+    void reportReceived(long now, long reportNanos) {
+        coveredNanos.add(now, reportNanos);
         reports.add(now, 1);
     }
 
-    /** Sets the window of load in nanoseconds; so many reports are the least all the same. */
+    /** Sets the load window in nanoseconds; the minimum number of reports still applies. */
     void setLoadWindow(double nanos) {
         loadWindowNanos = nanos;
     }
 
-    /** Adds what was counted in some seconds to a rate of load or answers. */
+    /** Adds a count and the seconds that it covers to a rate of load or answers. */
     void addLoad(WindowedRate rate, long now, double counted, double seconds) {
-        double least = LOAD_REPORTS * settings.reportPeriodNanos();
-        rate.add(now, counted, seconds, Math.max(least, loadWindowNanos));
+        double minNanos = LOAD_REPORTS * settings.reportPeriodNanos();
+        rate.add(now, counted, seconds, Math.max(minNanos, loadWindowNanos));
     }
 
-    /** Adds what was counted in some seconds to a rate of demand. */
+    /** Adds a count and the seconds that it covers to a rate of demand. */
     void addDemand(WindowedRate rate, long now, double counted, double seconds) {
-        double least = DEMAND_REPORTS * settings.reportPeriodNanos();
-        rate.add(now, counted, seconds, Math.max(least, reportIntervalNanos(now)));
+        double minNanos = DEMAND_REPORTS * settings.reportPeriodNanos();
+        rate.add(now, counted, seconds, Math.max(minNanos, reportIntervalNanos(now)));
     }
 
     /**
-     * The time between a node's reports as met: the intake may hand them out far slower than
-     * gathered.
+     * Observed interval between a node's reports in nanoseconds. The intake may deliver reports far
+     * more slowly than they are collected.
      */
     private double reportIntervalNanos(long now) {
         return Math.max(
@@ -66,7 +75,12 @@
                 coveredNanos.read(now) / Math.max(1, reports.read(now)));
     }
 
-    /** Whether the node's last answer is so recent, seen from this time, that it is not silent. */
+    /**
+     * Whether a node's last answer is recent enough at a given time for the node not to be silent.
+     *
+     * @param at clock reading in nanoseconds at which the age of the answer counts
+     * @param now current clock reading in nanoseconds
+     */
     boolean fresh(Node node, long at, long now) {
         return at - node.answeredAt() < FRESH_REPORTS * reportIntervalNanos(now);
     }
--- a/src/main/java/rosespread/policy/RoundContext.java
+++ b/src/main/java/rosespread/policy/RoundContext.java
@@ -2,7 +2,7 @@
 
 import rosespread.api.PolicyActions;
 
-/** One round: the clock reading that it is decided at and the writer of its actions. */
+/** Context of one round: the clock reading at which it is decided and the writer of its actions. */
 final class RoundContext {
     private final long now;
     private final PolicyActions actions;
@@ -10,7 +10,7 @@
 
     /**
      * @param now clock reading in nanoseconds
-     * @param actions takes the round's actions in their order
+     * @param actions receives the round's actions in order
      */
     RoundContext(long now, PolicyActions actions) {
         this.now = now;
@@ -27,12 +27,12 @@
         return actions;
     }
 
-    /** Notes that a delivery found no room in this round. */
+    /** Records that a delivery did not fit in this round. */
     void deliveryWaits() {
         deliveryWaiting = true;
     }
 
-    /** Whether a delivery found no room in this round, so that full tables leave it some. */
+    /** Whether a delivery did not fit in this round, so that full tables must leave room for it. */
     boolean deliveryWaiting() {
         return deliveryWaiting;
     }
--- a/src/main/java/rosespread/policy/RoundTriggers.java
+++ b/src/main/java/rosespread/policy/RoundTriggers.java
@@ -1,54 +1,53 @@
 package rosespread.policy;
 
 /**
- * What the next round has to do besides delivering: set by events and by new shards, taken by the
- * round.
+ * Work of the next round besides deliveries. Set by events and by new shards, reset by the round.
  */
 final class RoundTriggers {
     private boolean planNeeded;
     private boolean evaluationNeeded;
     private boolean nodeListLost;
 
-    /** The weights have to be planned again. */
+    /** Requires a new plan of the weights. */
     void requirePlan() {
         planNeeded = true;
     }
 
-    /** Whether the weights have to be planned again. */
+    /** Whether a new plan of the weights is required. */
     boolean planNeeded() {
         return planNeeded;
     }
 
-    /** Whether the weights have to be planned again; not any more after this. */
+    /** Returns whether a new plan of the weights is required, and resets the requirement. */
     boolean takePlanNeeded() {
         boolean taken = planNeeded;
         planNeeded = false;
         return taken;
     }
 
-    /** Load and health have to be evaluated again. */
+    /** Requires a new evaluation of load and health. */
     void requireEvaluation() {
         evaluationNeeded = true;
     }
 
-    /** Whether load and health have to be evaluated again. */
+    /** Whether a new evaluation of load and health is required. */
     boolean evaluationNeeded() {
         return evaluationNeeded;
     }
 
-    /** Whether load and health have to be evaluated again; not any more after this. */
+    /** Returns whether a new evaluation is required, and resets the requirement. */
     boolean takeEvaluationNeeded() {
         boolean taken = evaluationNeeded;
         evaluationNeeded = false;
         return taken;
     }
 
-    /** The endpoint list is not watched any more. */
+    /** Records that the watch of the endpoint list was lost. */
     void nodeListLost() {
         nodeListLost = true;
     }
 
-    /** Whether the watch of the endpoint list was lost; not any more after this. */
+    /** Returns whether the watch of the endpoint list was lost, and resets this record. */
     boolean takeNodeListLost() {
         boolean taken = nodeListLost;
         nodeListLost = false;
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -12,16 +12,18 @@
 import rosespread.stats.InFlightMessages;
 
 /**
- * All decisions of one controller. The caller makes one policy a controller and calls {@link
- * #round} once for each round with all that came in; the actions go straight into the writer. The
- * same events at the same times give the same actions, to the last digit, for the same seed.
+ * Makes all decisions of one controller. The caller creates one policy per controller and calls
+ * {@link #round} once per round with all events received since the previous round; the policy
+ * writes its actions directly to the given writer. With the same seed, the same events at the same
+ * times give the same actions, to the last digit.
  *
- * <p>Weights that truly change are committed with one pending delivery a table; one delivery is in
- * flight a table, the proxies' acknowledgements settle it, and laggards are subscribed again. This
- * class holds the order of a round and nothing else. Not safe for use by several threads.
+ * <p>Each table has one pending delivery, which collects significant weight changes, and one
+ * delivery in flight, which is complete once the proxies have acknowledged it. Proxies that do not
+ * acknowledge in time are subscribed again. This class defines only the order of steps in a round.
+ * Not thread-safe.
  */
 public final class RoutingPolicy {
-    /** The policy evaluates load and health at this interval when nothing comes in. */
+    /** Interval at which the policy evaluates load and health without events. */
     private static final long EVALUATION_INTERVAL_NANOS = TimeUnits.SECOND / 10;
 
     private final PolicySettings settings;
@@ -49,8 +51,8 @@
     /**
      * Creates a policy that knows no node and no proxy.
      *
-     * @param settings what the controller gets at its start
-     * @param random spreads health checks; used by the policy alone
+     * @param settings settings that the controller receives at startup
+     * @param random spreads health checks over time; used by this policy only
      */
     public RoutingPolicy(PolicySettings settings, RandomGenerator random) {
         this.settings = settings;
@@ -115,9 +117,9 @@
     /**
      * Decides one round.
      *
-     * @param now clock reading in nanoseconds, never less than that of the round before
-     * @param source brings what came in since
-     * @param actions takes the decisions; those of one round are one message for each proxy
+     * @param now clock reading in nanoseconds, not less than that of the previous round
+     * @param source delivers the events received since the previous round
+     * @param actions receives the decisions; those of one round form one message per proxy
      */
     public void round(long now, EventSource source, PolicyActions actions) {
         RoundContext round = new RoundContext(now, actions);
@@ -125,7 +127,7 @@
         source.deliverTo(events.forRound(now));
         demands.invalidate();
         if (settings.keyRangeTables()) {
-            leaveKeyRangeTables(actions);
+            ignoreKeyRangeTables(actions);
             return;
         }
         start(actions);
@@ -140,7 +142,7 @@
         outgoing.close(round);
     }
 
-    private void leaveKeyRangeTables(PolicyActions actions) {
+    private void ignoreKeyRangeTables(PolicyActions actions) {
         if (!started) {
             actions.report(new PolicyEvent.KeyRangeTablesIgnored());
         }
@@ -158,7 +160,10 @@
         started = true;
     }
 
-    /** An evaluation, and whatever else asks for a plan, may change what can't wait. */
+    /**
+     * Evaluates load and health if required. Invalidates the counts of pending entries before each
+     * evaluation or plan, as either may change which entries are urgent.
+     */
     private void evaluate(RoundContext round) {
         if (triggers.evaluationNeeded()) {
             triggers.requirePlan();
--- a/src/main/java/rosespread/policy/ShardAssigner.java
+++ b/src/main/java/rosespread/policy/ShardAssigner.java
@@ -7,11 +7,12 @@
 import rosespread.policy.state.ShardRegistry;
 
 /**
- * Which shard a proxy joins. Guards against a fleet so large that half the queue has no room for
- * one delivery to all: each shard's deliveries leave for themselves. Small fleets are one shard.
+ * Selects the shard that a proxy joins. In a large fleet, one delivery to all proxies does not fit
+ * in half the queue; each shard's deliveries are therefore sent separately. A small fleet has one
+ * shard.
  */
 final class ShardAssigner {
-    /** The least size at which a shard counts as full, as each costs a look at all nodes. */
+    /** Minimum size at which a shard counts as full, as each shard costs a pass over all nodes. */
     private static final double MIN_FULL_SIZE = 8;
 
     private final PolicySettings settings;
@@ -34,8 +35,8 @@
     }
 
     /**
-     * The smallest of these shards; a new one once all are so large that a delivery of every entry
-     * would not fit.
+     * Returns the smallest of the candidate shards, or a new shard if all of them are so large that
+     * a delivery of every entry to one more proxy would not fit.
      */
     ProxyShard shardToJoin(Predicate<ProxyShard> candidates, long now) {
         double entries =
@@ -43,12 +44,12 @@
                         + shards.firstTables().stream()
                                 .mapToInt(table -> eligible.of(table, now).size())
                                 .sum();
-        double most =
+        double maxSize =
                 Math.max(
                         MIN_FULL_SIZE,
                         ChannelBudget.ORDINARY_SHARE * settings.queueLimitEntries() / entries);
         return shards.shards().stream()
-                .filter(shard -> shard.size() + 1 <= most)
+                .filter(shard -> shard.size() + 1 <= maxSize)
                 .filter(shard -> !shard.abandoned() && candidates.test(shard))
                 .min(Comparator.comparingInt(ProxyShard::size))
                 .orElseGet(this::addShard);
--- a/src/main/java/rosespread/policy/SlowStart.java
+++ b/src/main/java/rosespread/policy/SlowStart.java
@@ -3,22 +3,22 @@
 import rosespread.api.PolicySettings;
 import rosespread.policy.state.Node;
 
-/** Nodes that started lately: when they may take load, and how much by now. */
+/** Limits the load of recently started nodes: when they may take load, and how much. */
 final class SlowStart {
-    /** Warming nodes are sent at most this multiple of what they can do by now. */
-    private static final double MAX_LOAD = 1.2;
+    /** Maximum load of a warming node, as a multiple of its currently available capacity. */
+    private static final double MAX_LOAD_RATIO = 1.2;
 
     /**
-     * The load taken for granted while nothing is known: a controller may have started into a storm
-     * of retries.
+     * Load ratio assumed while no capacity is known, as a controller may have started during a
+     * retry storm.
      */
-    private static final double UNKNOWN_LOAD = 5;
+    private static final double ASSUMED_LOAD_RATIO = 5;
 
     /**
-     * Bound of a warming node's weight where no node reports its utilization: a storm is then seen
-     * late.
+     * Maximum weight factor of a warming node while no node reports its utilization, as a retry
+     * storm is then detected late.
      */
-    private static final double BOUND_WITHOUT_UTILIZATION = 0.6;
+    private static final double MAX_FACTOR_WITHOUT_UTILIZATION = 0.6;
 
     private final PolicySettings settings;
 
@@ -26,15 +26,15 @@
         this.settings = settings;
     }
 
-    /** Whether the node started so lately that it is warming up. */
+    /** Whether the node started so recently that it is warming up. */
     boolean warmingUp(Node node, long now) {
         return node.startedWithin(now, settings.warmUpNanos());
     }
 
     /**
-     * Whether a table may name the node. A node that warms up stays out of the tables until what
-     * the old ones sent it lies behind: guards against a restart as a lost site returns, and a list
-     * that flaps; some nodes are idle for seconds by it.
+     * Whether a table may name the node. A warming node stays out of all tables until the requests
+     * that earlier tables sent to it have ended. The delay protects nodes that restart when a lost
+     * site returns, and nodes in a flapping endpoint list. It leaves some nodes idle for seconds.
      */
     boolean mayTakeLoad(Node node, long now) {
         return node.ready()
@@ -44,8 +44,8 @@
     }
 
     /**
-     * The part of its capacity that a node can be held to have by now: it warms up evenly at the
-     * slowest.
+     * Ratio of its capacity that a node is assumed to have now, 1 once it is warm. Linear warm-up
+     * is assumed, which is the slowest case.
      */
     double warmUpRatio(Node node, long now) {
         return warmingUp(node, now)
@@ -57,16 +57,17 @@
     }
 
     /**
-     * What the weight of a warming node is multiplied by. Guards against a site that returns cold
-     * into a storm of retries, also under a controller that has just started; it does harm where
-     * the warm nodes are the overloaded ones.
+     * Factor for the weight of a warming node. The factor protects the cold nodes of a returning
+     * site from a retry storm, also if the controller has just started. It does harm if the warm
+     * nodes are the overloaded ones.
      *
-     * @param loadRatio attempts against available capacity
-     * @param capacityKnown whether any load was reported that tells capacity
+     * @param loadRatio attempts relative to available capacity
+     * @param capacityKnown whether a reported load has made the capacity known
      * @param utilizationKnown whether any node reports its utilization
      */
-    double weightBound(double loadRatio, boolean capacityKnown, boolean utilizationKnown) {
-        double load = capacityKnown ? Math.max(loadRatio, 1e-9) : UNKNOWN_LOAD;
-        return Math.min(utilizationKnown ? 1 : BOUND_WITHOUT_UTILIZATION, MAX_LOAD / load);
+    double weightFactor(double loadRatio, boolean capacityKnown, boolean utilizationKnown) {
+        double load = capacityKnown ? Math.max(loadRatio, 1e-9) : ASSUMED_LOAD_RATIO;
+        return Math.min(
+                utilizationKnown ? 1 : MAX_FACTOR_WITHOUT_UTILIZATION, MAX_LOAD_RATIO / load);
     }
 }
--- a/src/main/java/rosespread/policy/TablePlanner.java
+++ b/src/main/java/rosespread/policy/TablePlanner.java
@@ -14,30 +14,30 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Works out the desired weights and commits what truly differs, each change with the table's one
- * pending delivery. Done once a tick, and as the list or the shards change: it costs a look at each
- * node for each shard.
+ * Computes the desired weights and commits those that differ significantly; each change becomes
+ * part of the table's single pending delivery. Runs only at each evaluation and when the node list
+ * or the shards change, as each run visits every node for every shard.
  */
 final class TablePlanner {
-    /** An entry is committed again when it differs by more than this part. */
+    /** Relative difference above which an entry is committed again. */
     private static final double ENTRY_BAND = 0.07;
 
-    /** How the band grows with the seconds of channel that a new full table for all would take. */
+    /** Growth of the band per second of channel time that new full tables for all proxies take. */
     private static final double ENTRY_BAND_GROWTH = 0.5;
 
-    /** How far spare capacity leans to larger nodes. */
+    /** Bias towards larger nodes, multiplied by the ratio of spare capacity. */
     private static final double LARGE_NODE_BIAS = 1.3;
 
-    /** The part of its weight that the bias leaves a small node at least. */
-    private static final double MIN_BIASED_PART = 0.25;
+    /** Minimum ratio of its weight that the bias leaves to a small node. */
+    private static final double MIN_BIASED_RATIO = 0.25;
 
-    /** The part of its capacity that more restricted tables leave a node at least. */
-    private static final double MIN_REMAINING_PART = 0.1;
+    /** Minimum ratio of its capacity that more restricted tables leave to a node. */
+    private static final double MIN_REMAINING_RATIO = 0.1;
 
-    /** Load ratio from which what more restricted tables take is reckoned. */
+    /** Minimum load ratio in the estimate of the capacity that more restricted tables use. */
     private static final double MIN_LOAD_RATIO = 0.1;
 
-    /** The least weight of an entry, as 0 would remove it. */
+    /** Minimum weight of an entry, as 0 would remove the entry. */
     private static final double MIN_WEIGHT = 1e-4;
 
     private final PolicySettings settings;
@@ -71,20 +71,20 @@
         this.demands = demands;
     }
 
-    /** Commits the desired weights of all tables, those with the fewest nodes first. */
+    /** Commits the desired weights of all tables, starting with the tables of the fewest nodes. */
     void commitAll(long now) {
         double loadRatio = load.loadRatio(now);
-        List<ShardTable> narrowestFirst = new ArrayList<>(shards.firstTables());
-        narrowestFirst.sort(Comparator.comparingInt(table -> eligible.of(table, now).size()));
-        Map<NodeId, Double> taken = new TreeMap<>();
-        for (ShardTable table : narrowestFirst) {
-            commitLike(table, desiredWeights(table, loadRatio, taken, now));
+        List<ShardTable> fewestNodesFirst = new ArrayList<>(shards.firstTables());
+        fewestNodesFirst.sort(Comparator.comparingInt(table -> eligible.of(table, now).size()));
+        Map<NodeId, Double> assigned = new TreeMap<>();
+        for (ShardTable table : fewestNodesFirst) {
+            commitCounterparts(table, desiredWeights(table, loadRatio, assigned, now));
         }
     }
 
-    private void commitLike(ShardTable like, Map<NodeId, Double> desired) {
+    private void commitCounterparts(ShardTable first, Map<NodeId, Double> desired) {
         for (ShardTable table :
-                shards.tables().stream().filter(t -> t.isCounterpartOf(like)).toList()) {
+                shards.tables().stream().filter(t -> t.isCounterpartOf(first)).toList()) {
             commit(table, desired);
         }
     }
@@ -115,51 +115,54 @@
     }
 
     /**
-     * Each eligible node by its capacity, what more restricted tables take of it, its warm-up and
-     * its health.
+     * Computes the weight of each eligible node from its capacity, the load from more restricted
+     * tables, its warm-up and its health.
      *
-     * @param taken RPCs a second in units of capacity that narrower tables send each node; this
-     *     table's are added
+     * @param assigned RPCs per second, in units of capacity, that tables with fewer nodes send to
+     *     each node; the load from this table is added
      */
     private Map<NodeId, Double> desiredWeights(
-            ShardTable table, double loadRatio, Map<NodeId, Double> taken, long now) {
+            ShardTable table, double loadRatio, Map<NodeId, Double> assigned, long now) {
         List<Node> nodes = eligible.of(table, now);
         double mean = nodes.stream().mapToDouble(Node::listedWeight).average().orElse(1);
         boolean utilizationKnown = nodes.stream().anyMatch(n -> n.recentUtilization().known(now));
-        double warmingBound = slowStart.weightBound(loadRatio, units.known(), utilizationKnown);
+        double warmUpFactor = slowStart.weightFactor(loadRatio, units.known(), utilizationKnown);
         Map<NodeId, Double> desired = new LinkedHashMap<>();
         for (Node node : nodes) {
-            double size = node.capacity();
-            double used = taken.getOrDefault(node.id(), 0.0) / Math.max(loadRatio, MIN_LOAD_RATIO);
-            double remaining = Math.max(MIN_REMAINING_PART * size, size - used);
-            double weight = favorLarge(remaining / mean) * load.effectiveRatio(node, table, now);
+            double nodeCapacity = node.capacity();
+            double used =
+                    assigned.getOrDefault(node.id(), 0.0) / Math.max(loadRatio, MIN_LOAD_RATIO);
+            double remaining = Math.max(MIN_REMAINING_RATIO * nodeCapacity, nodeCapacity - used);
+            double weight =
+                    favorLargeNodes(remaining / mean) * load.effectiveRatio(node, table, now);
             if (slowStart.warmingUp(node, now)) {
-                weight *= warmingBound;
+                weight *= warmUpFactor;
             }
             desired.put(node.id(), Math.max(weight, MIN_WEIGHT));
         }
-        addTaken(table, desired, taken, now);
+        addAssigned(table, desired, assigned, now);
         return desired;
     }
 
-    private void addTaken(
-            ShardTable table, Map<NodeId, Double> desired, Map<NodeId, Double> taken, long now) {
+    private void addAssigned(
+            ShardTable table, Map<NodeId, Double> desired, Map<NodeId, Double> assigned, long now) {
         double sum = desired.values().stream().mapToDouble(w -> w).sum();
-        double share =
+        double tableDemand =
                 table.methods().stream().mapToDouble(method -> demands.demand(method, now)).sum()
                         / units.unit();
-        if (shards.firstTables().size() > 1 && !Double.isNaN(share)) {
-            desired.forEach((id, weight) -> taken.merge(id, share * weight / sum, Double::sum));
+        if (shards.firstTables().size() > 1 && !Double.isNaN(tableDemand)) {
+            desired.forEach(
+                    (id, weight) -> assigned.merge(id, tableDemand * weight / sum, Double::sum));
         }
     }
 
     /**
-     * With capacity to spare the larger nodes take more than their part: each node keeps spare
-     * capacity by the root of its size, which is what costs the least waiting; near full load
-     * nothing of that is left.
+     * Shifts weight to larger nodes while there is spare capacity. Each node keeps spare capacity
+     * proportional to the square root of its size, which minimizes waiting time; near full load the
+     * shift vanishes.
      */
-    private double favorLarge(double size) {
+    private double favorLargeNodes(double size) {
         double bias = LARGE_NODE_BIAS * capacity.spareCapacityRatio();
-        return Math.max(MIN_BIASED_PART * size, size - bias * Math.sqrt(size)) / (1 - bias);
+        return Math.max(MIN_BIASED_RATIO * size, size - bias * Math.sqrt(size)) / (1 - bias);
     }
 }
--- a/src/main/java/rosespread/policy/TableUpdateSender.java
+++ b/src/main/java/rosespread/policy/TableUpdateSender.java
@@ -11,10 +11,13 @@
 
 /** Sends a table's pending delivery, or as much of it as fits, to its subscribers. */
 final class TableUpdateSender {
-    /** Part of the channel for ordinary deliveries at the most. */
+    /** Maximum fraction of the channel for ordinary deliveries. */
     private static final double MAX_CHANNEL_SHARE = 0.85;
 
-    /** What ordinary deliveries may cost, as a part of all service: a dear channel is used less. */
+    /**
+     * Maximum cost of ordinary deliveries as a fraction of all service; an expensive channel is
+     * used less.
+     */
     private static final double MAX_CHANNEL_COST = 0.04;
 
     private final PolicySettings settings;
@@ -40,17 +43,21 @@
         this.exclusions = exclusions;
     }
 
-    /** When what was sent has left the part of the channel that is for ordinary deliveries. */
+    /**
+     * Clock reading in nanoseconds at which the fraction of the channel for ordinary deliveries has
+     * carried all updates sent so far.
+     */
     long channelFreeAt() {
         return channelFreeAt;
     }
 
     /**
-     * Sends the pending admission limits and so many entries: nodes that left, warming ones held
+     * Sends all pending admission limits and a limited number of pending entries: first the entries
+     * of nodes that are not ready, then those of warming nodes whose weight at the proxies is far
      * too high, then the largest changes.
      */
-    void send(ShardTable table, int most, RoundContext round) {
-        List<NodeId> entries = mostPressing(table, most, round.now());
+    void send(ShardTable table, int maxEntries, RoundContext round) {
+        List<NodeId> entries = mostUrgentEntries(table, maxEntries, round.now());
         int sent = entries.size() + table.pendingLimits();
         for (NodeId id : entries) {
             double weight = table.deliverPending(id);
@@ -71,18 +78,19 @@
         occupyChannel(table.unacknowledged() * (sent + budget.messageOverhead()), round.now());
     }
 
-    private List<NodeId> mostPressing(ShardTable table, int most, long now) {
+    private List<NodeId> mostUrgentEntries(ShardTable table, int maxEntries, long now) {
         List<NodeId> entries = new ArrayList<>(table.pending().keySet());
         entries.sort(
                 Comparator.comparing(changes::ready)
                         .thenComparing(id -> !changes.warmingTooHigh(table, id, now))
                         .thenComparing(id -> -table.pendingDifference(id)));
-        return entries.subList(0, Math.min(most, entries.size()));
+        return entries.subList(0, Math.min(maxEntries, entries.size()));
     }
 
     private void occupyChannel(double entries, long now) {
         double share = Math.min(MAX_CHANNEL_SHARE, MAX_CHANNEL_COST / settings.channelCost());
-        long span = (long) (entries / settings.entriesPerSecond() / share * TimeUnits.SECOND);
-        channelFreeAt = Math.max(now, channelFreeAt) + span;
+        long occupiedNanos =
+                (long) (entries / settings.entriesPerSecond() / share * TimeUnits.SECOND);
+        channelFreeAt = Math.max(now, channelFreeAt) + occupiedNanos;
     }
 }
