--- a/src/main/java/rosespread/policy/AcknowledgementTracker.java
+++ b/src/main/java/rosespread/policy/AcknowledgementTracker.java
@@ -70,7 +70,7 @@
      * Closes deliveries that are unacknowledged too long; their laggards need full tables, proxies
      * without a subscription are waited for no longer.
      */
-    void settle(RoundContext round) {
+    void handleTimeouts(RoundContext round) {
         long now = round.now();
         long timeout = timeoutNanos(now);
         for (ShardTable table : shards.tables()) {
--- a/src/main/java/rosespread/policy/ChannelBudget.java
+++ b/src/main/java/rosespread/policy/ChannelBudget.java
@@ -77,7 +77,7 @@
     }
 
     /** How long a removal may wait for its turn, in nanoseconds. */
-    long longestTurnNanos() {
+    long maxRemovalWaitNanos() {
         return (long) (TURN_TIMEOUT_PART * settings.drainTimeoutNanos());
     }
 
@@ -89,7 +89,7 @@
     /** Whether a part of the message limit lets the proxy be written to in this round. */
     boolean allowsMessage(Proxy proxy, double share, long now) {
         return settings.messageLimit() == 0
-                || outgoing.reaches(proxy)
+                || outgoing.hasMessageFor(proxy)
                 || messages(proxy, now) + 1 <= share * settings.messageLimit();
     }
 }
--- a/src/main/java/rosespread/policy/DeliveryInterval.java
+++ b/src/main/java/rosespread/policy/DeliveryInterval.java
@@ -65,7 +65,7 @@
         return share == ChannelBudget.REMOVAL_SHARE
                 ? Math.max(
                         (long) (overheads / REMOVAL_OVERHEAD_SHARE),
-                        Math.min(nanos, budget.longestTurnNanos()))
+                        Math.min(nanos, budget.maxRemovalWaitNanos()))
                 : nanos;
     }
 
--- a/src/main/java/rosespread/policy/DeliveryScheduler.java
+++ b/src/main/java/rosespread/policy/DeliveryScheduler.java
@@ -105,7 +105,7 @@
         long latest =
                 (long) (ChannelBudget.REMOVAL_SHARE * settings.drainTimeoutNanos() - queueNanos);
         return reconnects.inProgress()
-                && now - departure < Math.min(budget.longestTurnNanos(), latest)
+                && now - departure < Math.min(budget.maxRemovalWaitNanos(), latest)
                 && proxies.unsubscribed().stream().anyMatch(p -> p.waitingSince() < departure);
     }
 
@@ -117,7 +117,7 @@
 
     private void deliver(ShardTable table, List<Proxy> subscribed, RoundContext round) {
         long now = round.now();
-        boolean first = subscribed.stream().noneMatch(outgoing::reaches);
+        boolean first = subscribed.stream().noneMatch(outgoing::hasMessageFor);
         double overhead = (first ? budget.messageOverhead() : 0) + table.pendingLimits();
         double users = Math.max(1, table.shard().size());
         int fitting = entriesThatFit(table, overhead, users, now);
--- a/src/main/java/rosespread/policy/OutgoingRound.java
+++ b/src/main/java/rosespread/policy/OutgoingRound.java
@@ -40,7 +40,7 @@
     }
 
     /** Whether the round has written to the proxy, so that more costs no further message. */
-    boolean reaches(Proxy proxy) {
+    boolean hasMessageFor(Proxy proxy) {
         return entriesByProxy.containsKey(proxy.id());
     }
 
--- a/src/main/java/rosespread/policy/PendingChanges.java
+++ b/src/main/java/rosespread/policy/PendingChanges.java
@@ -48,7 +48,7 @@
     }
 
     /** Whether the proxies hold a warming node at a far higher weight than the pending one. */
-    boolean warmingTooHigh(ShardTable table, NodeId id, long now) {
+    boolean warmUpWeightTooHigh(ShardTable table, NodeId id, long now) {
         return slowStart.warmingUp(nodes.find(id), now)
                 && table.delivered().getOrDefault(id, 0.0)
                         > MAX_WARMING_EXCESS * table.pending().get(id);
@@ -67,7 +67,7 @@
         int tooHigh =
                 (int)
                         table.pending().keySet().stream()
-                                .filter(id -> ready(id) && warmingTooHigh(table, id, now))
+                                .filter(id -> ready(id) && warmUpWeightTooHigh(table, id, now))
                                 .count();
         table.countPending(removals, removals + tooHigh + replacements(table));
     }
--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -78,7 +78,7 @@
     boolean overdue(Proxy proxy, long now) {
         return nodesChangedLately
                 && !proxy.subscribed()
-                && now - proxy.waitingSince() > budget.longestTurnNanos();
+                && now - proxy.waitingSince() > budget.maxRemovalWaitNanos();
     }
 
     /** Sees whether a mass reconnect is in progress, and gathers its proxies in partial shards. */
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -134,7 +134,7 @@
         if (triggers.takePlanNeeded()) {
             planner.commitAll(now);
         }
-        acknowledgements.settle(round);
+        acknowledgements.handleTimeouts(round);
         deliveries.deliverPending(round);
         subscriber.subscribeWaiting(round);
         outgoing.close(round);
--- a/src/main/java/rosespread/policy/TableUpdateSender.java
+++ b/src/main/java/rosespread/policy/TableUpdateSender.java
@@ -75,7 +75,7 @@
         List<NodeId> entries = new ArrayList<>(table.pending().keySet());
         entries.sort(
                 Comparator.comparing(changes::ready)
-                        .thenComparing(id -> !changes.warmingTooHigh(table, id, now))
+                        .thenComparing(id -> !changes.warmUpWeightTooHigh(table, id, now))
                         .thenComparing(id -> -table.pendingDifference(id)));
         return entries.subList(0, Math.min(most, entries.size()));
     }
--- a/src/test/java/rosespread/policy/AcknowledgementTrackerTest.java
+++ b/src/test/java/rosespread/policy/AcknowledgementTrackerTest.java
@@ -36,7 +36,7 @@
     }
 
     private void settleAfter(long millis) {
-        tracker.settle(new RoundContext(START + millis * MILLI, new RecordingActions()));
+        tracker.handleTimeouts(new RoundContext(START + millis * MILLI, new RecordingActions()));
     }
 
     @ParameterizedTest
--- a/src/test/java/rosespread/policy/ChannelBudgetTest.java
+++ b/src/test/java/rosespread/policy/ChannelBudgetTest.java
@@ -52,7 +52,7 @@
     @Test
     void aThirdOfTheDrainTimeoutIsTheLongestTurn() {
         ChannelBudget budget = budget(new SettingsBuilder().drainTimeout(3).build());
-        assertEquals(999_000_000L, budget.longestTurnNanos());
+        assertEquals(999_000_000L, budget.maxRemovalWaitNanos());
     }
 
     @Test
