--- a/src/main/java/rosespread/policy/AdmissionController.java
+++ b/src/main/java/rosespread/policy/AdmissionController.java
@@ -13,31 +13,34 @@
 import rosespread.policy.state.ShardTable;
 import rosespread.stats.FairShare;
 
-/** Sheds load by admission limits where more is offered than fits, the lowest priority first. */
+/**
+ * Sheds load through admission limits when the offered load exceeds the available capacity, methods
+ * of the lowest priority first.
+ */
 final class AdmissionController {
-    /** Limits are set at this interval, as their effect is reported later. */
+    /** Interval between limit updates; the effect of a limit appears in reports only later. */
     private static final long INTERVAL_NANOS = TimeUnits.SECOND / 2;
 
-    /** The part of the available capacity that limits keep the load to. */
+    /** Fraction of the available capacity that admission limits keep the load to. */
     private static final double TARGET_LOAD = 0.85;
 
-    /** A limit is set again when it differs by more than this part. */
-    private static final double LIMIT_BAND = 0.1;
+    /** Relative change above which a limit is set again. */
+    private static final double LIMIT_TOLERANCE = 0.1;
 
-    /** A limit that falls below this part of the former does not wait for other deliveries. */
-    private static final double URGENT_FALL = 0.75;
+    /** A limit below this fraction of the previous one does not wait for other deliveries. */
+    private static final double URGENT_LIMIT_RATIO = 0.75;
 
-    /** A method of which this share fits is not limited. */
+    /** A method is not limited if at least this share of its demand fits. */
     private static final double UNLIMITED_SHARE = 0.98;
 
-    /** Offered load against available capacity at which shedding starts, and at which it ends. */
+    /** Ratios of offered load to available capacity at which shedding starts and ends. */
     private static final double SHED_START_LOAD = 0.88;
 
     private static final double SHED_END_LOAD = 0.78;
 
     /**
-     * However much is offered, shedding starts only where nodes are so busy, and ends where they
-     * are not.
+     * Utilization that shedding needs to start, and below which it ends, however high the offered
+     * load.
      */
     private static final double SHED_START_UTILIZATION = 0.6;
 
@@ -76,12 +79,12 @@
         this.demands = demands;
     }
 
-    /** Whether load is shed. */
+    /** Whether load is being shed. */
     boolean shedding() {
         return shedding;
     }
 
-    /** Sets the admission limits, where it is time for it. */
+    /** Updates the admission limits if the update interval has passed. */
     void updateLimits(RoundContext round) {
         if (round.now() < nextUpdate) {
             return;
@@ -101,29 +104,30 @@
     }
 
     /**
-     * How busy the nodes say they are by now, by capacity; NaN if none ever tells. Warm ones that
-     * have not reported count as idle: guards against the first few reports after a start, which
-     * may come from the busiest.
+     * Mean recent utilization of the nodes that are not warming up, weighted by capacity; NaN if no
+     * such node reports its utilization. Those that have not reported count as idle, because the
+     * first few reports after a start may come from the busiest nodes.
      */
     private double utilization(long now) {
-        List<Node> warm =
+        List<Node> warmNodes =
                 nodes.ready().stream().filter(node -> !slowStart.warmingUp(node, now)).toList();
-        if (warm.stream().noneMatch(node -> node.recentUtilization().known(now))) {
+        if (warmNodes.stream().noneMatch(node -> node.recentUtilization().known(now))) {
             return Double.NaN;
         }
-        double busy =
-                warm.stream()
+        double busyCapacity =
+                warmNodes.stream()
                         .mapToDouble(
                                 node -> node.recentUtilization().perSecond(now) * node.capacity())
                         .sum();
-        return busy / warm.stream().mapToDouble(Node::capacity).sum();
+        return busyCapacity / warmNodes.stream().mapToDouble(Node::capacity).sum();
     }
 
     /**
-     * What is offered counts retries of what was rejected, and grows at once where proxies come,
-     * while what nodes can do is learned slowly: shedding would go on by itself. Guards against
-     * that by what nodes say of themselves, and by waiting after a start; it sheds late where
-     * reports are late.
+     * Starts or ends load shedding. The offered load includes retries of rejected requests and
+     * rises at once when proxies join, while capacity is learned slowly; by the ratio of the two
+     * alone, shedding would sustain itself. It therefore also depends on the utilization that nodes
+     * report, and on a reliable capacity estimate, which takes some time after a start. Shedding
+     * starts late if reports are late.
      */
     private void updateShedding(RoundContext round) {
         long now = round.now();
@@ -134,39 +138,43 @@
                         .sum();
         double available = load.availableCapacity(now);
         double ratio = units.known() ? offered / Math.max(available, 1e-9) : 0;
-        boolean shed =
+        boolean shouldShed =
                 settings.throttle() != PolicySettings.Throttle.NONE
                         && capacity.reliable()
                         && ratio > (shedding ? SHED_END_LOAD : SHED_START_LOAD)
                         && !nodesIdle(now);
-        if (shed != shedding) {
-            shedding = shed;
-            round.actions().report(new PolicyEvent.LoadSheddingChanged(shed, offered, available));
+        if (shouldShed != shedding) {
+            shedding = shouldShed;
+            round.actions()
+                    .report(new PolicyEvent.LoadSheddingChanged(shouldShed, offered, available));
         }
     }
 
-    /** Whether nodes report too little utilization for shedding; not if none reports any. */
+    /** Whether the reported utilization is too low for shedding; false if no node reports any. */
     private boolean nodesIdle(long now) {
         return utilization(now) < (shedding ? SHED_END_UTILIZATION : SHED_START_UTILIZATION);
     }
 
     /**
-     * The share of a method that fits once all of higher priority is admitted; equals share alike.
+     * The share of a method's demand that fits after all methods of higher priority are admitted in
+     * full. Methods of equal priority get the same share.
      */
     private double admittedShare(MethodId limited, long now) {
         double priority = settings.methods().get(limited.value()).priorityWeight();
-        double left = TARGET_LOAD * load.availableCapacity(now);
-        double wanted = 0;
+        double remaining = TARGET_LOAD * load.availableCapacity(now);
+        double equalPriorityDemand = 0;
         for (int m = 0; m < settings.methods().size(); m++) {
-            double other = settings.methods().get(m).priorityWeight();
-            left -= other > priority ? demands.demand(new MethodId(m), now) : 0;
-            wanted += other == priority ? demands.demand(new MethodId(m), now) : 0;
+            double otherPriority = settings.methods().get(m).priorityWeight();
+            remaining -= otherPriority > priority ? demands.demand(new MethodId(m), now) : 0;
+            equalPriorityDemand +=
+                    otherPriority == priority ? demands.demand(new MethodId(m), now) : 0;
         }
-        return Math.max(0, Math.min(1, left / Math.max(wanted, 1e-9)));
+        return Math.max(0, Math.min(1, remaining / Math.max(equalPriorityDemand, 1e-9)));
     }
 
     /**
-     * A limit as the proxies count it: a share, or the rate at each that cuts the busiest first.
+     * The admission limit in the unit that proxies apply: the share of requests to admit, or the
+     * requests per second at each proxy, which limits the busiest proxies first.
      */
     private double limit(MethodId method, double share, long now) {
         if (settings.throttle() == PolicySettings.Throttle.SHARE) {
@@ -183,10 +191,11 @@
     }
 
     private void setLimit(ShardTable table, MethodId method, double limit) {
-        double old = table.admissionLimit(method);
+        double previous = table.admissionLimit(method);
         boolean lifted = Double.isInfinite(limit);
-        if (Double.isInfinite(old) != lifted || Math.abs(limit - old) > LIMIT_BAND * old) {
-            table.setAdmissionLimit(method, limit, limit < URGENT_FALL * old || lifted);
+        if (Double.isInfinite(previous) != lifted
+                || Math.abs(limit - previous) > LIMIT_TOLERANCE * previous) {
+            table.setAdmissionLimit(method, limit, limit < URGENT_LIMIT_RATIO * previous || lifted);
         }
     }
 }
--- a/src/main/java/rosespread/policy/CapacityEstimator.java
+++ b/src/main/java/rosespread/policy/CapacityEstimator.java
@@ -7,40 +7,40 @@
 import rosespread.policy.state.NodeRegistry;
 
 /**
- * Learns the capacity of machine types and of nodes from what they answer at which load, and how
- * much capacity is spare.
+ * Estimates the capacity of machine types and of nodes from their rate of answers and their load,
+ * and the fraction of all capacity that is spare.
  */
 final class CapacityEstimator {
-    /** Answers of a node over which its load is averaged: fewer waver by a fifth. */
+    /** Answers per node over which load is averaged; fewer make the average vary by a fifth. */
     private static final double WINDOW_ANSWERS = 80;
 
-    /** What like machines showed counts as so many answers of a node's own. */
+    /** Weight of the machine type's measurements, in answers of the node itself. */
     private static final double PRIOR_ANSWERS = 25;
 
-    /** A capacity is adjusted once in this time, so that its effect is seen in between. */
+    /** Interval between adjustments, long enough to see the effect of the previous one. */
     private static final long ADJUSTMENT_INTERVAL_NANOS = TimeUnits.SECOND;
 
-    /** Part of the gap by which a capacity is adjusted: damped, as several controllers adjust. */
-    private static final double ADJUSTMENT_PART = 0.6;
+    /** Exponent that damps each correction of a capacity, as several controllers adjust. */
+    private static final double ADJUSTMENT_EXPONENT = 0.6;
 
-    /** A gap within this band is noise and leaves the capacity as it is. */
-    private static final double ADJUSTMENT_BAND = 0.08;
+    /** Relative deviation that counts as noise and leaves the capacity as it is. */
+    private static final double ADJUSTMENT_TOLERANCE = 0.08;
 
-    /** Bounds of a capacity against the listed weight. */
+    /** Bounds of a node's capacity relative to its listed weight. */
     private static final double MIN_CAPACITY_FACTOR = 0.25;
 
     private static final double MAX_CAPACITY_FACTOR = 3;
 
-    /** How much larger than its like a node may seem at their latency. */
+    /** Largest capacity of a node relative to its machine type, at the type's mean latency. */
     private static final double MAX_CAPACITY_AT_TYPE_LATENCY = 1.3;
 
-    /** Load below which a reported utilization counts as at least this. */
+    /** Lower bound of the load taken from a reported utilization. */
     private static final double MIN_LOAD = 0.02;
 
-    /** How fast the spare capacity ratio may grow with each adjustment. */
+    /** Largest increase of the spare capacity ratio in one adjustment. */
     private static final double SPARE_RATIO_GROWTH = 0.05;
 
-    /** The most spare capacity that plans count on. */
+    /** Largest spare capacity ratio that the planner relies on. */
     private static final double MAX_SPARE_RATIO = 0.6;
 
     private final NodeRegistry nodes;
@@ -59,20 +59,20 @@
         this.load = load;
     }
 
-    /** The part of all capacity that is not used, 0 while load is shed. */
+    /** The fraction of all capacity that counts as spare, 0 while load is shed. */
     double spareCapacityRatio() {
         return spareCapacityRatio;
     }
 
-    /** Whether enough answers were counted to trust the units. */
+    /** Whether enough answers were counted to rely on the capacity units. */
     boolean reliable() {
         return reliable;
     }
 
     /**
-     * Learns from what was reported so far.
+     * Updates the estimates from the reports received so far.
      *
-     * @param shedding whether load is shed, so that no capacity counts as spare
+     * @param shedding whether load is shed; no capacity counts as spare then
      */
     void estimate(long now, boolean shedding) {
         nodes.ready().stream()
@@ -123,7 +123,7 @@
         return windows.fresh(node, now, now) || node.answeredAt() == Node.NEVER;
     }
 
-    /** The nodes of a machine type that are not ejected, of all types if none is named. */
+    /** The ready nodes of a machine type that are not ejected; of all types if it is null. */
     private Stream<Node> healthy(MachineTypeId type) {
         return nodes.ready().stream()
                 .filter(
@@ -149,7 +149,10 @@
                         .sum();
     }
 
-    /** Utilization where it is reported; else latency against the fleet's, NaN without either. */
+    /**
+     * The node's load: its utilization if it is reported, otherwise half the ratio of its latency
+     * to the mean of all nodes; NaN if neither is known.
+     */
     private double load(Node node, double meanLatency, long now) {
         if (node.utilization().known(now)) {
             return Math.max(MIN_LOAD, node.utilization().perSecond(now));
@@ -160,28 +163,30 @@
     }
 
     /**
-     * Adjusts a capacity towards what the node answers for its load, by a part of the gap; by all
-     * of it the first time, for the nodes there at a start: guards against small machines that take
-     * as much as large ones. Without fresh answers it stays: guards against late reports being read
-     * as a change of the machine.
+     * Adjusts a node's capacity towards the measured one. The first adjustment, for nodes that were
+     * listed at the controller's start, takes effect in full, so that small machines do not get as
+     * much load as large ones; later ones are damped. The caller leaves out nodes without fresh
+     * answers, so that late reports are not taken for a change of the machine.
      */
     private void adjust(Node node, double load, long now) {
-        double gap = measuredCapacity(node, load, now) / (units.unit() * node.capacity());
+        double measuredRatio = measuredCapacity(node, load, now) / (units.unit() * node.capacity());
         double factor = node.capacityFactor();
-        if (Math.abs(gap - 1) > ADJUSTMENT_BAND) {
-            double part = node.capacityAdjusted() ? ADJUSTMENT_PART : 1;
+        if (Math.abs(measuredRatio - 1) > ADJUSTMENT_TOLERANCE) {
+            double exponent = node.capacityAdjusted() ? ADJUSTMENT_EXPONENT : 1;
             factor =
                     Math.max(
                             MIN_CAPACITY_FACTOR,
-                            Math.min(MAX_CAPACITY_FACTOR, factor * Math.pow(gap, part)));
+                            Math.min(
+                                    MAX_CAPACITY_FACTOR,
+                                    factor * Math.pow(measuredRatio, exponent)));
         }
         node.adjustCapacity(factor);
     }
 
     /**
-     * RPCs a second at full load by the node's own answers and those of its like. A node that
-     * answers later than its like is not held to be larger: guards against reports that show too
-     * little load.
+     * RPCs per second at full load, from the node's own answers and those of its machine type. The
+     * capacity of a node that is not busy is bounded by its latency relative to the type's mean,
+     * because its reports may state too little load.
      */
     private double measuredCapacity(Node node, double load, long now) {
         double prior = units.unit(node.machineType()) * node.listedWeight();
@@ -195,10 +200,10 @@
         if (load < LoadEstimator.BUSY_UTILIZATION
                 && node.latency().known(now)
                 && units.latency(node.machineType()) > 0) {
-            double atTypeLatency = prior * MAX_CAPACITY_AT_TYPE_LATENCY;
+            double maxAtTypeLatency = prior * MAX_CAPACITY_AT_TYPE_LATENCY;
             return Math.min(
                     capacity,
-                    atTypeLatency
+                    maxAtTypeLatency
                             * units.latency(node.machineType())
                             / node.latency().perSecond(now));
         }
--- a/src/main/java/rosespread/policy/CapacityUnits.java
+++ b/src/main/java/rosespread/policy/CapacityUnits.java
@@ -5,15 +5,15 @@
 import rosespread.api.MachineTypeId;
 
 /**
- * Units of capacity: RPCs a second that a listed weight of 1 answers at full load, over all nodes
- * and by machine type; and the mean latency by machine type.
+ * Capacity units: the RPCs per second that a node of listed weight 1 answers at full load, over all
+ * nodes and by machine type. Also holds the mean latency by machine type.
  */
 final class CapacityUnits {
     private final TreeMap<MachineTypeId, Double> unitByType = new TreeMap<>();
     private final TreeMap<MachineTypeId, Double> latencyByType = new TreeMap<>();
     private double unit = Double.NaN;
 
-    /** Whether anything was reported that tells the unit. */
+    /** Whether the reports so far were enough to estimate the unit over all nodes. */
     boolean known() {
         return !Double.isNaN(unit);
     }
@@ -32,12 +32,13 @@
         unit = rpcsPerSecond;
     }
 
-    /** Sets the unit of a machine type; one that is not known leaves the former. */
+    /** Sets the unit of a machine type; an unknown one (NaN) leaves the previous unit in place. */
     void setUnit(MachineTypeId type, double rpcsPerSecond) {
-        unitByType.merge(type, rpcsPerSecond, (old, fresh) -> fresh > 0 ? fresh : old);
+        unitByType.merge(
+                type, rpcsPerSecond, (previous, measured) -> measured > 0 ? measured : previous);
     }
 
-    /** The mean latency in seconds of a machine type that has nodes, NaN while it is not known. */
+    /** Mean latency in seconds of a machine type in {@link #types}, NaN while it is not known. */
     double latency(MachineTypeId type) {
         return latencyByType.get(type);
     }
@@ -46,7 +47,7 @@
         latencyByType.put(type, seconds);
     }
 
-    /** All machine types that ever had a ready node. */
+    /** All machine types that have ever had a ready node. */
     Set<MachineTypeId> types() {
         return latencyByType.keySet();
     }
--- a/src/main/java/rosespread/policy/DemandEstimator.java
+++ b/src/main/java/rosespread/policy/DemandEstimator.java
@@ -7,7 +7,7 @@
 import rosespread.policy.state.ProxyRegistry;
 import rosespread.stats.WindowedRate;
 
-/** What is offered of each method, kept for the length of a round. */
+/** Estimates the offered load of each method; the estimates are cached for one round. */
 final class DemandEstimator {
     private final ProxyRegistry proxies;
     private final Map<MethodId, Double> byMethod = new TreeMap<>();
@@ -16,14 +16,14 @@
         this.proxies = proxies;
     }
 
-    /** Drops what is kept, as time or reports have changed it. */
+    /** Clears the cache when time has passed or reports have come in. */
     void invalidate() {
         byMethod.clear();
     }
 
     /**
-     * RPCs a second of a method. Proxies that have not reported yet, such as ones just joined,
-     * count by their usual rate.
+     * The offered load of a method in RPCs per second. Proxies that have not reported yet, such as
+     * those that have just joined, are estimated from their usual rate.
      */
     double demand(MethodId method, long now) {
         return byMethod.computeIfAbsent(method, m -> estimate(m, now));
--- a/src/main/java/rosespread/policy/EligibleNodes.java
+++ b/src/main/java/rosespread/policy/EligibleNodes.java
@@ -8,8 +8,9 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * The nodes that a table may name now. They are the same for like tables of all shards and are
- * asked for as each proxy joins, so that they are kept until the list changes or the round ends.
+ * The nodes that a table may name at the current time. They are the same for the corresponding
+ * tables of all shards and are needed each time a proxy joins, so they are cached until the node
+ * list changes or the round ends.
  */
 final class EligibleNodes {
     private final NodeRegistry nodes;
@@ -21,12 +22,12 @@
         this.slowStart = slowStart;
     }
 
-    /** Drops what is kept, as time or the list has changed. */
+    /** Clears the cache when time has passed or the node list has changed. */
     void invalidate() {
         byTable.clear();
     }
 
-    /** The nodes that the table may name, in order. */
+    /** The nodes that the table may name, in the order of all nodes. */
     List<Node> of(ShardTable table, long now) {
         return byTable.computeIfAbsent(
                 table.index(),
--- a/src/main/java/rosespread/policy/LoadEstimator.java
+++ b/src/main/java/rosespread/policy/LoadEstimator.java
@@ -6,7 +6,7 @@
 import rosespread.policy.state.ShardRegistry;
 import rosespread.policy.state.ShardTable;
 
-/** How much the nodes can do by now, and how much of that is asked of them. */
+/** Estimates the available capacity of the nodes and their load relative to it. */
 final class LoadEstimator {
     /** A node above this utilization counts as busy. */
     static final double BUSY_UTILIZATION = 0.8;
@@ -33,15 +33,16 @@
         this.units = units;
     }
 
-    /** The part of its capacity that warm-up and health leave a node in a table. */
+    /** The fraction of a node's capacity that counts in a table, given its warm-up and health. */
     double effectiveRatio(Node node, ShardTable table, long now) {
         return slowStart.warmUpRatio(node, now) * outliers.weightRatio(node, table, now);
     }
 
     /**
-     * RPCs a second that nodes with a weight entry can do by now, in the widest table; NaN before
-     * anything was reported. Guards against few nodes that carry all while the entries of returned
-     * ones wait for a slow channel.
+     * The RPCs per second that nodes with a delivered weight entry can answer at present, in the
+     * table where they can answer most; NaN while the capacity unit is unknown. Nodes without an
+     * entry do not count, because a few nodes may carry all load while the entries of returned
+     * nodes wait for a slow channel.
      */
     double availableCapacity(long now) {
         return units.unit()
@@ -52,14 +53,15 @@
     }
 
     private double deliveredCapacity(ShardTable table, long now) {
-        List<ShardTable> like = shards.tables().stream().filter(t -> t.isLike(table)).toList();
+        List<ShardTable> sameIndexTables =
+                shards.tables().stream().filter(t -> t.isLike(table)).toList();
         return eligible.of(table, now).stream()
-                .filter(node -> like.stream().anyMatch(t -> t.holds(node.id())))
+                .filter(node -> sameIndexTables.stream().anyMatch(t -> t.holds(node.id())))
                 .mapToDouble(node -> node.capacity() * effectiveRatio(node, table, now))
                 .sum();
     }
 
-    /** Attempts a second against the available capacity; 0 before anything was reported. */
+    /** Ratio of attempts per second to the available capacity; 0 while the unit is unknown. */
     double loadRatio(long now) {
         double attempted =
                 nodes.all().stream().mapToDouble(node -> node.attemptedPerSecond(now)).sum();
