--- a/src/main/java/rosespread/policy/AcknowledgementTracker.java
+++ b/src/main/java/rosespread/policy/AcknowledgementTracker.java
@@ -11,20 +11,20 @@
 import rosespread.stats.InFlightMessages;
 
 /**
- * Settles deliveries as proxies acknowledge them. One that stays unacknowledged too long is closed,
- * and the laggards are subscribed again.
+ * Tracks which deliveries the proxies have acknowledged. Closes a delivery that stays
+ * unacknowledged past the timeout; the proxies that have not acknowledged it are subscribed again.
  */
 final class AcknowledgementTracker {
-    /** The least time that a proxy has to acknowledge. */
+    /** Least acknowledgement timeout. */
     private static final long MIN_TIMEOUT_NANOS = 2 * TimeUnits.SECOND;
 
-    /** Time constant of the mean latency of acknowledgements. */
+    /** Time constant of the mean acknowledgement latency. */
     private static final long LATENCY_WINDOW_NANOS = 10 * TimeUnits.SECOND;
 
-    /** The timeout is at least this multiple of the mean latency: some proxies are later. */
+    /** Factor applied to the mean latency in the timeout, as some proxies take longer. */
     private static final double LATENCY_MULTIPLE = 3;
 
-    /** What is queued counts so many times, as the channel may be slower than stated. */
+    /** Factor applied to the queueing delay, as the channel may be slower than stated. */
     private static final double QUEUE_MULTIPLE = 4;
 
     private final PolicySettings settings;
@@ -48,7 +48,13 @@
         this.budget = budget;
     }
 
-    /** The stream is ordered, so a token also acknowledges all that was sent before it. */
+    /**
+     * Records a proxy's acknowledgement. The stream is ordered, so a token also acknowledges all
+     * messages sent before it. A token that matches no unacknowledged message is ignored.
+     *
+     * @param latency acknowledgement latency in nanoseconds
+     * @param now clock reading in nanoseconds
+     */
     void acknowledged(ProxyId id, int token, long latency, long now) {
         long sequence = inFlight.acknowledged(id, token);
         if (sequence == 0) {
@@ -60,15 +66,16 @@
         shards.tables().forEach(table -> table.acknowledged(id, sequence));
     }
 
-    /** A proxy's stream ended: nothing is waited for any more. */
+    /** Stops waiting for acknowledgements of a proxy whose stream has ended. */
     void forget(ProxyId id) {
         inFlight.forget(id);
         shards.tables().forEach(table -> table.forget(id));
     }
 
     /**
-     * Closes deliveries that are unacknowledged too long; their laggards need full tables, proxies
-     * without a subscription are waited for no longer.
+     * Closes deliveries whose acknowledgement has timed out and marks the proxies that need full
+     * tables because of it. For proxies without a subscription, messages older than the timeout no
+     * longer count as queued.
      */
     void handleTimeouts(RoundContext round) {
         long now = round.now();
@@ -102,7 +109,7 @@
         table.closeDelivery();
     }
 
-    /** Stretched by the latency met and by what the channel may still hold. */
+    /** The acknowledgement timeout; it grows with the measured latency and the channel's queue. */
     private long timeoutNanos(long now) {
         double meanLatency = latencyNanos.read(now) / Math.max(1, acknowledgements.read(now));
         double queue = budget.queuedEntries() / settings.entriesPerSecond() * TimeUnits.SECOND;
--- a/src/main/java/rosespread/policy/ChannelBudget.java
+++ b/src/main/java/rosespread/policy/ChannelBudget.java
@@ -5,24 +5,25 @@
 import rosespread.stats.InFlightMessages;
 
 /**
- * What the channel and the message limit still allow. The channel carries entries of all proxies in
- * the order written, so that what is written waits behind all that was written before.
+ * The number of entries and messages that the channel and the message limit still allow. The
+ * channel carries the entries of all proxies in the order in which they are written, so each entry
+ * waits behind all entries written before it.
  */
 final class ChannelBudget {
-    /** Part of the queue's and the messages' limits for ordinary deliveries. */
+    /** Fraction of the queue limit and of the message limit for ordinary deliveries. */
     static final double ORDINARY_SHARE = 0.5;
 
-    /** Part of the limits for deliveries that can't wait and for full tables in a reconnect. */
+    /** Fraction of the limits for urgent deliveries and for full tables in a mass reconnect. */
     static final double URGENT_SHARE = 0.7;
 
-    /** Part of the limits for removals: nothing else may fill what they need. */
+    /** Fraction of the limits for removals; other traffic must not use up what they need. */
     static final double REMOVAL_SHARE = 0.9;
 
-    /** Part of a drain timeout whose entries may wait: a removal leaves behind all of them. */
-    private static final double QUEUED_TIMEOUT_PART = 0.667;
+    /** Fraction of a drain timeout's entries that may be queued, as a removal waits behind them. */
+    private static final double QUEUED_TIMEOUT_FRACTION = 0.667;
 
-    /** Part of a drain timeout that a removal may wait for its turn. */
-    private static final double TURN_TIMEOUT_PART = 0.333;
+    /** Fraction of a drain timeout that a removal may wait before it is sent. */
+    private static final double REMOVAL_WAIT_FRACTION = 0.333;
 
     private final PolicySettings settings;
     private final InFlightMessages inFlight;
@@ -34,59 +35,63 @@
         this.outgoing = outgoing;
     }
 
-    /** Unacknowledged entries; they bound the queue from above, however slow the channel is. */
+    /** Unacknowledged entries: an upper bound of the queue, however slow the channel is. */
     double queuedEntries() {
         return inFlight.entries() + outgoing.entries();
     }
 
-    /** What a message costs besides its entries, counted in entries. */
+    /** Overhead of a message besides its entries, counted in entries. */
     double messageOverhead() {
         return outgoing.messageOverhead();
     }
 
     /**
-     * Capacity for entries besides those queued, at a part of the limits. A removal waits behind
-     * all that is queued, so that must leave well within the drain timeout, whatever the limit
-     * allows.
+     * The entries that may be written besides those queued, at a fraction of the limits. A removal
+     * waits behind all queued entries, so these must leave the channel well within the drain
+     * timeout, whatever the queue limit allows.
      */
     double capacity(double share) {
-        double inTime =
-                share * QUEUED_TIMEOUT_PART * entriesWithinDrainTimeout() + propagatingEntries();
-        return Math.min(share * settings.queueLimitEntries(), inTime) - queuedEntries();
+        double deliverableInTime =
+                share * QUEUED_TIMEOUT_FRACTION * entriesWithinDrainTimeout()
+                        + propagatingEntries();
+        return Math.min(share * settings.queueLimitEntries(), deliverableInTime) - queuedEntries();
     }
 
-    /** Capacity for removals besides what is queued. */
+    /** The entries that removals may take besides those queued. */
     double capacityForRemovals() {
         return REMOVAL_SHARE * Math.min(settings.queueLimitEntries(), entriesWithinDrainTimeout())
                 - queuedEntries();
     }
 
-    /** Entries that left the channel and can't have been acknowledged yet. */
+    /** Entries that may have left the channel without being acknowledged yet. */
     double propagatingEntries() {
         return settings.entriesPerSecond() * settings.maxPropagationDelayNanos() / TimeUnits.SECOND;
     }
 
-    /** Entries that the channel carries until what left must be out of all tables. */
+    /**
+     * Entries that the channel carries within a drain timeout, after which no table may hold a node
+     * that left.
+     */
     private double entriesWithinDrainTimeout() {
         return settings.entriesPerSecond() * settings.drainTimeoutNanos() / TimeUnits.SECOND;
     }
 
-    /** Entries that the channel carries in half of that time. */
+    /** Entries that the channel carries within half a drain timeout. */
     double entriesWithinHalfDrainTimeout() {
         return entriesWithinDrainTimeout() / 2;
     }
 
-    /** How long a removal may wait for its turn, in nanoseconds. */
+    /** How long a removal may wait before it is sent, in nanoseconds. */
     long maxRemovalWaitNanos() {
-        return (long) (TURN_TIMEOUT_PART * settings.drainTimeoutNanos());
+        return (long) (REMOVAL_WAIT_FRACTION * settings.drainTimeoutNanos());
     }
 
-    /** How many messages were written to the proxy within the window of their limit. */
+    /** The number of messages written to the proxy within the window of the message limit. */
     int messages(Proxy proxy, long now) {
         return proxy.messages(now, settings.messageWindowNanos());
     }
 
-    /** Whether a part of the message limit lets the proxy be written to in this round. */
+    /** Whether a fraction of the message limit allows writing to the proxy in this round. */
     boolean allowsMessage(Proxy proxy, double share, long now) {
         return settings.messageLimit() == 0
                 || outgoing.hasMessageFor(proxy)
--- a/src/main/java/rosespread/policy/DeliveryInterval.java
+++ b/src/main/java/rosespread/policy/DeliveryInterval.java
@@ -6,25 +6,25 @@
 import rosespread.policy.state.ProxyRegistry;
 import rosespread.policy.state.ShardTable;
 
-/** The least time between two deliveries of a shard. */
+/** Least interval between two deliveries of a shard. */
 final class DeliveryInterval {
-    /** The pace of ordinary deliveries. */
+    /** Least interval of ordinary deliveries. */
     private static final long ORDINARY_NANOS = TimeUnits.SECOND / 2;
 
-    /** Part of the channel for message overheads if little has changed. */
+    /** Fraction of the channel for message overhead if few entries are pending. */
     private static final double USUAL_OVERHEAD_SHARE = 0.12;
 
-    /** Part of the channel for message overheads if much has changed or can't wait. */
+    /** Fraction of the channel for message overhead if many entries are pending or are urgent. */
     private static final double MAX_OVERHEAD_SHARE = 0.4;
 
-    /** Part of the channel for message overheads if a removal would be late otherwise. */
+    /** Fraction of the channel for message overhead if a removal would be late otherwise. */
     private static final double REMOVAL_OVERHEAD_SHARE = 0.8;
 
-    /** Much has changed if entries come to this multiple of a message's overhead. */
-    private static final double MANY_ENTRIES = 1.5;
+    /** Many entries are pending if they exceed this multiple of a message's overhead. */
+    private static final double MANY_ENTRIES_MULTIPLE = 1.5;
 
-    /** Messages are spaced once a proxy was written one in so many of its limit. */
-    private static final int SPACED_FROM = 4;
+    /** Messages are spaced once a proxy has received more than its limit divided by this. */
+    private static final int SPACING_START_DIVISOR = 4;
 
     private final PolicySettings settings;
     private final ProxyRegistry proxies;
@@ -37,11 +37,11 @@
     }
 
     /**
-     * The interval in nanoseconds, such that message overheads take a bounded part of the channel
-     * and messages are spread over the window of their limit. A removal waits a third of its drain
-     * timeout at most.
+     * The interval in nanoseconds. It bounds the fraction of the channel that message overhead
+     * takes, and spreads messages over the window of the message limit. A removal waits a third of
+     * its drain timeout at most.
      *
-     * @param share the part of the limits that the delivery may use, which tells its urgency
+     * @param share the fraction of the limits that the delivery may use; it reflects the urgency
      */
     long nanos(double share, List<ShardTable> due, List<Proxy> subscribed, long now) {
         boolean urgent = share > ChannelBudget.ORDINARY_SHARE;
@@ -52,16 +52,17 @@
     }
 
     private long overheadNanos(double share, List<ShardTable> due) {
-        boolean much =
+        boolean manyOrUrgent =
                 share > ChannelBudget.ORDINARY_SHARE
                         || due.stream().mapToInt(table -> table.pending().size()).sum()
-                                > MANY_ENTRIES * budget.messageOverhead();
+                                > MANY_ENTRIES_MULTIPLE * budget.messageOverhead();
         double overheads =
                 budget.messageOverhead()
                         * proxies.size()
                         / settings.entriesPerSecond()
                         * TimeUnits.SECOND;
-        long nanos = (long) (overheads / (much ? MAX_OVERHEAD_SHARE : USUAL_OVERHEAD_SHARE));
+        long nanos =
+                (long) (overheads / (manyOrUrgent ? MAX_OVERHEAD_SHARE : USUAL_OVERHEAD_SHARE));
         return share == ChannelBudget.REMOVAL_SHARE
                 ? Math.max(
                         (long) (overheads / REMOVAL_OVERHEAD_SHARE),
@@ -70,8 +71,10 @@
     }
 
     private long messageLimitNanos(double share, List<Proxy> subscribed, long now) {
-        int most = subscribed.stream().mapToInt(p -> budget.messages(p, now)).max().orElse(0);
-        return SPACED_FROM * most > settings.messageLimit() && settings.messageLimit() > 0
+        int maxMessages =
+                subscribed.stream().mapToInt(p -> budget.messages(p, now)).max().orElse(0);
+        return SPACING_START_DIVISOR * maxMessages > settings.messageLimit()
+                        && settings.messageLimit() > 0
                 ? (long) (settings.messageWindowNanos() / (share * settings.messageLimit()))
                 : 0;
     }
--- a/src/main/java/rosespread/policy/DeliveryScheduler.java
+++ b/src/main/java/rosespread/policy/DeliveryScheduler.java
@@ -10,13 +10,13 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Sends each table's pending delivery if none is in flight; what does not fit the budget stays
- * pending. All deliveries of a shard leave together, spaced so that message overheads leave the
- * channel to entries: guards against many small changes that fill the queue and use up messages;
- * single changes wait.
+ * Sends each table's pending delivery if none is in flight; entries beyond the channel budget stay
+ * pending. All deliveries of a shard are sent together and spaced, so that many small changes do
+ * not fill the queue with message overhead or use up the message limit. A single change waits
+ * because of it.
  */
 final class DeliveryScheduler {
-    /** Message overheads that partial tables' entries are worth at least. */
+    /** Least non-urgent entries allowed for a partial table, as a multiple of message overhead. */
     private static final double MIN_PARTIAL_OVERHEADS = 3;
 
     private final PolicySettings settings;
@@ -52,7 +52,7 @@
         this.sender = sender;
     }
 
-    /** Sends what may leave, the shard first that has waited longest. */
+    /** Sends the deliveries that are due, starting with the shard that has waited longest. */
     void deliverPending(RoundContext round) {
         shards.shards().stream()
                 .sorted(Comparator.comparingLong(ProxyShard::deliveredAt))
@@ -69,7 +69,7 @@
         List<Proxy> subscribed = shard.subscribedMembers();
         if (mayDeliver(shard, due, subscribed, round.now())) {
             for (ShardTable table : due) {
-                if (!waitsForOthers(table, subscribed, round.now())) {
+                if (!mustWait(table, subscribed, round.now())) {
                     deliver(table, subscribed, round);
                 }
             }
@@ -91,10 +91,10 @@
     }
 
     /**
-     * The earlier deadline goes first: removals wait a third of their drain timeout while proxies
-     * wait to be subscribed that were there before the nodes left, but not past the time at which
-     * they still leave in time behind all that is queued. Guards against later removals that hold
-     * up a mass reconnect.
+     * Whether removals wait for a mass reconnect, so that the earlier deadline goes first and later
+     * removals do not delay the reconnect. They wait while some unsubscribed proxy has been waiting
+     * since before the nodes left: at most a third of the drain timeout, and only while they can
+     * still leave in time behind the queued entries.
      */
     private boolean removalsMustWait(ProxyShard shard, long now) {
         long departure = departed.earliestDeparture(shard, now);
@@ -102,14 +102,14 @@
                 (budget.queuedEntries() + budget.propagatingEntries())
                         / settings.entriesPerSecond()
                         * TimeUnits.SECOND;
-        long latest =
+        long maxSafeWaitNanos =
                 (long) (ChannelBudget.REMOVAL_SHARE * settings.drainTimeoutNanos() - queueNanos);
         return reconnects.inProgress()
-                && now - departure < Math.min(budget.maxRemovalWaitNanos(), latest)
+                && now - departure < Math.min(budget.maxRemovalWaitNanos(), maxSafeWaitNanos)
                 && proxies.unsubscribed().stream().anyMatch(p -> p.waitingSince() < departure);
     }
 
-    private boolean waitsForOthers(ShardTable table, List<Proxy> subscribed, long now) {
+    private boolean mustWait(ShardTable table, List<Proxy> subscribed, long now) {
         boolean reconnect = reconnects.inProgress();
         return (reconnect || table.inFlight()) && !changes.urgent(table, now)
                 || reconnect && subscribed.isEmpty();
@@ -117,14 +117,15 @@
 
     private void deliver(ShardTable table, List<Proxy> subscribed, RoundContext round) {
         long now = round.now();
-        boolean first = subscribed.stream().noneMatch(outgoing::hasMessageFor);
-        double overhead = (first ? budget.messageOverhead() : 0) + table.pendingLimits();
-        double users = Math.max(1, table.shard().size());
-        int fitting = entriesThatFit(table, overhead, users, now);
-        double least = entriesWorthSending(table, overhead, users, now);
-        boolean free = subscribed.isEmpty();
-        if (free || fitting >= least && fitting + table.pendingLimits() > 0) {
-            sender.send(table, free ? Integer.MAX_VALUE : fitting, round);
+        boolean newMessages = subscribed.stream().noneMatch(outgoing::hasMessageFor);
+        double overhead = (newMessages ? budget.messageOverhead() : 0) + table.pendingLimits();
+        double members = Math.max(1, table.shard().size());
+        int fittingEntries = entriesThatFit(table, overhead, members, now);
+        double minEntries = entriesWorthSending(table, overhead, members, now);
+        boolean noSubscribers = subscribed.isEmpty();
+        if (noSubscribers
+                || fittingEntries >= minEntries && fittingEntries + table.pendingLimits() > 0) {
+            sender.send(table, noSubscribers ? Integer.MAX_VALUE : fittingEntries, round);
             table.shard().deliveryStarted(now);
         } else {
             round.deliveryWaits();
@@ -132,10 +133,11 @@
     }
 
     /**
-     * Entries that the channel has room for, leaving other shards what their removals take. What is
-     * urgent leaves first; while many proxies wait or much is queued, nothing else does.
+     * The number of pending entries that the channel has room for, with capacity reserved for
+     * removals of other shards. Urgent entries go first. They go alone during a mass reconnect and,
+     * from a partial table, while the queue is long.
      */
-    private int entriesThatFit(ShardTable table, double overhead, double users, long now) {
+    private int entriesThatFit(ShardTable table, double overhead, double members, long now) {
         int removals = changes.removals(table, now);
         double reserved = reservedForRemovals(table.shard(), now);
         double forRemovals =
@@ -143,22 +145,23 @@
                         ? budget.capacityForRemovals()
                         : budget.capacity(ChannelBudget.URGENT_SHARE) - reserved;
         double ordinary =
-                (budget.capacity(ChannelBudget.ORDINARY_SHARE) - reserved) / users - overhead;
-        int fitting =
+                (budget.capacity(ChannelBudget.ORDINARY_SHARE) - reserved) / members - overhead;
+        int fittingEntries =
                 (int)
                         Math.floor(
                                 Math.max(
                                         ordinary,
-                                        Math.min(removals, forRemovals / users - overhead)));
+                                        Math.min(removals, forRemovals / members - overhead)));
         return (int)
                 Math.min(
-                        fitting,
-                        changes.urgentEntries(table, now) + entriesThatMayFollow(table, fitting));
+                        fittingEntries,
+                        changes.urgentEntries(table, now)
+                                + nonUrgentEntriesAllowed(table, fittingEntries));
     }
 
-    private double reservedForRemovals(ProxyShard except, long now) {
+    private double reservedForRemovals(ProxyShard currentShard, long now) {
         return shards.tables().stream()
-                .filter(table -> table.shard() != except && changes.removals(table, now) > 0)
+                .filter(table -> table.shard() != currentShard && changes.removals(table, now) > 0)
                 .mapToDouble(
                         table ->
                                 (changes.removals(table, now) + budget.messageOverhead())
@@ -166,8 +169,8 @@
                 .sum();
     }
 
-    /** Entries besides the urgent ones; a partial table's rest follows slowly. */
-    private double entriesThatMayFollow(ShardTable table, int fitting) {
+    /** Entries allowed besides the urgent ones; the rest of a partial table follows slowly. */
+    private double nonUrgentEntriesAllowed(ShardTable table, int fittingEntries) {
         boolean partial = table.parts() > 1;
         if (reconnects.inProgress()
                 || partial
@@ -179,11 +182,12 @@
                 ? Math.max(
                         MIN_PARTIAL_OVERHEADS * budget.messageOverhead(),
                         settings.entriesPerSecond() / proxies.size())
-                : fitting;
+                : fittingEntries;
     }
 
-    /** Entries below which an ordinary delivery waits, as its message overheads cost too much. */
-    private double entriesWorthSending(ShardTable table, double overhead, double users, long now) {
+    /** The number of entries below which a delivery waits, as its overhead would be too high. */
+    private double entriesWorthSending(
+            ShardTable table, double overhead, double members, long now) {
         int removals = changes.removals(table, now);
         if (removals > 0) {
             return Math.min(removals, settings.messageOverheadEntries());
@@ -191,8 +195,10 @@
         if (changes.urgent(table, now) || budget.queuedEntries() == 0) {
             return 0;
         }
-        double emptyQueue = budget.capacity(ChannelBudget.ORDINARY_SHARE) + budget.queuedEntries();
-        double half = (emptyQueue / users - overhead) / 2;
-        return Math.min(table.pending().size(), Math.max(settings.messageOverheadEntries(), half));
+        double emptyQueueCapacity =
+                budget.capacity(ChannelBudget.ORDINARY_SHARE) + budget.queuedEntries();
+        double halfCapacity = (emptyQueueCapacity / members - overhead) / 2;
+        return Math.min(
+                table.pending().size(), Math.max(settings.messageOverheadEntries(), halfCapacity));
     }
 }
--- a/src/main/java/rosespread/policy/OutgoingRound.java
+++ b/src/main/java/rosespread/policy/OutgoingRound.java
@@ -8,11 +8,11 @@
 import rosespread.stats.InFlightMessages;
 
 /**
- * What the round has written so far. All actions of a round are one message for each proxy reached,
- * with one acknowledgement token.
+ * The messages that the current round has written so far. All actions of a round form one message
+ * per receiving proxy, and all these messages have the same acknowledgement token.
  */
 final class OutgoingRound {
-    /** The bits of a sequence number that travel as the acknowledgement token. */
+    /** The bits of a sequence number that are sent as the acknowledgement token. */
     private static final int TOKEN_BITS = 0xFFFF;
 
     private final ProxyRegistry proxies;
@@ -20,7 +20,7 @@
     private final double messageOverhead;
     private final TreeMap<ProxyId, Double> entriesByProxy = new TreeMap<>();
     private double entries;
-    private long closedSequence;
+    private long lastClosedSequence;
 
     OutgoingRound(PolicySettings settings, ProxyRegistry proxies, InFlightMessages inFlight) {
         this.proxies = proxies;
@@ -28,18 +28,18 @@
         this.messageOverhead = settings.messageOverheadEntries() + 1;
     }
 
-    /** What a message costs besides its entries, counted in entries: its head and the token. */
+    /** Overhead of a message, counted in entries: its header and the acknowledgement token. */
     double messageOverhead() {
         return messageOverhead;
     }
 
-    /** Counts entries written to a proxy. */
+    /** Counts entries written to a proxy, and the overhead of its message once. */
     void add(Proxy proxy, double count) {
         entries += count + (entriesByProxy.containsKey(proxy.id()) ? 0 : messageOverhead);
         entriesByProxy.merge(proxy.id(), messageOverhead + count, (old, more) -> old + count);
     }
 
-    /** Whether the round has written to the proxy, so that more costs no further message. */
+    /** Whether the round has written to the proxy, so that more entries need no new message. */
     boolean hasMessageFor(Proxy proxy) {
         return entriesByProxy.containsKey(proxy.id());
     }
@@ -51,19 +51,19 @@
 
     /** The sequence number of the round's messages. */
     long sequence() {
-        return closedSequence + 1;
+        return lastClosedSequence + 1;
     }
 
-    /** Closes the round's messages, if any, and asks for their acknowledgement. */
+    /** Closes the round's messages, if any, and requests their acknowledgement. */
     void close(RoundContext round) {
         if (entriesByProxy.isEmpty()) {
             return;
         }
-        closedSequence++;
-        round.actions().requestAcknowledgement((int) (closedSequence & TOKEN_BITS));
+        lastClosedSequence++;
+        round.actions().requestAcknowledgement((int) (lastClosedSequence & TOKEN_BITS));
         entriesByProxy.forEach(
                 (id, count) -> {
-                    inFlight.written(id, closedSequence, count, round.now());
+                    inFlight.written(id, lastClosedSequence, count, round.now());
                     proxies.find(id).messageWritten(round.now());
                 });
         entriesByProxy.clear();
--- a/src/main/java/rosespread/policy/PartialTables.java
+++ b/src/main/java/rosespread/policy/PartialTables.java
@@ -6,9 +6,12 @@
 import rosespread.policy.state.ShardRegistry;
 import rosespread.policy.state.ShardTable;
 
-/** Writes tables with a part of their entries while no proxy follows them, so that it is free. */
+/**
+ * Writes tables with a part of their entries while no proxy follows them, which costs nothing in
+ * the channel.
+ */
 final class PartialTables {
-    /** The least entries of a part: fewer nodes could not bear what a proxy sends. */
+    /** Least number of entries of a part; fewer nodes could not take the load of a proxy. */
     static final int MIN_ENTRIES = 8;
 
     private final ShardRegistry shards;
@@ -17,8 +20,8 @@
         this.shards = shards;
     }
 
-    /** Writes the tables of all shards without followers again. */
-    void writeUnfollowed(RoundContext round) {
+    /** Rewrites the tables of all shards without followers. */
+    void rewriteTablesWithoutFollowers(RoundContext round) {
         shards.tables().stream()
                 .filter(table -> table.shard().withoutFollowers())
                 .forEach(table -> write(table, round));
@@ -28,11 +31,11 @@
         long parts = Math.max(1, Math.min(table.parts(), table.committed().size() / MIN_ENTRIES));
         Set<NodeId> all = new TreeSet<>(table.delivered().keySet());
         all.addAll(table.committed().keySet());
-        int place = shards.shards().indexOf(table.shard());
+        int position = shards.shards().indexOf(table.shard());
         for (NodeId id : all) {
-            double wanted = table.committed().getOrDefault(id, 0.0);
-            double weight = place % parts == 0 ? wanted : 0;
-            place++;
+            double committedWeight = table.committed().getOrDefault(id, 0.0);
+            double weight = position % parts == 0 ? committedWeight : 0;
+            position++;
             if (table.deliverPartially(id, weight)) {
                 round.actions().setWeight(table.id(), id, weight);
             }
--- a/src/main/java/rosespread/policy/PendingChanges.java
+++ b/src/main/java/rosespread/policy/PendingChanges.java
@@ -6,15 +6,18 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Which pending entries of a table can't wait. The counts are asked for many times a round, by each
- * shard of all others, and are kept with the table until something changes.
+ * Counts the pending entries of a table that are urgent. Each shard reads the counts of all others
+ * many times a round, so they are cached in the table until something changes.
  */
 final class PendingChanges {
-    /** The part of its share of all weights that a table keeps when entries are removed. */
-    private static final double MIN_DELIVERED_PART = 0.8;
+    /** Least fraction of its share of all weights that a table keeps when entries are removed. */
+    private static final double MIN_DELIVERED_FRACTION = 0.8;
 
-    /** A warming node is held too high from this multiple of its pending weight on. */
-    private static final double MAX_WARMING_EXCESS = 1.5;
+    /**
+     * A delivered weight above this multiple of the pending one is too high for a node that is
+     * warming up.
+     */
+    private static final double MAX_WARM_UP_WEIGHT_MULTIPLE = 1.5;
 
     private final NodeRegistry nodes;
     private final SlowStart slowStart;
@@ -24,22 +27,26 @@
         this.slowStart = slowStart;
     }
 
-    /** Entries to remove as their nodes are not ready. */
+    /** The number of entries to remove because their nodes are not ready. */
     int removals(ShardTable table, long now) {
         count(table, now);
         return table.pendingRemovals();
     }
 
-    /** Entries that can't wait: removals, warming nodes held too high, what replaces removals. */
+    /**
+     * The number of urgent entries: removals, nodes that are warming up at too high a weight, and
+     * entries that replace removed ones.
+     */
     int urgentEntries(ShardTable table, long now) {
         count(table, now);
         return table.urgentEntries();
     }
 
     /**
-     * Whether a delivery does not wait for one in flight: for a node that left, a warming node
-     * still held at a higher weight (a restart under an old entry), a table without a ready node,
-     * or a limit that falls or is lifted (what was rejected comes back).
+     * Whether a delivery must not wait for the one in flight. This is so for a node that left; for
+     * a node that is warming up but still has a far higher weight, as after a restart under its old
+     * entry; for a table without a ready node; and for an admission limit that falls or is lifted,
+     * as rejected requests come back.
      */
     boolean urgent(ShardTable table, long now) {
         return urgentEntries(table, now) > 0
@@ -47,11 +54,11 @@
                 || table.delivered().keySet().stream().noneMatch(this::ready);
     }
 
-    /** Whether the proxies hold a warming node at a far higher weight than the pending one. */
+    /** Whether a node is warming up and its delivered weight is far above the pending one. */
     boolean warmUpWeightTooHigh(ShardTable table, NodeId id, long now) {
         return slowStart.warmingUp(nodes.find(id), now)
                 && table.delivered().getOrDefault(id, 0.0)
-                        > MAX_WARMING_EXCESS * table.pending().get(id);
+                        > MAX_WARM_UP_WEIGHT_MULTIPLE * table.pending().get(id);
     }
 
     boolean ready(NodeId id) {
@@ -73,16 +80,16 @@
     }
 
     /**
-     * The entries that must follow removals, so that what is left of a table does not bear what
-     * left: guards against warming nodes that stay behind in a partial table and get all of its
-     * proxies' requests.
+     * The number of entries that must follow the removals, so that a table's remaining nodes do not
+     * take the load of those removed. Without them, nodes that are warming up may be the only ones
+     * left in a partial table and get all requests of its proxies.
      */
     private int replacements(ShardTable table) {
         double delivered = table.deliveredWeight(this::ready);
-        double least = MIN_DELIVERED_PART * table.committedWeight() / table.parts();
-        if (table.delivered().isEmpty() || delivered >= least) {
+        double minWeight = MIN_DELIVERED_FRACTION * table.committedWeight() / table.parts();
+        if (table.delivered().isEmpty() || delivered >= minWeight) {
             return 0;
         }
-        return table.entriesToGain(least - delivered);
+        return table.entriesToGain(minWeight - delivered);
     }
 }
--- a/src/main/java/rosespread/policy/ProxySubscriber.java
+++ b/src/main/java/rosespread/policy/ProxySubscriber.java
@@ -10,19 +10,19 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Sends full tables to joined proxies and laggards, the busiest first, but those that wait for a
- * third of a drain timeout before all: guards against a node that leaves and stays too long in the
- * table of another controller.
+ * Sends full tables to proxies that joined or did not acknowledge in time, the busiest first.
+ * Proxies that have waited for a third of a drain timeout go before all others, so that a node that
+ * left does not stay too long in the tables they have from another controller.
  */
 final class ProxySubscriber {
-    /** Part of the queue's and the messages' limits for full tables. */
+    /** Fraction of the queue limit and of the message limit for full tables. */
     private static final double FULL_TABLE_SHARE = 0.8;
 
-    /** The same while a delivery waits for room. */
-    private static final double SHARE_BESIDE_DELIVERY = 0.35;
+    /** Fraction of the queue limit for full tables while a delivery or a removal waits. */
+    private static final double SHARE_BESIDE_DELIVERIES = 0.35;
 
-    /** Full tables wait here, not in the channel, which holds those of so much time. */
-    private static final long QUEUED_NANOS = TimeUnits.SECOND / 2;
+    /** Channel time of the full tables that may be queued; further ones wait in this class. */
+    private static final long MAX_QUEUE_NANOS = TimeUnits.SECOND / 2;
 
     private final PolicySettings settings;
     private final ProxyRegistry proxies;
@@ -54,13 +54,13 @@
         this.sender = sender;
     }
 
-    /** Subscribes the proxies that need full tables, as far as the channel has room. */
+    /** Subscribes the proxies that need full tables, as far as the channel budget allows. */
     void subscribeWaiting(RoundContext round) {
         long now = round.now();
         List<Proxy> waiting = waitingProxies(now);
-        double share = channelShare(round);
+        double share = fullTableShare(round);
         if (reconnects.inProgress()) {
-            partialTables.writeUnfollowed(round);
+            partialTables.rewriteTablesWithoutFollowers(round);
         }
         if (!waiting.isEmpty()) {
             shards.tables().stream()
@@ -76,31 +76,31 @@
         List<Proxy> waiting =
                 new ArrayList<>(proxies.all().stream().filter(Proxy::needsFullTable).toList());
         waiting.sort(
-                Comparator.comparingLong((Proxy proxy) -> deadlineOrder(proxy, now))
+                Comparator.comparingLong((Proxy proxy) -> sortTimeNanos(proxy, now))
                         .thenComparing(proxy -> -proxy.usualRate())
                         .thenComparing(Proxy::id));
         return waiting;
     }
 
-    private long deadlineOrder(Proxy proxy, long now) {
+    private long sortTimeNanos(Proxy proxy, long now) {
         return reconnects.inProgress() || reconnects.overdue(proxy, now)
                 ? proxy.waitingSince()
                 : now;
     }
 
-    /** The part of the limits for full tables; less beside deliveries that wait and removals. */
-    private double channelShare(RoundContext round) {
-        double depth =
+    /** The fraction of the queue limit for full tables; less while deliveries or removals wait. */
+    private double fullTableShare(RoundContext round) {
+        double queueEntries =
                 settings.entriesPerSecond()
-                        * (QUEUED_NANOS + settings.maxPropagationDelayNanos() / 2)
+                        * (MAX_QUEUE_NANOS + settings.maxPropagationDelayNanos() / 2)
                         / TimeUnits.SECOND;
         boolean removals =
                 shards.tables().stream()
                         .anyMatch(table -> changes.removals(table, round.now()) > 0);
-        boolean beside = removals || round.deliveryWaiting();
+        boolean deliveryOrRemovalWaiting = removals || round.deliveryWaiting();
         return Math.min(
-                beside ? SHARE_BESIDE_DELIVERY : FULL_TABLE_SHARE,
-                depth / settings.queueLimitEntries());
+                deliveryOrRemovalWaiting ? SHARE_BESIDE_DELIVERIES : FULL_TABLE_SHARE,
+                queueEntries / settings.queueLimitEntries());
     }
 
     private void subscribeIfFits(Proxy proxy, double share, RoundContext round) {
