--- a/src/main/java/rosespread/policy/DepartedNodes.java
+++ b/src/main/java/rosespread/policy/DepartedNodes.java
@@ -5,7 +5,7 @@
 import rosespread.policy.state.NodeRegistry;
 import rosespread.policy.state.ProxyShard;
 
-/** Nodes that left and that the followers of a shard still hold. */
+/** Finds nodes that are no longer ready but that the followers of a shard still hold. */
 final class DepartedNodes {
     private final NodeRegistry nodes;
 
@@ -13,7 +13,7 @@
         this.nodes = nodes;
     }
 
-    /** The nodes behind the shard's entries that are not ready, once for each table. */
+    /** The nodes of the shard's delivered entries that are not ready, once for each table. */
     Stream<Node> heldBy(ProxyShard shard) {
         return shard.tables().stream()
                 .flatMap(table -> table.delivered().keySet().stream())
@@ -21,7 +21,7 @@
                 .filter(node -> !node.ready());
     }
 
-    /** When the first of them left, {@code now} if there is none. */
+    /** When the first of these nodes left, {@code now} if there is none. */
     long earliestDeparture(ProxyShard shard, long now) {
         return heldBy(shard).mapToLong(Node::leftAt).min().orElse(now);
     }
--- a/src/main/java/rosespread/policy/HealthCheckScheduler.java
+++ b/src/main/java/rosespread/policy/HealthCheckScheduler.java
@@ -6,21 +6,21 @@
 import rosespread.policy.state.Node;
 import rosespread.policy.state.NodeRegistry;
 
-/** Which node is health-checked when, and what a result counts as evidence. */
+/** Schedules health checks and adds their results to the evidence of a node's health. */
 final class HealthCheckScheduler {
-    /** Attempts that a health check counts for. */
+    /** Number of attempts that one health check counts as. */
     private static final double ATTEMPTS_PER_CHECK = 3;
 
     /** Failure ratio above which a node is suspect. */
     private static final double SUSPECT_FAILURE_RATIO = 0.12;
 
-    /** Suspect nodes are checked at this interval, so that they are soon known. */
+    /** Check interval of suspect nodes, short so that their state is known soon. */
     private static final long SUSPECT_INTERVAL_NANOS = TimeUnits.SECOND;
 
-    /** The others are checked at this interval, as checks take capacity. */
+    /** Check interval of the other nodes, longer as checks take capacity. */
     private static final long INTERVAL_NANOS = 4 * TimeUnits.SECOND;
 
-    /** Intervals are shortened by up to this, so that nodes are not checked all at once. */
+    /** Largest random reduction of an interval, so that nodes are not all checked at once. */
     private static final long JITTER_NANOS = SUSPECT_INTERVAL_NANOS / 2;
 
     private final PolicySettings settings;
@@ -33,7 +33,7 @@
         this.random = random;
     }
 
-    /** Orders the health checks that are due. */
+    /** Requests the health checks that are due, if the settings allow health checks. */
     void scheduleDue(RoundContext round) {
         if (!settings.healthChecksAllowed()) {
             return;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Adds a result to the evidence; one that was rejected tells nothing of the node's health. */
+    /** Adds a result to the evidence; a rejected check says nothing about the node's health. */
     void addResult(Node node, HealthCheckResult result, long now) {
         if (result != HealthCheckResult.REJECTED) {
             double failed = result == HealthCheckResult.PASSED ? 0 : ATTEMPTS_PER_CHECK;
--- a/src/main/java/rosespread/policy/NodeExclusions.java
+++ b/src/main/java/rosespread/policy/NodeExclusions.java
@@ -5,12 +5,12 @@
 import rosespread.policy.state.ShardRegistry;
 
 /**
- * Excludes nodes that left for proxies that are not subscribed yet, as those may still hold them;
- * includes them again once a table names them.
+ * Excludes nodes that left, for proxies that are not subscribed yet and may still hold them;
+ * readmits a node once a table holds it again.
  */
 final class NodeExclusions {
-    /** What an exclusion takes of the channel besides the message's overhead, and spare. */
-    private static final double ENTRIES = 2;
+    /** Entries that an exclusion takes besides the message's overhead, with a reserve. */
+    private static final double EXCLUSION_ENTRIES = 2;
 
     private final ProxyRegistry proxies;
     private final ShardRegistry shards;
@@ -31,7 +31,7 @@
         this.reconnects = reconnects;
     }
 
-    /** Excludes or includes a node whose entries have changed. */
+    /** Excludes or readmits a node whose entries have changed, if needed. */
     void update(Node node, RoundContext round) {
         boolean held = shards.tables().stream().anyMatch(table -> table.holds(node.id()));
         if (node.excluded() ? held : !held && !node.ready() && mayExclude()) {
@@ -45,6 +45,7 @@
         int messages = proxies.unsubscribed().size();
         return messages > 0
                 && !reconnects.inProgress()
-                && messages * (budget.messageOverhead() + ENTRIES) < budget.capacityForRemovals();
+                && messages * (budget.messageOverhead() + EXCLUSION_ENTRIES)
+                        < budget.capacityForRemovals();
     }
 }
--- a/src/main/java/rosespread/policy/OutlierDetector.java
+++ b/src/main/java/rosespread/policy/OutlierDetector.java
@@ -8,36 +8,37 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Ejects nodes whose failure ratio stands out from the others' and readmits them once they answer
- * again. If most of a table's capacity is ejected, all its nodes count as healthy (panic).
+ * Ejects nodes whose failure ratio is much higher than that of the other nodes, and readmits them
+ * once they answer again. While the ejected fraction of a table's capacity is above the panic
+ * threshold, all its nodes count as healthy (panic mode).
  */
 final class OutlierDetector {
     /** Time constant over which evidence of health decays. */
     static final long HEALTH_WINDOW_NANOS = 3 * TimeUnits.SECOND;
 
-    /** Attempts that suffice to judge a node. */
+    /** Least number of attempts to eject a node, and to readmit it. */
     private static final double MIN_ATTEMPTS_TO_EJECT = 7;
 
     private static final double MIN_ATTEMPTS_TO_READMIT = 2;
 
-    /** Failure ratio from which a node may be ejected. */
+    /** Failure ratio above which a node may be ejected. */
     private static final double MIN_FAILURE_RATIO = 0.35;
 
-    /** The same for a node that is busy and answers: it is overloaded. */
+    /** The same for a busy node that answers, as it is overloaded rather than failed. */
     private static final double MIN_FAILURE_RATIO_BUSY = 0.9;
 
-    /** A node stands out by this multiple of the others' failure ratio and so much more. */
+    /** A node is an outlier above this multiple of the others' failure ratio plus the margin. */
     private static final double OTHERS_MULTIPLE = 2;
 
     private static final double OTHERS_MARGIN = 0.15;
 
-    /** Part of a table's capacity that may be ejected; if more is, all nodes count as healthy. */
+    /** Fraction of a table's capacity that may be ejected; above it, all nodes count as healthy. */
     private static final double PANIC_THRESHOLD = 0.5;
 
-    /** An ejected node keeps this part of its weight, so that its answers can be seen. */
+    /** Fraction of its weight that an ejected node keeps, so that its answers can be observed. */
     private static final double EJECTED_WEIGHT = 0.02;
 
-    /** Then it is tried with this part. */
+    /** Fraction of its weight that an ejected node gets on probation, which tests it with load. */
     private static final double PROBATION_WEIGHT = 0.1;
 
     private static final long PROBATION_AFTER_NANOS = 4 * TimeUnits.SECOND;
@@ -58,7 +59,7 @@
         this.windows = windows;
     }
 
-    /** Judges each node against the others, then each table. */
+    /** Evaluates each node against the others, then the panic mode of each table. */
     void evaluate(RoundContext round) {
         evaluateNodes(round);
         for (ShardTable table : shards.firstTables()) {
@@ -67,9 +68,9 @@
     }
 
     /**
-     * Guards against nodes that abort, hang or are lost before the list tells. One that is busy and
-     * answers is overloaded: without it the others would be pushed over. It does harm if few RPCs
-     * cost far more at one node; the weights of an ejected node remain.
+     * Ejects nodes that abort, hang or are lost before the node list shows it. A busy node that
+     * answers is overloaded, and ejecting it would overload the others too. Ejection misfires if a
+     * few RPCs cost far more at one node. An ejected node keeps its weight entries.
      */
     private void evaluateNodes(RoundContext round) {
         long now = round.now();
@@ -78,9 +79,9 @@
         double failures = ready.stream().mapToDouble(node -> node.failures(now)).sum();
         long newestAnswer = ready.stream().mapToLong(Node::answeredAt).max().orElse(now);
         for (Node node : ready) {
-            double others =
+            double othersFailureRatio =
                     (failures - node.failures(now)) / Math.max(1, attempts - node.attempts(now));
-            evaluate(node, others, busy(node, newestAnswer, now), round);
+            evaluate(node, othersFailureRatio, busy(node, newestAnswer, now), round);
         }
     }
 
@@ -90,16 +91,23 @@
                 && node.utilization().perSecond(now) > LoadEstimator.BUSY_UTILIZATION;
     }
 
-    private void evaluate(Node node, double others, boolean busy, RoundContext round) {
+    private void evaluate(Node node, double othersFailureRatio, boolean busy, RoundContext round) {
         long now = round.now();
-        double outlier = Math.max(MIN_FAILURE_RATIO, OTHERS_MULTIPLE * others + OTHERS_MARGIN);
-        double limit = busy ? Math.max(MIN_FAILURE_RATIO_BUSY, outlier) : outlier;
+        double outlierThreshold =
+                Math.max(MIN_FAILURE_RATIO, OTHERS_MULTIPLE * othersFailureRatio + OTHERS_MARGIN);
+        double ejectionThreshold =
+                busy ? Math.max(MIN_FAILURE_RATIO_BUSY, outlierThreshold) : outlierThreshold;
         double ratio = node.failureRatio(now);
         double attempts = node.attempts(now);
-        if (!node.ejected() && attempts >= MIN_ATTEMPTS_TO_EJECT && ratio > limit) {
+        if (!node.ejected() && attempts >= MIN_ATTEMPTS_TO_EJECT && ratio > ejectionThreshold) {
             node.eject(now);
-            round.actions().report(new PolicyEvent.NodeEjected(node.id(), ratio, attempts, others));
-        } else if (node.ejected() && attempts >= MIN_ATTEMPTS_TO_READMIT && ratio < outlier / 2) {
+            round.actions()
+                    .report(
+                            new PolicyEvent.NodeEjected(
+                                    node.id(), ratio, attempts, othersFailureRatio));
+        } else if (node.ejected()
+                && attempts >= MIN_ATTEMPTS_TO_READMIT
+                && ratio < outlierThreshold / 2) {
             node.readmit();
             double ejectedSeconds = TimeUnits.seconds(now - node.ejectedAt());
             round.actions()
@@ -108,18 +116,21 @@
     }
 
     private void evaluatePanic(ShardTable table, RoundContext round) {
-        List<Node> open = eligible.of(table, round.now());
-        double ejected = open.stream().filter(Node::ejected).mapToDouble(Node::capacity).sum();
-        double all = open.stream().mapToDouble(Node::capacity).sum();
-        boolean panic = ejected > PANIC_THRESHOLD * all;
+        List<Node> eligibleNodes = eligible.of(table, round.now());
+        double ejectedCapacity =
+                eligibleNodes.stream().filter(Node::ejected).mapToDouble(Node::capacity).sum();
+        double totalCapacity = eligibleNodes.stream().mapToDouble(Node::capacity).sum();
+        boolean panic = ejectedCapacity > PANIC_THRESHOLD * totalCapacity;
         if (panic != table.panicking()) {
             round.actions()
-                    .report(new PolicyEvent.PanicModeChanged(table.id(), panic, ejected, all));
+                    .report(
+                            new PolicyEvent.PanicModeChanged(
+                                    table.id(), panic, ejectedCapacity, totalCapacity));
         }
         table.setPanicking(panic);
     }
 
-    /** The part of its weight that a node's health leaves it in a table. */
+    /** The fraction of its weight that a node gets in a table, given its health. */
     double weightRatio(Node node, ShardTable table, long now) {
         if (table.panicking() || !node.ejected()) {
             return 1;
--- a/src/main/java/rosespread/policy/PolicyEventHandler.java
+++ b/src/main/java/rosespread/policy/PolicyEventHandler.java
@@ -13,9 +13,7 @@
 import rosespread.policy.state.Proxy;
 import rosespread.policy.state.ProxyRegistry;
 
-/**
- * Applies what came in to the state. Events of nodes and proxies that are not known are dropped.
- */
+/** Applies received events to the policy's state; drops events of unknown nodes and proxies. */
 final class PolicyEventHandler {
     private final NodeRegistry nodes;
     private final ProxyRegistry proxies;
@@ -51,14 +49,18 @@
         this.triggers = triggers;
     }
 
-    /** A handler of one round's events, which all count as met at this time. */
+    /**
+     * Creates a handler for the events of one round.
+     *
+     * @param now clock reading in nanoseconds, at which all these events count as received
+     */
     EventHandler forRound(long now) {
         return new RoundEvents(now);
     }
 
     private final class RoundEvents implements EventHandler {
         private final long now;
-        private final Set<NodeId> listed = new TreeSet<>();
+        private final Set<NodeId> listedNodes = new TreeSet<>();
         private NodeListKind listKind;
 
         RoundEvents(long now) {
@@ -68,7 +70,7 @@
         @Override
         public void listStarted(NodeListKind kind) {
             listKind = kind;
-            listed.clear();
+            listedNodes.clear();
         }
 
         @Override
@@ -79,7 +81,7 @@
                 double weight,
                 NodeState state,
                 long startedAt) {
-            listed.add(id);
+            listedNodes.add(id);
             Node node = findOrAdd(id, machineType);
             node.describe(machineType, zone, weight);
             node.become(state, now);
@@ -106,7 +108,7 @@
             triggers.requirePlan();
             if (listKind == NodeListKind.FULL || listKind == NodeListKind.CACHED) {
                 nodes.all().stream()
-                        .filter(node -> !listed.contains(node.id()))
+                        .filter(node -> !listedNodes.contains(node.id()))
                         .forEach(node -> node.become(NodeState.GONE, now));
             }
             if (listKind == NodeListKind.UNAVAILABLE) {
