--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -84,7 +84,7 @@
     boolean overdue(Proxy proxy, long now) {
         return nodesChangedRecently
                 && !proxy.subscribed()
-                && now - proxy.waitingSince() > budget.longestTurnNanos();
+                && now - proxy.waitingSince() > budget.maxRemovalWaitNanos();
     }
 
     /**
