--- a/src/main/java/rosespread/controller/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -17,11 +17,11 @@
 import rosespread.eventloop.EventQueue;
 
 /**
- * The proxies' side of the controller's sockets: turns what happens there into events of the event
- * loop.
+ * Accepts streams of proxies and turns opened and closed streams, received frames and protocol
+ * violations into events of the event loop.
  *
- * <p>Its handler runs on MINA's I/O threads and only enqueues. Load and demand reports may be
- * dropped while the queue is too full; for other events the I/O thread waits.
+ * <p>The handler runs on MINA's I/O threads and only enqueues. Load and demand reports are dropped
+ * while the queue is half full or more; for other events the I/O thread waits while it is full.
  */
 final class ChannelServer implements AutoCloseable {
     private static final String SESSION_ATTRIBUTE = "session";
@@ -32,7 +32,7 @@
     private final EventQueue queue;
     private final ControllerState state;
 
-    /** Links a socket to its session; read and written on the event-loop thread only. */
+    /** Holds the session of a socket; read and written on the event-loop thread only. */
     private static final class SessionHolder {
         private ProxySession session;
     }
@@ -45,7 +45,7 @@
         this.state = state;
         acceptor = new NioSocketAcceptor(threads);
         acceptor.setReuseAddress(true);
-        // Unbinding would close all streams at once, and proxies could not get the reason.
+        // Otherwise unbinding closes all streams at once, before proxies receive the close reason.
         acceptor.setCloseOnDeactivation(false);
         acceptor.setBacklog(ACCEPT_BACKLOG);
         acceptor.getSessionConfig().setTcpNoDelay(true);
@@ -57,24 +57,27 @@
         acceptor.setHandler(new FrameHandler());
     }
 
-    /** Listens for proxies; returns the address. */
+    /** Starts to listen for proxies; returns the bound address. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
         acceptor.bind(address);
         return acceptor.getLocalAddress();
     }
 
-    /** Closes all streams; what was written leaves first if the peer reads it in time. */
+    /**
+     * Stops listening and closes all streams. Frames already written are flushed first, as far as
+     * the peers read them within the close timeout, which is shared by all streams.
+     */
     @Override
     public void close() {
         acceptor.unbind();
-        List<CloseFuture> closing =
+        List<CloseFuture> closeFutures =
                 acceptor.getManagedSessions().values().stream()
                         .map(IoSession::closeOnFlush)
                         .toList();
         long deadline = System.nanoTime() + CLOSE_TIMEOUT_NANOS;
-        for (CloseFuture future : closing) {
-            long leftMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-            future.awaitUninterruptibly(Math.max(1, leftMillis));
+        for (CloseFuture future : closeFutures) {
+            long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            future.awaitUninterruptibly(Math.max(1, remainingMillis));
         }
         acceptor.dispose(false);
     }
@@ -98,7 +101,10 @@
             return socket.getScheduledWriteBytes();
         }
 
-        /** A peer that does not read would never take the reason: it is closed without. */
+        /**
+         * Closes the stream, after a Close frame with the reason. A slow or silent peer gets no
+         * frame, as it would not read it.
+         */
         @Override
         public void close(Frame.Reason reason, String text) {
             if (reason == Frame.Reason.SLOW
@@ -147,12 +153,12 @@
         @Override
         public void exceptionCaught(IoSession socket, Throwable cause) {
             SessionHolder holder = holder(socket);
-            Optional<FrameException> violation = violation(cause);
-            if (holder == null || violation.isEmpty()) {
+            Optional<FrameException> frameException = frameException(cause);
+            if (holder == null || frameException.isEmpty()) {
                 socket.closeNow();
                 return;
             }
-            FrameException e = violation.get();
+            FrameException e = frameException.get();
             socket.suspendRead();
             queue.put(
                     now -> state.protocolViolated(now, holder.session, e.reason(), e.getMessage()));
@@ -162,8 +168,8 @@
             return (SessionHolder) socket.getAttribute(SESSION_ATTRIBUTE);
         }
 
-        /** Returns what the decoder threw, which MINA wraps. */
-        private static Optional<FrameException> violation(Throwable thrown) {
+        /** Returns the decoder's exception, which MINA wraps; empty for any other failure. */
+        private static Optional<FrameException> frameException(Throwable thrown) {
             for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
                 if (cause instanceof FrameException e) {
                     return Optional.of(e);
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -28,25 +28,25 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * A running controller: one event-loop thread around a {@link ControllerState}, fed through a
- * lock-free queue by the I/O threads of the channel server and of the HTTP client. Nothing else
- * calls the state, and nothing blocks that thread.
+ * A running controller: one event-loop thread that owns a {@link ControllerState}. The I/O threads
+ * of the channel server and of the HTTP client add events to its lock-free queue. No other thread
+ * calls the state, and nothing blocks the event-loop thread.
  *
  * <p>Public methods may be called by any thread; those that need the event loop wait for it.
  */
 public final class Controller implements AutoCloseable {
-    /** Makes the policy: the routing policy, or in experiments something worse. */
+    /** Creates the policy: the routing policy, or a deliberately worse one in experiments. */
     @FunctionalInterface
     public interface PolicyFactory {
         /**
-         * Makes a policy for these settings.
+         * Creates a policy for these settings.
          *
-         * @param seed of its random numbers
+         * @param seed the seed of the policy's random numbers
          */
         Policy newPolicy(FleetSettings settings, long seed);
     }
 
-    /** Makes the routing policy. */
+    /** Creates the routing policy. */
     public static final PolicyFactory ROUTING_POLICY =
             (settings, seed) -> {
                 RoutingPolicy policy =
@@ -58,7 +58,7 @@
     private static final long DURABILITY_TIMEOUT_NANOS =
             TimeUnit.SECONDS.toNanos(EventLoopCaller.TIMEOUT_SECONDS);
 
-    /** How long a start waits for the drains of other controllers; a dead one must not block it. */
+    /** Time limit for drains of other controllers, so that a dead one does not block the start. */
     private static final long PEER_TIMEOUT_NANOS = 500_000_000L;
 
     private static final int CHANNEL_THREADS = 2;
@@ -87,17 +87,17 @@
     private volatile boolean listening;
 
     /**
-     * A controller that does nothing until it is started.
+     * Creates a controller that does nothing until it is started.
      *
-     * @param name how it names itself to other services
-     * @param folder where settings and tables are persisted; made if it is not there
-     * @param policies makes its policy
-     * @param validator checks the policy's changes of tables
+     * @param name the name that the controller gives itself towards other services
+     * @param folder the folder of the persisted settings and tables; created if it does not exist
+     * @param policies creates the policy
+     * @param validator validates the policy's changes of tables
      */
     public Controller(
             String name, Path folder, PolicyFactory policies, TableChangeValidator validator) {
         this.name = name;
-        // The store wakes the event loop, as messages may wait for what is durable now.
+        // The store wakes the event loop, which may have messages waiting for entries now durable.
         this.store =
                 new TableStore(
                         folder,
@@ -137,18 +137,22 @@
         queue.close();
     }
 
-    /** The event loop ended though nobody stopped it: proxies must not take us for alive. */
+    /**
+     * Closes the channel server after the event loop ended without being stopped, so that proxies
+     * do not take this controller for alive.
+     */
     private void eventLoopEnded() {
         LOG.error("event loop failed; closing the channel server");
         server.close();
     }
 
     /**
-     * Restores what was persisted and listens for proxies. Without valid settings in the folder it
-     * waits for {@link #apply}.
+     * Restores the persisted state and starts to listen for proxies. Without valid settings in the
+     * folder, the controller waits for {@link #apply}.
      *
-     * @return the address that it listens on
-     * @throws IOException if it cannot listen, or the folder is in use by another controller
+     * @return the address that the controller listens on
+     * @throws IOException if the address cannot be bound, or the folder is in use by another
+     *     controller
      */
     public InetSocketAddress start(InetSocketAddress address) throws IOException {
         registry.restore(store.open());
@@ -162,29 +166,32 @@
     }
 
     /**
-     * What came of applying settings.
+     * Result of a request to apply settings.
      *
-     * @param done whether they hold now, or held since a call of the same id
-     * @param inForce what holds now, empty before any settings
+     * @param done whether the settings are in force, by this request or an earlier one of its id
+     * @param inForce the settings in force, empty before any settings
      */
     public record Applied(boolean done, Optional<SettingsFile.Saved> inForce) {}
 
     /**
-     * Applies settings and saves them; they are applied as a whole or not at all. A call whose id
-     * was seen last does nothing, nor does one against a revision that is not in force.
+     * Applies settings and saves them; they are applied as a whole or not at all. Nothing changes
+     * if the settings in force have the same request id, or another revision than expected.
      *
-     * @param by the operator
-     * @param call the id of the call
-     * @param revision the revision that the call is made against, negative for any
-     * @throws SettingsException if they are at fault; nothing has changed then
-     * @throws IOException if they could not be saved; nothing has changed then
+     * @param operator the operator who made the request
+     * @param requestId the id of the request
+     * @param expectedRevision the revision that the request is based on, negative for any
+     * @throws SettingsException if the settings are invalid; nothing has changed then
+     * @throws IOException if the settings could not be saved; nothing has changed then
      */
-    public Applied apply(String text, String by, String call, long revision)
+    public Applied apply(String text, String operator, String requestId, long expectedRevision)
             throws SettingsException, IOException {
-        return settings.apply(text, by, call, revision);
+        return settings.apply(text, operator, requestId, expectedRevision);
     }
 
-    /** Drains that this controller missed must be known before proxies can dial. */
+    /**
+     * Applies settings, then polls peers for drains that this controller missed. Until proxies can
+     * connect, it waits for the drains up to a time limit, as the drains should be known by then.
+     */
     private void applySettings(FleetSettings next) {
         applyOnEventLoop(next);
         peers.poll(listening ? 0 : PEER_TIMEOUT_NANOS);
@@ -202,29 +209,29 @@
                 });
     }
 
-    /** What an operator may do with a table. */
+    /** An operator's act on a table. */
     public enum TableAct {
-        /** Go back to a retained version and stay there. */
+        /** Returns the table to a retained version and pins it there. */
         ROLLBACK,
-        /** Stay at the committed version. */
+        /** Pins the table at the committed version. */
         PIN,
-        /** Follow the policy again, step by step. */
+        /** Lets the table follow the policy again, step by step. */
         RELEASE
     }
 
     /**
-     * What came of an act on a table.
+     * Result of an act on a table.
      *
-     * @param why it could not be done; empty if it was done
-     * @param kept whether it is durable, so that a restart knows of it
+     * @param reason why the act was rejected; empty if it was done
+     * @param durable whether the act is on disk and will be restored after a restart
      */
     public record Outcome(String reason, boolean durable) {}
 
     /**
-     * Acts on a table. Waits until the act is durable, unless the disk has a problem.
+     * Performs an act on a table. Waits until the act is durable, unless the disk has a problem.
      *
-     * @param version the one to roll back to; other acts ignore it
-     * @throws IOException if the event loop does not take it up in time
+     * @param version the version to roll back to; ignored by other acts
+     * @throws IOException if the event loop does not run the act in time
      */
     public Outcome act(TableAct act, int table, long version) throws IOException {
         TableId id = new TableId(table);
@@ -242,32 +249,33 @@
         return new Outcome("", awaitDurable(logged));
     }
 
-    /** Returns a table as it will be once its pending changes are sent; empty if there is none. */
+    /** Returns a table as it will be once its pending changes are sent; empty if unknown. */
     public Optional<ControllerStatus.Table> table(int table) throws IOException {
         return eventLoop.call(now -> state.table(new TableId(table)));
     }
 
-    /** Returns what changes from one retained version to another; empty if one is unknown. */
+    /** Returns the changes between two retained versions; empty if table or version is unknown. */
     public Optional<ControllerStatus.Difference> difference(int table, long from, long to)
             throws IOException {
         return eventLoop.call(now -> state.difference(new TableId(table), from, to));
     }
 
     /**
-     * Drains a node or ends its drain. Waits until that is durable, unless the disk has a problem.
+     * Drains a node or ends its drain. Waits until the drain or its end is durable, unless the disk
+     * has a problem.
      */
-    public DrainResult drain(DrainRequest call) throws IOException {
-        Logged<DrainResult> logged = callLogged(now -> state.drain(now, call));
+    public DrainResult drain(DrainRequest request) throws IOException {
+        Logged<DrainResult> logged = callLogged(now -> state.drain(now, request));
         awaitDurable(logged);
         return logged.result();
     }
 
-    /** Returns the last drain or end of a drain of each node. */
+    /** Returns the latest drain, or end of a drain, of each node. */
     public List<Drain> drains() throws IOException {
         return eventLoop.call(now -> state.drains());
     }
 
-    /** A result and the log entry that it has to wait for. */
+    /** A result, and the sequence number of the log entry that must be durable for it. */
     private record Logged<T>(T result, long sequence) {}
 
     private <T> Logged<T> callLogged(LongFunction<T> call) throws IOException {
@@ -283,8 +291,8 @@
     }
 
     /**
-     * Returns the status as it is now, or the last one that was read if the event loop does not
-     * answer. It is gathered only when asked for, as it grows with the fleet.
+     * Returns the current status, or the last one read if the event loop does not answer in time.
+     * The status is gathered on request only, as its cost grows with the fleet.
      */
     public ControllerStatus state() {
         try {
@@ -297,27 +305,30 @@
         return lastStatus;
     }
 
-    /** Returns how it names itself. */
+    /** Returns the name that the controller gives itself towards other services. */
     public String name() {
         return name;
     }
 
-    /** Returns the reports that were dropped as the event queue was too full. */
+    /** Returns the number of reports dropped because the event queue was too full. */
     public long reportsDropped() {
         return queue.droppedReports();
     }
 
-    /** Returns why the settings' snapshot was refused; empty if it was not. */
+    /**
+     * Returns why the settings snapshot was refused; empty if it was not or settings were applied
+     * since.
+     */
     public String settingsFault() {
         return settings.problem();
     }
 
-    /** Returns the settings in force as they were given. */
+    /** Returns the settings in force as they were given, empty before any. */
     public Optional<SettingsFile.Saved> settings() {
         return settings.inForce();
     }
 
-    /** Tells proxies that it stops, and closes everything that it opened. */
+    /** Tells proxies that the controller stops, and closes all sockets, threads and files. */
     @Override
     public void close() {
         loop.stop();
--- a/src/main/java/rosespread/controller/ControllerCounters.java
+++ b/src/main/java/rosespread/controller/ControllerCounters.java
@@ -1,28 +1,28 @@
 package rosespread.controller;
 
 /**
- * Counts of what happened since the process started, for its status.
+ * Counters of events since the process started, for the status.
  *
  * <p>Owned by the event-loop thread.
  */
 final class ControllerCounters {
-    /** What is counted. */
+    /** An event that is counted. */
     enum Counter {
         /** Proxies that joined. */
         JOINS,
         /** Acknowledgements of messages that were not written on the stream. */
         STRAY_ACKNOWLEDGEMENTS,
-        /** Entries of load reports for nodes that are not known. */
+        /** Entries of load reports for unknown nodes. */
         UNKNOWN_NODE_REPORTS,
-        /** Deltas that a proxy could not follow. */
+        /** Deltas that a proxy could not apply. */
         MISSED_DELTAS,
-        /** Sessions closed because nothing was received. */
+        /** Sessions closed because nothing was received for too long. */
         SILENT_SESSIONS,
-        /** Sessions closed because the proxy did not read. */
+        /** Sessions closed because the proxy did not read fast enough. */
         SLOW_SESSIONS,
-        /** Node lists taken. */
+        /** Node lists received from discovery. */
         NODE_LISTS,
-        /** Failures to get the node list. */
+        /** Failures to get the node list from discovery. */
         NODE_LIST_FAILURES
     }
 
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -16,19 +16,22 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * The controller without its threads and sockets: brings events to the routing policy and carries
- * out its actions as they were ordered. It decides nothing itself.
+ * The controller without its threads and sockets: passes events to the routing policy and carries
+ * out the policy's actions as requested. It makes no routing decisions itself.
  *
- * <p>All methods are called on one thread, the event loop's, with the time by {@link
- * System#nanoTime()}; so a test can drive a controller by a clock of its own.
+ * <p>All methods are called on the event-loop thread, with the time by {@link System#nanoTime()},
+ * so that a test can drive a controller with its own clock.
  */
 public final class ControllerState {
-    /** The world outside; called on the event-loop thread, no method may block. */
+    /**
+     * Creates policies and reaches nodes and discovery. Called on the event-loop thread; no method
+     * may block.
+     */
     public interface Environment {
         /**
-         * Makes the policy that decides from now on.
+         * Creates a policy, which replaces the former one.
          *
-         * @param seed of its random numbers
+         * @param seed the seed of the policy's random numbers
          */
         Policy newPolicy(FleetSettings settings, long seed);
 
@@ -57,10 +60,10 @@
     private final ControllerStatusReader status;
 
     /**
-     * A controller that waits for its settings.
+     * Creates a controller that waits for its settings.
      *
-     * @param registry what was committed so far; restored before the first settings
-     * @param wallClockMillis the wall clock, for what is persisted or shown
+     * @param registry the committed tables and drains; to be restored before the first settings
+     * @param wallClockMillis the wall clock, for times that are persisted or shown to operators
      */
     public ControllerState(
             Environment environment,
@@ -107,8 +110,8 @@
     }
 
     /**
-     * Applies settings as a whole. Numbers of methods, zones and tables may mean something else
-     * from here on, so all streams are closed and the policy is restarted.
+     * Applies settings as a whole. Numbers of methods, zones and tables may change their meaning,
+     * so all streams are closed and the policy is restarted.
      */
     public void applySettings(long nowNanos, FleetSettings settings) {
         clock.advanceTo(nowNanos);
@@ -118,50 +121,55 @@
         policyRunner.restart(settings, "settings were applied");
     }
 
-    /** A stream was opened; returns its session. */
+    /** Handles that a stream was opened; returns its session. */
     public ProxySession sessionOpened(long nowNanos, ProxySession.Transport transport) {
         clock.advanceTo(nowNanos);
         return sessions.open(transport, nowNanos);
     }
 
-    /** A frame was received. */
+    /** Handles a received frame. */
     public void frameReceived(long nowNanos, ProxySession session, Frame frame) {
         clock.advanceTo(nowNanos);
         frames.frameReceived(session, frame);
     }
 
-    /** The stream closed or broke, a moment or a while ago. */
+    /** Handles that the stream closed or broke, possibly some time ago. */
     public void sessionClosed(long nowNanos, ProxySession session) {
         clock.advanceTo(nowNanos);
         sessions.closedByPeer(session);
     }
 
-    /** The stream brought bytes that are not of the protocol. */
+    /** Closes a session whose stream brought bytes that violate the protocol. */
     public void protocolViolated(
             long nowNanos, ProxySession session, Frame.Reason reason, String text) {
         clock.advanceTo(nowNanos);
         sessions.close(session, reason, text);
     }
 
-    /** Discovery brought a complete list of nodes. */
+    /** Handles a complete list of nodes from discovery. */
     public void nodesListed(long nowNanos, List<ListedNode> nodes) {
         clock.advanceTo(nowNanos);
         nodeList.nodesListed(nodes);
     }
 
-    /** Discovery can bring no list; the last one stays. */
+    /** Handles that discovery has no node list; the last list stays in use. */
     public void nodeListUnavailable(long nowNanos, String reason) {
         clock.advanceTo(nowNanos);
         nodeList.unavailable(reason);
     }
 
-    /** A health check ended. */
+    /** Handles the result of a health check. */
     public void healthChecked(long nowNanos, NodeId node, EventHandler.HealthCheckResult result) {
         clock.advanceTo(nowNanos);
         rounds.add(policy -> policy.healthChecked(node, result));
     }
 
-    /** Does what is due; returns when to come back, {@link Long#MAX_VALUE} before any settings. */
+    /**
+     * Runs all work that is due: a round, a snapshot of the log, queued messages and keep-alives.
+     *
+     * @return when to call it again, by {@link System#nanoTime()}; {@link Long#MAX_VALUE} before
+     *     any settings
+     */
     public long runDue(long nowNanos) {
         clock.advanceTo(nowNanos);
         Optional<FleetSettings> settings = policyRunner.settings();
@@ -189,29 +197,29 @@
         return status.read();
     }
 
-    /** Returns a table as it will be once its pending changes are sent; empty if there is none. */
+    /** Returns a table as it will be once its pending changes are sent; empty if unknown. */
     public Optional<ControllerStatus.Table> table(TableId table) {
         return tables.one(table);
     }
 
-    /** Returns what changes from one retained version to another; empty if one is unknown. */
+    /** Returns the changes between two retained versions; empty if table or version is unknown. */
     public Optional<ControllerStatus.Difference> difference(TableId table, long from, long to) {
         return tables.difference(table, from, to);
     }
 
-    /** Drains a node or ends its drain, as an operator orders. */
+    /** Drains a node or ends its drain at an operator's request. */
     public DrainResult drain(long nowNanos, DrainRequest request) {
         clock.advanceTo(nowNanos);
         return drains.drain(request);
     }
 
-    /** Applies drains that another controller knows of; returns how many change anything. */
-    public int mergeDrains(long nowNanos, List<Drain> known) {
+    /** Applies drains received from another controller; returns how many changed anything. */
+    public int mergeDrains(long nowNanos, List<Drain> peerDrains) {
         clock.advanceTo(nowNanos);
-        return drains.merge(known);
+        return drains.merge(peerDrains);
     }
 
-    /** Returns the last drain or end of a drain of each node. */
+    /** Returns the latest drain, or end of a drain, of each node. */
     public List<Drain> drains() {
         return drains.drains();
     }
@@ -221,7 +229,7 @@
         return act(nowNanos, writer -> writer.rollback(table, version, clock.roundTime()));
     }
 
-    /** Pins a table to the weights that are committed. */
+    /** Pins a table to its committed weights. */
     public TableActResult pin(long nowNanos, TableId table) {
         return act(nowNanos, writer -> writer.pin(table));
     }
--- a/src/main/java/rosespread/controller/ControllerStatus.java
+++ b/src/main/java/rosespread/controller/ControllerStatus.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * The controller at one moment. Its components are the fields of {@code GET /v1/state}, which
- * docs/api/openapi.yaml describes: their names do not change. Ages and times are in milliseconds.
+ * Status of the controller at one moment. The component names are the JSON field names of {@code
+ * GET /v1/state}, which docs/api/openapi.yaml describes, and must not change. Ages and times are in
+ * milliseconds.
  */
 public record ControllerStatus(
         String phase,
@@ -36,10 +37,11 @@
     /**
      * A listed node.
      *
-     * @param withdrawn whether it is excluded at proxies
-     * @param drainedBy the operator who drains it, empty if none
-     * @param triedAgoMs since the last report of an attempt there, -1 if there was none
-     * @param unheard proxies without a report for three periods, whose attempts are unknown
+     * @param withdrawn whether the node is excluded at proxies
+     * @param drainedBy the operator who drained the node, empty if none
+     * @param triedAgoMs time since the last report of an attempt at the node, -1 if there was none
+     * @param unheard number of joined proxies without a load report for three report periods, whose
+     *     attempts since then are unknown
      */
     public record Node(
             String name,
@@ -55,12 +57,12 @@
     /**
      * A table.
      *
-     * @param version the number that is committed
-     * @param held how it is pinned
-     * @param refusals why the policy's weights are refused now
-     * @param refused how often that happened, by reason
-     * @param lines the weights by the nodes' names
-     * @param versions those retained
+     * @param version the number of the committed version
+     * @param held how the table is pinned
+     * @param refusals why the policy's weights are currently refused
+     * @param refused number of refusals by reason
+     * @param lines the weights by node name
+     * @param versions the retained versions
      */
     public record Table(
             int table,
@@ -71,20 +73,20 @@
             Map<String, Double> lines,
             List<Version> versions) {}
 
-    /** What changes from one version to another. */
+    /** The weights that differ between two versions. */
     public record Difference(int table, long from, long to, List<Changed> lines) {}
 
-    /** A weight that changes; 0 stands for no entry. */
+    /** A weight that differs between two versions; 0 stands for no entry. */
     public record Changed(String node, double before, double after) {}
 
     /**
-     * How versions and acts are persisted.
+     * State of the log that versions and operators' acts are persisted in.
      *
-     * @param trouble why nothing can be persisted, empty if it can
-     * @param late whether messages leave without waiting for the log
-     * @param waiting entries that are not durable yet
-     * @param unkeptMessages messages that left before their entries were durable
-     * @param bytes of the log file
+     * @param trouble why nothing can be persisted, empty if there is no fault
+     * @param late whether messages are sent without waiting for the log
+     * @param waiting number of log entries that are not durable yet
+     * @param unkeptMessages number of messages sent before their log entries were durable
+     * @param bytes size of the log file
      */
     public record Storage(
             String trouble, boolean late, long waiting, long unkeptMessages, long bytes) {}
@@ -96,10 +98,10 @@
     /**
      * A joined proxy.
      *
-     * @param unanswered messages that it has not acknowledged
-     * @param messages messages written to it
-     * @param heardAgoMs since the last frame from it
-     * @param tables the tables that it is subscribed to
+     * @param unanswered number of messages that the proxy has not acknowledged
+     * @param messages number of messages written to the proxy
+     * @param heardAgoMs time since the last frame from the proxy
+     * @param tables number of tables that the proxy is subscribed to
      */
     public record Proxy(String name, int unanswered, long messages, long heardAgoMs, int tables) {}
 }
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -13,14 +13,17 @@
 import rosespread.validation.DurabilityTimeout;
 
 /**
- * Gathers the controller's status. Called on the event-loop thread; what it returns shares nothing
- * with the state.
+ * Gathers the controller's status. Called on the event-loop thread; the returned status is a copy
+ * that shares no data with the controller.
  */
 final class ControllerStatusReader {
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final long WHOLE_NANOS_PER_MILLI = 1_000_000L;
+    private static final long NANOS_PER_MILLI_LONG = 1_000_000L;
 
-    /** A proxy without a load report for so many periods may have made attempts unknown to us. */
+    /**
+     * Report periods without a load report after which a proxy is counted as having made attempts
+     * that the controller may not know of.
+     */
     private static final int MAX_MISSED_REPORTS = 3;
 
     private static final long NO_ATTEMPT = -1;
@@ -50,7 +53,7 @@
         this.context = context;
     }
 
-    /** Returns the status as it is now. */
+    /** Returns the current status. */
     ControllerStatus read() {
         Optional<PacedChannel> channel = policyRunner.channel();
         Collection<ProxySession> joined = sessions.joined().values();
@@ -82,7 +85,8 @@
     }
 
     private List<ControllerStatus.Node> nodes() {
-        int unheard = policyRunner.settings().map(this::sessionsWithoutReports).orElse(0);
+        int proxiesWithoutReports =
+                policyRunner.settings().map(this::sessionsWithoutReports).orElse(0);
         Set<NodeId> excluded =
                 policyRunner.writer().map(TableUpdateWriter::excluded).orElse(Set.of());
         List<ControllerStatus.Node> nodes = new ArrayList<>();
@@ -96,8 +100,8 @@
                             node.state().name(),
                             excluded.contains(node.id()),
                             drainedBy(node.id()),
-                            lastAttemptAgoMillis(node.id()),
-                            unheard));
+                            millisSinceLastAttempt(node.id()),
+                            proxiesWithoutReports));
         }
         return nodes;
     }
@@ -117,8 +121,8 @@
         return registry.drains().latest(node).filter(Drain::on).map(Drain::by).orElse("");
     }
 
-    private long lastAttemptAgoMillis(NodeId node) {
-        return directory.lastAttemptNanos(node).map(this::agoMillis).orElse(NO_ATTEMPT);
+    private long millisSinceLastAttempt(NodeId node) {
+        return directory.lastAttemptNanos(node).map(this::millisSince).orElse(NO_ATTEMPT);
     }
 
     private ControllerStatus.Proxy proxy(ProxySession session) {
@@ -126,12 +130,12 @@
                 session.name(),
                 session.unacknowledgedMessages(),
                 session.messagesWritten(),
-                agoMillis(session.receivedAtNanos()),
+                millisSince(session.receivedAtNanos()),
                 session.subscribedTables().size());
     }
 
-    private long agoMillis(long nanos) {
-        return (context.clock().nowNanos() - nanos) / WHOLE_NANOS_PER_MILLI;
+    private long millisSince(long nanos) {
+        return (context.clock().nowNanos() - nanos) / NANOS_PER_MILLI_LONG;
     }
 
     private ControllerStatus.Storage storage() {
--- a/src/main/java/rosespread/controller/EventClock.java
+++ b/src/main/java/rosespread/controller/EventClock.java
@@ -3,8 +3,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The time of the event that the event loop handles. All parts of the controller read it here, so
- * that one event has one time and a test drives the controller by a clock of its own.
+ * Time of the event that the event loop is handling. All parts of the controller read the time
+ * here, so that one event has one time and a test can drive the controller with its own clock.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -13,13 +13,13 @@
     private long nowNanos;
 
     /**
-     * @param wallClockMillis the wall clock, for what is persisted or shown to operators
+     * @param wallClockMillis the wall clock, for times that are persisted or shown to operators
      */
     EventClock(LongSupplier wallClockMillis) {
         this.wallClockMillis = wallClockMillis;
     }
 
-    /** A new event begins at this time of {@link System#nanoTime()}. */
+    /** Sets the time of the next event, by {@link System#nanoTime()}. */
     void advanceTo(long nanos) {
         nowNanos = nanos;
     }
@@ -32,7 +32,7 @@
         return wallClockMillis.getAsLong();
     }
 
-    /** Returns both times, for a round that is closed now. */
+    /** Returns the event's time and the wall-clock time, for a round that is closed now. */
     RoundTime roundTime() {
         return new RoundTime(nowNanos, wallMillis());
     }
--- a/src/main/java/rosespread/controller/EventLoopCaller.java
+++ b/src/main/java/rosespread/controller/EventLoopCaller.java
@@ -10,7 +10,7 @@
 
 /** Lets other threads call the event loop and wait for the result; safe for use by any thread. */
 final class EventLoopCaller {
-    /** How long a caller waits for the event loop. */
+    /** Time limit for a call's result. */
     static final long TIMEOUT_SECONDS = 2;
 
     private final EventQueue queue;
@@ -22,9 +22,9 @@
     /**
      * Runs a call on the event-loop thread and waits for its result.
      *
-     * @param call takes the time of the event loop in nanoseconds
-     * @throws IOException if the event loop does not run it in time, or the caller is interrupted;
-     *     the call may still be run later
+     * @param call takes the time of the event by {@link System#nanoTime()}
+     * @throws IOException if the event loop does not run the call in time, or the caller is
+     *     interrupted; the call may still run later
      */
     <T> T call(LongFunction<T> call) throws IOException {
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -33,14 +33,14 @@
             return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
+            throw new IOException("interrupted while waiting for the event loop", e);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException(
-                    "the conductor did not take it up within " + TIMEOUT_SECONDS + " s", e);
+                    "event loop did not run the call within " + TIMEOUT_SECONDS + " s", e);
         }
     }
 
-    /** Runs an action on the event-loop thread and waits for it as long as it takes. */
+    /** Runs an action on the event-loop thread and waits without a time limit until it is done. */
     void run(EventQueue.Event action) {
         CompletableFuture<Void> done = new CompletableFuture<>();
         queue.put(
--- a/src/main/java/rosespread/controller/FleetNames.java
+++ b/src/main/java/rosespread/controller/FleetNames.java
@@ -9,8 +9,8 @@
 import rosespread.settings.FleetSettings;
 
 /**
- * The numbers of zones and machine types: those of the settings first, in their order, then others
- * as the node list brings them.
+ * Assigns numbers to zones and machine types: first to those of the settings, in their order, then
+ * to others when they first occur in a node list.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -18,7 +18,7 @@
     private final TreeMap<String, Integer> zones = new TreeMap<>();
     private final TreeMap<String, Integer> machineTypes = new TreeMap<>();
 
-    /** Numbers the names of the settings; numbers given before no longer hold. */
+    /** Numbers the names of the settings; numbers assigned before become invalid. */
     void applySettings(FleetSettings settings) {
         renumber(zones, settings.zones());
         renumber(machineTypes, settings.machineTypes());
@@ -43,8 +43,9 @@
     }
 
     /**
-     * Returns a digest of what tables are laid out by: zones, machine types, and where methods may
-     * go. It is persisted, so the text that it is made of must not change.
+     * Returns a digest of the settings that the layout of tables depends on: zones, machine types,
+     * and the nodes that each method may use. The digest is persisted, so the text that it is
+     * computed from must not change.
      */
     static long layoutDigest(FleetSettings settings) {
         StringBuilder text =
--- a/src/main/java/rosespread/controller/KeepAliveMonitor.java
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -5,12 +5,12 @@
 import rosespread.controller.ControllerCounters.Counter;
 
 /**
- * Sends keep-alives, and closes sessions that are silent, do not read, or do not join.
+ * Sends keep-alives, and closes sessions whose proxy is silent, does not read, or does not join.
  *
  * <p>Used on the event-loop thread.
  */
 final class KeepAliveMonitor {
-    /** A session that nothing was received on for so many intervals is closed. */
+    /** Keep-alive intervals without a received frame after which a joined session is closed. */
     private static final int MAX_MISSED_INTERVALS = 4;
 
     private static final long JOIN_TIMEOUT_NANOS = 5_000_000_000L;
@@ -25,7 +25,12 @@
         this.counters = counters;
     }
 
-    /** Checks all sessions; returns when to come back, {@link Long#MAX_VALUE} if there is none. */
+    /**
+     * Checks all open sessions.
+     *
+     * @return when to check again, by {@link System#nanoTime()}; {@link Long#MAX_VALUE} if no
+     *     session is open
+     */
     long check(long nowNanos, long intervalNanos) {
         long next = Long.MAX_VALUE;
         for (ProxySession session : sessions.open()) {
--- a/src/main/java/rosespread/controller/LoopContext.java
+++ b/src/main/java/rosespread/controller/LoopContext.java
@@ -3,15 +3,15 @@
 import rosespread.eventloop.RoundScheduler;
 
 /**
- * What the parts of the controller share: the time of the event that is handled, the events for the
- * policy's next round, and what happened so far, for the status.
+ * Objects that the parts of the controller share: the time of the current event, the events for the
+ * policy's next round, and the counters and mode changes for the status.
  *
  * <p>Owned by the event-loop thread.
  *
- * @param clock advanced with each event
- * @param rounds takes the policy's events and timers
- * @param counters of what happened
- * @param modes changes of how the controller runs
+ * @param clock the time of the current event
+ * @param rounds takes events and timers for the policy
+ * @param counters counts events since the process started
+ * @param modes takes changes in how the controller and its tables run
  */
 record LoopContext(
         EventClock clock, RoundScheduler rounds, ControllerCounters counters, ModeLog modes) {}
--- a/src/main/java/rosespread/controller/ModeLog.java
+++ b/src/main/java/rosespread/controller/ModeLog.java
@@ -8,9 +8,9 @@
 import rosespread.eventloop.PolicyEventLogger;
 
 /**
- * Changes of how the controller and its tables run, in the words of the policy and of table acts.
- * They are logged, and the last one is part of the status ({@code lastMode}), so their texts belong
- * to the control API.
+ * Logs changes in how the controller and its tables run, with the texts of the policy and of table
+ * acts. The last change is part of the status ({@code lastMode}), so the texts belong to the
+ * control API.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -21,19 +21,19 @@
     private String last = "";
 
     /**
-     * @param nodeNames the name by which operators know a node
+     * @param nodeNames returns the name by which operators know a node
      */
     ModeLog(Function<NodeId, String> nodeNames) {
         events = new PolicyEventLogger(LOG, nodeNames);
     }
 
-    /** The policy changed a mode of its own. */
+    /** Logs a change of one of the policy's modes. */
     void report(PolicyEvent event) {
         last = event.text();
         events.log(event);
     }
 
-    /** A table changed how it follows the policy. */
+    /** Logs a change in how a table follows the policy. */
     void report(String change) {
         last = change;
         LOG.atInfo().addKeyValue("mode", true).log(change);
