--- a/src/main/java/rosespread/controller/DrainHandler.java
+++ b/src/main/java/rosespread/controller/DrainHandler.java
@@ -12,7 +12,8 @@
 import rosespread.settings.FleetSettings;
 
 /**
- * Takes drains that operators order or end here, and those that other controllers know of.
+ * Handles operators' requests to drain a node or to end a drain, and merges drains that other
+ * controllers know of.
  *
  * <p>Used on the event-loop thread.
  */
@@ -39,23 +40,24 @@
     }
 
     /**
-     * Drains a node or ends its drain: once for each request id, only against the revision that the
-     * request names, and not if the guard objects.
+     * Drains a node or ends its drain. A request has effect once per request id, only if no drain
+     * changed since the revision that it names, and only if the drain guard allows it.
      */
     DrainResult drain(DrainRequest request) {
         DrainRegistry drains = registry.drains();
         if (drains.findByRequestId(request.id()).isPresent()) {
             return DrainResult.done(drains.revision(), true);
         }
-        List<Drain> changes =
+        List<Drain> newerDrains =
                 request.revision() < 0 ? List.of() : drains.changesSince(request.revision());
-        if (!changes.isEmpty()) {
+        if (!newerDrains.isEmpty()) {
             return rejected(
                     DrainResult.Kind.STALE,
-                    changes.stream().map(DrainHandler::description).toList());
+                    newerDrains.stream().map(DrainHandler::description).toList());
         }
-        List<ListedNode> named = directory.discovered().stream().filter(request::names).toList();
-        if (named.isEmpty()) {
+        List<ListedNode> matching =
+                directory.discovered().stream().filter(request::matches).toList();
+        if (matching.isEmpty()) {
             return rejected(
                     DrainResult.Kind.NO_NODE,
                     List.of(
@@ -65,15 +67,15 @@
                                     + directory.discovered().size()
                                     + " listed"));
         }
-        if (named.size() > 1) {
+        if (matching.size() > 1) {
             return rejected(
                     DrainResult.Kind.AMBIGUOUS,
-                    named.stream().map(DrainRequest::qualifiedName).toList());
+                    matching.stream().map(DrainRequest::qualifiedName).toList());
         }
-        ListedNode node = named.get(0);
-        List<String> objections = objections(request, node);
-        if (!objections.isEmpty()) {
-            return rejected(DrainResult.Kind.GUARDED, objections);
+        ListedNode node = matching.get(0);
+        List<String> violations = violations(request, node);
+        if (!violations.isEmpty()) {
+            return rejected(DrainResult.Kind.GUARDED, violations);
         }
         apply(request, node);
         return DrainResult.done(drains.revision(), false);
@@ -92,8 +94,11 @@
                 + ")";
     }
 
-    /** Returns what the guard has against a drain; nothing if it is forced or ends one. */
-    private List<String> objections(DrainRequest request, ListedNode node) {
+    /**
+     * Returns why the drain guard rejects a request; empty if the guard allows it, for a request
+     * that is forced or ends a drain, and before any settings.
+     */
+    private List<String> violations(DrainRequest request, ListedNode node) {
         if (!request.on() || request.force() || policyRunner.settings().isEmpty()) {
             return List.of();
         }
@@ -138,7 +143,7 @@
         nodeList.refresh();
     }
 
-    /** Applies drains that another controller knows of; returns how many change anything. */
+    /** Applies drains received from another controller; returns how many changed anything. */
     int merge(List<Drain> drains) {
         int changes = 0;
         for (Drain drain : drains) {
@@ -150,8 +155,8 @@
                         .addKeyValue("operator", drain.by())
                         .log(
                                 drain.on()
-                                        ? "drain learned from a peer"
-                                        : "drain end learned from a peer");
+                                        ? "drain received from a peer"
+                                        : "end of drain received from a peer");
             }
         }
         if (changes > 0 && directory.isListReceived()) {
@@ -160,7 +165,7 @@
         return changes;
     }
 
-    /** Returns the last drain or end of a drain of each node. */
+    /** Returns the latest drain, or end of a drain, of each node. */
     List<Drain> drains() {
         return List.copyOf(registry.drains().allLatest());
     }
--- a/src/main/java/rosespread/controller/DrainJson.java
+++ b/src/main/java/rosespread/controller/DrainJson.java
@@ -11,8 +11,8 @@
 import rosespread.drain.Drain;
 
 /**
- * The JSON in which controllers exchange operators' drains: {@code {"words":[...]}}, node ids in
- * hexadecimal digits.
+ * Reads and writes the JSON in which controllers exchange operators' drains: {@code
+ * {"words":[...]}}, with node ids in hexadecimal digits.
  */
 public final class DrainJson {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -24,12 +24,12 @@
 
     private DrainJson() {}
 
-    /** Writes drains in their order. */
+    /** Writes drains in the order given. */
     public static ObjectNode write(List<Drain> drains) {
         ObjectNode document = JSON.createObjectNode();
-        ArrayNode words = document.putArray("words");
+        ArrayNode entries = document.putArray("words");
         for (Drain drain : drains) {
-            words.addObject()
+            entries.addObject()
                     .put("node", Long.toHexString(drain.node().value()))
                     .put("name", drain.name())
                     .put("on", drain.on())
@@ -42,47 +42,57 @@
     }
 
     /**
-     * Reads drains; texts that are too long are cut.
+     * Reads drains; names, operators and request ids that are too long are truncated.
      *
-     * @throws IOException if it is not that JSON; the message names the entry at fault
+     * @throws IOException if the JSON is malformed or not of this form; the message says where
      */
     public static List<Drain> read(byte[] json) throws IOException {
-        JsonNode words = JSON.readTree(json).path("words");
-        if (!words.isArray() || words.size() > MAX_DRAINS) {
-            throw new IOException("field words is no array of at most " + MAX_DRAINS);
+        JsonNode entries = JSON.readTree(json).path("words");
+        if (!entries.isArray() || entries.size() > MAX_DRAINS) {
+            throw new IOException(
+                    "field words: expected an array of at most "
+                            + MAX_DRAINS
+                            + " drains, found "
+                            + entries.getNodeType()
+                            + " of size "
+                            + entries.size());
         }
         List<Drain> drains = new ArrayList<>();
-        for (int i = 0; i < words.size(); i++) {
-            JsonNode word = words.get(i);
-            if (!isDrain(word)) {
-                throw new IOException("words[" + i + "] is not a word on a node: " + word);
+        for (int i = 0; i < entries.size(); i++) {
+            JsonNode entry = entries.get(i);
+            if (!isDrain(entry)) {
+                throw new IOException(
+                        "field words["
+                                + i
+                                + "]: expected a drain with valid node, stamp and on, found "
+                                + entry);
             }
-            drains.add(read(word));
+            drains.add(read(entry));
         }
         return drains;
     }
 
-    private static boolean isDrain(JsonNode word) {
-        long stamp = word.path("stamp").asLong(-1);
+    private static boolean isDrain(JsonNode entry) {
+        long stamp = entry.path("stamp").asLong(-1);
         return stamp >= 0
                 && stamp <= MAX_STAMP
-                && word.path("on").isBoolean()
-                && word.path("node").asText().matches(NODE_ID_PATTERN);
+                && entry.path("on").isBoolean()
+                && entry.path("node").asText().matches(NODE_ID_PATTERN);
     }
 
-    private static Drain read(JsonNode word) {
+    private static Drain read(JsonNode entry) {
         return new Drain(
-                new NodeId(Long.parseUnsignedLong(word.path("node").asText(), HEX)),
-                text(word, "name"),
-                word.path("on").asBoolean(),
-                word.path("stamp").asLong(),
-                text(word, "by"),
-                text(word, "call"),
-                word.path("at").asLong());
+                new NodeId(Long.parseUnsignedLong(entry.path("node").asText(), HEX)),
+                text(entry, "name"),
+                entry.path("on").asBoolean(),
+                entry.path("stamp").asLong(),
+                text(entry, "by"),
+                text(entry, "call"),
+                entry.path("at").asLong());
     }
 
-    private static String text(JsonNode word, String field) {
-        String text = word.path(field).asText();
+    private static String text(JsonNode entry, String field) {
+        String text = entry.path(field).asText();
         return text.length() > MAX_TEXT_LENGTH ? text.substring(0, MAX_TEXT_LENGTH) : text;
     }
 }
--- a/src/main/java/rosespread/controller/DrainResult.java
+++ b/src/main/java/rosespread/controller/DrainResult.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * What came of an operator's request to drain a node or to end a drain.
+ * Result of an operator's request to drain a node or to end a drain.
  *
- * @param revision of all drains after the request
- * @param details why it was rejected, or what changed since its revision; empty if it was done
+ * @param revision the revision of all drains after the request
+ * @param details why the request was rejected; for {@link Kind#STALE} the drains that changed since
+ *     its revision; empty if it was done
  */
 public record DrainResult(Kind kind, long revision, List<String> details) {
     /** How a request ended. */
     public enum Kind {
-        /** It was done. */
+        /** The request was done. */
         DONE,
         /** A request of the same id was done before. */
         REPEATED,
@@ -21,7 +22,9 @@
         AMBIGUOUS,
         /** Drains changed since the revision that it names. */
         STALE,
-        /** The guard objects: too little would be left. */
+        /**
+         * The drain guard rejected it: too little capacity, or no ready node of a zone, is left.
+         */
         GUARDED
     }
 
