--- a/src/main/java/rosespread/controller/DeltaSelector.java
+++ b/src/main/java/rosespread/controller/DeltaSelector.java
@@ -8,8 +8,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Chooses which weight changes may leave now that the policy did not order in this round:
- * rollbacks, releases, and what the validator put in the place of refused changes. They get the
+ * Selects the weight changes to send now among those that the policy did not order in this round:
+ * rollbacks, releases, and the validator's replacements for refused changes. They get the channel
  * capacity that the policy's own messages leave.
  *
  * <p>Used on the event-loop thread.
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Returns as many of the changes as may leave now: urgent ones first, then the largest; all of
-     * them if nobody is subscribed to the table.
+     * Returns as many of the changes as can be sent now: urgent ones first, then the largest; all
+     * of them if no proxy is subscribed to the table.
      */
     Map<NodeId, Double> select(
             ManagedTable table,
@@ -52,19 +52,20 @@
                         Comparator.comparing(
                                         (Map.Entry<NodeId, Double> change) ->
                                                 !isUrgent(change, committed, context))
-                                .thenComparing(change -> -size(change, committed)))
+                                .thenComparing(change -> -changeSize(change, committed)))
                 .limit(capacity.entriesThatFit(subscribers.size(), urgent))
                 .forEach(change -> selected.put(change.getKey(), change.getValue()));
         return selected;
     }
 
-    private static double size(Map.Entry<NodeId, Double> change, Map<NodeId, Double> committed) {
+    private static double changeSize(
+            Map.Entry<NodeId, Double> change, Map<NodeId, Double> committed) {
         return Math.abs(change.getValue() - committed.getOrDefault(change.getKey(), 0.0));
     }
 
     /**
-     * Whether a change may wait for neither capacity nor messages: the node drains or is gone, or
-     * it warms up and gets less.
+     * Whether a change must wait neither for channel capacity nor for the message limit: the node
+     * drains or is gone, or it is warming up and its weight decreases.
      */
     private static boolean isUrgent(
             Map.Entry<NodeId, Double> change,
--- a/src/main/java/rosespread/controller/LoadReportAggregator.java
+++ b/src/main/java/rosespread/controller/LoadReportAggregator.java
@@ -10,16 +10,16 @@
 import rosespread.channel.Frame;
 
 /**
- * Adds up what the proxies of each zone report of each node, until it is delivered to the policy
- * once a report period. The time covered is that of all reports over the number of proxies that
- * reported, so that several late reports of a proxy that come at once cover as many periods.
+ * Sums the proxies' load reports by zone and node until they are delivered to the policy, once per
+ * report period. The time covered is the sum over all reports divided by the number of proxies that
+ * reported, so that several late reports of one proxy arriving together cover as many periods.
  *
  * <p>Owned by the event-loop thread.
  */
 final class LoadReportAggregator {
     private static final long NANOS_PER_MICRO = 1000L;
 
-    /** What the proxies of a zone reported of one node. */
+    /** Totals over the reports of one zone's proxies about one node. */
     private static final class NodeTotals {
         private int attempts;
         private int failures;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** What the proxies of one zone reported. */
+    /** Totals over the reports of one zone's proxies. */
     private static final class ZoneTotals {
         private final TreeMap<NodeId, NodeTotals> nodes = new TreeMap<>();
         private final TreeSet<ProxyId> proxies = new TreeSet<>();
@@ -60,7 +60,7 @@
         }
 
         void deliverTo(EventHandler policy, ZoneId zone) {
-            long coveredByEach = coveredNanos / proxies.size();
+            long coveredNanosPerProxy = coveredNanos / proxies.size();
             nodes.forEach(
                     (node, totals) ->
                             policy.loadReported(
@@ -69,19 +69,19 @@
                                     totals.attempts,
                                     totals.failures,
                                     totals.meanLatencySeconds(),
-                                    coveredByEach,
+                                    coveredNanosPerProxy,
                                     totals.utilization));
         }
     }
 
     private final TreeMap<ZoneId, ZoneTotals> zones = new TreeMap<>();
 
-    /** Adds a proxy's report. */
+    /** Adds a load report of a proxy. */
     void add(ProxyId proxy, ZoneId zone, Frame.Sums report) {
         zones.computeIfAbsent(zone, key -> new ZoneTotals()).add(proxy, report);
     }
 
-    /** Delivers all that was reported, zone by zone and node by node in their order. */
+    /** Delivers all totals to the policy, in the order of zones and, within a zone, of nodes. */
     void deliverTo(EventHandler policy) {
         for (Map.Entry<ZoneId, ZoneTotals> zone : zones.entrySet()) {
             zone.getValue().deliverTo(policy, zone.getKey());
--- a/src/main/java/rosespread/controller/LoadReportHandler.java
+++ b/src/main/java/rosespread/controller/LoadReportHandler.java
@@ -5,16 +5,16 @@
 import rosespread.controller.ControllerCounters.Counter;
 
 /**
- * Takes proxies' load reports: aggregates what they tell of known nodes for the policy, and notes
- * attempts and high failure ratios.
+ * Handles proxies' load reports: aggregates the entries for known nodes for the policy, records the
+ * time of the last attempt at each node, and recognizes high failure ratios.
  *
  * <p>Used on the event-loop thread.
  */
 final class LoadReportHandler {
-    /** A failure ratio above this justifies large changes of tables. */
+    /** Failure ratio of a node above which large changes of tables are justified. */
     private static final double HIGH_FAILURE_RATIO = 0.3;
 
-    /** Below so many attempts a failure ratio says nothing. */
+    /** Number of attempts below which a failure ratio is not significant. */
     private static final int MIN_ATTEMPTS = 5;
 
     private final PolicyRunner policyRunner;
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -19,9 +19,9 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * A table beside its committed versions: the weights that the policy desires, the methods and zones
- * it serves, and how it is pinned. What must outlive the process is changed through {@link
- * TableRegistry}, which appends it to the log.
+ * A table with its committed versions, the weights that the policy desires, the methods and zones
+ * that it serves, and how it is pinned. Versions and pins are changed through {@link
+ * TableRegistry}, which appends them to the log, as they must outlive the process.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -43,7 +43,7 @@
     private List<TableChangeValidator.Refusal> refusals = List.of();
     private long releaseStepAtNanos = NEVER;
     private long reviewedAtNanos = NEVER;
-    private long reviewedFacts = -1;
+    private long reviewedFactsVersion = -1;
 
     ManagedTable(TableId id, VersionHistory history) {
         this.id = id;
@@ -51,7 +51,7 @@
         this.sentVersion = history.current().number();
     }
 
-    /** A table as it was persisted. */
+    /** Restores a table from its persisted snapshot. */
     static ManagedTable restored(TableSnapshot snapshot) {
         ManagedTable table =
                 new ManagedTable(snapshot.current().table(), new VersionHistory(snapshot));
@@ -69,16 +69,16 @@
         return history;
     }
 
-    /** Returns the version that is committed. */
+    /** Returns the committed version. */
     TableVersion current() {
         return history.current();
     }
 
-    /** Nothing was ever committed: numbers begin after this one. */
+    /** Numbers the versions of a table without any committed version from the next number on. */
     void startNumberingAfter(long number) {
-        VersionHistory fresh = new VersionHistory(id, number);
-        fresh.admissionLimits().putAll(history.admissionLimits());
-        history = fresh;
+        VersionHistory renumbered = new VersionHistory(id, number);
+        renumbered.admissionLimits().putAll(history.admissionLimits());
+        history = renumbered;
         sentVersion = number;
     }
 
@@ -88,8 +88,9 @@
     }
 
     /**
-     * The policy sets a weight; 0 removes the entry. Its first one of a table takes the place of
-     * all entries that are committed, not only of those it names.
+     * Sets a weight that the policy desires; 0 removes the entry. From the first weight that a new
+     * policy sets, its desired weights replace all committed entries, not only those for the nodes
+     * that it names.
      */
     void setDesired(NodeId node, double weight) {
         if (awaitingPolicy) {
@@ -103,12 +104,12 @@
         }
     }
 
-    /** Whether the policy that runs now has not set any weight of the table yet. */
+    /** Whether the current policy has not set any weight of the table yet. */
     boolean isAwaitingPolicy() {
         return awaitingPolicy;
     }
 
-    /** A new policy starts: the table stays as it is until that sets a weight of it. */
+    /** Keeps the committed entries until a new policy, which starts now, first sets a weight. */
     void awaitPolicy() {
         desired.clear();
         methods.clear();
@@ -137,8 +138,8 @@
     }
 
     /** Sets the zones of a restored table, for which the policy has set no weight yet. */
-    void restoreZones(Set<ZoneId> ofEntries) {
-        zones.addAll(ofEntries);
+    void restoreZones(Set<ZoneId> zonesOfEntries) {
+        zones.addAll(zonesOfEntries);
     }
 
     Set<ZoneId> zones() {
@@ -153,12 +154,12 @@
         return pin == PinState.PINNED;
     }
 
-    /** Returns the version that the table is rolled back to; 0 if that is done or there is none. */
+    /** Returns the target version of the rollback in progress; 0 if none is in progress. */
     long rollbackTarget() {
         return rollbackTarget;
     }
 
-    /** Returns a live view of the changes that a pinned table still has to send. */
+    /** Returns a live view of the weight changes that a pinned table still has to send. */
     NavigableMap<NodeId, Double> pending() {
         return Collections.unmodifiableNavigableMap(pending);
     }
@@ -184,10 +185,13 @@
     /**
      * Changes how the table is pinned.
      *
-     * @return whether that changes what has to be persisted
+     * @param target the version that the table is rolled back to, 0 for none
+     * @param changes the pending changes that lead there
+     * @return whether persisted state changed
      */
     boolean setPin(PinState next, long target, Map<NodeId, Double> changes) {
-        boolean lasting = target > 0 || next.lasting() != pin.lasting() || target != rollbackTarget;
+        boolean persistedStateChanged =
+                target > 0 || next.lasting() != pin.lasting() || target != rollbackTarget;
         pending.clear();
         pending.putAll(changes);
         pin = next;
@@ -195,10 +199,13 @@
         if (target > 0) {
             history.retain(target);
         }
-        return lasting;
+        return persistedStateChanged;
     }
 
-    /** Tables are laid out another way: pins and older versions mean something else. */
+    /**
+     * Drops the pin, pending changes and all versions but the current one, as they no longer have
+     * the same meaning in a new table layout.
+     */
     void layoutChanged() {
         history.dropAllButCurrent();
         pin = PinState.NONE;
@@ -206,7 +213,7 @@
         pending.clear();
     }
 
-    /** Returns the number that proxies which follow the table's deltas have been sent. */
+    /** Returns the version number up to which deltas have been sent to subscribed proxies. */
     long sentVersion() {
         return sentVersion;
     }
@@ -215,23 +222,26 @@
         sentVersion = version;
     }
 
-    /** Returns what the validator remembers of the committed weights. */
+    /** Returns the validator's totals of the committed weights. */
     AcceptedTotals acceptedTotals() {
         return acceptedTotals;
     }
 
-    /** Returns why the desired weights were refused last; empty if they passed. */
+    /** Returns why the last validation refused the desired weights; empty if they passed. */
     List<TableChangeValidator.Refusal> refusals() {
         return refusals;
     }
 
-    /** Takes the validator's answer: last good weights stay until what is desired passes. */
+    /** Records a validation: after a refusal, accepted weights stay until the desired ones pass. */
     void recordValidation(List<TableChangeValidator.Refusal> result) {
         refusals = result;
         pin = result.isEmpty() ? PinState.NONE : PinState.REFUSED;
     }
 
-    /** What was held back is caught up with before the policy's changes go out as they come. */
+    /**
+     * Records that changes were held back: they are sent first, within the channel's capacity,
+     * before the policy's changes are committed as ordered again.
+     */
     void deferCatchUp() {
         pin = PinState.REFUSED;
     }
@@ -253,18 +263,18 @@
     }
 
     /**
-     * Whether a table that does not follow the policy has to be looked at: while it has something
-     * to send, as facts change, and at an interval.
+     * Whether a table that does not follow the policy has to be reviewed: while a rollback or other
+     * changes are still to be sent, after facts changed, and at an interval.
      */
     boolean isReviewDue(long nowNanos, long intervalNanos, long factsVersion) {
         return rollbackTarget > 0
                 || !pending.isEmpty()
-                || reviewedFacts != factsVersion
+                || reviewedFactsVersion != factsVersion
                 || nowNanos - reviewedAtNanos >= intervalNanos;
     }
 
     void markReviewed(long nowNanos, long factsVersion) {
         reviewedAtNanos = nowNanos;
-        reviewedFacts = factsVersion;
+        reviewedFactsVersion = factsVersion;
     }
 }
