--- a/src/main/java/rosespread/controller/NodeClients.java
+++ b/src/main/java/rosespread/controller/NodeClients.java
@@ -12,8 +12,8 @@
 import rosespread.settings.FleetSettings;
 
 /**
- * The clients of discovery and of nodes' health checks for the settings in force. Results come back
- * as events of the event loop.
+ * The clients of discovery and of nodes' health checks for the settings in force. Results are added
+ * to the event loop as events.
  *
  * <p>Used on the event-loop thread; the clients' callbacks run on I/O threads and only enqueue.
  */
@@ -39,7 +39,7 @@
         this.state = state;
     }
 
-    /** Replaces the clients by ones for these settings, which do nothing yet. */
+    /** Replaces the clients by new ones for these settings, which send no requests yet. */
     void applySettings(FleetSettings settings) {
         if (nodeList != null) {
             nodeList.close();
@@ -49,21 +49,21 @@
                         http,
                         settings.healthChecks().path(),
                         settings.healthChecks().timeoutNanos());
-        FleetSettings.Discovery catalogue = settings.discovery();
+        FleetSettings.Discovery discovery = settings.discovery();
         nodeList =
                 new NodeListClient(
                         http,
-                        new InetSocketAddress(catalogue.host(), catalogue.port()),
-                        catalogue.service(),
+                        new InetSocketAddress(discovery.host(), discovery.port()),
+                        discovery.service(),
                         "rosespread/" + controllerName,
-                        catalogue.blockingWaitNanos(),
-                        catalogue.responseTimeoutNanos(),
-                        catalogue.indexRollbackGraceNanos(),
-                        catalogue.onDemand(),
+                        discovery.blockingWaitNanos(),
+                        discovery.responseTimeoutNanos(),
+                        discovery.indexRollbackGraceNanos(),
+                        discovery.onDemand(),
                         timer,
                         System::nanoTime,
                         new SplittableRandom(settings.seed() ^ controllerName.hashCode()),
-                        new ListFollower());
+                        new NodeListListener());
     }
 
     /** Starts following the node list. */
@@ -77,7 +77,7 @@
                 result -> queue.put(now -> state.healthChecked(now, node.id(), result)));
     }
 
-    private final class ListFollower implements NodeListClient.Listener {
+    private final class NodeListListener implements NodeListClient.Listener {
         @Override
         public void nodeListReceived(List<ListedNode> nodes) {
             queue.put(now -> state.nodesListed(now, nodes));
--- a/src/main/java/rosespread/controller/NodeDirectory.java
+++ b/src/main/java/rosespread/controller/NodeDirectory.java
@@ -12,8 +12,8 @@
 import rosespread.discovery.ListedNode;
 
 /**
- * The nodes in three views: as discovery listed them last, the same with the drains that operators
- * ordered, and all that are known, which also has unlisted nodes that tables still name.
+ * Three views of the nodes: the nodes as discovery listed them last, the same nodes with operators'
+ * drains applied, and all known nodes, which also include unlisted nodes that tables still name.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -25,7 +25,7 @@
     private final TreeMap<NodeId, Long> lastAttempts = new TreeMap<>();
     private boolean listReceived;
 
-    /** Takes a complete list from discovery; returns the ids of the one before. */
+    /** Replaces the discovered nodes by a complete list; returns the ids of the previous list. */
     Set<NodeId> replaceDiscovered(List<ListedNode> nodes) {
         listReceived = true;
         Set<NodeId> before = Set.copyOf(discovered.keySet());
@@ -34,7 +34,7 @@
         return before;
     }
 
-    /** Whether discovery has brought a list yet. */
+    /** Whether a list has been received from discovery. */
     boolean isListReceived() {
         return listReceived;
     }
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Works out the listed nodes from the discovered ones and the drains in force.
+     * Computes the listed nodes from the discovered nodes and the drains in force.
      *
-     * @return whether a node came, went, started again or changed its state
+     * @return whether a node was added or removed, restarted or changed its state
      */
     boolean refreshListed(Predicate<NodeId> drained) {
         Map<NodeId, ListedNode> next = new TreeMap<>();
@@ -72,23 +72,23 @@
                 && before.startedMillis() == after.startedMillis();
     }
 
-    /** Forgets unlisted nodes that nothing names any more. */
-    void forgetUnlisted(Predicate<NodeId> stillNamed) {
-        known.keySet().removeIf(id -> !listed.containsKey(id) && !stillNamed.test(id));
+    /** Removes unlisted nodes that are no longer referenced. */
+    void removeUnlisted(Predicate<NodeId> isReferenced) {
+        known.keySet().removeIf(id -> !listed.containsKey(id) && !isReferenced.test(id));
         lastAttempts.keySet().retainAll(known.keySet());
     }
 
-    /** Returns the node as it is listed, null if it is not. */
+    /** Returns a listed node, with operators' drains applied; null if it is not listed. */
     ListedNode listed(NodeId id) {
         return listed.get(id);
     }
 
-    /** Returns a live view of the listed nodes, drains of operators included. */
+    /** Returns a live view of the listed nodes, with operators' drains applied. */
     Collection<ListedNode> listed() {
         return Collections.unmodifiableCollection(listed.values());
     }
 
-    /** Returns the name of a known node, the number of any other. */
+    /** Returns the name of a known node, or the decimal id of any other. */
     String nameOf(NodeId id) {
         ListedNode node = known.get(id);
         return node == null ? Long.toString(id.value()) : node.name();
@@ -99,7 +99,7 @@
         return knownView;
     }
 
-    /** A proxy reported an attempt at a node. */
+    /** Records the time at which a proxy reported an attempt at a node. */
     void recordAttempt(NodeId id, long nowNanos) {
         lastAttempts.put(id, nowNanos);
     }
--- a/src/main/java/rosespread/controller/NodeFacts.java
+++ b/src/main/java/rosespread/controller/NodeFacts.java
@@ -11,13 +11,16 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * What table changes are validated by: the state of nodes, how far they have warmed up, whether a
- * table's methods may use them, and whether something happened that justifies large changes.
+ * Facts by which table changes are validated: the state of nodes, how far they have warmed up,
+ * whether a table's methods may use them, and whether large changes are currently justified.
  *
  * <p>Owned by the event-loop thread.
  */
 final class NodeFacts {
-    /** A change of the list, or a high failure ratio, justifies large changes for so long. */
+    /**
+     * Time for which a change of the node list, a high failure ratio or a policy restart justifies
+     * large changes.
+     */
     private static final long LARGE_CHANGE_CAUSE_NANOS = 10_000_000_000L;
 
     private final NodeDirectory directory;
@@ -26,8 +29,8 @@
     private final EventClock clock;
     private FleetSettings settings;
     private long version;
-    private long nextWarmNanos = Long.MAX_VALUE;
-    private long lastCauseNanos = Long.MIN_VALUE / 2;
+    private long nextWarmUpEndNanos = Long.MAX_VALUE;
+    private long lastLargeChangeCauseNanos = Long.MIN_VALUE / 2;
 
     NodeFacts(
             NodeDirectory directory,
@@ -40,38 +43,43 @@
         this.clock = clock;
     }
 
-    /** Sets what nodes are judged by; {@link #invalidate} has to follow. */
+    /**
+     * Sets warm-up and methods from the settings; {@link #invalidate} must be called afterwards.
+     */
     void applySettings(FleetSettings next) {
         settings = next;
     }
 
-    /** Something happened that justifies large changes of tables. */
+    /** Records that an event which justifies large changes of tables happened now. */
     void recordLargeChangeCause() {
-        lastCauseNanos = clock.nowNanos();
+        lastLargeChangeCauseNanos = clock.nowNanos();
     }
 
-    /** Nodes came or went: forgets those that are no longer known. */
+    /** Drops start times of nodes that are no longer known, after nodes were added or removed. */
     void retainKnownNodes() {
         startTimes.retain(directory.known().keySet());
         invalidate();
     }
 
-    /** Raises the version, as facts changed otherwise than that a node has warmed further. */
+    /**
+     * Increments the version, after any change of facts other than the gradual warm-up of nodes,
+     * and computes when the next node will be warm.
+     */
     void invalidate() {
         version++;
-        nextWarmNanos = Long.MAX_VALUE;
+        nextWarmUpEndNanos = Long.MAX_VALUE;
         for (ListedNode node : directory.known().values()) {
-            long started = startTimes.startedNanos(node);
-            long warm = started + settings.warmUp().durationNanos();
-            if (started != NodeStartTimes.LONG_AGO && warm > clock.nowNanos()) {
-                nextWarmNanos = Math.min(nextWarmNanos, warm);
+            long startedNanos = startTimes.startedNanos(node);
+            long warmUpEndNanos = startedNanos + settings.warmUp().durationNanos();
+            if (startedNanos != NodeStartTimes.UNKNOWN_START && warmUpEndNanos > clock.nowNanos()) {
+                nextWarmUpEndNanos = Math.min(nextWarmUpEndNanos, warmUpEndNanos);
             }
         }
     }
 
-    /** Returns a number that rises as facts change, also as the next node becomes warm. */
+    /** Returns a number that increases as facts change, also when a node becomes warm. */
     long version() {
-        if (clock.nowNanos() >= nextWarmNanos) {
+        if (clock.nowNanos() >= nextWarmUpEndNanos) {
             invalidate();
         }
         return version;
@@ -86,21 +94,22 @@
     }
 
     /**
-     * Returns the facts as a table needs them.
+     * Returns the facts for the validation of one table.
      *
      * @param methods the table's methods, empty if they are not known
-     * @param zones the zones of its nodes
-     * @param entriesCarried entries that the channel can carry to each of its proxies in time
+     * @param zones the zones of the table's nodes
+     * @param deliverableEntries number of entries that the channel can deliver to each proxy of the
+     *     table within the drain timeout
      */
     TableChangeValidator.ValidationContext context(
-            Set<MethodId> methods, Set<ZoneId> zones, double entriesCarried) {
+            Set<MethodId> methods, Set<ZoneId> zones, double deliverableEntries) {
         Map<NodeId, TableChangeValidator.NodeFact> facts =
                 new NodeFactsView(directory.known(), node -> fact(node, methods, zones));
         return new TableChangeValidator.ValidationContext(
                 facts,
                 version(),
-                clock.nowNanos() - lastCauseNanos < LARGE_CHANGE_CAUSE_NANOS,
-                entriesCarried);
+                clock.nowNanos() - lastLargeChangeCauseNanos < LARGE_CHANGE_CAUSE_NANOS,
+                deliverableEntries);
     }
 
     private TableChangeValidator.NodeFact fact(
@@ -109,23 +118,24 @@
         return new TableChangeValidator.NodeFact(
                 listed == null ? EventHandler.NodeState.GONE : listed.state(),
                 warmUpRatio(node),
-                isOpen(node, methods, zones));
+                isUsable(node, methods, zones));
     }
 
     private double warmUpRatio(ListedNode node) {
-        long started = startTimes.startedNanos(node);
+        long startedNanos = startTimes.startedNanos(node);
         long now = clock.nowNanos();
         FleetSettings.WarmUp warmUp = settings.warmUp();
-        return started == NodeStartTimes.LONG_AGO || now - started >= warmUp.durationNanos()
+        return startedNanos == NodeStartTimes.UNKNOWN_START
+                        || now - startedNanos >= warmUp.durationNanos()
                 ? 1
                 : warmUp.coldCapacityRatio()
                         + (1 - warmUp.coldCapacityRatio())
-                                * Math.max(0, now - started)
+                                * Math.max(0, now - startedNanos)
                                 / warmUp.durationNanos();
     }
 
-    /** Whether any of the methods may go to the node; an unknown table may go everywhere. */
-    private boolean isOpen(ListedNode node, Set<MethodId> methods, Set<ZoneId> zones) {
+    /** Whether any of the methods may use the node; true if the table's methods are not known. */
+    private boolean isUsable(ListedNode node, Set<MethodId> methods, Set<ZoneId> zones) {
         ZoneId zone = zone(node);
         return methods.isEmpty()
                 || methods.stream()
--- a/src/main/java/rosespread/controller/NodeFactsView.java
+++ b/src/main/java/rosespread/controller/NodeFactsView.java
@@ -11,7 +11,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * The facts of all known nodes, each worked out as it is asked for: a small change asks for few.
+ * The facts of all known nodes. The facts of a node are computed at each lookup, as the validation
+ * of a small change looks up only a few nodes.
  *
  * <p>A live, read-only view for the event-loop thread.
  */
--- a/src/main/java/rosespread/controller/NodeListHandler.java
+++ b/src/main/java/rosespread/controller/NodeListHandler.java
@@ -11,15 +11,15 @@
 import rosespread.drain.Drain;
 
 /**
- * Takes the node lists of discovery, and works out what the policy gets: nodes that operators drain
- * look like nodes that discovery calls draining.
+ * Handles node lists from discovery and passes the nodes on to the policy. Nodes that operators
+ * drain have the same state there as nodes that discovery lists as draining.
  *
  * <p>Owned by the event-loop thread.
  */
 final class NodeListHandler {
     private static final Logger LOG = LoggerFactory.getLogger(NodeListHandler.class);
 
-    /** Who ends the drain of a node that is no longer listed; stands in persisted drains. */
+    /** Operator name in persisted drains that were ended because the node is no longer listed. */
     private static final String LIST_OPERATOR = "list";
 
     private final NodeDirectory directory;
@@ -45,7 +45,7 @@
         this.context = context;
     }
 
-    /** Takes a complete list. */
+    /** Handles a complete list of nodes. */
     void nodesListed(List<ListedNode> nodes) {
         context.counters().increment(Counter.NODE_LISTS);
         unavailableReason = "";
@@ -55,8 +55,10 @@
     }
 
     /**
-     * A node that is no longer listed needs no drain; one that comes back is a new one. Only nodes
-     * that were listed here count: this list may be behind the one by which the drain was ordered.
+     * Ends the drains of nodes that are no longer listed: such a node needs no drain, and a node
+     * that is listed again later counts as a new one. Only nodes of the previous list are
+     * considered: this controller's list may be older than the list on which an operator ordered
+     * the drain, and may not have the node yet.
      */
     private void endDrainsOfUnlisted(Set<NodeId> listedBefore) {
         for (Drain drain : List.copyOf(registry.drains().allLatest())) {
@@ -85,7 +87,7 @@
                 .log("drain ended: the node is no longer listed");
     }
 
-    /** Works the listed nodes out again, as the list or drains changed, and publishes them. */
+    /** Computes the listed nodes again after the list or drains changed, and publishes them. */
     void refresh() {
         if (directory.refreshListed(registry.drains()::drains)) {
             facts.recordLargeChangeCause();
@@ -94,12 +96,12 @@
     }
 
     private void publish(TableUpdateWriter writer) {
-        directory.forgetUnlisted(id -> writer.excluded().contains(id) || writer.hasWeightFor(id));
+        directory.removeUnlisted(id -> writer.excluded().contains(id) || writer.hasWeightFor(id));
         facts.retainKnownNodes();
         publisher.publish(EventHandler.NodeListKind.FULL);
     }
 
-    /** No list can be had; the last one stays. */
+    /** Handles that no list is available; the last one stays in use. */
     void unavailable(String reason) {
         context.counters().increment(Counter.NODE_LIST_FAILURES);
         if (unavailableReason.isEmpty()) {
@@ -112,7 +114,7 @@
         publisher.publishUnavailable();
     }
 
-    /** Returns why no list can be had, empty if the last one came. */
+    /** Returns why no list is available; empty if the last request for a list succeeded. */
     String unavailableReason() {
         return unavailableReason;
     }
--- a/src/main/java/rosespread/controller/NodeListPublisher.java
+++ b/src/main/java/rosespread/controller/NodeListPublisher.java
@@ -9,7 +9,7 @@
 import rosespread.eventloop.RoundScheduler;
 
 /**
- * Tells the policy of the listed nodes, as an event of its next round.
+ * Passes the listed nodes to the policy as an event of its next round.
  *
  * <p>Used on the event-loop thread.
  */
@@ -30,11 +30,11 @@
         this.rounds = rounds;
     }
 
-    /** Publishes the listed nodes as they are now. */
+    /** Publishes a copy of the currently listed nodes. */
     void publish(EventHandler.NodeListKind kind) {
         List<ListedNode> nodes = List.copyOf(directory.listed());
-        Map<NodeId, Long> started = new TreeMap<>();
-        nodes.forEach(node -> started.put(node.id(), startTimes.startedNanos(node)));
+        Map<NodeId, Long> startNanos = new TreeMap<>();
+        nodes.forEach(node -> startNanos.put(node.id(), startTimes.startedNanos(node)));
         rounds.add(
                 policy -> {
                     policy.listStarted(kind);
@@ -45,13 +45,13 @@
                                 names.zone(node.zone()),
                                 node.weight(),
                                 node.state(),
-                                started.get(node.id()));
+                                startNanos.get(node.id()));
                     }
                     policy.listCompleted();
                 });
     }
 
-    /** Publishes that no list can be had; the last one stays. */
+    /** Publishes that no list is available; the last one stays in use. */
     void publishUnavailable() {
         rounds.add(
                 policy -> {
--- a/src/main/java/rosespread/controller/NodeStartTimes.java
+++ b/src/main/java/rosespread/controller/NodeStartTimes.java
@@ -6,15 +6,15 @@
 import rosespread.discovery.ListedNode;
 
 /**
- * When nodes started, by {@link System#nanoTime()}. It is worked out once for each start that the
- * list names: wall clock and monotonic clock drift, and a start that moves would be taken for
- * another one.
+ * Start times of nodes by {@link System#nanoTime()}. A start time is computed only once for each
+ * start that the node list names: wall clock and monotonic clock drift apart, and a start time that
+ * changes would be taken for another start.
  *
  * <p>Owned by the event-loop thread.
  */
 final class NodeStartTimes {
-    /** The start of a node that the list gives no start for: it has long been warm. */
-    static final long LONG_AGO = Long.MIN_VALUE;
+    /** Start time of a node for which the list names none; such a node counts as warm. */
+    static final long UNKNOWN_START = Long.MIN_VALUE;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
@@ -27,10 +27,10 @@
         this.clock = clock;
     }
 
-    /** Returns when a node started, {@link #LONG_AGO} if the list names no start. */
+    /** Returns a node's start time, {@link #UNKNOWN_START} if the list names none. */
     long startedNanos(ListedNode node) {
         if (node.startedMillis() == 0) {
-            return LONG_AGO;
+            return UNKNOWN_START;
         }
         Start known = starts.get(node.id());
         if (known == null || known.wallMillis() != node.startedMillis()) {
