--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -70,7 +70,7 @@
                 Router.Route.exact("/v1/status", new ReadOnlyResource(report::summary)),
                 Router.Route.exact(
                         "/v1/state",
-                        new ReadOnlyResource(() -> JsonResponses.ok(controller.state()))),
+                        new ReadOnlyResource(() -> JsonResponses.ok(controller.status()))),
                 Router.Route.exact("/v1/health", new ReadOnlyResource(report::health)),
                 Router.Route.prefix("/v1/nodes", new NodesResource(controller, audit)),
                 Router.Route.exact(
--- a/src/main/java/rosespread/admin/NodesResource.java
+++ b/src/main/java/rosespread/admin/NodesResource.java
@@ -34,7 +34,7 @@
     public HttpMessage.Response handle(AdminRequest request) throws IOException {
         if (request.path().equals(PATH)) {
             return request.hasMethod("GET")
-                    ? JsonResponses.ok(controller.state().nodes())
+                    ? JsonResponses.ok(controller.status().nodes())
                     : ProblemDetails.methodNotAllowed("GET", request);
         }
         Matcher action = ACTION.matcher(request.target());
--- a/src/main/java/rosespread/admin/StatusReport.java
+++ b/src/main/java/rosespread/admin/StatusReport.java
@@ -24,7 +24,7 @@
 
     /** Status 200 while serving, else 503. Trouble with storage or audit alone is no 503. */
     HttpMessage.Response health() throws IOException {
-        ControllerStatus state = controller.state();
+        ControllerStatus state = controller.status();
         return JsonResponses.of(
                 state.phase().equals(SERVING) ? 200 : 503,
                 JsonResponses.object()
@@ -36,7 +36,7 @@
 
     /** One screen's worth: counts, versions and troubles, without entries, nodes and proxies. */
     HttpMessage.Response summary() throws IOException {
-        ControllerStatus state = controller.state();
+        ControllerStatus state = controller.status();
         ObjectNode summary =
                 JsonResponses.object()
                         .put("name", controller.name())
--- a/src/main/java/rosespread/admin/TablesResource.java
+++ b/src/main/java/rosespread/admin/TablesResource.java
@@ -42,7 +42,7 @@
     public HttpMessage.Response handle(AdminRequest request) throws IOException {
         if (request.path().equals(PATH)) {
             return request.hasMethod("GET")
-                    ? JsonResponses.ok(controller.state().tables())
+                    ? JsonResponses.ok(controller.status().tables())
                     : ProblemDetails.methodNotAllowed("GET", request);
         }
         Matcher table = TABLE.matcher(request.target());
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -294,7 +294,7 @@
      * Returns the current status, or the last one read if the event loop does not answer in time.
      * The status is gathered on request only, as its cost grows with the fleet.
      */
-    public ControllerStatus state() {
+    public ControllerStatus status() {
         try {
             lastStatus = eventLoop.call(now -> state.status());
         } catch (IOException e) {
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -92,7 +92,7 @@
                 Operator bo = new Operator("bo", boFleet, admin.address());
                 Change first = Change.ofSettings(settings);
                 assertEquals(200, ana.send(first, first.anaTarget(), new String[0]).status());
-                await().until(() -> admin.controller().state().nodes().size() == 2);
+                await().until(() -> admin.controller().status().nodes().size() == 2);
                 for (int pair = 0; pair < PAIRS; pair++) {
                     Change change =
                             random.nextBoolean() ? Change.ofDrains() : Change.ofSettings(settings);
--- a/src/test/java/rosespread/cli/FleetCommandTest.java
+++ b/src/test/java/rosespread/cli/FleetCommandTest.java
@@ -47,7 +47,7 @@
     }
 
     private static List<String> nodesDrainedByAna(Controller controller) {
-        return controller.state().nodes().stream()
+        return controller.status().nodes().stream()
                 .filter(node -> node.drainedBy().equals("ana"))
                 .map(ControllerStatus.Node::name)
                 .toList();
--- a/src/test/java/rosespread/cli/FleetFixture.java
+++ b/src/test/java/rosespread/cli/FleetFixture.java
@@ -123,7 +123,7 @@
         ProgramRun run = fleet(settings, "settings apply");
         assertEquals(0, run.exitCode(), run.text());
         controllers.forEach(
-                controller -> await().until(() -> controller.state().nodes().size() == NODES));
+                controller -> await().until(() -> controller.status().nodes().size() == NODES));
         return run;
     }
 
--- a/src/test/java/rosespread/controller/ControllerTest.java
+++ b/src/test/java/rosespread/controller/ControllerTest.java
@@ -138,7 +138,7 @@
                     List.of("ana"),
                     late.drains().stream().map(Drain::by).toList(),
                     "before any dials");
-            await().until(() -> late.state().nodes().size() == 2);
+            await().until(() -> late.status().nodes().size() == 2);
             Frame.Bind bound = loopback.connect(address).join("p").await(Frame.Bind.class);
             assertEquals(1, bound.lines().size());
             loopback.post("/v1/nodes/n/undrain");
--- a/src/test/java/rosespread/controller/LoopbackController.java
+++ b/src/test/java/rosespread/controller/LoopbackController.java
@@ -109,7 +109,7 @@
     }
 
     ControllerStatus status() {
-        return controller.state();
+        return controller.status();
     }
 
     InetSocketAddress adminAddress() {
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -116,7 +116,7 @@
                             "1 PINNED 6 7aef3e81f7c40890 6",
                             "2 RELEASING 8 5bac19e3d9367829 8",
                             "3 PINNED 5 599cf9e6ebaa9fa0 5"),
-                    controller.state().tables().stream().map(StoredStateTest::told).toList());
+                    controller.status().tables().stream().map(StoredStateTest::told).toList());
             assertEquals(
                     Set.of(
                             "n1 true 1 ana",
