--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -226,20 +226,20 @@
 
     /** Pins a table to the weights of a retained version, see {@link TableOperations}. */
     public TableActResult rollback(long nowNanos, TableId table, long version) {
-        return act(nowNanos, writer -> writer.rollback(table, version, clock.roundTime()));
+        return perform(nowNanos, writer -> writer.rollback(table, version, clock.roundTime()));
     }
 
     /** Pins a table to its committed weights. */
     public TableActResult pin(long nowNanos, TableId table) {
-        return act(nowNanos, writer -> writer.pin(table));
+        return perform(nowNanos, writer -> writer.pin(table));
     }
 
     /** Lets a pinned table follow the policy again, step by step. */
     public TableActResult release(long nowNanos, TableId table) {
-        return act(nowNanos, writer -> writer.release(table));
+        return perform(nowNanos, writer -> writer.release(table));
     }
 
-    private TableActResult act(long nowNanos, Function<TableUpdateWriter, TableActResult> act) {
+    private TableActResult perform(long nowNanos, Function<TableUpdateWriter, TableActResult> act) {
         clock.advanceTo(nowNanos);
         return policyRunner.writer().map(act).orElse(NO_SETTINGS);
     }
--- a/src/main/java/rosespread/controller/DrainHandler.java
+++ b/src/main/java/rosespread/controller/DrainHandler.java
@@ -133,12 +133,12 @@
                         node.name(),
                         request.on(),
                         registry.drains().nextStamp(),
-                        request.by(),
+                        request.operator(),
                         request.id(),
                         clock.wallMillis()));
         LOG.atInfo()
                 .addKeyValue("node", node.name())
-                .addKeyValue("operator", request.by())
+                .addKeyValue("operator", request.operator())
                 .log(request.on() ? "drain ordered" : "drain ended");
         nodeList.refresh();
     }
--- a/src/main/java/rosespread/controller/DrainRequest.java
+++ b/src/main/java/rosespread/controller/DrainRequest.java
@@ -7,13 +7,13 @@
  *
  * @param node the node's name, or name@host:port where several nodes have the name
  * @param on true to drain the node, false to end its drain
- * @param by the operator
+ * @param operator the operator who made the request
  * @param id the id of the request; repeated requests with one id have effect once
  * @param revision the last revision that the operator has seen; negative for any
  * @param force whether to override the drain guard
  */
 public record DrainRequest(
-        String node, boolean on, String by, String id, long revision, boolean force) {
+        String node, boolean on, String operator, String id, long revision, boolean force) {
     /** Whether the request is for this node. */
     boolean matches(ListedNode listed) {
         return node.equals(listed.name()) || node.equals(qualifiedName(listed));
