--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -97,7 +97,7 @@
     public Controller(
             String name, Path folder, PolicyFactory policies, TableChangeValidator validator) {
         this.name = name;
-        // The store wakes the event loop, which may have messages waiting for entries now durable.
+        // The store wakes the event loop, as messages may wait for entries that are durable now.
         this.store =
                 new TableStore(
                         folder,
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Applies settings, then polls peers for drains that this controller missed. Until proxies can
-     * connect, it waits for the drains up to a time limit, as the drains should be known by then.
+     * Applies settings, then polls peers for drains that this controller missed. At a start it
+     * waits for the drains up to a time limit, as they must be known before proxies can connect.
      */
     private void applySettings(FleetSettings next) {
         applyOnEventLoop(next);
--- a/src/main/java/rosespread/controller/EventLoopCaller.java
+++ b/src/main/java/rosespread/controller/EventLoopCaller.java
@@ -33,7 +33,7 @@
             return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while waiting for the event loop", e);
+            throw new IOException("interrupted", e);
         } catch (ExecutionException | TimeoutException e) {
             throw new IOException(
                     "event loop did not run the call within " + TIMEOUT_SECONDS + " s", e);
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -74,7 +74,7 @@
         return history.current();
     }
 
-    /** Numbers the versions of a table without any committed version from the next number on. */
+    /** Sets the number after which versions begin; only for a table without a committed version. */
     void startNumberingAfter(long number) {
         VersionHistory renumbered = new VersionHistory(id, number);
         renumbered.admissionLimits().putAll(history.admissionLimits());
