--- a/src/main/java/rosespread/api/EventHandler.java
+++ b/src/main/java/rosespread/api/EventHandler.java
@@ -1,58 +1,58 @@
 package rosespread.api;
 
 /**
- * Takes what came in, one call an event, in the order of arrival. All calls come from the thread
- * that runs the decisions, within a round.
+ * Receives the events of a round, one call per event, in the order of arrival. All calls are made
+ * on the thread that runs the policy, within a round.
  */
 public interface EventHandler {
-    /** What a node list holds. */
+    /** The nodes that a node list contains. */
     enum NodeListKind {
-        /** All nodes as last known, before any answer of the discovery service. */
+        /** All nodes as last known, before the discovery service has answered. */
         CACHED,
-        /** All nodes: any other is gone. */
+        /** All nodes; a node that is not listed is gone. */
         FULL,
-        /** Only nodes that have changed. */
+        /** Only the nodes that have changed. */
         INCREMENTAL,
-        /** None: the list can't be had, and has to be asked for again. */
+        /** No nodes: the list is unavailable and must be requested again. */
         UNAVAILABLE
     }
 
-    /** What the list says of a node. */
+    /** State of a node according to the node list. */
     enum NodeState {
-        /** Takes requests. */
+        /** Accepts requests. */
         READY,
-        /** Finishes what it has; no table may name it after the drain timeout. */
+        /** Finishes its current requests; no table may name it after the drain timeout. */
         DRAINING,
-        /** Is no more. */
+        /** No longer exists. */
         GONE
     }
 
-    /** How a health check ended. */
+    /** Outcome of a health check. */
     enum HealthCheckResult {
-        /** Answered as a healthy node does. */
+        /** The node answered and is healthy. */
         PASSED,
-        /** Answered with an error. */
+        /** The node answered with an error. */
         FAILED,
-        /** Rejected as the node is overloaded, which tells nothing of its health. */
+        /** The node rejected the check because it is overloaded; says nothing about its health. */
         REJECTED,
-        /** Not answered in time. */
+        /** The node did not answer in time. */
         TIMED_OUT,
-        /** No connection. */
+        /** No connection to the node. */
         UNREACHABLE
     }
 
-    /** Opens a list of nodes; its entries and {@link #listCompleted} follow in the same round. */
+    /** Starts a node list; its entries and {@link #listCompleted} follow in the same round. */
     void listStarted(NodeListKind kind);
 
     /**
-     * One entry of the list.
+     * Adds one entry of the node list.
      *
      * @param node the node's identity
-     * @param machineType its kind of machine
-     * @param zone the zone that it runs in
-     * @param weight the weight that the list states; 0 or less if none
-     * @param state whether it takes requests
-     * @param startedAt clock reading of its last start, {@link Long#MIN_VALUE} if long ago
+     * @param machineType the node's machine type
+     * @param zone the zone in which the node runs
+     * @param weight the node's weight in the list; 0 or less if the list states none
+     * @param state whether the node accepts requests
+     * @param startedAt clock reading of the node's last start; {@link Long#MIN_VALUE} if long ago
      */
     void nodeListed(
             NodeId node,
@@ -62,40 +62,40 @@
             NodeState state,
             long startedAt);
 
-    /** Closes the list. */
+    /** Ends the node list. */
     void listCompleted();
 
     /**
-     * A proxy's stream is established; a former one of the same proxy has ended.
+     * Reports that a proxy's stream is established; any earlier stream of the proxy has ended.
      *
      * @param proxy the proxy's identity
-     * @param zone the zone that it runs in
-     * @param usualRate its usual RPCs a second
+     * @param zone the zone in which the proxy runs
+     * @param usualRate the proxy's usual rate in RPCs per second
      */
     void proxyJoined(ProxyId proxy, ZoneId zone, double usualRate);
 
-    /** A proxy's stream has ended; passed over if the proxy had not joined. */
+    /** Reports that a proxy's stream has ended; ignored if the proxy had not joined. */
     void proxyLeft(ProxyId proxy);
 
     /**
-     * A proxy has applied everything up to a token.
+     * Reports that a proxy has applied all messages up to the one with this token.
      *
      * @param proxy the proxy's identity
-     * @param token as asked for by {@link PolicyActions#requestAcknowledgement}
-     * @param latencyNanos from the writing of the message to its effect
+     * @param token the token given to {@link PolicyActions#requestAcknowledgement}
+     * @param latencyNanos time from writing the message until it took effect
      */
     void acknowledged(ProxyId proxy, int token, long latencyNanos);
 
     /**
-     * What the proxies of a zone met at a node. A measure that did not come is NaN.
+     * Reports the load on a node from the proxies of one zone. A missing measurement is NaN.
      *
      * @param node the node's identity
      * @param proxyZone the zone of the proxies
      * @param attempts RPCs that were sent to the node
-     * @param failures those of them that failed or were not answered
+     * @param failures attempts that failed or were not answered
      * @param latency mean latency of answers in seconds, or NaN
-     * @param coveredNanos the span in which they were counted
-     * @param utilization the busy part of the node's cores, or NaN
+     * @param coveredNanos the period in which the attempts were counted
+     * @param utilization the busy fraction of the node's cores, or NaN
      */
     void loadReported(
             NodeId node,
@@ -107,18 +107,19 @@
             double utilization);
 
     /**
-     * RPCs of a method that came to a proxy, rejected ones and clients' retries among them.
+     * Reports the RPCs of a method that arrived at a proxy, including rejected RPCs and clients'
+     * retries.
      *
      * @param proxy the proxy's identity
      * @param method the method
-     * @param requests how many came
-     * @param coveredNanos the span in which they were counted
+     * @param requests the number of RPCs
+     * @param coveredNanos the period in which the RPCs were counted
      */
     void demandReported(ProxyId proxy, MethodId method, int requests, long coveredNanos);
 
-    /** A health check ordered earlier has ended. */
+    /** Reports the result of a health check requested earlier. */
     void healthChecked(NodeId node, HealthCheckResult result);
 
-    /** A timer started earlier has fired. */
+    /** Reports that a timer started earlier has fired. */
     void timerFired();
 }
--- a/src/main/java/rosespread/api/EventSource.java
+++ b/src/main/java/rosespread/api/EventSource.java
@@ -1,8 +1,8 @@
 package rosespread.api;
 
-/** One round's events. */
+/** The events of one round. */
 @FunctionalInterface
 public interface EventSource {
-    /** Hands every event to the handler, in the order of arrival, on the caller's thread. */
+    /** Passes every event to the handler, in the order of arrival, on the caller's thread. */
     void deliverTo(EventHandler handler);
 }
--- a/src/main/java/rosespread/api/MachineTypeId.java
+++ b/src/main/java/rosespread/api/MachineTypeId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A machine type, by its place among those of the settings. */
+/** Identity of a machine type: its index among the machine types of the settings. */
 public record MachineTypeId(int value) implements Comparable<MachineTypeId> {
     @Override
     public int compareTo(MachineTypeId other) {
@@ -8,8 +8,8 @@
     }
 
     /**
-     * Written out: a record's own goes through a method handle, which is slow without the C2
-     * compiler.
+     * Replaces the method generated for records, which calls a method handle and is slow without
+     * the C2 compiler.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/rosespread/api/MethodId.java
+++ b/src/main/java/rosespread/api/MethodId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A method, by its place among {@link PolicySettings#methods}. */
+/** Identity of a method: its index in {@link PolicySettings#methods}. */
 public record MethodId(int value) implements Comparable<MethodId> {
     @Override
     public int compareTo(MethodId other) {
@@ -8,8 +8,8 @@
     }
 
     /**
-     * Written out: a record's own goes through a method handle, which is slow without the C2
-     * compiler.
+     * Replaces the method generated for records, which calls a method handle and is slow without
+     * the C2 compiler.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/rosespread/api/NodeId.java
+++ b/src/main/java/rosespread/api/NodeId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A node, the same for every controller and over restarts of its process. */
+/** Identity of a node: the same at every controller, and unchanged by restarts of the node. */
 public record NodeId(long value) implements Comparable<NodeId> {
     @Override
     public int compareTo(NodeId other) {
@@ -8,8 +8,8 @@
     }
 
     /**
-     * Written out: a record's own goes through a method handle, which is slow without the C2
-     * compiler.
+     * Replaces the method generated for records, which calls a method handle and is slow without
+     * the C2 compiler.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/rosespread/api/PolicyActions.java
+++ b/src/main/java/rosespread/api/PolicyActions.java
@@ -1,57 +1,60 @@
 package rosespread.api;
 
 /**
- * Takes a round's decisions as they are made, on the thread that makes them. Those of one round
- * leave as one message for each proxy reached; proxies apply them in order.
+ * Receives the policy's decisions as they are made, on the thread that runs the policy. The
+ * decisions of one round are sent as one message to each proxy concerned; proxies apply them in
+ * order.
  */
 public interface PolicyActions {
     /**
-     * Sets a table's weight entry for a node, at all proxies subscribed to the table.
+     * Sets a table's weight entry for a node at all proxies subscribed to the table.
      *
-     * @param weight relative to the table's other weights; 0 removes the entry
+     * @param weight weight relative to the table's other entries; 0 removes the entry
      */
     void setWeight(TableId table, NodeId node, double weight);
 
     /**
-     * Sends a proxy the full table for these methods; it gets the table's changes from then on.
+     * Sends a proxy the full table for these methods, and from then on the table's changes.
      *
-     * @param methods that follow the table; to be read within the call
+     * @param methods the methods that use the table; may be read only during the call
      */
     void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table);
 
     /**
-     * Excludes a node from everything that joined proxies without a subscription hold, or includes
-     * it again.
+     * Excludes a node from all tables held by joined proxies that are not subscribed, or readmits
+     * it.
+     *
+     * @param excluded true to exclude the node, false to readmit it
      */
     void setExcluded(NodeId node, boolean excluded);
 
     /**
-     * Limits a method at each proxy of a table.
+     * Sets the admission limit of a method at each proxy of a table.
      *
-     * @param limit a share or a rate, as {@link PolicySettings.Throttle} says; infinite for none
+     * @param limit a share or a rate, see {@link PolicySettings.Throttle}; infinite for no limit
      */
     void setAdmissionLimit(TableId table, MethodId method, double limit);
 
     /**
-     * Asks each proxy that this round reaches for an acknowledgement.
+     * Requests an acknowledgement from each proxy that is sent a message in this round.
      *
-     * @param token to be acknowledged with, 0 to 65535; tokens come round again
+     * @param token the token to acknowledge with, 0 to 65535; tokens wrap around
      */
     void requestAcknowledgement(int token);
 
-    /** Has a node health-checked; the result comes as an event. */
+    /** Starts a health check of a node; the result arrives as an event. */
     void checkHealth(NodeId node);
 
-    /** Asks for the node list and for its changes from then on. */
+    /** Requests the node list, and from then on its changes. */
     void watchNodes();
 
     /**
-     * Has the next evaluation called for.
+     * Starts the timer that triggers the next evaluation.
      *
-     * @param nanos until the timer fires
+     * @param nanos time until the timer fires
      */
     void startTimer(long nanos);
 
-    /** Reports a change of the policy's modes to operators. */
+    /** Reports a mode change of the policy to operators. */
     void report(PolicyEvent event);
 }
--- a/src/main/java/rosespread/api/PolicyEvent.java
+++ b/src/main/java/rosespread/api/PolicyEvent.java
@@ -3,19 +3,19 @@
 import java.util.Locale;
 
 /**
- * What the policy reports of its own modes, for logs and status pages. It orders nothing: whoever
- * carries out the actions may drop it.
+ * Report of a mode change of the policy, for logs and status pages. It requires no action: an
+ * implementation of {@link PolicyActions} may drop it.
  */
 public sealed interface PolicyEvent {
-    /** One line of plain text with all figures; nodes and tables by their numbers. */
+    /** Returns one line of plain text with all figures; nodes and tables are given by number. */
     String text();
 
     /**
-     * A node stands out by its failures and gets little traffic from now on.
+     * A node was ejected for its high failure ratio; it gets little traffic from now on.
      *
-     * @param failureRatio its recent failed attempts by all attempts
-     * @param attempts its recent attempts, older ones counting less
-     * @param othersFailureRatio the same ratio over all other nodes
+     * @param failureRatio ratio of failed attempts to all attempts in the node's recent past
+     * @param attempts the node's recent attempts, older attempts weighted less
+     * @param othersFailureRatio the failure ratio over all other nodes
      */
     record NodeEjected(NodeId node, double failureRatio, double attempts, double othersFailureRatio)
             implements PolicyEvent {
@@ -33,10 +33,10 @@
     }
 
     /**
-     * An ejected node answers again and gets its full weight.
+     * An ejected node answers again and is given its full weight.
      *
-     * @param failureRatio its recent failed attempts by all attempts
-     * @param ejectedSeconds how long it was ejected
+     * @param failureRatio ratio of failed attempts to all attempts in the node's recent past
+     * @param ejectedSeconds time for which the node was ejected
      */
     record NodeReadmitted(NodeId node, double failureRatio, double ejectedSeconds)
             implements PolicyEvent {
@@ -53,10 +53,12 @@
     }
 
     /**
-     * A table begins or ends to count ejected nodes as healthy, since too many are ejected.
+     * A table starts or stops counting ejected nodes as healthy; it does so while too much of its
+     * capacity is ejected.
      *
-     * @param ejectedCapacity capacity of the table's ejected nodes, in listed weight
-     * @param capacity capacity of all its nodes, in listed weight
+     * @param started whether panic mode started (true) or ended (false)
+     * @param ejectedCapacity capacity of the table's ejected nodes, in units of listed weight
+     * @param capacity capacity of all the table's nodes, in units of listed weight
      */
     record PanicModeChanged(TableId table, boolean started, double ejectedCapacity, double capacity)
             implements PolicyEvent {
@@ -73,10 +75,11 @@
     }
 
     /**
-     * Load shedding begins or ends.
+     * Load shedding started or ended.
      *
-     * @param demand requests a second that arrive at the proxies
-     * @param availableCapacity requests a second that the nodes can do by now
+     * @param started whether load shedding started (true) or ended (false)
+     * @param demand requests per second that arrive at the proxies
+     * @param availableCapacity requests per second that the nodes can currently serve
      */
     record LoadSheddingChanged(boolean started, double demand, double availableCapacity)
             implements PolicyEvent {
@@ -91,10 +94,10 @@
     }
 
     /**
-     * A delivery was not acknowledged in time; its laggards get the full table again.
+     * Proxies did not acknowledge a delivery in time; they are sent the full table again.
      *
-     * @param version of the table, as the policy counts it
-     * @param laggards proxies that have not acknowledged
+     * @param version the table's version, as counted by the policy
+     * @param laggards the number of proxies that have not acknowledged
      */
     record AcknowledgementTimedOut(TableId table, long version, int laggards)
             implements PolicyEvent {
@@ -110,7 +113,7 @@
         }
     }
 
-    /** Tables are split by key ranges, which this policy leaves as they are; reported once. */
+    /** Tables are split by key ranges; the policy leaves such tables unchanged. Reported once. */
     record KeyRangeTablesIgnored() implements PolicyEvent {
         @Override
         public String text() {
--- a/src/main/java/rosespread/api/PolicySettings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -4,27 +4,27 @@
 import java.util.Set;
 
 /**
- * What a controller gets at its start. Decoded once, never copied. Spans are in nanoseconds;
- * entries are the unit in which the channel to the proxies is counted.
+ * Settings that the policy is given when the controller starts. Decoded once, never copied.
+ * Durations are in nanoseconds; the load on the channel to the proxies is counted in entries.
  *
- * @param methods all methods; {@link MethodId} is the place among them
- * @param zones how many zones there are
- * @param keyRangeTables whether tables are split by key ranges, which are not decided here
- * @param listOnDemand whether the node list comes only if it is asked for
+ * @param methods all methods; {@link MethodId} is the index in this list
+ * @param zones the number of zones
+ * @param keyRangeTables whether tables are split by key ranges; the policy does not decide on them
+ * @param listOnDemand whether the node list is sent only on request
  * @param healthChecksAllowed whether nodes may be health-checked
- * @param throttle what an admission limit is counted in
- * @param entriesPerSecond what the channel to all proxies together carries
- * @param messageOverheadEntries what the head of a message costs
- * @param queueLimitEntries what may wait in the channel
- * @param channelCost what the channel's usual pace costs, as a part of all service
- * @param messageLimit messages to a proxy within the window; 0 for any number
+ * @param throttle unit of admission limits
+ * @param entriesPerSecond capacity of the channel, for all proxies together
+ * @param messageOverheadEntries cost of a message header
+ * @param queueLimitEntries maximum number of entries queued in the channel
+ * @param channelCost cost of the channel at its usual rate, as a fraction of the whole service
+ * @param messageLimit maximum number of messages to a proxy within the window; 0 for no limit
  * @param messageWindowNanos window of the message limit
- * @param maxPropagationDelayNanos from leaving the channel to the effect, at the most
- * @param reportPeriodNanos between a node's load reports
- * @param drainTimeoutNanos from a node's leaving until no table may name it
- * @param warmUpNanos from a node's start until it has its full capacity
- * @param coldCapacityRatio the part of its capacity that a node has at its start
- * @param coldWindowNanos how long a node that warms up may be overloaded before it falls over
+ * @param maxPropagationDelayNanos maximum time from leaving the channel until an entry takes effect
+ * @param reportPeriodNanos interval between a node's load reports
+ * @param drainTimeoutNanos time after a node leaves from which no table may name the node
+ * @param warmUpNanos time from a node's start until it has its full capacity
+ * @param coldCapacityRatio fraction of its full capacity that a node has at its start
+ * @param coldWindowNanos time for which a node that warms up can be overloaded before it fails
  */
 public record PolicySettings(
         List<Method> methods,
@@ -47,12 +47,12 @@
         long coldWindowNanos) {
 
     /**
-     * A method.
+     * A method and the nodes that may serve it.
      *
-     * @param priorityWeight what an answer is worth; the lowest is shed first
-     * @param allowedMachineTypes the only machine types open to it, empty if all are
-     * @param allowedZones the only zones open to it, empty if all are
-     * @param localZoneOnly whether only nodes in the proxy's own zone are open to it
+     * @param priorityWeight value of an answer; methods of the lowest value are shed first
+     * @param allowedMachineTypes machine types that may serve the method; empty for all
+     * @param allowedZones zones that may serve the method; empty for all
+     * @param localZoneOnly whether only nodes in the proxy's own zone may serve the method
      */
     public record Method(
             double priorityWeight,
@@ -60,13 +60,13 @@
             Set<ZoneId> allowedZones,
             boolean localZoneOnly) {}
 
-    /** What an admission limit is counted in, if proxies heed limits at all. */
+    /** Unit of admission limits, or {@link #NONE} if proxies apply no limits. */
     public enum Throttle {
-        /** The share of requests to admit. */
+        /** Fraction of requests to admit. */
         SHARE,
-        /** Requests a second to admit at each proxy. */
+        /** Requests per second to admit at each proxy. */
         RATE,
-        /** Proxies heed no limits. */
+        /** Proxies apply no limits. */
         NONE
     }
 }
--- a/src/main/java/rosespread/api/ProxyId.java
+++ b/src/main/java/rosespread/api/ProxyId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A proxy, the same over reconnects while the controller runs. */
+/** Identity of a proxy: unchanged by reconnects until the controller restarts. */
 public record ProxyId(int value) implements Comparable<ProxyId> {
     @Override
     public int compareTo(ProxyId other) {
@@ -8,8 +8,8 @@
     }
 
     /**
-     * Written out: a record's own goes through a method handle, which is slow without the C2
-     * compiler.
+     * Replaces the method generated for records, which calls a method handle and is slow without
+     * the C2 compiler.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/rosespread/api/TableId.java
+++ b/src/main/java/rosespread/api/TableId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A table of this controller, numbered from 1. */
+/** Identity of a table of this controller, numbered from 1. */
 public record TableId(int value) implements Comparable<TableId> {
     @Override
     public int compareTo(TableId other) {
@@ -8,8 +8,8 @@
     }
 
     /**
-     * Written out: a record's own goes through a method handle, which is slow without the C2
-     * compiler.
+     * Replaces the method generated for records, which calls a method handle and is slow without
+     * the C2 compiler.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/rosespread/api/ZoneId.java
+++ b/src/main/java/rosespread/api/ZoneId.java
@@ -1,6 +1,6 @@
 package rosespread.api;
 
-/** A zone, by its place among those of the settings. */
+/** Identity of a zone: its index among the zones of the settings. */
 public record ZoneId(int value) implements Comparable<ZoneId> {
     @Override
     public int compareTo(ZoneId other) {
@@ -8,8 +8,8 @@
     }
 
     /**
-     * Written out: a record's own goes through a method handle, which is slow without the C2
-     * compiler.
+     * Replaces the method generated for records, which calls a method handle and is slow without
+     * the C2 compiler.
      */
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/rosespread/api/package-info.java
+++ b/src/main/java/rosespread/api/package-info.java
@@ -1,9 +1,9 @@
 /**
- * How the decisions are called: {@link rosespread.api.PolicySettings} at the start, events in by
- * {@link rosespread.api.EventSource} and {@link rosespread.api.EventHandler}, decisions out by
- * {@link rosespread.api.PolicyActions}, and the identities that both name.
+ * Interface of the policy: {@link rosespread.api.PolicySettings} at the start, events in through
+ * {@link rosespread.api.EventSource} and {@link rosespread.api.EventHandler}, decisions out through
+ * {@link rosespread.api.PolicyActions}, and the identities used in events and decisions.
  *
- * <p>The package uses no other of the project. All calls come from the one thread that runs the
- * decisions; times are readings of one clock, and spans, in nanoseconds.
+ * <p>The package uses no other package of the project. All calls are made on the one thread that
+ * runs the policy. Times are readings of one clock, in nanoseconds; durations are in nanoseconds.
  */
 package rosespread.api;
