--- a/src/main/java/rosespread/stats/DecayingSum.java
+++ b/src/main/java/rosespread/stats/DecayingSum.java
@@ -1,9 +1,9 @@
 package rosespread.stats;
 
 /**
- * A sum that decays exponentially with time. It is brought up to date when it is read or added to,
- * so that reads at other times give other last digits. Times are clock readings in nanoseconds. Not
- * safe for use by several threads.
+ * A sum that decays exponentially with time. The decay is applied on each read and addition, so
+ * that the times of intermediate reads affect the last digits of the result. Times are clock
+ * readings in nanoseconds. Not thread-safe.
  */
 public final class DecayingSum {
     private double timeConstantNanos;
@@ -13,13 +13,13 @@
     /**
      * Creates an empty sum.
      *
-     * @param timeConstantNanos time after which a part counts for 1/e
+     * @param timeConstantNanos time after which an added amount has decayed to 1/e
      */
     public DecayingSum(double timeConstantNanos) {
         this.timeConstantNanos = timeConstantNanos;
     }
 
-    /** What is left of the sum at this time; an earlier time than the last changes nothing. */
+    /** Returns the sum decayed to this time; a time before the last update applies no decay. */
     public double read(long now) {
         if (now > updatedAt) {
             value = value == 0 ? 0 : value * Math.exp((updatedAt - now) / timeConstantNanos);
@@ -28,9 +28,9 @@
         return value;
     }
 
-    /** Adds a part that starts to decay at this time. */
-    public void add(long now, double part) {
-        value = read(now) + part;
+    /** Adds an amount that starts to decay at this time. */
+    public void add(long now, double amount) {
+        value = read(now) + amount;
     }
 
     void setTimeConstant(double nanos) {
--- a/src/main/java/rosespread/stats/FairShare.java
+++ b/src/main/java/rosespread/stats/FairShare.java
@@ -1,24 +1,24 @@
 package rosespread.stats;
 
-/** Max-min fair shares: small demands are met in full, the largest are cut to one limit. */
+/** Max-min fair shares: small rates are kept in full, the largest are cut to a common limit. */
 public final class FairShare {
     private FairShare() {}
 
     /**
-     * The limit that cuts rates to a total.
+     * Returns the limit at which the limited rates add up to a total.
      *
-     * @param risingRates the rates, in rising order
-     * @param total what they are to add up to, in the same unit
-     * @return the limit for each of them, infinite if they don't exceed the total
+     * @param ascendingRates the rates, in ascending order
+     * @param total the sum of the limited rates, in the same unit
+     * @return the limit of each rate; infinite if the rates don't exceed the total
      */
-    public static double limit(double[] risingRates, double total) {
-        double left = total;
-        for (int i = 0; i < risingRates.length; i++) {
-            int others = risingRates.length - i;
-            if (risingRates[i] * others >= left) {
-                return left / others;
+    public static double limit(double[] ascendingRates, double total) {
+        double remainingTotal = total;
+        for (int i = 0; i < ascendingRates.length; i++) {
+            int remainingRates = ascendingRates.length - i;
+            if (ascendingRates[i] * remainingRates >= remainingTotal) {
+                return remainingTotal / remainingRates;
             }
-            left -= risingRates[i];
+            remainingTotal -= ascendingRates[i];
         }
         return Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/rosespread/stats/InFlightMessages.java
+++ b/src/main/java/rosespread/stats/InFlightMessages.java
@@ -6,13 +6,13 @@
 import rosespread.api.ProxyId;
 
 /**
- * The messages that proxies have not acknowledged yet, with a running total of their entries, so
- * that asking how much may still wait in the channel costs nothing however many proxies there are.
- * Each proxy's messages have rising sequence numbers. Not safe for use by several threads.
+ * The messages that proxies have not acknowledged yet, with a running total of their entries: the
+ * number of entries that may be queued in the channel is read in constant time for any number of
+ * proxies. Each proxy's messages have increasing sequence numbers. Not thread-safe.
  */
 public final class InFlightMessages {
-    /** The bits of a sequence number that travel as the acknowledgement token of a message. */
-    private static final int TOKEN_BITS = 0xFFFF;
+    /** Mask of the sequence-number bits that are sent as the message's acknowledgement token. */
+    private static final int TOKEN_MASK = 0xFFFF;
 
     private record Message(long sequence, double entries, long writtenAt) {}
 
@@ -21,11 +21,11 @@
     private double entries;
 
     /**
-     * A message was written.
+     * Adds a message that was written.
      *
-     * @param proxy its receiver
-     * @param sequence its number, higher than those before
-     * @param messageEntries what it takes of the channel
+     * @param proxy the receiver of the message
+     * @param sequence the message's sequence number, higher than all earlier ones of the proxy
+     * @param messageEntries the number of entries that the message occupies in the channel
      * @param now clock reading in nanoseconds
      */
     public void written(ProxyId proxy, long sequence, double messageEntries, long now) {
@@ -37,44 +37,44 @@
     }
 
     /**
-     * A proxy acknowledged a token, and so all that was written to it before.
+     * Removes the message with a token that a proxy acknowledged, and the proxy's earlier messages.
      *
-     * @return the sequence number that the token stands for, 0 if no unacknowledged message carries
-     *     it
+     * @return the sequence number of the message with the token, 0 if the proxy has no such
+     *     unacknowledged message
      */
     public long acknowledged(ProxyId proxy, int token) {
-        ArrayDeque<Message> open = unacknowledged.get(proxy);
-        if (open == null) {
+        ArrayDeque<Message> pending = unacknowledged.get(proxy);
+        if (pending == null) {
             return 0;
         }
-        for (Message message : open) {
-            if ((message.sequence() & TOKEN_BITS) == token) {
-                removeUpTo(open, message.sequence());
+        for (Message message : pending) {
+            if ((message.sequence() & TOKEN_MASK) == token) {
+                removeUpTo(pending, message.sequence());
                 return message.sequence();
             }
         }
         return 0;
     }
 
-    private void removeUpTo(ArrayDeque<Message> open, long sequence) {
-        while (!open.isEmpty() && open.peekFirst().sequence() <= sequence) {
-            subtract(open.removeFirst());
+    private void removeUpTo(ArrayDeque<Message> pending, long sequence) {
+        while (!pending.isEmpty() && pending.peekFirst().sequence() <= sequence) {
+            subtract(pending.removeFirst());
         }
     }
 
-    /** What was written to a proxy before this time will not be acknowledged any more. */
+    /** Removes the messages written to a proxy before this time, as no longer awaited. */
     public void expire(ProxyId proxy, long before) {
-        ArrayDeque<Message> open = unacknowledged.get(proxy);
-        while (open != null && !open.isEmpty() && open.peekFirst().writtenAt() < before) {
-            subtract(open.removeFirst());
+        ArrayDeque<Message> pending = unacknowledged.get(proxy);
+        while (pending != null && !pending.isEmpty() && pending.peekFirst().writtenAt() < before) {
+            subtract(pending.removeFirst());
         }
     }
 
-    /** A proxy's stream ended: what was on its way to it is lost. */
+    /** Removes all messages to a proxy whose stream ended, since they are lost. */
     public void forget(ProxyId proxy) {
-        ArrayDeque<Message> open = unacknowledged.remove(proxy);
-        if (open != null) {
-            open.forEach(this::subtract);
+        ArrayDeque<Message> pending = unacknowledged.remove(proxy);
+        if (pending != null) {
+            pending.forEach(this::subtract);
         }
     }
 
@@ -83,7 +83,7 @@
         entries = messages == 0 ? 0 : entries - message.entries();
     }
 
-    /** The entries of all unacknowledged messages. */
+    /** Returns the total number of entries of all unacknowledged messages. */
     public double entries() {
         return entries;
     }
--- a/src/main/java/rosespread/stats/WindowedRate.java
+++ b/src/main/java/rosespread/stats/WindowedRate.java
@@ -1,24 +1,24 @@
 package rosespread.stats;
 
 /**
- * A rate: what was counted over the time that the counts cover, in a window that may change. Late
- * or missing counts leave the rate as it was. Times are clock readings in nanoseconds. Not safe for
- * use by several threads.
+ * A rate: the decayed sum of counts divided by the decayed sum of the time that the counts cover,
+ * with a window (decay time constant) that may change. Late or missing counts leave the rate
+ * unchanged. Times are clock readings in nanoseconds. Not thread-safe.
  */
 public final class WindowedRate {
-    /** With less time covered than this, nothing can be said of a rate. */
+    /** The rate is unknown while the counts cover no more than this time. */
     private static final double MIN_COVERED_SECONDS = 0.05;
 
     private final DecayingSum count = new DecayingSum(1);
     private final DecayingSum coveredSeconds = new DecayingSum(1);
 
     /**
-     * Adds what was counted over some time.
+     * Adds a count and the time that it covers.
      *
      * @param now clock reading
-     * @param counted what was counted
-     * @param seconds the time that it covers
-     * @param windowNanos time constant from now on
+     * @param counted the count
+     * @param seconds the time that the count covers
+     * @param windowNanos the decay time constant from now on
      */
     public void add(long now, double counted, double seconds, double windowNanos) {
         count.setTimeConstant(windowNanos);
@@ -27,17 +27,17 @@
         coveredSeconds.add(now, seconds);
     }
 
-    /** The rate a second, 0 while it is not known. */
+    /** Returns the rate per second, 0 while it is unknown. */
     public double perSecond(long now) {
         return known(now) ? count.read(now) / coveredSeconds.read(now) : 0;
     }
 
-    /** Whether enough time is covered to tell the rate. */
+    /** Returns whether the counts cover enough time to know the rate. */
     public boolean known(long now) {
         return coveredSeconds.read(now) > MIN_COVERED_SECONDS;
     }
 
-    /** How much was counted within the window. */
+    /** Returns the sum of the counts, decayed over the window. */
     public double counted(long now) {
         return count.read(now);
     }
--- a/src/main/java/rosespread/stats/package-info.java
+++ b/src/main/java/rosespread/stats/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Data structures that the decisions keep their measurements in: decaying sums, windowed rates,
- * messages in flight, fair shares. They hold no tuned values, read no clock and know nothing of
- * decisions; the thread that runs these owns them. The package uses {@link rosespread.api} alone.
+ * Data structures for the policy's measurements: decaying sums, windowed rates, messages in flight,
+ * fair shares. They hold no tuned values, read no clock and make no decisions; they are owned by
+ * the thread that runs the policy. The package uses only {@link rosespread.api}.
  */
 package rosespread.stats;
