--- a/src/test/java/rosespread/ArchitectureTest.java
+++ b/src/test/java/rosespread/ArchitectureTest.java
@@ -10,9 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Arrows between packages point one way, and what decides touches no I/O, clock or thread. */
+/**
+ * Packages depend only on the packages listed for them, without cycles; the packages that make
+ * decisions use no I/O, clock or thread.
+ */
 class ArchitectureTest {
-    private static final JavaClasses ALL =
+    private static final JavaClasses MAIN_CLASSES =
             new ClassFileImporter()
                     .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                     .importPackages("rosespread");
@@ -47,9 +50,9 @@
                 "testbed|testbed channel http api discovery table",
                 "scenario|scenario testbed http channel settings api"
             })
-    void packagesUseOnlyWhatLiesBelow(String name, String below) {
+    void packagesDependOnlyOnAllowedPackages(String name, String allowedPackages) {
         String[] allowed =
-                java.util.Arrays.stream(below.split(" "))
+                java.util.Arrays.stream(allowedPackages.split(" "))
                         .map(p -> "rosespread." + p)
                         .toArray(String[]::new);
         classes()
@@ -58,22 +61,22 @@
                 .should()
                 .onlyDependOnClassesThat(
                         com.tngtech.archunit.base.DescribedPredicate.describe(
-                                "lie below",
+                                "be in the packages allowed for it",
                                 c ->
                                         !c.getPackageName().startsWith("rosespread")
                                                 || java.util.Arrays.asList(allowed)
                                                         .contains(c.getPackageName())))
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 
     @Test
     void packagesHaveNoCycles() {
-        slices().matching("rosespread.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("rosespread.(*)..").should().beFreeOfCycles().check(MAIN_CLASSES);
     }
 
     @Test
-    void decisionsTouchNoOutsideWorld() {
-        String[] pure = {
+    void decisionPackagesUseNoIoClockOrThread() {
+        String[] decisionPackages = {
             "rosespread.api",
             "rosespread.validation",
             "rosespread.drain",
@@ -84,7 +87,7 @@
                 .that()
                 .resideInAPackage("rosespread.policy")
                 .or()
-                .resideInAnyPackage(pure)
+                .resideInAnyPackage(decisionPackages)
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
@@ -100,6 +103,6 @@
                         "java.util.function",
                         "java.util.random",
                         "java.util.stream")
-                .check(ALL);
+                .check(MAIN_CLASSES);
     }
 }
--- a/src/test/java/rosespread/bench/RoundTimes.java
+++ b/src/test/java/rosespread/bench/RoundTimes.java
@@ -9,8 +9,8 @@
 
 /**
  * Prints the CPU time of the routing policy's rounds in microseconds, for 200 nodes and 800 proxies
- * that join at once and report for 60 s while some nodes restart: medians of five runs after one to
- * warm up.
+ * that join at once and report for 60 s while some nodes restart. The figures are medians of five
+ * runs, after one warm-up run.
  */
 public final class RoundTimes {
     private static final int RUNS = 5;
@@ -46,7 +46,7 @@
         return values[RUNS / 2];
     }
 
-    /** The CPU times of one run's rounds; the first is the one in which all proxies join. */
+    /** Returns the CPU times of one run's rounds in nanoseconds; all proxies join in the first. */
     private static long[] roundNanos() {
         ThreadMXBean threads = ManagementFactory.getThreadMXBean();
         FleetSimulator fleet =
--- a/src/test/java/rosespread/bench/TableBench.java
+++ b/src/test/java/rosespread/bench/TableBench.java
@@ -30,8 +30,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * What a change of three weight entries costs by the size of its table, and what a full update
- * costs beside it. Run as docs/results.md says; no part of the build.
+ * Cost of a change of three weight entries by table size, compared with that of a full table. Run
+ * as described in docs/results.md; not part of the build.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -43,7 +43,7 @@
     private static final TableId TABLE = new TableId(1);
     private static final int CHANGED_ENTRIES = 3;
 
-    /** Has no factor in common with the tables' sizes, so that all nodes take their turn. */
+    /** Has no factor in common with the table sizes, so that every node is changed in turn. */
     private static final int NODE_STRIDE = 37;
 
     @Param({"100", "1000", "10000"})
@@ -52,7 +52,7 @@
     private final List<NodeId> ids = new ArrayList<>();
     private final Map<NodeId, Double> weights = new TreeMap<>();
     private final Map<NodeId, Double> delta = new TreeMap<>();
-    private int changes;
+    private int changeCount;
 
     private VersionHistory history;
     private TableVersion firstVersion;
@@ -63,7 +63,7 @@
     private final Map<NodeId, TableChangeValidator.NodeFact> facts = new TreeMap<>();
     private final Map<NodeId, Double> published = new TreeMap<>();
     private final Map<NodeId, Double> desired = new TreeMap<>();
-    private final AcceptedTotals standing = new AcceptedTotals();
+    private final AcceptedTotals acceptedTotals = new AcceptedTotals();
     private TableChangeValidator validator;
 
     @Setup
@@ -102,8 +102,8 @@
     private void nextDelta() {
         delta.clear();
         for (int i = 0; i < CHANGED_ENTRIES; i++) {
-            changes++;
-            delta.put(ids.get(changes * NODE_STRIDE % nodes), 1 + changes % 1000 / 1000.0);
+            changeCount++;
+            delta.put(ids.get(changeCount * NODE_STRIDE % nodes), 1 + changeCount % 1000 / 1000.0);
         }
     }
 
@@ -112,20 +112,20 @@
                 facts, 1, false, Double.POSITIVE_INFINITY);
     }
 
-    /** Commits a change and digests it. */
+    /** Commits a change and computes the digest of the new version. */
     @Benchmark
     public TableVersion commit() {
         nextDelta();
-        return firstVersion.with(delta, TableVersion.Cause.MODULE, changes);
+        return firstVersion.with(delta, TableVersion.Cause.MODULE, changeCount);
     }
 
-    /** Compares two versions that follow one another. */
+    /** Compares two consecutive versions. */
     @Benchmark
     public Object diff() {
         return history.difference(1, 2);
     }
 
-    /** Digests a full table, as a proxy does once. */
+    /** Computes the digest of a full table, as a proxy does once. */
     @Benchmark
     public long digestOfAllEntries() {
         return TableDigest.of(weights);
@@ -149,7 +149,7 @@
         return FrameWriter.packed(encodedFullUpdate);
     }
 
-    /** Validates a full table, as after a change of the endpoint list. */
+    /** Validates a full table, as after a change of the node list. */
     @Benchmark
     public Object validateFullTable() {
         return validator.validate(weights, desired, context());
@@ -160,7 +160,7 @@
     public Object validateDelta() {
         nextDelta();
         desired.putAll(delta);
-        Object result = validator.validate(standing, published, desired, delta, context());
+        Object result = validator.validate(acceptedTotals, published, desired, delta, context());
         published.putAll(delta);
         return result;
     }
--- a/src/test/java/rosespread/bench/TableSizes.java
+++ b/src/test/java/rosespread/bench/TableSizes.java
@@ -16,8 +16,8 @@
 import rosespread.table.VersionHistory;
 
 /**
- * Prints bytes on the wire and bytes that a version keeps in memory, by the size of a table. The
- * former are exact, the latter are measured between two garbage collections.
+ * Prints the bytes on the wire and the bytes of memory per version, by table size. The bytes on the
+ * wire are exact; memory is measured between two garbage collections.
  */
 public final class TableSizes {
     private static final TableId TABLE = new TableId(1);
@@ -26,13 +26,14 @@
     private static final int PORT = 8080;
     private static final int VERSIONS = 256;
     private static final int CHANGED_ENTRIES = 3;
-    private static final int COLLECTIONS = 4;
+    private static final int GARBAGE_COLLECTIONS = 4;
 
     private TableSizes() {}
 
     public static void main(String[] args) {
         System.out.println(
-                "nodes | delta | whole | packed | with names | packed | bytes a version");
+                "nodes | delta | full table | compressed | with addresses | compressed"
+                        + " | bytes per version");
         for (int nodes : NODES) {
             System.out.println(row(nodes));
         }
@@ -88,13 +89,17 @@
         }
         long bytes = (usedBytes() - before) / (VERSIONS - 1);
         if (history.versions().size() != VERSIONS) {
-            throw new IllegalStateException("not all versions are stored");
+            throw new IllegalStateException(
+                    "expected "
+                            + VERSIONS
+                            + " stored versions, found "
+                            + history.versions().size());
         }
         return bytes;
     }
 
     private static long usedBytes() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GARBAGE_COLLECTIONS; i++) {
             System.gc();
         }
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
