--- a/src/main/java/rosespread/api/PolicyEvent.java
+++ b/src/main/java/rosespread/api/PolicyEvent.java
@@ -97,9 +97,9 @@
      * Proxies did not acknowledge a delivery in time; they are sent the full table again.
      *
      * @param version the table's version, as counted by the policy
-     * @param laggards the number of proxies that have not acknowledged
+     * @param missingAcknowledgements the number of proxies that have not acknowledged
      */
-    record AcknowledgementTimedOut(TableId table, long version, int laggards)
+    record AcknowledgementTimedOut(TableId table, long version, int missingAcknowledgements)
             implements PolicyEvent {
         @Override
         public String text() {
@@ -108,7 +108,7 @@
                     + " version "
                     + version
                     + " not acknowledged in time by "
-                    + laggards
+                    + missingAcknowledgements
                     + " proxies: resubscribing them";
         }
     }
--- a/src/main/java/rosespread/api/PolicySettings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -24,7 +24,7 @@
  * @param drainTimeoutNanos time after a node leaves from which no table may name the node
  * @param warmUpNanos time from a node's start until it has its full capacity
  * @param coldCapacityRatio fraction of its full capacity that a node has at its start
- * @param coldWindowNanos time for which a node that warms up can be overloaded before it fails
+ * @param coldOverloadNanos time for which a node that warms up can be overloaded before it fails
  */
 public record PolicySettings(
         List<Method> methods,
@@ -44,7 +44,7 @@
         long drainTimeoutNanos,
         long warmUpNanos,
         double coldCapacityRatio,
-        long coldWindowNanos) {
+        long coldOverloadNanos) {
 
     /**
      * A method and the nodes that may serve it.
--- a/src/main/java/rosespread/eventloop/PolicyEventLogger.java
+++ b/src/main/java/rosespread/eventloop/PolicyEventLogger.java
@@ -75,7 +75,7 @@
             LoggingEventBuilder line, PolicyEvent.AcknowledgementTimedOut event) {
         line.addKeyValue("table", event.table().value())
                 .addKeyValue("version", event.version())
-                .addKeyValue("count", event.laggards())
+                .addKeyValue("count", event.missingAcknowledgements())
                 .log("table update not acknowledged in time");
     }
 
--- a/src/main/java/rosespread/policy/SlowStart.java
+++ b/src/main/java/rosespread/policy/SlowStart.java
@@ -40,7 +40,7 @@
         return node.ready()
                 && (!warmingUp(node, now)
                         || now - node.removedAt()
-                                > settings.drainTimeoutNanos() + settings.coldWindowNanos());
+                                > settings.drainTimeoutNanos() + settings.coldOverloadNanos());
     }
 
     /**
