--- a/src/main/java/rosespread/api/PolicySettings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -14,7 +14,7 @@
  * @param healthChecksAllowed whether nodes may be health-checked
  * @param throttle unit of admission limits
  * @param entriesPerSecond capacity of the channel, for all proxies together
- * @param messageOverheadEntries cost of a message header
+ * @param messageOverheadEntries cost of a message header, in entries
  * @param queueLimitEntries maximum number of entries queued in the channel
  * @param channelCost cost of the channel at its usual rate, as a fraction of the whole service
  * @param messageLimit maximum number of messages to a proxy within the window; 0 for no limit
--- a/src/test/java/rosespread/policy/AcknowledgementTrackerTest.java
+++ b/src/test/java/rosespread/policy/AcknowledgementTrackerTest.java
@@ -41,15 +41,14 @@
 
     @ParameterizedTest
     @CsvSource({"2000, 20", "2001, 0"})
-    void whatAProxyWithoutSubscriptionDoesNotAcknowledgeIsWaitedForNoLonger(
-            long millis, double entries) {
+    void messagesToUnsubscribedProxyExpireAfterTimeout(long millis, double entries) {
         inFlight.written(proxy.id(), 1, 20, START);
         settleAfter(millis);
         assertEquals(entries, inFlight.entries());
     }
 
     @Test
-    void whatASubscribedProxyDoesNotAcknowledgeStillCountsAsQueued() {
+    void unacknowledgedMessagesToSubscribedProxyCountAsQueued() {
         inFlight.written(proxy.id(), 1, 20, START);
         proxy.subscribe(1, START);
         settleAfter(60_000);
@@ -58,16 +57,18 @@
 
     @ParameterizedTest
     @CsvSource({"2000, false", "2001, true"})
-    void fullTablesThatAreNotAcknowledgedInTimeAreSentAgain(long millis, boolean again) {
+    void fullTableNotAcknowledgedInTimeIsSentAgain(long millis, boolean sentAgain) {
         proxy.subscribe(1, START);
         settleAfter(millis);
-        assertEquals(again, proxy.needsFullTable());
+        assertEquals(sentAgain, proxy.needsFullTable());
     }
 
-    /** A single acknowledgement's latency counts for less as time goes on: 3 s are 2.3 by then. */
+    /**
+     * The latency of a single acknowledgement decays: after 2.7 s, three times 1 s counts as 2.3 s.
+     */
     @ParameterizedTest
     @CsvSource({"0, 2001, true", "0, 2000, false", "1000, 2700, false", "1000, 2800, true"})
-    void theTimeoutIsStretchedByTheLatencyMet(long latency, long millis, boolean again) {
+    void timeoutGrowsWithMeasuredLatency(long latency, long millis, boolean sentAgain) {
         inFlight.written(proxy.id(), 1, 20, START);
         proxy.subscribe(1, START);
         tracker.acknowledged(proxy.id(), 1, latency * MILLI, START);
@@ -75,12 +76,12 @@
         table.deliveryStarted(2, START);
         table.deliveredTo(proxy.id());
         settleAfter(millis);
-        assertEquals(again, proxy.needsFullTable());
-        assertEquals(!again, table.inFlight());
+        assertEquals(sentAgain, proxy.needsFullTable());
+        assertEquals(!sentAgain, table.inFlight());
     }
 
     @Test
-    void anAcknowledgementSettlesADeliverySentBefore() {
+    void acknowledgementSettlesEarlierDelivery() {
         ShardTable table = shards.tables().get(0);
         table.deliveryStarted(1, START);
         table.deliveredTo(proxy.id());
--- a/src/test/java/rosespread/policy/ChannelBudgetTest.java
+++ b/src/test/java/rosespread/policy/ChannelBudgetTest.java
@@ -16,7 +16,7 @@
 import rosespread.stats.InFlightMessages;
 
 class ChannelBudgetTest {
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
     private static final ProxyId PROXY = new ProxyId(0);
     private final InFlightMessages inFlight = new InFlightMessages();
 
@@ -25,38 +25,39 @@
         return new ChannelBudget(settings, inFlight, outgoing);
     }
 
-    /** 1000 entries a second and a drain timeout of 2 s; 500 entries propagate. */
+    /**
+     * The channel carries 1000 entries/s, the drain timeout is 2 s, 500 entries are propagating.
+     */
     @ParameterizedTest
     @CsvSource({"2000, 0.5, 1000", "8000, 0.5, 1167", "8000, 0.7, 1433.8", "600, 0.9, 540"})
-    void whatMayWaitLeavesWellWithinTheDrainTimeout(
-            double queueLimit, double share, double capacity) {
+    void queuedEntriesLeaveWithinDrainTimeout(double queueLimit, double share, double capacity) {
         ChannelBudget budget = budget(new SettingsBuilder().queueLimit(queueLimit).build());
-        assertEquals(capacity, budget.capacity(share), EXACT);
+        assertEquals(capacity, budget.capacity(share), TOLERANCE);
     }
 
     @ParameterizedTest
     @CsvSource({"8000, 1800", "600, 540"})
-    void removalsMayUseNineTenthsOfTheLimitOrOfTheDrainTimeout(double queueLimit, double capacity) {
+    void removalsUseUpToNineTenthsOfQueueLimitOrDrainTimeout(double queueLimit, double capacity) {
         ChannelBudget budget = budget(new SettingsBuilder().queueLimit(queueLimit).build());
-        assertEquals(capacity, budget.capacityForRemovals(), EXACT);
+        assertEquals(capacity, budget.capacityForRemovals(), TOLERANCE);
     }
 
     @Test
-    void unacknowledgedEntriesTakeCapacity() {
+    void unacknowledgedEntriesReduceCapacity() {
         ChannelBudget budget = budget(new SettingsBuilder().build());
         inFlight.written(PROXY, 1, 300, 0);
-        assertEquals(700, budget.capacity(0.5), EXACT);
-        assertEquals(1500, budget.capacityForRemovals(), EXACT);
+        assertEquals(700, budget.capacity(0.5), TOLERANCE);
+        assertEquals(1500, budget.capacityForRemovals(), TOLERANCE);
     }
 
     @Test
-    void aThirdOfTheDrainTimeoutIsTheLongestTurn() {
+    void longestTurnIsOneThirdOfDrainTimeout() {
         ChannelBudget budget = budget(new SettingsBuilder().drainTimeout(3).build());
         assertEquals(999_000_000L, budget.longestTurnNanos());
     }
 
     @Test
-    void aPartOfTheMessageLimitIsAllowed() {
+    void messagesUpToShareOfMessageLimitAreAllowed() {
         PolicySettings settings = new SettingsBuilder().messageLimit(10).build();
         Proxy proxy =
                 new Proxy(PROXY, new ZoneId(0), 1, new ShardRegistry(settings).shards().get(0), 0);
--- a/src/test/java/rosespread/policy/OutlierDetectorTest.java
+++ b/src/test/java/rosespread/policy/OutlierDetectorTest.java
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @CsvSource({"0, false", "4, false", "5, true", "8, true"})
-    void allNodesCountAsHealthyIfOverHalfOfTheCapacityIsEjected(int ejected, boolean panic) {
+    void panicModeStartsIfMoreThanHalfOfCapacityIsEjected(int ejected, boolean panic) {
         add(8).subList(0, ejected).forEach(node -> node.eject(NOW));
         evaluate();
         assertEquals(panic, table.panicking());
@@ -56,7 +56,7 @@
 
     @ParameterizedTest
     @CsvSource({"7, 3, true", "6, 6, false", "20, 6, false", "20, 8, true"})
-    void aNodeIsEjectedIfItsFailureRatioStandsOut(int attempts, int failures, boolean ejected) {
+    void ejectsNodeWithOutlyingFailureRatio(int attempts, int failures, boolean ejected) {
         List<Node> all = add(4);
         all.forEach(node -> node.addAttempts(NOW, 20, 0));
         Node failing = addNode(9);
@@ -67,7 +67,7 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0.02", "3.9, 0.02", "4, 0.1", "60, 0.1"})
-    void anEjectedNodeKeepsALittleOfItsWeightThenMoreOnProbation(double seconds, double ratio) {
+    void ejectedNodeKeepsSmallWeightThenMoreOnProbation(double seconds, double ratio) {
         Node node = addNode(0);
         node.eject(NOW);
         long later = NOW + (long) (seconds * TimeUnits.SECOND);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aPanickingTableKeepsTheWeightOfEjectedNodes() {
+    void panicModeKeepsWeightOfEjectedNodes() {
         Node node = addNode(0);
         node.eject(NOW);
         evaluate();
--- a/src/test/java/rosespread/policy/ReconnectHandlerTest.java
+++ b/src/test/java/rosespread/policy/ReconnectHandlerTest.java
@@ -68,7 +68,7 @@
 
     @ParameterizedTest
     @CsvSource({"400, 25", "200, 25", "199, 24", "100, 12"})
-    void entriesAreDealtInAsManyPartsAsGiveEachEightAndAtMostTwentyFive(int ready, long parts) {
+    void splitsEntriesIntoUpToTwentyFivePartsOfAtLeastEight(int ready, long parts) {
         addNodes(ready);
         addNode(1000, NodeState.GONE);
         for (int i = 0; i < 200; i++) {
@@ -80,7 +80,7 @@
 
     @ParameterizedTest
     @CsvSource({"0, true", "4, true", "5, false"})
-    void aReconnectIsInProgressWhileNodesLeftWithinTwoDrainTimeouts(
+    void reconnectIsInProgressForTwoDrainTimeoutsAfterDeparture(
             double seconds, boolean inProgress) {
         addNodes(100);
         addNode(1000, NodeState.GONE);
@@ -91,10 +91,12 @@
         assertEquals(inProgress, handler.inProgress());
     }
 
-    /** Of 100 nodes in 12 parts a partial table has 8.3 entries; 240 proxies make 20 a part. */
+    /**
+     * With 100 nodes in 12 parts, a partial table has 8.3 entries; 240 proxies make 20 per part.
+     */
     @ParameterizedTest
     @CsvSource({"8, 20", "12, 20", "13, 1"})
-    void aFollowedShardTakesMoreWhileItsTablesAreNearlyPartial(int entries, int members) {
+    void subscribedShardTakesProxiesWhileItsTablesAreNearlyPartial(int entries, int members) {
         addNodes(100);
         addNode(1000, NodeState.GONE);
         ShardTable table = first.tables().get(0);
