--- a/src/test/java/rosespread/policy/ActionEffects.java
+++ b/src/test/java/rosespread/policy/ActionEffects.java
@@ -1,20 +1,20 @@
 package rosespread.policy;
 
-/** What the simulated fleet does as the routing policy's actions reach it. */
+/** Receives the routing policy's actions; the simulated fleet applies them. */
 interface ActionEffects {
     /** Sets a table's weight entry; weight 0 removes it. */
-    void weightEntry(int table, long node, double weight);
+    void applyWeight(int table, long node, double weight);
 
-    void fullTable(int proxy, int[] methods, int table);
+    void sendFullTable(int proxy, int[] methods, int table);
 
-    void exclusion(long node, boolean excluded);
+    void applyExclusion(long node, boolean excluded);
 
-    void admissionLimit(int table, int method, double limit);
+    void applyAdmissionLimit(int table, int method, double limit);
 
-    /** Asks the proxies reached in this round for an acknowledgement. */
-    void acknowledgeWith(int token);
+    /** Requests an acknowledgement from the proxies that are sent a message in this round. */
+    void requestAcknowledgement(int token);
 
-    void healthCheck(long node);
+    void startHealthCheck(long node);
 
     void watchNodes();
 
--- a/src/test/java/rosespread/policy/Deployment.java
+++ b/src/test/java/rosespread/policy/Deployment.java
@@ -7,25 +7,26 @@
 import rosespread.api.PolicySettings;
 import rosespread.api.PolicySettings.Throttle;
 
-/** Deployments of different shape that the routing policy is characterized on. */
+/** Deployments on which the routing policy's decisions are recorded or its rounds timed. */
 public enum Deployment {
     /**
-     * One method and one zone, many proxies, admission limits by rate and few messages for each
-     * proxy.
+     * One method and one zone, many proxies, admission limits by rate, and a low message limit for
+     * each proxy.
      */
     RATE_LIMITED(24, 160, true),
     /**
-     * Methods of restricted machine types and zones, one of them kept in the proxy's own zone;
-     * nodes are health-checked.
+     * Methods restricted to machine types and zones, one of them to the proxy's own zone; nodes are
+     * health-checked.
      */
     ZONED(60, 48, true),
     /**
-     * Nodes report no utilization, proxies heed no limits, the channel is slow, its queue short.
+     * Nodes report no utilization, proxies apply no admission limits, the channel is slow and its
+     * queue is short.
      */
     SLOW_CHANNEL(36, 60, false),
     /** Two methods of different priority and a fleet so large that its proxies form many shards. */
     MANY_GROUPS(40, 200, true),
-    /** For the timing of rounds alone. */
+    /** Only for timing rounds. */
     LARGE(200, 800, true);
 
     private final int nodes;
--- a/src/test/java/rosespread/policy/FleetSimulator.java
+++ b/src/test/java/rosespread/policy/FleetSimulator.java
@@ -14,10 +14,10 @@
 import rosespread.api.PolicySettings;
 
 /**
- * A seeded fleet that drives a routing policy in ticks of a tenth of a second: nodes answer for
- * their load, proxies route by the tables they were sent and acknowledge them as a slow channel
- * delivers. The model is loose: it is meant to lead the policy through its branches, not to measure
- * it.
+ * A seeded, simulated fleet that drives a routing policy in ticks of 0.1 s: nodes report according
+ * to their load; proxies route by the tables sent to them and acknowledge the tables as a slow
+ * channel delivers them. The model is approximate: it leads the policy through its branches and
+ * does not measure the policy's quality.
  */
 public final class FleetSimulator implements ActionEffects {
     static final long SECOND = 1_000_000_000L;
@@ -37,16 +37,16 @@
     private final SimulatedChannel channel;
     private final ArrayDeque<PendingHealthCheck> healthChecks = new ArrayDeque<>();
     private final List<Long> roundTimes = new ArrayList<>();
-    private SimulatedTable earlierTable;
+    private SimulatedTable tableBeforeSubscription;
     private PolicyDriver driver;
     private long now = 100 * SECOND;
     private long tick;
-    private long wakeAt = Long.MAX_VALUE;
+    private long timerFiresAt = Long.MAX_VALUE;
     private boolean listRequested;
     private double demand = 0.5;
 
     /**
-     * @param clock times each round
+     * @param clock measures the duration of each round
      */
     public FleetSimulator(Deployment deployment, long seed, LongSupplier clock) {
         this.deployment = deployment;
@@ -54,7 +54,7 @@
         this.random = new SplittableRandom(seed);
         this.clock = clock;
         this.channel = new SimulatedChannel(settings, random);
-        actions.passTo(this);
+        actions.forwardTo(this);
         for (int n = 0; n < deployment.nodes(); n++) {
             addNode();
         }
@@ -63,7 +63,7 @@
             proxies.add(
                     new SimulatedProxy(p, p % settings.zones(), rate, settings.methods().size()));
         }
-        earlierTable = uniformTable();
+        tableBeforeSubscription = uniformTable();
         startPolicy(seed + 1);
     }
 
@@ -71,7 +71,7 @@
         return actions;
     }
 
-    /** The time of each round by the given clock. */
+    /** Returns the duration of each round, measured by the given clock. */
     public LongStream roundTimes() {
         return roundTimes.stream().mapToLong(t -> t);
     }
@@ -86,16 +86,17 @@
 
     private int addNode() {
         int n = nodes.size();
-        int kind = n % 2;
-        double rarity = n % 12 == 5 ? 0.1 : n % 12 == 8 ? 5 : 1;
-        double capacity = (20 + 20 * kind) * (0.6 + 0.8 * random.nextDouble()) * rarity;
+        int machineType = n % 2;
+        double capacityFactor = n % 12 == 5 ? 0.1 : n % 12 == 8 ? 5 : 1;
+        double capacity =
+                (20 + 20 * machineType) * (0.6 + 0.8 * random.nextDouble()) * capacityFactor;
         long id = (n + 1) * 7919L % 100_003;
         SimulatedNode node =
                 new SimulatedNode(
                         id,
-                        kind,
+                        machineType,
                         n / 2 % settings.zones(),
-                        1 + 0.5 * kind,
+                        1 + 0.5 * machineType,
                         capacity,
                         settings.zones());
         nodes.add(node);
@@ -109,13 +110,15 @@
         return table;
     }
 
-    /** A new policy instance begins; it knows the remembered list, and all streams are gone. */
+    /**
+     * Starts a new policy instance; it is given the cached node list, and all streams have ended.
+     */
     public void startPolicy(long seed) {
         driver = new PolicyDriver(settings, seed, actions, clock);
         tables.clear();
         channel.clear();
         healthChecks.clear();
-        wakeAt = Long.MAX_VALUE;
+        timerFiresAt = Long.MAX_VALUE;
         proxies.forEach(
                 proxy -> {
                     proxy.joined = false;
@@ -124,7 +127,7 @@
         list(NodeListKind.CACHED, 0, nodes.size());
     }
 
-    /** Joins these proxies in this round. */
+    /** Joins the proxies of this index range in the next round. */
     public void join(int from, int to) {
         for (SimulatedProxy proxy : proxies.subList(from, to)) {
             proxy.joined = true;
@@ -141,29 +144,31 @@
         }
     }
 
-    void acknowledge(SimulatedProxy.Acknowledgement how, int from, int to) {
-        proxies.subList(from, to).forEach(proxy -> proxy.acknowledgement = how);
+    void setAcknowledgement(SimulatedProxy.Acknowledgement acknowledgement, int from, int to) {
+        proxies.subList(from, to).forEach(proxy -> proxy.acknowledgement = acknowledgement);
     }
 
-    /** The rate that the whole fleet of proxies offers, as a part of what all nodes can do. */
-    void demand(double part) {
-        demand = part;
+    /**
+     * Sets the rate offered by all proxies together, as a fraction of the capacity of all nodes.
+     */
+    void setDemand(double ratio) {
+        demand = ratio;
     }
 
-    /** Lists these nodes in a state as a change. */
-    void change(NodeState state, int from, int to) {
+    /** Puts these nodes into a state and sends the change as an incremental node list. */
+    void changeState(NodeState state, int from, int to) {
         nodes.subList(from, to).forEach(node -> node.state = state);
         list(NodeListKind.INCREMENTAL, from, to);
     }
 
-    /** Their processes start anew now; the list tells. */
+    /** Restarts these nodes now and sends an incremental node list. */
     public void restart(int from, int to) {
-        nodes.subList(from, to).forEach(node -> node.started = now);
-        change(NodeState.READY, from, to);
+        nodes.subList(from, to).forEach(node -> node.startedAt = now);
+        changeState(NodeState.READY, from, to);
     }
 
-    /** New nodes come. */
-    void grow(int count) {
+    /** Adds nodes that start now and sends an incremental node list. */
+    void addNodes(int count) {
         int from = nodes.size();
         for (int i = 0; i < count; i++) {
             addNode();
@@ -175,8 +180,8 @@
         driver.nodeList(kind, nodes.subList(from, to).stream().map(SimulatedNode::entry).toList());
     }
 
-    SimulatedNode node(int place) {
-        return nodes.get(place);
+    SimulatedNode node(int index) {
+        return nodes.get(index);
     }
 
     List<SimulatedNode> nodes(int from, int to) {
@@ -200,12 +205,12 @@
             listRequested = false;
             list(NodeListKind.FULL, 0, nodes.size());
         }
-        if (now >= wakeAt) {
-            wakeAt = Long.MAX_VALUE;
+        if (now >= timerFiresAt) {
+            timerFiresAt = Long.MAX_VALUE;
             driver.fireTimer();
         }
         tables.values().forEach(table -> table.changes = 0);
-        proxies.forEach(proxy -> proxy.written = 0);
+        proxies.forEach(proxy -> proxy.writtenEntries = 0);
         roundTimes.add(driver.round(now));
     }
 
@@ -217,17 +222,17 @@
         }
     }
 
-    private double offered(SimulatedProxy proxy, int method) {
+    private double offeredRate(SimulatedProxy proxy, int method) {
         double total = nodes.size() * 30 * demand / (proxies.size() * 15.0);
         return proxy.rate * total / (settings.methods().size() * (1 + method)) * 1.4;
     }
 
-    private double admitted(SimulatedProxy proxy, int method) {
+    private double admittedRate(SimulatedProxy proxy, int method) {
         double limit =
                 proxy.tables[method] == null
                         ? Double.POSITIVE_INFINITY
                         : proxy.tables[method].limits[method];
-        double rate = offered(proxy, method);
+        double rate = offeredRate(proxy, method);
         return settings.throttle() == PolicySettings.Throttle.SHARE
                 ? rate * Math.min(1, limit)
                 : Math.min(rate, limit);
@@ -235,25 +240,26 @@
 
     private void route() {
         nodes.forEach(node -> Arrays.fill(node.load, 0));
-        tables.values().forEach(table -> Arrays.fill(table.sent, 0));
-        Arrays.fill(earlierTable.sent, 0);
+        tables.values().forEach(table -> Arrays.fill(table.sentRates, 0));
+        Arrays.fill(tableBeforeSubscription.sentRates, 0);
         for (SimulatedProxy proxy : proxies) {
             for (int m = 0; m < proxy.tables.length; m++) {
-                SimulatedTable table = proxy.tables[m] == null ? earlierTable : proxy.tables[m];
-                table.sent[proxy.zone] += proxy.joined ? admitted(proxy, m) : 0;
+                SimulatedTable table =
+                        proxy.tables[m] == null ? tableBeforeSubscription : proxy.tables[m];
+                table.sentRates[proxy.zone] += proxy.joined ? admittedRate(proxy, m) : 0;
             }
         }
-        tables.values().forEach(this::spread);
-        spread(earlierTable);
+        tables.values().forEach(this::distribute);
+        distribute(tableBeforeSubscription);
     }
 
-    private void spread(SimulatedTable table) {
-        double sum = table.sum();
+    private void distribute(SimulatedTable table) {
+        double totalWeight = table.totalWeight();
         table.weights.forEach(
                 (id, weight) -> {
                     double[] load = nodeById.get(id).load;
                     for (int z = 0; z < load.length; z++) {
-                        load[z] += table.sent[z] * weight / sum;
+                        load[z] += table.sentRates[z] * weight / totalWeight;
                     }
                 });
     }
@@ -269,18 +275,19 @@
             if ((tick + proxy.id) % period == 0 && proxy.joined) {
                 for (int m = 0; m < proxy.tables.length; m++) {
                     double rate =
-                            offered(proxy, m) * (admitted(proxy, m) < offered(proxy, m) ? 1.1 : 1);
+                            offeredRate(proxy, m)
+                                    * (admittedRate(proxy, m) < offeredRate(proxy, m) ? 1.1 : 1);
                     driver.demandReport(
                             proxy.id,
                             m,
-                            draw(rate * settings.reportPeriodNanos() / SECOND),
+                            randomCount(rate * settings.reportPeriodNanos() / SECOND),
                             settings.reportPeriodNanos());
                 }
             }
         }
     }
 
-    private int draw(double mean) {
+    private int randomCount(double mean) {
         return (int) (mean * (0.9 + 0.2 * random.nextDouble()) + random.nextDouble());
     }
 
@@ -289,21 +296,22 @@
         node.reportedAt = node.reportsHeld ? node.reportedAt : now;
         double ratio = node.loadRatio(now, settings);
         boolean present = node.reachable && node.state != NodeState.GONE;
-        double failureRatio = present ? Math.max(node.failures, 0.4 * Math.min(1, ratio - 1)) : 1;
+        double failureRatio =
+                present ? Math.max(node.failureRatio, 0.4 * Math.min(1, ratio - 1)) : 1;
         double latency =
                 0.05
-                        * (2 - node.kind)
+                        * (2 - node.machineType)
                         / (1 - Math.min(0.9, ratio))
                         * (0.9 + 0.2 * random.nextDouble());
         double utilization = Math.min(1, ratio * (0.95 + 0.1 * random.nextDouble()));
         for (int z = 0; z < node.load.length; z++) {
-            int attempts = draw(node.load[z] * coveredNanos / SECOND);
+            int attempts = randomCount(node.load[z] * coveredNanos / SECOND);
             int failures =
                     Math.min(
                             attempts,
                             Math.max(0, (int) (attempts * failureRatio + random.nextDouble())));
-            boolean dropped = node.reportsLost || node.reportsHeld || attempts == 0 && !present;
-            if (!dropped) {
+            boolean omitted = node.reportsLost || node.reportsHeld || attempts == 0 && !present;
+            if (!omitted) {
                 driver.loadReport(
                         node.id,
                         z,
@@ -317,7 +325,7 @@
     }
 
     @Override
-    public void weightEntry(int table, long node, double weight) {
+    public void applyWeight(int table, long node, double weight) {
         SimulatedTable changed = table(table);
         changed.changes++;
         if (weight > 0) {
@@ -333,39 +341,39 @@
     }
 
     @Override
-    public void fullTable(int proxy, int[] methods, int table) {
+    public void sendFullTable(int proxy, int[] methods, int table) {
         SimulatedProxy receiver = proxies.get(proxy);
         for (int method : methods) {
             receiver.tables[method] = table(table);
         }
-        receiver.written += 1 + table(table).weights.size();
+        receiver.writtenEntries += 1 + table(table).weights.size();
     }
 
     @Override
-    public void exclusion(long node, boolean excluded) {
+    public void applyExclusion(long node, boolean excluded) {
         proxies.stream()
                 .filter(proxy -> proxy.joined && !proxy.hasTables())
-                .forEach(proxy -> proxy.written++);
+                .forEach(proxy -> proxy.writtenEntries++);
         if (excluded) {
-            earlierTable.weights.remove(node);
+            tableBeforeSubscription.weights.remove(node);
         } else {
-            earlierTable.weights.put(node, 1.0);
+            tableBeforeSubscription.weights.put(node, 1.0);
         }
     }
 
     @Override
-    public void admissionLimit(int table, int method, double limit) {
+    public void applyAdmissionLimit(int table, int method, double limit) {
         table(table).limits[method] = limit;
         table(table).changes++;
     }
 
     @Override
-    public void acknowledgeWith(int token) {
+    public void requestAcknowledgement(int token) {
         for (SimulatedProxy proxy : proxies) {
             int entries =
-                    proxy.written
+                    proxy.writtenEntries
                             + tables.values().stream()
-                                    .filter(table -> table.changes > 0 && proxy.follows(table))
+                                    .filter(table -> table.changes > 0 && proxy.uses(table))
                                     .mapToInt(t -> t.changes)
                                     .sum();
             if (proxy.joined && entries > 0) {
@@ -375,7 +383,7 @@
     }
 
     @Override
-    public void healthCheck(long node) {
+    public void startHealthCheck(long node) {
         healthChecks.add(new PendingHealthCheck(now + 2 * TICK, nodeById.get(node)));
     }
 
@@ -386,6 +394,6 @@
 
     @Override
     public void startTimer(long nanos) {
-        wakeAt = now + nanos;
+        timerFiresAt = now + nanos;
     }
 }
--- a/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
+++ b/src/test/java/rosespread/policy/PolicyCharacterizationTest.java
@@ -8,9 +8,9 @@
 import rosespread.policy.RecordingActions.Count;
 
 /**
- * Freezes the decisions of the routing policy to the last digit: the digest of all orders of seeded
- * histories must stay as recorded. A refactoring leaves it as it is; a change of decisions records
- * it anew and says so.
+ * Checks the decisions of the routing policy to the last digit: the digest of all actions in a
+ * seeded history must equal the recorded digest. A refactoring must not change the digests; a
+ * change of decisions records new digests and states the change.
  */
 class PolicyCharacterizationTest {
     private static final long SEED = 20240;
@@ -58,16 +58,17 @@
         "MANY_GROUPS, UNSTEADY_NODES, 4414373d547e0a34",
         "MANY_GROUPS, SLOW_RAMPS, b0568e1698060f7"
     })
-    void ordersStayAsRecorded(Deployment deployment, History history, String recorded) {
-        RecordingActions orders = play(deployment, history);
-        for (Count count : history.reached()) {
+    void actionsMatchRecordedDigest(Deployment deployment, History history, String recordedDigest) {
+        RecordingActions actions = play(deployment, history);
+        for (Count count : history.requiredCounts()) {
             assertTrue(
-                    orders.count(count) > 0 || !applies(deployment, count), count + " not reached");
+                    actions.count(count) > 0 || !applies(deployment, count),
+                    "expected at least one of " + count + ", found none");
         }
-        assertEquals(recorded, Long.toHexString(orders.digest()));
+        assertEquals(recordedDigest, Long.toHexString(actions.digest()));
     }
 
-    /** Limits are set only where proxies heed them. */
+    /** Returns false for admission limits in a deployment whose proxies apply none. */
     private static boolean applies(Deployment deployment, Count count) {
         return deployment != Deployment.SLOW_CHANNEL
                 || count != Count.LIMITS && count != Count.LIMITS_LIFTED;
--- a/src/test/java/rosespread/policy/PolicyDriver.java
+++ b/src/test/java/rosespread/policy/PolicyDriver.java
@@ -13,16 +13,19 @@
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
 
-/** Collects events and feeds them to a routing policy round by round; it alone calls the policy. */
+/**
+ * Collects events and delivers them to a routing policy, one round at a time. The simulation calls
+ * the policy only through this class.
+ */
 final class PolicyDriver {
     /** One entry of a node list. */
     record NodeEntry(
             long id,
-            int kind,
+            int machineType,
             int zone,
             double weight,
             EventHandler.NodeState state,
-            long started) {}
+            long startedAt) {}
 
     private final RoutingPolicy policy;
     private final RecordingActions actions;
@@ -35,7 +38,7 @@
         this.clock = clock;
     }
 
-    /** Feeds all collected events; returns the time that the policy took by the driver's clock. */
+    /** Delivers all collected events; returns the duration of the round by the driver's clock. */
     long round(long now) {
         List<Consumer<EventHandler>> arrived = List.copyOf(events);
         events.clear();
@@ -46,31 +49,31 @@
     }
 
     void nodeList(EventHandler.NodeListKind kind, List<NodeEntry> entries) {
-        events.add(o -> o.listStarted(kind));
-        for (NodeEntry e : entries) {
+        events.add(handler -> handler.listStarted(kind));
+        for (NodeEntry entry : entries) {
             events.add(
-                    o ->
-                            o.nodeListed(
-                                    new NodeId(e.id()),
-                                    new MachineTypeId(e.kind()),
-                                    new ZoneId(e.zone()),
-                                    e.weight(),
-                                    e.state(),
-                                    e.started()));
+                    handler ->
+                            handler.nodeListed(
+                                    new NodeId(entry.id()),
+                                    new MachineTypeId(entry.machineType()),
+                                    new ZoneId(entry.zone()),
+                                    entry.weight(),
+                                    entry.state(),
+                                    entry.startedAt()));
         }
         events.add(EventHandler::listCompleted);
     }
 
     void join(int proxy, int zone, double rate) {
-        events.add(o -> o.proxyJoined(new ProxyId(proxy), new ZoneId(zone), rate));
+        events.add(handler -> handler.proxyJoined(new ProxyId(proxy), new ZoneId(zone), rate));
     }
 
     void leave(int proxy) {
-        events.add(o -> o.proxyLeft(new ProxyId(proxy)));
+        events.add(handler -> handler.proxyLeft(new ProxyId(proxy)));
     }
 
     void acknowledge(int proxy, int token, long latency) {
-        events.add(o -> o.acknowledged(new ProxyId(proxy), token, latency));
+        events.add(handler -> handler.acknowledged(new ProxyId(proxy), token, latency));
     }
 
     void loadReport(
@@ -82,8 +85,8 @@
             long coveredNanos,
             double utilization) {
         events.add(
-                o ->
-                        o.loadReported(
+                handler ->
+                        handler.loadReported(
                                 new NodeId(node),
                                 new ZoneId(zone),
                                 attempts,
@@ -95,13 +98,13 @@
 
     void demandReport(int proxy, int method, int count, long coveredNanos) {
         events.add(
-                o ->
-                        o.demandReported(
+                handler ->
+                        handler.demandReported(
                                 new ProxyId(proxy), new MethodId(method), count, coveredNanos));
     }
 
     void healthCheckResult(long node, EventHandler.HealthCheckResult result) {
-        events.add(o -> o.healthChecked(new NodeId(node), result));
+        events.add(handler -> handler.healthChecked(new NodeId(node), result));
     }
 
     void fireTimer() {
--- a/src/test/java/rosespread/policy/RecordingActions.java
+++ b/src/test/java/rosespread/policy/RecordingActions.java
@@ -15,14 +15,14 @@
 import rosespread.api.TableId;
 
 /**
- * Digests and counts all actions of a routing policy, with every argument and the bits of every
- * number, and passes them on to the simulated fleet. The wording of log lines is no decision and is
- * left out.
+ * Counts all actions of a routing policy, adds them to a digest with every argument and the bits of
+ * every number, and forwards them to the simulated fleet. Reported events are not decisions and are
+ * left out, so that their wording may change.
  */
 final class RecordingActions implements PolicyActions {
     /**
-     * What a history can reach; an ejection is a weight cut to less than a fifth, a recovery its
-     * reverse.
+     * Kinds of actions that are counted. An ejection cuts a weight to less than a fifth; a recovery
+     * raises it to more than five times.
      */
     enum Count {
         FULL_TABLES,
@@ -40,18 +40,18 @@
         TABLES
     }
 
-    private static final double EJECTED = 0.2;
+    private static final double EJECTED_WEIGHT_RATIO = 0.2;
 
     private final HashStream64 digest = Hashing.xxh3_64().hashStream();
     private final Map<Count, Integer> counts = new EnumMap<>(Count.class);
     private final Map<Integer, Map<Long, Double>> weights = new HashMap<>();
     private ActionEffects effects;
 
-    void passTo(ActionEffects fleet) {
+    void forwardTo(ActionEffects fleet) {
         effects = fleet;
     }
 
-    /** Opens a round, so that the same actions in other rounds make another digest. */
+    /** Starts a round; its time is digested, so that equal actions of other rounds differ. */
     void beginRound(long now) {
         digest.putByte((byte) 0).putLong(now);
     }
@@ -60,12 +60,12 @@
         return digest.getAsLong();
     }
 
-    int count(Count what) {
-        return what == Count.TABLES ? weights.size() : counts.getOrDefault(what, 0);
+    int count(Count kind) {
+        return kind == Count.TABLES ? weights.size() : counts.getOrDefault(kind, 0);
     }
 
-    private void add(Count what) {
-        counts.merge(what, 1, Integer::sum);
+    private void increment(Count kind) {
+        counts.merge(kind, 1, Integer::sum);
     }
 
     @Override
@@ -77,13 +77,13 @@
         Double old =
                 weights.computeIfAbsent(table.value(), t -> new HashMap<>())
                         .put(node.value(), weight);
-        add(weight > 0 ? Count.ENTRIES : Count.REMOVALS);
-        if (old != null && weight > 0 && weight < EJECTED * old) {
-            add(Count.EJECTIONS);
-        } else if (old != null && old > 0 && old < EJECTED * weight) {
-            add(Count.RECOVERIES);
+        increment(weight > 0 ? Count.ENTRIES : Count.REMOVALS);
+        if (old != null && weight > 0 && weight < EJECTED_WEIGHT_RATIO * old) {
+            increment(Count.EJECTIONS);
+        } else if (old != null && old > 0 && old < EJECTED_WEIGHT_RATIO * weight) {
+            increment(Count.RECOVERIES);
         }
-        effects.weightEntry(table.value(), node.value(), weight);
+        effects.applyWeight(table.value(), node.value(), weight);
     }
 
     @Override
@@ -93,15 +93,16 @@
         methods.forEach(method -> all.add(method.value()));
         digest.putInt(all.size());
         all.forEach(digest::putInt);
-        add(Count.FULL_TABLES);
-        effects.fullTable(proxy.value(), all.stream().mapToInt(m -> m).toArray(), table.value());
+        increment(Count.FULL_TABLES);
+        effects.sendFullTable(
+                proxy.value(), all.stream().mapToInt(m -> m).toArray(), table.value());
     }
 
     @Override
     public void setExcluded(NodeId node, boolean excluded) {
         digest.putByte((byte) 3).putLong(node.value()).putBoolean(excluded);
-        add(excluded ? Count.EXCLUSIONS : Count.READMISSIONS);
-        effects.exclusion(node.value(), excluded);
+        increment(excluded ? Count.EXCLUSIONS : Count.READMISSIONS);
+        effects.applyExclusion(node.value(), excluded);
     }
 
     @Override
@@ -110,28 +111,28 @@
                 .putInt(table.value())
                 .putInt(method.value())
                 .putLong(Double.doubleToRawLongBits(limit));
-        add(Double.isInfinite(limit) ? Count.LIMITS_LIFTED : Count.LIMITS);
-        effects.admissionLimit(table.value(), method.value(), limit);
+        increment(Double.isInfinite(limit) ? Count.LIMITS_LIFTED : Count.LIMITS);
+        effects.applyAdmissionLimit(table.value(), method.value(), limit);
     }
 
     @Override
     public void requestAcknowledgement(int token) {
         digest.putByte((byte) 5).putInt(token);
-        add(Count.TOKENS);
-        effects.acknowledgeWith(token);
+        increment(Count.TOKENS);
+        effects.requestAcknowledgement(token);
     }
 
     @Override
     public void checkHealth(NodeId node) {
         digest.putByte((byte) 6).putLong(node.value());
-        add(Count.HEALTH_CHECKS);
-        effects.healthCheck(node.value());
+        increment(Count.HEALTH_CHECKS);
+        effects.startHealthCheck(node.value());
     }
 
     @Override
     public void watchNodes() {
         digest.putByte((byte) 7);
-        add(Count.LIST_REQUESTS);
+        increment(Count.LIST_REQUESTS);
         effects.watchNodes();
     }
 
--- a/src/test/java/rosespread/policy/SimulatedChannel.java
+++ b/src/test/java/rosespread/policy/SimulatedChannel.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import rosespread.api.PolicySettings;
 
-/** The slow channel to all proxies, and their acknowledgements of what it has delivered. */
+/** The slow channel to all proxies, and the acknowledgements of the messages it has delivered. */
 final class SimulatedChannel {
     private static final long SECOND = FleetSimulator.SECOND;
     private static final long MAX_DELAY = SECOND / 10;
@@ -21,19 +21,19 @@
                     Comparator.comparing(Acknowledgement::at)
                             .thenComparing(Acknowledgement::order));
     private long freeAt;
-    private int sent;
+    private int sentMessages;
 
     SimulatedChannel(PolicySettings settings, SplittableRandom random) {
         this.settings = settings;
         this.random = random;
     }
 
-    /** Drops all acknowledgements, as all streams are gone. */
+    /** Drops all acknowledgements, since all streams have ended. */
     void clear() {
         acknowledgements.clear();
     }
 
-    /** Hands over the acknowledgements that are due, but those of streams that have ended. */
+    /** Passes on the acknowledgements that are due, except those of streams that have ended. */
     void deliverAcknowledgements(long now, PolicyDriver driver) {
         while (!acknowledgements.isEmpty() && acknowledgements.peek().at() <= now) {
             Acknowledgement due = acknowledgements.remove();
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Takes a message of so many entries. */
+    /** Queues a message with this number of entries. */
     void send(SimulatedProxy proxy, int token, int entries, long now) {
         freeAt =
                 Math.max(now, freeAt)
@@ -58,7 +58,7 @@
         long at = freeAt + settings.maxPropagationDelayNanos() / 2 + delay;
         if (proxy.acknowledgement != SimulatedProxy.Acknowledgement.NEVER) {
             acknowledgements.add(
-                    new Acknowledgement(at, sent++, proxy, proxy.session, token, at - now));
+                    new Acknowledgement(at, sentMessages++, proxy, proxy.session, token, at - now));
         }
     }
 }
--- a/src/test/java/rosespread/policy/SimulatedNode.java
+++ b/src/test/java/rosespread/policy/SimulatedNode.java
@@ -5,68 +5,69 @@
 import rosespread.api.EventHandler.HealthCheckResult;
 import rosespread.api.PolicySettings;
 
-/** A node of the simulated fleet: what the list tells of it and what it truly does. */
+/** A node of the simulated fleet: its entry in the node list and its actual behaviour. */
 final class SimulatedNode {
     final long id;
-    final int kind;
+    final int machineType;
     final int zone;
     final double weight;
     final double capacity;
     final double[] load;
     EventHandler.NodeState state = EventHandler.NodeState.READY;
-    long started = Long.MIN_VALUE;
+    long startedAt = Long.MIN_VALUE;
     long reportedAt;
 
-    /** The share of attempts that it aborts. */
-    double failures;
+    /** The fraction of attempts that the node aborts. */
+    double failureRatio;
 
     boolean reachable = true;
 
-    /** Load reports are dropped, or gathered into one that comes late. */
+    /** Whether the node's load reports are dropped. */
     boolean reportsLost;
 
+    /** Whether the node's load reports are held back; one late report then covers the time. */
     boolean reportsHeld;
 
-    SimulatedNode(long id, int kind, int zone, double weight, double capacity, int zones) {
+    SimulatedNode(long id, int machineType, int zone, double weight, double capacity, int zones) {
         this.id = id;
-        this.kind = kind;
+        this.machineType = machineType;
         this.zone = zone;
         this.weight = weight;
         this.capacity = capacity;
         this.load = new double[zones];
     }
 
-    /** Its load against what it can do by now. */
+    /** Returns the node's load divided by its current capacity. */
     double loadRatio(long now, PolicySettings settings) {
         double sum = 0;
-        for (double part : load) {
-            sum += part;
+        for (double zoneLoad : load) {
+            sum += zoneLoad;
         }
         return sum / (capacity * warmUpRatio(now, settings));
     }
 
     private double warmUpRatio(long now, PolicySettings settings) {
-        double part =
-                started == Long.MIN_VALUE
+        double warmUpProgress =
+                startedAt == Long.MIN_VALUE
                         ? 1
-                        : Math.min(1, (now - started) / (double) settings.warmUpNanos());
-        return settings.coldCapacityRatio() + (1 - settings.coldCapacityRatio()) * part;
+                        : Math.min(1, (now - startedAt) / (double) settings.warmUpNanos());
+        return settings.coldCapacityRatio() + (1 - settings.coldCapacityRatio()) * warmUpProgress;
     }
 
-    /** How it answers a health check. */
+    /** Returns the node's answer to a health check. */
     HealthCheckResult healthCheck(long now, PolicySettings settings, SplittableRandom random) {
         if (!reachable) {
             return random.nextBoolean()
                     ? HealthCheckResult.UNREACHABLE
                     : HealthCheckResult.TIMED_OUT;
         }
-        if (random.nextDouble() < failures) {
+        if (random.nextDouble() < failureRatio) {
             return HealthCheckResult.FAILED;
         }
         return loadRatio(now, settings) > 1 ? HealthCheckResult.REJECTED : HealthCheckResult.PASSED;
     }
 
     PolicyDriver.NodeEntry entry() {
-        return new PolicyDriver.NodeEntry(id, kind, zone, weight, state, started);
+        return new PolicyDriver.NodeEntry(id, machineType, zone, weight, state, startedAt);
     }
 }
--- a/src/test/java/rosespread/policy/SimulatedProxy.java
+++ b/src/test/java/rosespread/policy/SimulatedProxy.java
@@ -2,7 +2,7 @@
 
 /** A proxy of the simulated fleet: the tables it routes by and how it acknowledges. */
 final class SimulatedProxy {
-    /** How acknowledgements come back. */
+    /** When a proxy's acknowledgements arrive. */
     enum Acknowledgement {
         PROMPT,
         LATE,
@@ -17,8 +17,8 @@
     boolean joined;
     int session;
 
-    /** Entries written to it in this round. */
-    int written;
+    /** Entries written to the proxy in this round. */
+    int writtenEntries;
 
     SimulatedProxy(int id, int zone, double rate, int methods) {
         this.id = id;
@@ -27,7 +27,7 @@
         this.tables = new SimulatedTable[methods];
     }
 
-    boolean follows(SimulatedTable table) {
+    boolean uses(SimulatedTable table) {
         for (SimulatedTable own : tables) {
             if (own == table) {
                 return true;
--- a/src/test/java/rosespread/policy/SimulatedTable.java
+++ b/src/test/java/rosespread/policy/SimulatedTable.java
@@ -8,19 +8,19 @@
     final TreeMap<Long, Double> weights = new TreeMap<>();
     final double[] limits;
 
-    /** The rate sent by it from each zone. */
-    final double[] sent;
+    /** Rate of the requests routed by this table, by the zone of the sending proxy. */
+    final double[] sentRates;
 
-    /** Changes written in this round. */
+    /** Number of changes written in this round. */
     int changes;
 
     SimulatedTable(int methods, int zones) {
         limits = new double[methods];
         Arrays.fill(limits, Double.POSITIVE_INFINITY);
-        sent = new double[zones];
+        sentRates = new double[zones];
     }
 
-    double sum() {
+    double totalWeight() {
         double sum = 0;
         for (double weight : weights.values()) {
             sum += weight;
