--- a/src/test/java/rosespread/policy/PolicyFixture.java
+++ b/src/test/java/rosespread/policy/PolicyFixture.java
@@ -23,8 +23,8 @@
 import rosespread.api.ZoneId;
 
 /**
- * A routing policy with its clock, the events of its next round, and its actions as short lines of
- * text.
+ * A routing policy with a simulated clock and channel, the events of the next round, and the
+ * policy's actions as short lines of text.
  */
 final class PolicyFixture {
     static final long SECOND = 1_000_000_000L;
@@ -35,24 +35,24 @@
     private long now = 100 * SECOND;
     double latency = 0.1;
 
-    /** Whether acknowledgements come once the message has left the channel; else at once. */
+    /** Whether messages are acknowledged after they leave the channel; otherwise at once. */
     boolean slowChannel;
 
     double maxQueuedEntries;
-    private final ArrayDeque<Sent> channel = new ArrayDeque<>();
-    private double credit;
+    private final ArrayDeque<SentMessage> channel = new ArrayDeque<>();
+    private double sendableEntries;
     int maxMessages;
     private double queuedEntries;
     private final Set<Integer> joined = new TreeSet<>();
-    private final Map<Integer, Integer> tableOf = new TreeMap<>();
-    private final Map<Integer, Set<Integer>> lines = new TreeMap<>();
-    private final Map<Integer, List<Long>> messages = new TreeMap<>();
+    private final Map<Integer, Integer> tableByProxy = new TreeMap<>();
+    private final Map<Integer, Set<Integer>> nodesByTable = new TreeMap<>();
+    private final Map<Integer, List<Long>> messageTimes = new TreeMap<>();
 
     PolicyFixture(PolicySettings settings) {
         policy = new RoutingPolicy(settings, new SplittableRandom(7));
     }
 
-    /** Settings of one zone with these limits of the channel and of messages. */
+    /** Settings of one zone with this queue limit, in entries, and message limit per proxy. */
     static PolicySettings settings(
             double queueLimit, int messageLimit, PolicySettings.Method... methods) {
         return new SettingsBuilder()
@@ -72,23 +72,26 @@
     }
 
     PolicyFixture list(
-            EventHandler.NodeListKind kind, EventHandler.NodeState state, long up, int... nodes) {
-        with(o -> o.listStarted(kind));
+            EventHandler.NodeListKind kind,
+            EventHandler.NodeState state,
+            long startedAt,
+            int... nodes) {
+        with(handler -> handler.listStarted(kind));
         for (int node : nodes) {
             with(
-                    o ->
-                            o.nodeListed(
+                    handler ->
+                            handler.nodeListed(
                                     new NodeId(node),
                                     new MachineTypeId(node % 2),
                                     new ZoneId(0),
                                     1,
                                     state,
-                                    up));
+                                    startedAt));
         }
         return with(EventHandler::listCompleted);
     }
 
-    /** Starts with ready nodes 0 to n-1 and proxies 0 to m-1, subscribed and settled. */
+    /** Starts with ready nodes 0 to nodes-1 and subscribed, settled proxies 0 to proxies-1. */
     PolicyFixture start(int nodes, int proxies) {
         list(
                 EventHandler.NodeListKind.CACHED,
@@ -107,15 +110,15 @@
 
     PolicyFixture join(int proxy, double rate) {
         joined.add(proxy);
-        return with(o -> o.proxyJoined(new ProxyId(proxy), new ZoneId(0), rate));
+        return with(handler -> handler.proxyJoined(new ProxyId(proxy), new ZoneId(0), rate));
     }
 
     PolicyFixture loadReport(int node, int attempts, int failures, double utilization) {
         ZoneId zone = new ZoneId(0);
         double seconds = latency;
         return with(
-                o ->
-                        o.loadReported(
+                handler ->
+                        handler.loadReported(
                                 new NodeId(node),
                                 zone,
                                 attempts,
@@ -126,10 +129,13 @@
     }
 
     PolicyFixture demandReport(int proxy, int method, int count) {
-        return with(o -> o.demandReported(new ProxyId(proxy), new MethodId(method), count, SECOND));
+        return with(
+                handler ->
+                        handler.demandReported(
+                                new ProxyId(proxy), new MethodId(method), count, SECOND));
     }
 
-    /** Plays a round so many seconds on; returns its actions. */
+    /** Advances the clock by these seconds and runs a round; returns the round's actions. */
     List<String> round(double seconds) {
         now += Math.round(seconds * SECOND);
         List<Consumer<EventHandler>> events = List.copyOf(pendingEvents);
@@ -137,20 +143,20 @@
         ActionLog actions = new ActionLog();
         policy.round(now, handler -> events.forEach(event -> event.accept(handler)), actions);
         recorded.addAll(actions.lines);
-        count(actions.lines);
+        enqueue(actions.lines);
         return actions.lines;
     }
 
     /**
-     * Fires the timer every tenth of a second; the proxies not named as silent answer each token at
-     * once.
+     * Runs rounds for these seconds, firing the timer every 0.1 s. Without a slow channel, all
+     * proxies but the silent ones acknowledge each token at once.
      */
     PolicyFixture run(double seconds, int... silent) {
         for (int i = 0; i < Math.round(seconds * 10); i++) {
             with(EventHandler::timerFired);
             List<String> actions = round(0.1);
             if (slowChannel) {
-                acknowledgeWhatLeft();
+                acknowledgeMessagesThatLeftChannel();
             } else {
                 acknowledge(actions, silent);
             }
@@ -165,38 +171,42 @@
                 for (int proxy = 0; proxy < 150; proxy++) {
                     int id = proxy;
                     if (Arrays.stream(silent).noneMatch(s -> s == id)) {
-                        with(o -> o.acknowledged(new ProxyId(id), token, SECOND / 10));
+                        with(handler -> handler.acknowledged(new ProxyId(id), token, SECOND / 10));
                     }
                 }
             }
         }
     }
 
-    /** Lets a channel of 1000 entries a second take a round's actions, as the wire counts them. */
-    private void count(List<String> actions) {
+    /** Queues a round's messages in a channel of 1000 entries per second, sized as on the wire. */
+    private void enqueue(List<String> actions) {
         Map<Integer, Double> sent = new TreeMap<>();
         for (String action : actions) {
             String[] words = action.split(" ");
             if (words[0].equals("subscribe")) {
                 int table = Integer.parseInt(words[2]);
-                tableOf.put(Integer.parseInt(words[1]), table);
-                sent.merge(Integer.parseInt(words[1]), 1.0 + lines.get(table).size(), Double::sum);
+                tableByProxy.put(Integer.parseInt(words[1]), table);
+                sent.merge(
+                        Integer.parseInt(words[1]),
+                        1.0 + nodesByTable.get(table).size(),
+                        Double::sum);
             } else if (words[0].equals("weight")) {
                 int table = Integer.parseInt(words[1]);
-                Set<Integer> held = lines.computeIfAbsent(table, t -> new TreeSet<>());
+                Set<Integer> nodes = nodesByTable.computeIfAbsent(table, t -> new TreeSet<>());
                 if (Double.parseDouble(words[3]) > 0) {
-                    held.add(Integer.parseInt(words[2]));
+                    nodes.add(Integer.parseInt(words[2]));
                 } else {
-                    held.remove(Integer.parseInt(words[2]));
+                    nodes.remove(Integer.parseInt(words[2]));
                 }
-                tableOf.forEach((proxy, t) -> sent.merge(proxy, t == table ? 1.0 : 0, Double::sum));
+                tableByProxy.forEach(
+                        (proxy, t) -> sent.merge(proxy, t == table ? 1.0 : 0, Double::sum));
             } else if (words[0].equals("exclude")) {
                 joined.stream()
-                        .filter(p -> !tableOf.containsKey(p))
+                        .filter(p -> !tableByProxy.containsKey(p))
                         .forEach(p -> sent.merge(p, 1.0, Double::sum));
             }
         }
-        sent.values().removeIf(lines -> lines == 0);
+        sent.values().removeIf(entries -> entries == 0);
         int token =
                 actions.stream()
                         .filter(action -> action.startsWith("token "))
@@ -205,8 +215,9 @@
                         .orElse(0);
         for (Map.Entry<Integer, Double> message : sent.entrySet()) {
             queuedEntries += message.getValue() + 11;
-            channel.addLast(new Sent(message.getKey(), token, message.getValue() + 11));
-            List<Long> times = messages.computeIfAbsent(message.getKey(), p -> new ArrayList<>());
+            channel.addLast(new SentMessage(message.getKey(), token, message.getValue() + 11));
+            List<Long> times =
+                    messageTimes.computeIfAbsent(message.getKey(), p -> new ArrayList<>());
             times.add(now);
             times.removeIf(at -> now - at > 10 * SECOND);
             maxMessages = Math.max(maxMessages, times.size());
@@ -214,38 +225,43 @@
         maxQueuedEntries = Math.max(maxQueuedEntries, queuedEntries);
     }
 
-    private record Sent(int proxy, int token, double entries) {}
+    private record SentMessage(int proxy, int token, double entries) {}
 
-    private void acknowledgeWhatLeft() {
-        credit = channel.isEmpty() ? 0 : credit + 100;
-        while (!channel.isEmpty() && channel.peekFirst().entries() <= credit) {
-            Sent left = channel.removeFirst();
-            credit -= left.entries();
-            queuedEntries -= left.entries();
-            with(o -> o.acknowledged(new ProxyId(left.proxy()), left.token(), SECOND / 2));
+    private void acknowledgeMessagesThatLeftChannel() {
+        sendableEntries = channel.isEmpty() ? 0 : sendableEntries + 100;
+        while (!channel.isEmpty() && channel.peekFirst().entries() <= sendableEntries) {
+            SentMessage message = channel.removeFirst();
+            sendableEntries -= message.entries();
+            queuedEntries -= message.entries();
+            with(
+                    handler ->
+                            handler.acknowledged(
+                                    new ProxyId(message.proxy()), message.token(), SECOND / 2));
         }
     }
 
-    /** How many proxies hold an entry of this node. */
+    /** Returns the number of proxies whose table has an entry for this node. */
     long proxiesHolding(int node) {
-        return tableOf.values().stream().filter(table -> lines.get(table).contains(node)).count();
+        return tableByProxy.values().stream()
+                .filter(table -> nodesByTable.get(table).contains(node))
+                .count();
     }
 
-    /** The actions since a place in all of them that start so. */
-    List<String> recordedSince(int place, String start) {
-        return recorded.subList(place, recorded.size()).stream()
-                .filter(line -> line.startsWith(start))
+    /** Returns the recorded actions from this index on that start with this prefix. */
+    List<String> recordedSince(int startIndex, String prefix) {
+        return recorded.subList(startIndex, recorded.size()).stream()
+                .filter(line -> line.startsWith(prefix))
                 .toList();
     }
 
-    /** The weight last set for a node in a table, 0 if none. */
+    /** Returns the weight last set for a node in a table, 0 if none was set. */
     double weight(int table, int node) {
         double weight = 0;
-        String start = "weight " + table + " " + node + " ";
+        String prefix = "weight " + table + " " + node + " ";
         for (String line : recorded) {
             weight =
-                    line.startsWith(start)
-                            ? Double.parseDouble(line.substring(start.length()))
+                    line.startsWith(prefix)
+                            ? Double.parseDouble(line.substring(prefix.length()))
                             : weight;
         }
         return weight;
--- a/src/test/java/rosespread/policy/RoutingPolicyTest.java
+++ b/src/test/java/rosespread/policy/RoutingPolicyTest.java
@@ -19,65 +19,66 @@
 import rosespread.api.EventHandler;
 import rosespread.api.ProxyId;
 
-/** Estimates, health, planning, deliveries and admission limits, seen from the policy's actions. */
+/** Tests estimates, health, planning, deliveries and admission limits by the policy's actions. */
 class RoutingPolicyTest {
     private static final long LONG_AGO = Long.MIN_VALUE;
 
     @ParameterizedTest
     @CsvSource({"1, 4", "3, 8", "9, 20"})
-    void joinedProxiesGetFullTablesTheBusiestFirst(int proxies, int nodes) {
+    void busiestProxiesGetFullTablesFirst(int proxies, int nodes) {
         PolicyFixture fixture = new PolicyFixture(settings());
         fixture.start(nodes, proxies);
         List<String> subscriptions = fixture.recordedSince(0, "subscribe ");
-        List<String> wanted =
+        List<String> expected =
                 IntStream.range(0, proxies)
                         .mapToObj(p -> "subscribe " + (proxies - 1 - p) + " 1")
                         .toList();
-        assertEquals(wanted, subscriptions);
+        assertEquals(expected, subscriptions);
     }
 
     @Test
-    void aNewerChangeOverwritesThePendingOneWhileADeliveryIsInFlight() {
+    void newerChangeReplacesPendingChangeWhileDeliveryIsInFlight() {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         fixture.list(INCREMENTAL, READY, LONG_AGO, 4);
         List<String> sent = fixture.round(1);
         assertTrue(sent.stream().anyMatch(line -> line.startsWith("weight 1 4 ")));
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         fixture.list(INCREMENTAL, READY, LONG_AGO, 5).round(0.1);
         fixture.list(INCREMENTAL, GONE, LONG_AGO, 5).round(0.1);
         fixture.list(INCREMENTAL, READY, LONG_AGO, 6).round(0.1);
-        assertEquals(List.of(), fixture.recordedSince(place, "weight "));
+        assertEquals(List.of(), fixture.recordedSince(startIndex, "weight "));
         fixture.acknowledge(sent);
         fixture.run(1.2);
-        assertEquals(List.of("weight 1 6 1.0"), fixture.recordedSince(place, "weight "));
+        assertEquals(List.of("weight 1 6 1.0"), fixture.recordedSince(startIndex, "weight "));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2})
-    void onlyTheProxyThatDoesNotAcknowledgeIsSubscribedAgain(int silent) {
+    void resubscribesOnlyProxyThatDoesNotAcknowledge(int silent) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 3);
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         fixture.list(INCREMENTAL, READY, LONG_AGO, 4).run(4, silent);
         assertEquals(
-                List.of("subscribe " + silent + " 1"), fixture.recordedSince(place, "subscribe "));
+                List.of("subscribe " + silent + " 1"),
+                fixture.recordedSince(startIndex, "subscribe "));
     }
 
     @Test
-    void aSlowChannelStartsNoStormOfSubscriptions() {
+    void slowChannelCausesNoResubscriptionStorm() {
         PolicyFixture fixture = new PolicyFixture(settings(600, 30, method(1)));
         fixture.start(8, 6);
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         for (int node = 8; node < 28; node++) {
             fixture.list(INCREMENTAL, READY, LONG_AGO, node).run(0.5, 0, 1, 2, 3, 4, 5);
         }
         assertTrue(
-                fixture.recordedSince(place, "subscribe ").size() <= 12,
-                fixture.recordedSince(place, "subscribe ").toString());
+                fixture.recordedSince(startIndex, "subscribe ").size() <= 12,
+                fixture.recordedSince(startIndex, "subscribe ").toString());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {200, 400, 2000})
-    void aChangeTooLargeForTheQueueLeavesInParts(double queue) {
+    void changeLargerThanQueueLimitIsSentInParts(double queue) {
         PolicyFixture fixture = new PolicyFixture(settings(queue, 30, method(1))).start(2, 6);
         fixture.list(INCREMENTAL, READY, LONG_AGO, IntStream.range(2, 40).toArray()).run(60);
         assertTrue(IntStream.range(0, 40).allMatch(node -> fixture.weight(1, node) > 0));
@@ -87,20 +88,20 @@
     @EnumSource(
             value = EventHandler.NodeState.class,
             names = {"DRAINING", "GONE"})
-    void aDrainDoesNotWaitForADeliveryInFlight(EventHandler.NodeState state) {
+    void drainDoesNotWaitForDeliveryInFlight(EventHandler.NodeState state) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         fixture.list(INCREMENTAL, READY, LONG_AGO, 4).round(1);
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         fixture.list(INCREMENTAL, state, LONG_AGO, 1).round(0.1);
-        assertEquals(List.of("weight 1 1 0.0"), fixture.recordedSince(place, "weight "));
+        assertEquals(List.of("weight 1 1 0.0"), fixture.recordedSince(startIndex, "weight "));
     }
 
     @Test
-    void aReturningNodeGetsOnlyItsWarmUpWeight() {
+    void returningNodeGetsOnlyWarmUpWeight() {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         fixture.list(INCREMENTAL, GONE, LONG_AGO, 1).run(3);
         fixture.list(INCREMENTAL, READY, 104 * PolicyFixture.SECOND, 1).run(0.3);
-        assertEquals(0, fixture.weight(1, 1), "what old tables sent lies not yet behind");
+        assertEquals(0, fixture.weight(1, 1), "requests sent by old tables may still arrive");
         fixture.run(1);
         assertTrue(
                 fixture.weight(1, 1) > 0 && fixture.weight(1, 1) < 0.35,
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void aRestartUnderAnOldEntryDoesNotWaitForADeliveryInFlight() {
+    void restartOfNodeWithEntryDoesNotWaitForDeliveryInFlight() {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         fixture.list(INCREMENTAL, READY, LONG_AGO, 4).round(1);
         fixture.list(INCREMENTAL, READY, 103 * PolicyFixture.SECOND, 1).round(0.1);
@@ -119,7 +120,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, true", "2, true", "6, false", "8, false"})
-    void noSetOfFailingNodesEmptiesATable(int failing, boolean ejected) {
+    void failingNodesNeverEmptyTable(int failing, boolean ejected) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(8, 2);
         for (int i = 0; i < 6; i++) {
             for (int node = 0; node < 8; node++) {
@@ -128,12 +129,12 @@
             }
             fixture.run(1);
         }
-        double highest =
+        double highestWeight =
                 IntStream.range(0, failing)
                         .mapToDouble(n -> fixture.weight(1, n))
                         .max()
                         .orElseThrow();
-        assertEquals(ejected, highest < 0.2, "weight " + highest);
+        assertEquals(ejected, highestWeight < 0.2, "weight " + highestWeight);
     }
 
     @ParameterizedTest
@@ -144,8 +145,7 @@
         "0.4, 1, false",
         "NaN, 10, true"
     })
-    void anOverloadedNodeThatStillAnswersIsNotEjected(
-            double utilization, int failures, boolean ejected) {
+    void overloadedNodeThatAnswersIsNotEjected(double utilization, int failures, boolean ejected) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(8, 2);
         for (int i = 0; i < 8; i++) {
             for (int node = 0; node < 8; node++) {
@@ -160,21 +160,21 @@
 
     @ParameterizedTest
     @ValueSource(ints = {6, 10, 20})
-    void noProxyIsWrittenMoreMessagesThanItsLimit(int limit) {
+    void messagesToProxyStayWithinMessageLimit(int limit) {
         PolicyFixture fixture = new PolicyFixture(settings(5000, limit, method(1))).start(2, 3);
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         for (int node = 2; node < 42; node++) {
             fixture.list(INCREMENTAL, READY, LONG_AGO, node).run(0.2);
         }
         assertTrue(
-                fixture.recordedSince(place, "token ").size() < limit,
-                fixture.recordedSince(place, "token ").toString());
+                fixture.recordedSince(startIndex, "token ").size() < limit,
+                fixture.recordedSince(startIndex, "token ").toString());
         assertTrue(fixture.weight(1, 2) > 0);
     }
 
     @ParameterizedTest
     @CsvSource({"0.9, 0.3", "0.8, 0.4"})
-    void weightsFollowTheLoadAndSilenceChangesNothing(double busy, double idle) {
+    void weightsFollowLoadAndStayUnchangedWithoutReports(double busy, double idle) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         for (int i = 0; i < 10; i++) {
             for (int node = 0; node < 4; node++) {
@@ -184,15 +184,15 @@
         }
         assertTrue(fixture.weight(1, 0) < 0.8 * fixture.weight(1, 1));
         fixture.run(20);
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         fixture.run(20);
         assertTrue(
-                fixture.recordedSince(place, "weight ").size() <= 2,
-                fixture.recordedSince(place, "weight ").toString());
+                fixture.recordedSince(startIndex, "weight ").size() <= 2,
+                fixture.recordedSince(startIndex, "weight ").toString());
     }
 
     @Test
-    void theLowestPriorityIsShedFirst() {
+    void lowestPriorityIsShedFirst() {
         PolicyFixture fixture =
                 new PolicyFixture(settings(2000, 30, method(1), method(3))).start(4, 2);
         for (int i = 0; i < 5; i++) {
@@ -210,7 +210,7 @@
 
     @ParameterizedTest
     @CsvSource({"0.3, false", "0.5, false", "0.9, true"})
-    void retriesAloneStartNoSheddingWhereNodesAreNotBusy(double busy, boolean sheds) {
+    void retriesAloneStartNoSheddingWhileNodesAreNotBusy(double busy, boolean sheds) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         for (int i = 0; i < 5; i++) {
             for (int node = 0; node < 4; node++) {
@@ -222,14 +222,14 @@
     }
 
     @Test
-    void sheddingStartsNotFromTheFirstFewNodesHeard() {
+    void loadReportsOfFewNodesStartNoShedding() {
         PolicyFixture fixture = new PolicyFixture(settings()).start(20, 2);
         fixture.loadReport(0, 10, 0, 1).loadReport(1, 10, 0, 1).demandReport(0, 0, 300).run(1);
         assertEquals(List.of(), fixture.recordedSince(0, "limit 0 "));
     }
 
     @Test
-    void theFirstCapacityAdjustmentAfterAStartGoesTheWholeWay() {
+    void firstCapacityAdjustmentAfterStartIsMadeInFull() {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
         for (int node = 0; node < 4; node++) {
             fixture.loadReport(node, 30, 0, node % 2 == 0 ? 0.3 : 0.9);
@@ -240,7 +240,7 @@
     }
 
     @Test
-    void methodsOpenToOtherNodesHaveTheirOwnTable() {
+    void methodsWithDifferentNodesHaveSeparateTables() {
         PolicyFixture fixture =
                 new PolicyFixture(settings(2000, 30, method(1), method(3, 0))).start(4, 1);
         assertEquals(
@@ -250,10 +250,10 @@
     }
 
     @Test
-    void acknowledgementTokensWrapRoundAndStillSettle() {
+    void acknowledgementsSettleDeliveriesAfterTokensWrapAround() {
         PolicyFixture fixture = new PolicyFixture(settings(2000, 0, method(1))).start(4, 1);
         for (int i = 0; i < 66_000; i++) {
-            fixture.with(o -> o.proxyLeft(new ProxyId(0))).join(0, 10);
+            fixture.with(handler -> handler.proxyLeft(new ProxyId(0))).join(0, 10);
             fixture.acknowledge(fixture.round(0.001));
             fixture.recorded.clear();
         }
@@ -264,7 +264,7 @@
     }
 
     @Test
-    void aDrainingNodeOfACachedListGetsNoEntry() {
+    void drainingNodeInCachedListGetsNoEntry() {
         PolicyFixture fixture =
                 new PolicyFixture(settings())
                         .list(EventHandler.NodeListKind.CACHED, DRAINING, LONG_AGO, 9)
@@ -274,8 +274,8 @@
 
     @ParameterizedTest
     @CsvSource({"0.1, 0.2, 1.0", "0.3, 0.2, 0.7", "0.6, 0.2, 0.7"})
-    void aReportOfLittleLoadMakesNoNodeLargerThanItsLatencyAllows(
-            double latency, double reported, double most) {
+    void lowReportedLoadDoesNotRaiseWeightAboveLatencyBound(
+            double latency, double reported, double maxRatio) {
         PolicyFixture fixture = new PolicyFixture(settings()).start(10, 4);
         for (int i = 0; i < 40; i++) {
             for (int node = 0; node < 10; node++) {
@@ -284,24 +284,24 @@
             }
             fixture.run(1);
         }
-        double share = fixture.weight(1, 0) / fixture.weight(1, 2);
-        assertEquals(most < 1, share < most, "weight " + share);
+        double ratio = fixture.weight(1, 0) / fixture.weight(1, 2);
+        assertEquals(maxRatio < 1, ratio < maxRatio, "ratio " + ratio);
     }
 
     @Test
-    void eventsOfUnknownNodesAndProxiesArePassedOver() {
+    void eventsOfUnknownNodesAndProxiesAreIgnored() {
         PolicyFixture fixture = new PolicyFixture(settings()).start(4, 2);
-        int place = fixture.recorded.size();
+        int startIndex = fixture.recorded.size();
         fixture.loadReport(99, 10, 10, 0.9)
                 .demandReport(99, 0, 10)
                 .demandReport(0, 0, 0)
-                .with(o -> o.proxyLeft(new ProxyId(98)));
-        fixture.with(o -> o.acknowledged(new ProxyId(99), 5, 1))
-                .with(o -> o.acknowledged(new ProxyId(0), 4711, 1));
+                .with(handler -> handler.proxyLeft(new ProxyId(98)));
+        fixture.with(handler -> handler.acknowledged(new ProxyId(99), 5, 1))
+                .with(handler -> handler.acknowledged(new ProxyId(0), 4711, 1));
         fixture.list(INCREMENTAL, READY, LONG_AGO).run(1);
         assertEquals(
                 List.of(),
-                fixture.recorded.subList(place, fixture.recorded.size()).stream()
+                fixture.recorded.subList(startIndex, fixture.recorded.size()).stream()
                         .filter(line -> !line.equals("timer"))
                         .toList());
     }
--- a/src/test/java/rosespread/policy/SettingsBuilder.java
+++ b/src/test/java/rosespread/policy/SettingsBuilder.java
@@ -9,8 +9,8 @@
 import rosespread.api.ZoneId;
 
 /**
- * Policy settings by name; what is not set is that of a deployment of one zone and one method whose
- * channel carries 1000 entries a second. Spans are in seconds.
+ * Builds policy settings. The defaults are those of a deployment of one zone and one method, with a
+ * channel that carries 1000 entries per second. Durations are in seconds.
  */
 final class SettingsBuilder {
     private List<Method> methods = List.of(method(1));
@@ -28,9 +28,9 @@
     private double drainTimeout = 2;
     private double warmUp = 16;
     private double coldCapacityRatio = 0.16;
-    private double coldWindow = 1.5;
+    private double coldOverload = 1.5;
 
-    /** A method that is open to these machine types only, to all if none is named. */
+    /** A method that only these machine types may serve, or all machine types if none is given. */
     static Method method(double priorityWeight, int... machineTypes) {
         Set<MachineTypeId> allowed = new java.util.TreeSet<>();
         for (int type : machineTypes) {
@@ -105,10 +105,10 @@
         return this;
     }
 
-    SettingsBuilder warmUp(double seconds, double coldRatio, double window) {
+    SettingsBuilder warmUp(double seconds, double coldRatio, double overload) {
         warmUp = seconds;
         coldCapacityRatio = coldRatio;
-        coldWindow = window;
+        coldOverload = overload;
         return this;
     }
 
@@ -131,7 +131,7 @@
                 nanos(drainTimeout),
                 nanos(warmUp),
                 coldCapacityRatio,
-                nanos(coldWindow));
+                nanos(coldOverload));
     }
 
     private static long nanos(double seconds) {
