--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -199,7 +199,7 @@
 
     /** Returns a table as it will be once its pending changes are sent; empty if unknown. */
     public Optional<ControllerStatus.Table> table(TableId table) {
-        return tables.one(table);
+        return tables.read(table);
     }
 
     /** Returns the changes between two retained versions; empty if table or version is unknown. */
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -79,7 +79,7 @@
                 nodeList.unavailableReason(),
                 context.modes().last(),
                 nodes(),
-                tables.all(),
+                tables.readAll(),
                 joined.stream().map(this::proxy).toList(),
                 storage());
     }
--- a/src/main/java/rosespread/controller/DeltaSelector.java
+++ b/src/main/java/rosespread/controller/DeltaSelector.java
@@ -53,7 +53,7 @@
                                         (Map.Entry<NodeId, Double> change) ->
                                                 !isUrgent(change, committed, context))
                                 .thenComparing(change -> -changeSize(change, committed)))
-                .limit(capacity.entriesThatFit(subscribers.size(), urgent))
+                .limit(capacity.availableEntries(subscribers.size(), urgent))
                 .forEach(change -> selected.put(change.getKey(), change.getValue()));
         return selected;
     }
--- a/src/main/java/rosespread/controller/KeepAliveMonitor.java
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -33,7 +33,7 @@
      */
     long check(long nowNanos, long intervalNanos) {
         long next = Long.MAX_VALUE;
-        for (ProxySession session : sessions.open()) {
+        for (ProxySession session : sessions.openSessions()) {
             check(session, nowNanos, intervalNanos);
             next =
                     Math.min(
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -88,7 +88,7 @@
     }
 
     /** Returns the entries that may go to each of so many proxies now, beside the policy's own. */
-    int entriesThatFit(int proxies, boolean urgent) {
+    int availableEntries(int proxies, boolean urgent) {
         return ChannelCapacity.availableEntries(
                 limits.queueLimitEntries(),
                 channel.queuedEntries() + overdueEntries + committedEntries,
--- a/src/main/java/rosespread/controller/RoundMessageWriter.java
+++ b/src/main/java/rosespread/controller/RoundMessageWriter.java
@@ -108,7 +108,7 @@
             if (!session.isSubscribed(id) || tables.containsKey(id)) {
                 session.clearFullUpdate(id);
             } else if (registry.table(id).current().lines().size()
-                    <= capacity.entriesThatFit(1, true)) {
+                    <= capacity.availableEntries(1, true)) {
                 session.clearFullUpdate(id);
                 tables.put(id, session.subscribedMethods(id));
             }
--- a/src/main/java/rosespread/controller/SessionRegistry.java
+++ b/src/main/java/rosespread/controller/SessionRegistry.java
@@ -23,7 +23,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(SessionRegistry.class);
 
     private final RoundScheduler rounds;
-    private final Set<ProxySession> open = new LinkedHashSet<>();
+    private final Set<ProxySession> openSessions = new LinkedHashSet<>();
     private final TreeMap<ProxyId, ProxySession> joined = new TreeMap<>();
     private final Map<ProxyId, ProxySession> joinedView = Collections.unmodifiableMap(joined);
     private final TreeMap<String, ProxyId> idsByName = new TreeMap<>();
@@ -40,13 +40,13 @@
 
     ProxySession open(ProxySession.Transport transport, long nowNanos) {
         ProxySession session = new ProxySession(transport, nowNanos);
-        open.add(session);
+        openSessions.add(session);
         return session;
     }
 
     /** Returns a copy of the open sessions in the order in which they were opened. */
-    List<ProxySession> open() {
-        return List.copyOf(open);
+    List<ProxySession> openSessions() {
+        return List.copyOf(openSessions);
     }
 
     /** Returns a live view of the joined sessions in the order of their numbers. */
@@ -91,14 +91,14 @@
     }
 
     void closeAll(Frame.Reason reason, String text) {
-        open().forEach(session -> close(session, reason, text));
+        openSessions().forEach(session -> close(session, reason, text));
     }
 
     private boolean remove(ProxySession session) {
         if (!session.markClosed()) {
             return false;
         }
-        open.remove(session);
+        openSessions.remove(session);
         if (session.isJoined() && joined.get(session.proxy()) == session) {
             joined.remove(session.proxy());
             idsByName.remove(session.name());
--- a/src/main/java/rosespread/controller/TableStatusReader.java
+++ b/src/main/java/rosespread/controller/TableStatusReader.java
@@ -25,14 +25,14 @@
     }
 
     /** Returns all tables with the weights that are committed. */
-    List<ControllerStatus.Table> all() {
+    List<ControllerStatus.Table> readAll() {
         List<ControllerStatus.Table> all = new ArrayList<>();
         registry.tables().forEach(table -> all.add(status(table, table.current().lines())));
         return all;
     }
 
     /** Returns one table with the weights as they will be once its pending changes are sent. */
-    Optional<ControllerStatus.Table> one(TableId id) {
+    Optional<ControllerStatus.Table> read(TableId id) {
         return registry.existing(id).map(table -> status(table, table.weightsAfterPending()));
     }
 
