--- a/src/main/java/rosespread/controller/PolicyRunner.java
+++ b/src/main/java/rosespread/controller/PolicyRunner.java
@@ -11,9 +11,9 @@
 import rosespread.validation.DurabilityTimeout;
 
 /**
- * Runs the routing policy's rounds. New settings and a policy that threw restart it: all streams
- * are closed, and policy, writer and channel are made again, as after a restart of the process.
- * Proxies keep their tables and rejoin.
+ * Runs the rounds of the routing policy. The policy is restarted when settings are applied and
+ * after the policy threw: all streams are closed, and policy, writer and channel are created anew,
+ * as after a restart of the process. Proxies keep their tables and rejoin.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -29,10 +29,11 @@
     private final EventClock clock;
 
     /**
-     * Message numbers rise over restarts of the process too, so that no acknowledgement fits a
-     * message of an earlier one.
+     * Number after which the messages of this process are numbered. It is based on the wall clock,
+     * so that message numbers increase across restarts of the process and an acknowledgement never
+     * matches a message of an earlier process.
      */
-    private final long firstNumber;
+    private final long initialMessageNumber;
 
     private FleetSettings settings;
     private Policy policy;
@@ -56,10 +57,10 @@
         this.publisher = publisher;
         this.rounds = rounds;
         this.clock = clock;
-        this.firstNumber = clock.wallMillis() << 20;
+        this.initialMessageNumber = clock.wallMillis() << 20;
     }
 
-    /** Restarts the policy with these settings; proxies get the reason in their Close frames. */
+    /** Restarts the policy with new settings; the reason is sent to proxies in Close frames. */
     void restart(FleetSettings next, String reason) {
         settings = next;
         restart(reason);
@@ -74,12 +75,12 @@
                         settings.channel().entriesPerSecond(),
                         context.registry().log(),
                         new DurabilityTimeout(settings.drainTimeoutNanos()));
-        sessions.useChannel(channel);
+        sessions.setChannel(channel);
         context.facts().recordLargeChangeCause();
         context.registry().policyRestarted();
         context.facts().invalidate();
-        long lastNumber = writer == null ? firstNumber : writer.lastNumber();
-        writer = new TableUpdateWriter(context, settings, channel, lastNumber);
+        long lastMessageNumber = writer == null ? initialMessageNumber : writer.lastMessageNumber();
+        writer = new TableUpdateWriter(context, settings, channel, lastMessageNumber);
         policy = environment.newPolicy(settings, settings.seed());
         reportsDueNanos = clock.nowNanos() + settings.reportPeriodNanos();
         if (directory.isListReceived()) {
@@ -87,34 +88,38 @@
         }
     }
 
-    /** Returns the settings in force, empty before any. */
+    /** Returns the settings in force; empty before any were applied. */
     Optional<FleetSettings> settings() {
         return Optional.ofNullable(settings);
     }
 
-    /** Returns the writer that the policy acts on now, empty before any settings. */
+    /** Returns the writer that takes the current policy's actions; empty before any settings. */
     Optional<TableUpdateWriter> writer() {
         return Optional.ofNullable(writer);
     }
 
-    /** Returns the channel that messages leave by now, empty before any settings. */
+    /** Returns the channel that messages are currently sent through; empty before any settings. */
     Optional<PacedChannel> channel() {
         return Optional.ofNullable(channel);
     }
 
-    /** Returns where load reports are aggregated until the policy gets them. */
+    /** Returns the aggregator that collects load reports until their delivery to the policy. */
     LoadReportAggregator loadReports() {
         return loadReports;
     }
 
-    /** Hands over load reports and runs a round if due; returns when the next is due. */
+    /**
+     * Delivers load reports and runs a round, each if it is due.
+     *
+     * @return when to call again, in nanoseconds of {@link System#nanoTime()}
+     */
     long runDue() {
         long now = clock.nowNanos();
         if (now >= reportsDueNanos) {
             reportsDueNanos = now + settings.reportPeriodNanos();
-            LoadReportAggregator gathered = loadReports;
+            LoadReportAggregator completed = loadReports;
             loadReports = new LoadReportAggregator();
-            rounds.add(gathered::deliverTo);
+            rounds.add(completed::deliverTo);
         }
         return Math.min(reportsDueNanos, rounds.runDue(now, this));
     }
@@ -125,7 +130,7 @@
         writer.closeRound(clock.roundTime());
     }
 
-    /** A policy that threw may have lost state: a fresh one starts. */
+    /** Logs the failure and restarts the policy, as a policy that threw may have lost state. */
     @Override
     public void roundFailed(Throwable failure) {
         LOG.error("routing policy failed; restarting it", failure);
--- a/src/main/java/rosespread/controller/ProxyFrameHandler.java
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -6,8 +6,8 @@
 import rosespread.controller.ControllerCounters.Counter;
 
 /**
- * Takes the frames of proxies and passes each on by its type and by how far the session's handshake
- * has come. A frame that a proxy may not send closes its session and no other.
+ * Dispatches the frames of proxies by their type and by the handshake state of the session. A frame
+ * that a proxy must not send closes only the session that it came from.
  *
  * <p>Used on the event-loop thread.
  */
@@ -33,7 +33,7 @@
         this.context = context;
     }
 
-    /** Takes a frame; one of a closed session is dropped. */
+    /** Handles a received frame; ignores frames of a closed session. */
     void frameReceived(ProxySession session, Frame frame) {
         if (session.isClosed()) {
             return;
@@ -70,7 +70,8 @@
         } else if (frame instanceof Frame.Offered offered) {
             demandReported(session, offered);
         } else {
-            // The text is part of the protocol; the frames' types have the protocol's names.
+            // The text is part of the protocol: the simple names of the frame classes are the names
+            // that the protocol uses.
             sessions.close(
                     session,
                     Frame.Reason.BAD_FRAME,
@@ -78,7 +79,10 @@
         }
     }
 
-    /** One that was not expected on this stream is nobody's: it may be of an earlier stream. */
+    /**
+     * Handles an acknowledgement. One that matches no unacknowledged message of this stream is only
+     * counted, as it may belong to an earlier stream.
+     */
     private void acknowledged(ProxySession session, long number) {
         Optional<ProxySession.UnacknowledgedMessage> found = session.acknowledge(number);
         if (found.isEmpty()) {
--- a/src/main/java/rosespread/controller/ProxyMessage.java
+++ b/src/main/java/rosespread/controller/ProxyMessage.java
@@ -9,14 +9,16 @@
 import rosespread.discovery.ListedNode;
 
 /**
- * The message of one round to one proxy while it is put together; used on the event-loop thread.
+ * Builds the message of one round to one proxy.
+ *
+ * <p>Used on the event-loop thread.
  */
 final class ProxyMessage {
     private final ProxySession session;
     private final Map<NodeId, ListedNode> nodes;
     private final List<byte[]> frames = new ArrayList<>();
     private int entries;
-    private boolean required;
+    private boolean sendingRequired;
 
     ProxyMessage(ProxySession session, Map<NodeId, ListedNode> nodes) {
         this.session = session;
@@ -31,46 +33,53 @@
         return frames;
     }
 
-    /** Returns the weight entries and admission limits that it carries. */
+    /** Returns the number of weight entries and admission limits in the message. */
     int entries() {
         return entries;
     }
 
-    /** It is sent also if it carries nothing, as the policy waits for its acknowledgement. */
-    void require() {
-        required = true;
+    /** Has the message sent even if it is empty, as the policy waits for its acknowledgement. */
+    void requireSending() {
+        sendingRequired = true;
     }
 
-    boolean isSent() {
-        return !frames.isEmpty() || required;
+    boolean mustBeSent() {
+        return !frames.isEmpty() || sendingRequired;
     }
 
-    /** Adds a table's delta; nodes that get a weight are introduced first. */
+    /** Adds a table's delta, preceded by the addresses of its nodes that the stream lacks. */
     void addDelta(byte[] frame, Frame.Lines delta) {
         for (Frame.Line change : delta.lines()) {
             if (change.weight() > 0) {
-                introduce(change.node());
+                addAddress(change.node());
             }
         }
         add(frame, delta.lines().size());
     }
 
-    /** Adds a frame that counts for so many entries. */
+    /**
+     * Adds a frame.
+     *
+     * @param count the number of entries that the frame counts as
+     */
     void add(byte[] frame, int count) {
         frames.add(frame);
         entries += count;
     }
 
-    /** Introduces nodes to the stream before their first weight, see {@link #introduce(NodeId)}. */
-    void introduce(Set<NodeId> introduced) {
-        introduced.forEach(this::introduce);
+    /**
+     * Adds the addresses of the given nodes that the stream lacks. A proxy must have a node's
+     * address before the node's first weight.
+     */
+    void addAddresses(Set<NodeId> ids) {
+        ids.forEach(this::addAddress);
     }
 
-    /** Introduces a node to the stream; that counts no entry, as no proxy acts on it. */
-    private void introduce(NodeId id) {
+    /** Adds a node's address, which does not count as an entry, as no proxy acts on it. */
+    private void addAddress(NodeId id) {
         ListedNode node = nodes.get(id);
-        if (node != null && session.introduce(id)) {
-            frames.add(RoundFrames.node(node));
+        if (node != null && session.recordAddressSent(id)) {
+            frames.add(RoundFrames.nodeAddress(node));
         }
     }
 }
--- a/src/main/java/rosespread/controller/ProxySession.java
+++ b/src/main/java/rosespread/controller/ProxySession.java
@@ -15,36 +15,41 @@
 import rosespread.channel.Frame;
 
 /**
- * One proxy's stream: how far its handshake has come, the tables it is subscribed to, and the
- * messages that it has not acknowledged. Times are those of {@link System#nanoTime()}.
+ * State of one proxy's stream: the progress of its handshake, the tables that the proxy is
+ * subscribed to, and the messages that it has not acknowledged. Times are in nanoseconds of {@link
+ * System#nanoTime()}.
  *
  * <p>Owned by the event-loop thread.
  */
 public final class ProxySession {
-    /** The outgoing half of a stream. Called on the event-loop thread; no method may block. */
+    /** The outgoing side of a stream. Called on the event-loop thread; no method may block. */
     public interface Transport {
-        /** Hands over complete frames to be sent. */
+        /** Sends complete frames. */
         void write(byte[] frames);
 
-        /** Returns the bytes handed over that the socket has not taken. */
+        /**
+         * Returns the number of bytes passed to {@link #write} and not yet written to the socket.
+         */
         long writeBufferBytes();
 
-        /** Sends the reason if the peer can still be expected to read it, and closes. */
+        /**
+         * Closes the stream; sends the reason first if the peer can still be expected to read it.
+         */
         void close(Frame.Reason reason, String text);
 
-        /** Returns the peer's address, for logs. */
+        /** Returns the peer's address for log messages. */
         String remoteAddress();
     }
 
     /**
      * A message that the proxy has to acknowledge.
      *
-     * @param number the message's number, which the acknowledgement repeats
-     * @param round the number of the round's first message
-     * @param token the policy's acknowledgement token, negative if it asked for none
-     * @param orderedAtNanos when the policy ordered it
-     * @param entries what it counts on the channel, in weight entries
-     * @param writtenAtNanos when it was written to the stream
+     * @param number the message number, which the acknowledgement repeats
+     * @param round the number of the first message of the same round
+     * @param token the policy's acknowledgement token, negative if the policy requested none
+     * @param orderedAtNanos when the policy ordered the message
+     * @param entries the size of the message on the channel, in weight entries
+     * @param writtenAtNanos when the message was written to the stream
      */
     record UnacknowledgedMessage(
             long number,
@@ -57,7 +62,7 @@
     private final Transport transport;
     private final long openedAtNanos;
     private final ArrayDeque<UnacknowledgedMessage> unacknowledged = new ArrayDeque<>();
-    private final Set<NodeId> introducedNodes = new TreeSet<>();
+    private final Set<NodeId> sentAddresses = new TreeSet<>();
     private final TreeMap<TableId, Set<MethodId>> subscriptions = new TreeMap<>();
     private final TreeSet<TableId> pendingFullUpdates = new TreeSet<>();
     private final ArrayDeque<Long> messageTimes = new ArrayDeque<>();
@@ -88,7 +93,7 @@
         return openedAtNanos;
     }
 
-    /** The proxy's Hello was accepted. */
+    /** Records that the proxy's Hello was accepted. */
     void markGreeted() {
         greeted = true;
     }
@@ -97,30 +102,34 @@
         return greeted;
     }
 
-    /** The proxy's Join was accepted. */
-    void join(ProxyId id, String proxyName, ZoneId proxyZone, boolean decompresses) {
+    /**
+     * Records that the proxy's Join was accepted.
+     *
+     * @param compressionAccepted whether the proxy accepts compressed frames
+     */
+    void join(ProxyId id, String proxyName, ZoneId proxyZone, boolean compressionAccepted) {
         proxy = id;
         name = proxyName;
         zone = proxyZone;
-        acceptsCompression = decompresses;
+        acceptsCompression = compressionAccepted;
     }
 
-    /** Whether the proxy has joined; stays true after the session is closed. */
+    /** Returns whether the proxy has joined; still true after the session is closed. */
     boolean isJoined() {
         return proxy != null;
     }
 
-    /** Returns the number of the proxy, null before it has joined. */
+    /** Returns the proxy's id, null before the proxy has joined. */
     ProxyId proxy() {
         return proxy;
     }
 
-    /** Returns the proxy's name, empty before it has joined. */
+    /** Returns the proxy's name, empty before the proxy has joined. */
     String name() {
         return name;
     }
 
-    /** Returns the proxy's zone, null before it has joined. */
+    /** Returns the proxy's zone, null before the proxy has joined. */
     ZoneId zone() {
         return zone;
     }
@@ -129,7 +138,7 @@
         return acceptsCompression;
     }
 
-    /** Marks the session closed; returns whether it was open until now. */
+    /** Marks the session closed; returns whether it was open before. */
     boolean markClosed() {
         boolean wasOpen = !closed;
         closed = true;
@@ -160,32 +169,34 @@
         reportedAtNanos = nowNanos;
     }
 
-    /** Returns when the last load report came; when the session opened if there was none. */
+    /** Returns when the last load report was received, or when the session opened if none was. */
     long reportedAtNanos() {
         return reportedAtNanos;
     }
 
-    /** Counts a message towards the session's message limit, from the moment it is queued. */
+    /** Counts a message towards the message limit from the time at which it is queued. */
     void recordMessageQueued(long nowNanos) {
         messageTimes.addLast(nowNanos);
     }
 
-    /** Returns the messages queued for this session within the span before now. */
-    int messagesQueuedWithin(long nowNanos, long spanNanos) {
-        while (!messageTimes.isEmpty() && nowNanos - messageTimes.peekFirst() > spanNanos) {
+    /**
+     * Returns the number of messages queued for this session within the last {@code windowNanos}.
+     */
+    int messagesQueuedWithin(long nowNanos, long windowNanos) {
+        while (!messageTimes.isEmpty() && nowNanos - messageTimes.peekFirst() > windowNanos) {
             messageTimes.removeFirst();
         }
         return messageTimes.size();
     }
 
-    /** Hands a message to the stream and expects its acknowledgement. */
+    /** Writes a message to the stream and records it as unacknowledged. */
     void write(byte[] message, UnacknowledgedMessage expected) {
         awaitAcknowledgement(expected);
         messagesWritten++;
         transport.write(message);
     }
 
-    /** Expects the acknowledgement of a message that was written to the stream. */
+    /** Records a message that was written to the stream as unacknowledged. */
     void awaitAcknowledgement(UnacknowledgedMessage message) {
         unacknowledged.addLast(message);
     }
@@ -195,27 +206,27 @@
     }
 
     /**
-     * Takes an acknowledgement, which stands for all earlier messages of the stream too.
+     * Handles an acknowledgement, which acknowledges all earlier messages of the stream too.
      *
-     * @return the message, empty if none of this number was written on this stream or it was
-     *     acknowledged before
+     * @return the message of this number; empty if this stream carried no such message or the
+     *     message was acknowledged before
      */
     Optional<UnacknowledgedMessage> acknowledge(long number) {
         if (unacknowledged.stream().noneMatch(message -> message.number() == number)) {
             return Optional.empty();
         }
-        UnacknowledgedMessage first = unacknowledged.removeFirst();
-        while (first.number() != number) {
-            first = unacknowledged.removeFirst();
+        UnacknowledgedMessage removed = unacknowledged.removeFirst();
+        while (removed.number() != number) {
+            removed = unacknowledged.removeFirst();
         }
-        return Optional.of(first);
+        return Optional.of(removed);
     }
 
     int unacknowledgedMessages() {
         return unacknowledged.size();
     }
 
-    /** Returns the entries of messages whose acknowledgement is overdue. */
+    /** Returns the total entries of the messages whose acknowledgement is overdue. */
     long overdueEntries(AcknowledgementDeadline deadline) {
         return unacknowledged.stream()
                 .filter(message -> deadline.isOverdue(message.writtenAtNanos()))
@@ -223,15 +234,18 @@
                 .sum();
     }
 
-    /** Decides whether an acknowledgement should have come by now. */
+    /** Decides whether the acknowledgement of a message is overdue. */
     @FunctionalInterface
     interface AcknowledgementDeadline {
         boolean isOverdue(long writtenAtNanos);
     }
 
-    /** A method follows one table at a time: a newer subscription takes it from the older table. */
+    /**
+     * Subscribes the proxy to a table for some methods. As a method follows one table at a time,
+     * these methods are removed from all other subscriptions.
+     */
     void subscribe(TableId table, Set<MethodId> methods) {
-        subscriptions.values().forEach(held -> held.removeAll(methods));
+        subscriptions.values().forEach(subscribed -> subscribed.removeAll(methods));
         subscriptions.put(table, new TreeSet<>(methods));
         subscriptions.values().removeIf(Set::isEmpty);
     }
@@ -244,7 +258,7 @@
         return subscriptions.containsKey(table);
     }
 
-    /** Returns a live view of the subscribed tables, in their order. */
+    /** Returns a live view of the subscribed tables, in the order of their ids. */
     Set<TableId> subscribedTables() {
         return Collections.unmodifiableSet(subscriptions.keySet());
     }
@@ -254,7 +268,10 @@
         return new TreeSet<>(subscriptions.get(table));
     }
 
-    /** The proxy could not follow a table's delta; one that it is not subscribed to is ignored. */
+    /**
+     * Records that the proxy could not apply a table's delta and needs the full table; does nothing
+     * if the proxy is not subscribed to the table.
+     */
     void requireFullUpdate(TableId table) {
         if (isSubscribed(table)) {
             pendingFullUpdates.add(table);
@@ -265,7 +282,7 @@
         return !pendingFullUpdates.isEmpty();
     }
 
-    /** Returns a copy of the tables that must be sent in full, in their order. */
+    /** Returns a copy of the tables that must be sent in full, in the order of their ids. */
     List<TableId> pendingFullUpdates() {
         return List.copyOf(pendingFullUpdates);
     }
@@ -274,13 +291,13 @@
         pendingFullUpdates.remove(table);
     }
 
-    /** Remembers that the stream has a node's address; returns whether it had not. */
-    boolean introduce(NodeId node) {
-        return introducedNodes.add(node);
+    /** Records that a node's address is sent; returns whether it was not recorded before. */
+    boolean recordAddressSent(NodeId node) {
+        return sentAddresses.add(node);
     }
 
-    /** Whether the stream has the address of none of the nodes. */
-    boolean knowsNoneOf(Set<NodeId> nodes) {
-        return Collections.disjoint(introducedNodes, nodes);
+    /** Returns whether the address of none of the nodes was sent on the stream. */
+    boolean lacksAllAddresses(Set<NodeId> nodes) {
+        return Collections.disjoint(sentAddresses, nodes);
     }
 }
--- a/src/main/java/rosespread/controller/RoundActions.java
+++ b/src/main/java/rosespread/controller/RoundActions.java
@@ -10,7 +10,8 @@
 import rosespread.api.TableId;
 
 /**
- * What the policy ordered since the last round was closed, in its order. Cleared with the round.
+ * The actions that the policy ordered since the last round was closed, in the order in which the
+ * policy ordered them. Cleared when the round is closed.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -47,27 +48,27 @@
         return weights.containsKey(table);
     }
 
-    /** Whether weights of any of the tables are changed. */
+    /** Returns whether the weights of any of the tables change. */
     boolean changesWeightsOfAny(Set<TableId> tables) {
         return !Collections.disjoint(tables, weights.keySet());
     }
 
-    /** Returns the changed weights of a table, 0 for a removed entry; empty if there are none. */
+    /** Returns the changed weights of a table, 0 for a removed entry; empty if none changed. */
     Map<NodeId, Double> weights(TableId table) {
         return weights.getOrDefault(table, Map.of());
     }
 
-    /** Returns the changed admission limits of a table; empty if there are none. */
+    /** Returns the changed admission limits of a table; empty if none changed. */
     Map<MethodId, Double> admissionLimits(TableId table) {
         return admissionLimits.getOrDefault(table, Map.of());
     }
 
-    /** Returns the tables that a proxy is newly subscribed to, with their methods. */
+    /** Returns the new subscriptions of a proxy: the methods that follow each table. */
     Map<TableId, Set<MethodId>> subscriptions(ProxyId proxy) {
         return subscriptions.getOrDefault(proxy, Map.of());
     }
 
-    /** Returns the nodes excluded (true) and readmitted (false). */
+    /** Returns the excluded (true) and readmitted (false) nodes. */
     Map<NodeId, Boolean> exclusions() {
         return exclusions;
     }
@@ -76,7 +77,7 @@
         return acknowledgementToken >= 0;
     }
 
-    /** Returns the token that proxies are to acknowledge, negative if none was asked for. */
+    /** Returns the token of the requested acknowledgement, negative if none was requested. */
     int acknowledgementToken() {
         return acknowledgementToken;
     }
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -8,8 +8,9 @@
 import rosespread.validation.ChannelCapacity;
 
 /**
- * What the channel can still carry in a round, beside what is queued, what this round has committed
- * so far, and what most proxies are late to acknowledge.
+ * The remaining capacity of the channel in a round. Queued entries, entries that this round has
+ * committed so far, and overdue entries reduce it; overdue entries count only if most proxies are
+ * late to acknowledge.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -17,8 +18,8 @@
     private final Map<ProxyId, ProxySession> sessions;
     private final PacedChannel channel;
     private final FleetSettings.Channel limits;
-    private final long drainGraceNanos;
-    private final int entriesPerMessage;
+    private final long drainTimeoutNanos;
+    private final int overheadEntries;
     private long overdueEntries;
     private double committedEntries;
 
@@ -27,16 +28,19 @@
         this.sessions = sessions;
         this.channel = channel;
         this.limits = settings.channel();
-        this.drainGraceNanos = settings.drainTimeoutNanos();
-        this.entriesPerMessage = (int) Math.ceil(limits.messageOverheadEntries());
+        this.drainTimeoutNanos = settings.drainTimeoutNanos();
+        this.overheadEntries = (int) Math.ceil(limits.messageOverheadEntries());
     }
 
-    /** Starts a round; each proxy whose acknowledgement the policy expects gets a message. */
+    /**
+     * Starts a round. Counts the overhead of one message for each proxy whose acknowledgement the
+     * policy expects.
+     */
     void startRound(RoundActions actions, long nowNanos) {
         overdueEntries = overdueEntries(nowNanos);
         committedEntries =
                 actions.requestsAcknowledgement()
-                        ? (entriesPerMessage + 1.0)
+                        ? (overheadEntries + 1.0)
                                 * sessions.values().stream()
                                         .filter(
                                                 session ->
@@ -61,33 +65,44 @@
         return ChannelCapacity.overdueEntries(entries, lateProxies, sessions.size());
     }
 
-    /** Returns the sessions subscribed to a table, in the order of their proxies. */
+    /** Returns the sessions subscribed to a table, in the order of their proxies' ids. */
     List<ProxySession> subscribers(TableId table) {
         return sessions.values().stream().filter(session -> session.isSubscribed(table)).toList();
     }
 
     /**
-     * Counts a delta that was committed.
+     * Counts a committed delta.
      *
-     * @param messageCounted whether the message that carries it was counted as the round started
+     * @param entries the weight entries of the delta
+     * @param messageCounted whether the overhead of its message was counted when the round started
+     * @param subscribers the number of proxies that the delta is sent to
      */
     void reserve(int entries, boolean messageCounted, int subscribers) {
-        committedEntries +=
-                (entries + (messageCounted ? 0 : entriesPerMessage + 1.0)) * subscribers;
+        committedEntries += (entries + (messageCounted ? 0 : overheadEntries + 1.0)) * subscribers;
     }
 
-    /** Returns the entries of a table that reach its subscribers within the drain timeout. */
-    double entriesWithinGrace(TableId table) {
+    /**
+     * Returns the number of a table's entries that the channel can deliver to each subscriber
+     * within the drain timeout; infinite without subscribers, negative if too many entries are
+     * queued.
+     */
+    double entriesWithinDrainTimeout(TableId table) {
         return ChannelCapacity.deliverableEntries(
                 limits.entriesPerSecond(),
-                drainGraceNanos,
+                drainTimeoutNanos,
                 limits.queueLimitEntries(),
                 channel.queuedEntries() + committedEntries,
                 subscribers(table).size(),
                 messageOverhead());
     }
 
-    /** Returns the entries that may go to each of so many proxies now, beside the policy's own. */
+    /**
+     * Returns the number of entries, other than the policy's own, that can be sent to each proxy
+     * now.
+     *
+     * @param proxies the number of proxies to send to
+     * @param urgent whether the entries may use a larger share of the queue limit
+     */
     int availableEntries(int proxies, boolean urgent) {
         return ChannelCapacity.availableEntries(
                 limits.queueLimitEntries(),
@@ -97,7 +112,12 @@
                 urgent);
     }
 
-    /** Whether the message limit lets a session have one more message, beside the policy's own. */
+    /**
+     * Returns whether the message limit allows one more message to a session, other than the
+     * policy's own.
+     *
+     * @param urgent whether the message may use a larger share of the message limit
+     */
     boolean allowsMessage(ProxySession session, long nowNanos, boolean urgent) {
         return ChannelCapacity.mayWriteMessage(
                 limits.messageLimit(),
@@ -105,8 +125,8 @@
                 urgent);
     }
 
-    /** Returns what a message counts by itself, in entries. */
+    /** Returns the overhead of a message besides its entries, counted in entries. */
     int messageOverhead() {
-        return entriesPerMessage + 1;
+        return overheadEntries + 1;
     }
 }
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -19,18 +19,20 @@
 import rosespread.table.VersionHistory;
 
 /**
- * The encoded frames of one round, each written once however many proxies it goes to. Used on the
- * event-loop thread and dropped with the round.
+ * The encoded frames of one round. Each frame is encoded once, however many proxies receive it. An
+ * instance is used for one round only.
+ *
+ * <p>Used on the event-loop thread.
  */
 final class RoundFrames {
-    /** Frames below this size are sent as they are. */
+    /** Size below which frames are sent uncompressed. */
     private static final int MIN_COMPRESSED_BYTES = 1024;
 
-    /** Compressed frames are sent if they are at most this part of the plain ones. */
+    /** Largest ratio of compressed to plain size at which compressed frames are sent. */
     private static final double MAX_COMPRESSED_RATIO = 0.9;
 
     private record FullTableKey(
-            TableId table, Set<MethodId> methods, boolean introduced, boolean compressed) {}
+            TableId table, Set<MethodId> methods, boolean withAddresses, boolean compressed) {}
 
     private final Map<NodeId, ListedNode> nodes;
     private final Map<MethodId, Frame.Tries> retryConditions;
@@ -43,34 +45,41 @@
         this.retryConditions = retryConditions;
     }
 
-    /** Returns the frame that introduces a node's address to a stream. */
-    static byte[] node(ListedNode node) {
+    /** Returns the frame with a node's address. */
+    static byte[] nodeAddress(ListedNode node) {
         return FrameWriter.bytes(new Frame.Node(node.id(), node.host(), node.port(), node.zone()));
     }
 
-    /** Returns a table's delta; a table has one in a round. */
+    /** Returns the frame of a table's delta; a table has at most one delta in a round. */
     byte[] delta(Frame.Lines delta) {
         return deltas.computeIfAbsent(delta.table(), table -> FrameWriter.bytes(delta));
     }
 
-    /** Returns a table's changed admission limits. */
+    /** Returns the frame of a table's changed admission limits. */
     byte[] admissionLimits(TableId table, Map<MethodId, Double> changed) {
         return admissionLimits.computeIfAbsent(
                 table, key -> FrameWriter.bytes(new Frame.Levels(key, levels(changed))));
     }
 
     /**
-     * Returns a full table.
+     * Returns the frames of a full table.
      *
-     * @param introduced whether its nodes are introduced before it, for a stream that knows none
+     * @param withAddresses whether the addresses of its nodes precede the table, for a stream that
+     *     has none of them
      * @param compressed whether the stream accepts compressed frames
      */
     byte[] fullTable(
-            VersionHistory history, Set<MethodId> methods, boolean introduced, boolean compressed) {
+            VersionHistory history,
+            Set<MethodId> methods,
+            boolean withAddresses,
+            boolean compressed) {
         TableId table = history.current().table();
         return fullTables.computeIfAbsent(
                 new FullTableKey(
-                        table, methods, introduced, compressed && FrameCompression.isAvailable()),
+                        table,
+                        methods,
+                        withAddresses,
+                        compressed && FrameCompression.isAvailable()),
                 key -> encode(history, key));
     }
 
@@ -89,10 +98,10 @@
         TableVersion version = history.current();
         TreeMap<NodeId, Double> weights = new TreeMap<>(version.lines());
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
-        if (key.introduced) {
+        if (key.withAddresses) {
             weights.keySet().stream()
                     .filter(nodes::containsKey)
-                    .forEach(id -> frames.writeBytes(node(nodes.get(id))));
+                    .forEach(id -> frames.writeBytes(nodeAddress(nodes.get(id))));
         }
         List<Frame.Line> entries = new ArrayList<>(weights.size());
         weights.forEach((node, weight) -> entries.add(new Frame.Line(node, weight)));
--- a/src/main/java/rosespread/controller/RoundMessageWriter.java
+++ b/src/main/java/rosespread/controller/RoundMessageWriter.java
@@ -15,8 +15,8 @@
 import rosespread.table.VersionHistory;
 
 /**
- * Puts what a round ordered and committed into the channel: one message for each proxy concerned,
- * with deltas and admission limits of the tables that it follows, exclusions, and full tables.
+ * Queues the messages of a round in the channel: one message for each proxy concerned, with the
+ * deltas and admission limits of its subscribed tables, exclusions, and full tables.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -28,11 +28,11 @@
     private final RoundCapacity capacity;
     private final TreeSet<NodeId> excluded = new TreeSet<>();
     private final TreeMap<MethodId, Frame.Tries> retryConditions = new TreeMap<>();
-    private long lastNumber;
+    private long lastMessageNumber;
     private long round;
 
     /**
-     * @param lastNumber the number after which messages are numbered
+     * @param lastMessageNumber the number after which messages are numbered
      */
     RoundMessageWriter(
             Map<ProxyId, ProxySession> sessions,
@@ -40,18 +40,18 @@
             PacedChannel channel,
             TableRegistry registry,
             RoundCapacity capacity,
-            long lastNumber) {
+            long lastMessageNumber) {
         this.sessions = sessions;
         this.nodes = nodes;
         this.channel = channel;
         this.registry = registry;
         this.capacity = capacity;
-        this.lastNumber = lastNumber;
+        this.lastMessageNumber = lastMessageNumber;
     }
 
     /** Returns the number of the last message. */
-    long lastNumber() {
-        return lastNumber;
+    long lastMessageNumber() {
+        return lastMessageNumber;
     }
 
     /** Returns a live view of the nodes that are excluded at proxies. */
@@ -59,22 +59,22 @@
         return excluded;
     }
 
-    void setExcluded(NodeId node, boolean excludes) {
-        if (excludes) {
+    void setExcluded(NodeId node, boolean isExcluded) {
+        if (isExcluded) {
             excluded.add(node);
         } else {
             excluded.remove(node);
         }
     }
 
-    void setRetryCondition(MethodId method, Frame.Tries when) {
-        retryConditions.put(method, when);
+    void setRetryCondition(MethodId method, Frame.Tries condition) {
+        retryConditions.put(method, condition);
     }
 
-    /** Queues the round's messages, in the order of their proxies. */
+    /** Queues the round's messages, in the order of the proxies' ids. */
     void writeRound(RoundActions actions, Map<TableId, Frame.Lines> deltas, long nowNanos) {
         RoundFrames frames = new RoundFrames(nodes, retryConditions);
-        round = lastNumber + 1;
+        round = lastMessageNumber + 1;
         for (ProxySession session : sessions.values()) {
             ProxyMessage message = new ProxyMessage(session, nodes);
             Map<TableId, Set<MethodId>> fullTables = fullTables(session, actions, nowNanos);
@@ -85,13 +85,13 @@
             }
             addExclusions(message, actions);
             fullTables.forEach((table, methods) -> addFullTable(message, table, methods, frames));
-            if (message.isSent()) {
+            if (message.mustBeSent()) {
                 enqueue(message, actions.acknowledgementToken(), nowNanos);
             }
         }
     }
 
-    /** Returns the tables that a proxy is sent in full, with the methods that follow them. */
+    /** Returns the tables to send to a proxy in full, with the methods that follow each table. */
     private Map<TableId, Set<MethodId>> fullTables(
             ProxySession session, RoundActions actions, long nowNanos) {
         Map<TableId, Set<MethodId>> tables =
@@ -102,7 +102,10 @@
         return tables;
     }
 
-    /** Tables that a proxy could not follow are sent in full as far as the queue has capacity. */
+    /**
+     * Adds the full tables that a proxy needs because it could not apply a delta, as far as the
+     * channel has capacity.
+     */
     private void addPendingFullUpdates(ProxySession session, Map<TableId, Set<MethodId>> tables) {
         for (TableId id : session.pendingFullUpdates()) {
             if (!session.isSubscribed(id) || tables.containsKey(id)) {
@@ -121,9 +124,10 @@
             RoundActions actions,
             Frame.Lines delta,
             RoundFrames frames) {
-        // The policy waits for each proxy that it meant to reach, whatever validation let through.
+        // The policy waits for each proxy that its changes were meant for, even if validation
+        // refused these changes.
         if (actions.requestsAcknowledgement() && actions.changesWeights(table)) {
-            message.require();
+            message.requireSending();
         }
         if (delta != null) {
             message.addDelta(frames.delta(delta), delta);
@@ -138,10 +142,10 @@
         ProxySession session = message.session();
         actions.exclusions()
                 .forEach(
-                        (node, excludes) -> {
+                        (node, isExcluded) -> {
                             if (!session.isSubscribed() || hasWeightFor(session, node)) {
                                 message.add(
-                                        FrameWriter.bytes(new Frame.Withdraw(node, excludes)), 1);
+                                        FrameWriter.bytes(new Frame.Withdraw(node, isExcluded)), 1);
                             }
                         });
     }
@@ -151,23 +155,26 @@
                 .anyMatch(table -> registry.table(table).current().lines().containsKey(node));
     }
 
-    /** With a full table go the exclusions of its nodes, as a Bind clears those before it. */
+    /**
+     * Adds a full table and the exclusions of its nodes, as the Bind frame clears all exclusions
+     * sent before it.
+     */
     private void addFullTable(
             ProxyMessage message, TableId id, Set<MethodId> methods, RoundFrames frames) {
         ProxySession session = message.session();
         VersionHistory history = registry.table(id).history();
-        Set<NodeId> weighted = history.current().lines().keySet();
-        boolean introduced = session.knowsNoneOf(weighted);
-        if (introduced) {
-            weighted.stream().filter(nodes::containsKey).forEach(session::introduce);
+        Set<NodeId> tableNodes = history.current().lines().keySet();
+        boolean withAddresses = session.lacksAllAddresses(tableNodes);
+        if (withAddresses) {
+            tableNodes.stream().filter(nodes::containsKey).forEach(session::recordAddressSent);
         } else {
-            message.introduce(new TreeSet<>(weighted));
+            message.addAddresses(new TreeSet<>(tableNodes));
         }
         message.add(
-                frames.fullTable(history, methods, introduced, session.acceptsCompression()),
-                1 + weighted.size() + history.admissionLimits().size());
+                frames.fullTable(history, methods, withAddresses, session.acceptsCompression()),
+                1 + tableNodes.size() + history.admissionLimits().size());
         for (NodeId node : excluded) {
-            if (weighted.contains(node)) {
+            if (tableNodes.contains(node)) {
                 message.add(FrameWriter.bytes(new Frame.Withdraw(node, true)), 1);
             }
         }
@@ -176,12 +183,12 @@
 
     private void enqueue(ProxyMessage message, int token, long nowNanos) {
         message.session().recordMessageQueued(nowNanos);
-        lastNumber++;
+        lastMessageNumber++;
         channel.enqueue(
                 message.session(),
                 message.frames(),
                 new ProxySession.UnacknowledgedMessage(
-                        lastNumber,
+                        lastMessageNumber,
                         round,
                         token,
                         nowNanos,
--- a/src/main/java/rosespread/controller/SessionHandshake.java
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -11,8 +11,9 @@
 import rosespread.settings.FleetSettings;
 
 /**
- * The first two frames of a session: Hello agrees on the protocol's version, Join names the proxy,
- * its zone and the versions that it holds. The texts of rejections are part of the protocol.
+ * Handles the first two frames of a session. Hello checks the protocol version; Join brings the
+ * name and zone of the proxy and the table versions that it holds. The texts of rejections are part
+ * of the protocol.
  *
  * <p>Used on the event-loop thread.
  */
@@ -20,7 +21,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(SessionHandshake.class);
     private static final int MAX_PROXIES = 1 << 16;
 
-    /** How the controller names itself in its Hello. */
+    /** Name of the controller in its Hello frame. */
     private static final String CONTROLLER_NAME = "conductor";
 
     private final SessionRegistry sessions;
@@ -42,7 +43,7 @@
         this.context = context;
     }
 
-    /** Takes the first frame of a session. */
+    /** Handles the first frame of a session, which must be Hello. */
     void greet(ProxySession session, Frame frame) {
         Optional<FleetSettings> settings = policyRunner.settings();
         if (!(frame instanceof Frame.Hello hello)) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Takes the second frame of a session. */
+    /** Handles the second frame of a session, which must be Join. */
     void join(ProxySession session, Frame frame) {
         if (!(frame instanceof Frame.Join join)) {
             sessions.close(session, Frame.Reason.BAD_FRAME, "the second frame must be Join");
@@ -86,17 +87,17 @@
         }
         Optional<ProxySession> replaced = sessions.findJoined(join.proxy());
         replaced.ifPresent(
-                older ->
+                previous ->
                         sessions.close(
-                                older,
+                                previous,
                                 Frame.Reason.REPLACED,
                                 "a newer stream of proxy " + join.proxy()));
-        ProxyId free = sessions.lowestFreeId();
-        if (free.value() >= MAX_PROXIES) {
+        ProxyId freeId = sessions.lowestFreeId();
+        if (freeId.value() >= MAX_PROXIES) {
             sessions.close(session, Frame.Reason.FULL, MAX_PROXIES + " proxies are joined");
             return;
         }
-        accept(session, join, replaced.map(ProxySession::proxy).orElse(free));
+        accept(session, join, replaced.map(ProxySession::proxy).orElse(freeId));
     }
 
     private void accept(ProxySession session, Frame.Join join, ProxyId id) {
--- a/src/main/java/rosespread/controller/SessionRegistry.java
+++ b/src/main/java/rosespread/controller/SessionRegistry.java
@@ -14,8 +14,8 @@
 import rosespread.eventloop.RoundScheduler;
 
 /**
- * The open sessions, and those of them that have joined by the number and name of their proxy. A
- * proxy has at most one joined session, and a number only while it has one.
+ * All open sessions, and the joined ones by the id and name of their proxy. A proxy has at most one
+ * joined session, and has an id only while that session is open.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -33,9 +33,9 @@
         this.rounds = rounds;
     }
 
-    /** Sets the channel in which messages of closed sessions are discarded. */
-    void useChannel(PacedChannel next) {
-        channel = next;
+    /** Sets the channel from which the messages of closed sessions are discarded. */
+    void setChannel(PacedChannel newChannel) {
+        channel = newChannel;
     }
 
     ProxySession open(ProxySession.Transport transport, long nowNanos) {
@@ -44,12 +44,12 @@
         return session;
     }
 
-    /** Returns a copy of the open sessions in the order in which they were opened. */
+    /** Returns a copy of the open sessions, in the order in which they were opened. */
     List<ProxySession> openSessions() {
         return List.copyOf(openSessions);
     }
 
-    /** Returns a live view of the joined sessions in the order of their numbers. */
+    /** Returns a live view of the joined sessions, in the order of their proxies' ids. */
     Map<ProxyId, ProxySession> joined() {
         return joinedView;
     }
@@ -58,7 +58,7 @@
         return Optional.ofNullable(idsByName.get(proxyName)).map(joined::get);
     }
 
-    /** Returns the lowest number that no joined proxy has. */
+    /** Returns the lowest id that no joined proxy has. */
     ProxyId lowestFreeId() {
         int free = 0;
         while (joined.containsKey(new ProxyId(free))) {
@@ -67,13 +67,13 @@
         return new ProxyId(free);
     }
 
-    /** Adds a session whose Join was accepted, under its number and name. */
+    /** Adds a session whose Join was accepted, under the id and name of its proxy. */
     void addJoined(ProxySession session) {
         joined.put(session.proxy(), session);
         idsByName.put(session.name(), session.proxy());
     }
 
-    /** Tells the proxy why and closes; does nothing if the session is closed. */
+    /** Closes a session and tells the proxy the reason; does nothing if it is closed already. */
     void close(ProxySession session, Frame.Reason reason, String text) {
         if (remove(session)) {
             logClosed(session, reason.name(), text);
@@ -81,7 +81,7 @@
         }
     }
 
-    /** The stream was closed or broke; does nothing if the session is closed. */
+    /** Closes a session whose stream was closed or broke; does nothing if it is closed already. */
     void closedByPeer(ProxySession session) {
         if (remove(session)) {
             String text = "the stream closed";
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -15,9 +15,9 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Takes the actions of a round from the policy. As the round is closed, changes of tables are
- * validated and committed as versions, and one message goes into the channel for each proxy
- * concerned. It is made again with the policy.
+ * Collects the actions that the policy orders in a round. When the round is closed, changes of
+ * tables are validated and committed as versions, and one message is queued in the channel for each
+ * proxy concerned. A restart of the policy creates a new writer.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -30,14 +30,14 @@
     private final ModeLog modes;
     private final RoundActions actions = new RoundActions();
     private final TableCommitter committer;
-    private final RoundMessageWriter messages;
+    private final RoundMessageWriter messageWriter;
     private final TableOperations operations;
 
     /**
-     * What a writer works on.
+     * The objects that a writer uses; they are kept when the policy restarts.
      *
      * @param sessions a live view of the joined sessions
-     * @param nodes a live view of the nodes that tables may name
+     * @param nodes a live view of the nodes that tables may have entries for
      */
     record Context(
             Map<ProxyId, ProxySession> sessions,
@@ -49,10 +49,10 @@
             ModeLog modes) {}
 
     /**
-     * @param lastNumber the number after which messages are numbered
+     * @param lastMessageNumber the number after which messages are numbered
      */
     TableUpdateWriter(
-            Context context, FleetSettings settings, PacedChannel channel, long lastNumber) {
+            Context context, FleetSettings settings, PacedChannel channel, long lastMessageNumber) {
         this.registry = context.registry();
         this.sessions = context.sessions();
         this.nodes = context.nodes();
@@ -63,8 +63,9 @@
         TableValidation validation =
                 new TableValidation(context.validator(), facts, nodes, capacity, modes);
         this.committer = new TableCommitter(registry, facts, capacity, validation, modes);
-        this.messages =
-                new RoundMessageWriter(sessions, nodes, channel, registry, capacity, lastNumber);
+        this.messageWriter =
+                new RoundMessageWriter(
+                        sessions, nodes, channel, registry, capacity, lastMessageNumber);
         this.operations = new TableOperations(registry, facts, validation, modes);
     }
 
@@ -81,17 +82,17 @@
 
     @Override
     public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
-        Set<MethodId> all = new TreeSet<>();
-        methods.forEach(all::add);
-        registry.table(table).addMethods(all);
+        Set<MethodId> methodIds = new TreeSet<>();
+        methods.forEach(methodIds::add);
+        registry.table(table).addMethods(methodIds);
         if (sessions.containsKey(proxy)) {
-            actions.subscribe(proxy, table, all);
+            actions.subscribe(proxy, table, methodIds);
         }
     }
 
     @Override
     public void setExcluded(NodeId node, boolean excluded) {
-        messages.setExcluded(node, excluded);
+        messageWriter.setExcluded(node, excluded);
         actions.setExcluded(node, excluded);
     }
 
@@ -102,12 +103,12 @@
     }
 
     /**
-     * Sets when proxies retry a method, from the next admission limit of it on. The routing policy
-     * never asks for other than the channel's default, after proof that the first attempt had no
-     * effect.
+     * Sets the condition on which proxies retry a method. It takes effect with the method's next
+     * admission limit. The routing policy never changes the channel's default, a retry only after
+     * proof that the first attempt had no effect.
      */
-    public void setRetryCondition(MethodId method, Frame.Tries when) {
-        messages.setRetryCondition(method, when);
+    public void setRetryCondition(MethodId method, Frame.Tries condition) {
+        messageWriter.setRetryCondition(method, condition);
     }
 
     @Override
@@ -135,14 +136,17 @@
         modes.report(event);
     }
 
-    /** Closes a round: commits what was ordered and queues one message for each proxy concerned. */
+    /** Closes a round: commits its changes and queues one message for each proxy concerned. */
     void closeRound(RoundTime time) {
         Map<TableId, Frame.Lines> deltas = committer.commitRound(actions, time);
-        messages.writeRound(actions, deltas, time.nowNanos());
+        messageWriter.writeRound(actions, deltas, time.nowNanos());
         actions.clear();
     }
 
-    /** Rolls a table back and sends what may leave at once, see {@link TableOperations}. */
+    /**
+     * Rolls a table back and closes the round, which queues the changes that can be sent now, see
+     * {@link TableOperations}.
+     */
     TableActResult rollback(TableId table, long version, RoundTime time) {
         TableActResult result = operations.rollback(table, version);
         if (result instanceof TableActResult.Done) {
@@ -161,10 +165,10 @@
 
     /** Returns a live view of the nodes that the policy excludes. */
     Set<NodeId> excluded() {
-        return messages.excluded();
+        return messageWriter.excluded();
     }
 
-    /** Whether a table has a weight for the node, committed or desired. */
+    /** Returns whether any table has a committed or desired weight for the node. */
     boolean hasWeightFor(NodeId node) {
         return registry.tables().stream()
                 .anyMatch(
@@ -174,7 +178,7 @@
     }
 
     /** Returns the number of the last message. */
-    long lastNumber() {
-        return messages.lastNumber();
+    long lastMessageNumber() {
+        return messageWriter.lastMessageNumber();
     }
 }
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -10,8 +10,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Brings the {@link TableChangeValidator} and what it has to know of a table together, and reports
- * refusals as they begin, change and end.
+ * Validates a table's changes by the {@link TableChangeValidator} with the facts that apply to this
+ * table, and reports when refusals begin, change and end.
  *
  * <p>Used on the event-loop thread.
  */
@@ -37,13 +37,13 @@
         this.modes = modes;
     }
 
-    /** Returns what is known now of the nodes and of the channel, as this table needs it. */
+    /** Returns the current facts on nodes and channel for the validation of a table. */
     TableChangeValidator.ValidationContext context(ManagedTable table) {
         if (table.zones().isEmpty()) {
             table.restoreZones(zonesOfEntries(table));
         }
         return facts.context(
-                table.methods(), table.zones(), capacity.entriesWithinGrace(table.id()));
+                table.methods(), table.zones(), capacity.entriesWithinDrainTimeout(table.id()));
     }
 
     private Set<ZoneId> zonesOfEntries(ManagedTable table) {
@@ -57,7 +57,11 @@
         return zones;
     }
 
-    /** Validates the desired weights of a table and records the answer with it. */
+    /**
+     * Validates the desired weights of a table and records the result with the table.
+     *
+     * @param changes the changed weights, 0 for a removed entry
+     */
     TableChangeValidator.ValidationResult validate(
             ManagedTable table,
             Map<NodeId, Double> changes,
@@ -74,13 +78,16 @@
         return result;
     }
 
-    /** Returns weights less the entries that may not stay, warming nodes held to their bound. */
+    /**
+     * Returns weights without the entries that must not stay, and with limited weights for nodes
+     * that are warming up.
+     */
     Map<NodeId, Double> retain(
             Map<NodeId, Double> weights, TableChangeValidator.ValidationContext context) {
         return validator.retainableEntries(weights, context);
     }
 
-    /** Returns the weights one step from the committed ones towards the desired ones. */
+    /** Returns the weights after one step from the committed weights towards the desired ones. */
     Map<NodeId, Double> stepTowardsDesired(
             ManagedTable table, TableChangeValidator.ValidationContext context) {
         return validator.stepTowards(table.current().lines(), table.desired(), context);
@@ -114,8 +121,8 @@
         return refusals.stream().map(TableChangeValidator.Refusal::reason).toList();
     }
 
-    private List<String> names(List<NodeId> refused) {
-        return refused.stream()
+    private List<String> names(List<NodeId> ids) {
+        return ids.stream()
                 .limit(MAX_LOGGED_NODES)
                 .map(node -> ListedNode.name(nodes, node))
                 .toList();
