--- a/src/main/java/rosespread/controller/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -9,17 +9,20 @@
 import rosespread.validation.DurabilityTimeout;
 
 /**
- * Sends messages to proxies one after the other at a rate of weight entries a second, each once the
- * log entries that it tells of are durable. A message that was sent waits at most in the buffer of
- * its own stream, so a proxy that reads slowly delays no other.
+ * Sends messages to proxies one at a time, limited to a rate in weight entries per second. Each
+ * message waits until the log entries that it depends on are durable. Once sent, a message waits
+ * only in the write buffer of its own stream, so a proxy that reads slowly does not delay other
+ * proxies.
  *
  * <p>Owned by the event-loop thread.
  */
 final class PacedChannel {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** How often durability is looked at while a message waits for it, unless the log wakes us. */
-    private static final long DURABILITY_CHECK_NANOS = 2_000_000L;
+    /**
+     * Interval at which durability is checked again, unless the log wakes the event loop earlier.
+     */
+    private static final long DURABILITY_CHECK_INTERVAL_NANOS = 2_000_000L;
 
     private record QueuedMessage(
             ProxySession session,
@@ -54,8 +57,10 @@
     /**
      * Queues a message.
      *
-     * @param header its number and size; the time of writing is filled in once it is sent
-     * @param requiredSequence the log's sequence that must be durable before the message leaves
+     * @param header the number, round, token and size of the message; its write time is replaced by
+     *     the actual time when the message is sent
+     * @param requiredSequence the sequence number of the log entry that must be durable before the
+     *     message is sent
      */
     void enqueue(
             ProxySession session,
@@ -68,8 +73,10 @@
     }
 
     /**
-     * Sends what is due by now; returns when the next message is due, {@link Long#MAX_VALUE} if
-     * none is queued.
+     * Sends the messages that are due.
+     *
+     * @return when to call again, in nanoseconds of {@link System#nanoTime()}; {@link
+     *     Long#MAX_VALUE} if no message is queued
      */
     long sendDue(long nowNanos) {
         while (!queue.isEmpty()) {
@@ -80,10 +87,10 @@
             }
             if (!isDurable(head, nowNanos)) {
                 waitedForLog = true;
-                return nowNanos + DURABILITY_CHECK_NANOS;
+                return nowNanos + DURABILITY_CHECK_INTERVAL_NANOS;
             }
-            // After a wait for the log the pace starts from now: the backlog must not leave in a
-            // burst.
+            // After a wait for the log, the next message is paced from the current time. Otherwise
+            // the queued messages would be sent in a burst.
             freeAtNanos = waitedForLog ? nowNanos : due;
             waitedForLog = false;
             send(head, nowNanos);
@@ -135,23 +142,23 @@
         for (byte[] frame : frames) {
             length += frame.length;
         }
-        byte[] all = new byte[length];
+        byte[] concatenated = new byte[length];
         int offset = 0;
         for (byte[] frame : frames) {
-            System.arraycopy(frame, 0, all, offset, frame.length);
+            System.arraycopy(frame, 0, concatenated, offset, frame.length);
             offset += frame.length;
         }
-        System.arraycopy(last, 0, all, offset, last.length);
-        return all;
+        System.arraycopy(last, 0, concatenated, offset, last.length);
+        return concatenated;
     }
 
-    /** Drops what is queued for a session that is closed. */
+    /** Removes the queued messages of a closed session. */
     void discard(ProxySession session) {
-        for (Iterator<QueuedMessage> each = queue.iterator(); each.hasNext(); ) {
-            QueuedMessage message = each.next();
+        for (Iterator<QueuedMessage> messages = queue.iterator(); messages.hasNext(); ) {
+            QueuedMessage message = messages.next();
             if (message.session() == session) {
                 queuedEntries -= message.entries();
-                each.remove();
+                messages.remove();
             }
         }
     }
--- a/src/main/java/rosespread/controller/PeerDrainPoller.java
+++ b/src/main/java/rosespread/controller/PeerDrainPoller.java
@@ -15,10 +15,10 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Polls other controllers for the drains that operators ordered there: at a start, as a controller
- * that was down may have missed one, and at an interval.
+ * Polls the other controllers for drains that operators ordered there: at the start, since a
+ * controller that was down may have missed a drain, and at a fixed interval.
  *
- * <p>Safe for use by any thread; the listener is called on I/O threads.
+ * <p>Thread-safe. The listener is called on I/O threads.
  */
 final class PeerDrainPoller {
     private static final Logger LOG = LoggerFactory.getLogger(PeerDrainPoller.class);
@@ -32,7 +32,7 @@
     private volatile List<InetSocketAddress> peers = List.of();
 
     /**
-     * @param listener takes the drains that a peer knows of, if there are any
+     * @param listener receives the drains of a peer; not called for a peer without drains
      */
     PeerDrainPoller(
             HttpClient http, ScheduledExecutorService timer, Consumer<List<Drain>> listener) {
@@ -43,14 +43,15 @@
     }
 
     /** Sets the control addresses of the peers. */
-    void setPeers(List<InetSocketAddress> next) {
-        peers = next;
+    void setPeers(List<InetSocketAddress> addresses) {
+        peers = addresses;
     }
 
     /**
      * Polls all peers.
      *
-     * @param timeoutNanos how long their responses are waited for; 0 not to wait
+     * @param timeoutNanos the maximum time to wait for responses, in nanoseconds; 0 to return
+     *     without waiting
      */
     void poll(long timeoutNanos) {
         List<InetSocketAddress> polled = peers;
--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -7,8 +7,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Commits what pinned tables send: the rest of a rollback, and the steps of a release from the
- * pinned weights to those that the policy desires.
+ * Commits the changes of pinned tables: the pending changes of a rollback, and the steps of a
+ * release from the pinned weights to the weights that the policy desires.
  *
  * <p>Used on the event-loop thread.
  */
@@ -31,22 +31,29 @@
         this.modes = modes;
     }
 
-    /** Commits as much of a rollback as may leave now, and entries that may not stay. */
+    /**
+     * Commits the changes of a rollback that can be sent now, and the removal of entries that must
+     * not stay.
+     */
     TableVersion commitPinned(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
         Map<NodeId, Double> target = validation.retain(table.weightsAfterPending(), context);
-        Map<NodeId, Double> all = table.current().changesTo(target);
-        Map<NodeId, Double> delta = selector.select(table, all, context, time.nowNanos());
+        Map<NodeId, Double> changes = table.current().changesTo(target);
+        Map<NodeId, Double> delta = selector.select(table, changes, context, time.nowNanos());
         TableVersion next =
                 registry.commit(table, delta, TableVersion.Cause.ROLLBACK, time.wallMillis());
         table.removePending(delta.keySet());
-        if (table.rollbackTarget() > 0 && delta.size() == all.size()) {
+        if (table.rollbackTarget() > 0 && delta.size() == changes.size()) {
             registry.setPin(table, PinState.PINNED, 0, Map.of());
         }
         return next;
     }
 
-    /** Commits a step towards the desired weights; the last one lets the table follow again. */
+    /**
+     * Commits one step towards the desired weights. If no step is due or the policy has not set a
+     * weight yet, commits only the removal of entries that must not stay. Once the desired weights
+     * are reached, the table follows the policy again.
+     */
     TableVersion commitReleaseStep(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
         TableVersion current = table.current();
--- a/src/main/java/rosespread/controller/Policy.java
+++ b/src/main/java/rosespread/controller/Policy.java
@@ -3,17 +3,18 @@
 import rosespread.api.EventSource;
 
 /**
- * What decides: {@link rosespread.policy.RoutingPolicy}, or in experiments something deliberately
- * worse. Called on the event-loop thread; one that throws is replaced by a fresh one.
+ * Makes the routing decisions: {@link rosespread.policy.RoutingPolicy}, or a deliberately worse
+ * policy in experiments. Called on the event-loop thread. A policy that throws is replaced by a new
+ * one.
  */
 @FunctionalInterface
 public interface Policy {
     /**
-     * Decides one round.
+     * Makes the decisions of one round.
      *
-     * @param now the time by {@link System#nanoTime()}
-     * @param events what happened since the last round
-     * @param actions takes the decisions
+     * @param now the current time by {@link System#nanoTime()}
+     * @param events the events since the last round
+     * @param actions receives the decisions
      */
     void round(long now, EventSource events, TableUpdateWriter actions);
 }
--- a/src/main/java/rosespread/controller/PolicyEffects.java
+++ b/src/main/java/rosespread/controller/PolicyEffects.java
@@ -5,7 +5,8 @@
 import rosespread.eventloop.RoundScheduler;
 
 /**
- * Carries out what the policy orders beside tables: health checks, following the node list, timers.
+ * Performs the policy's actions that do not concern tables: starting health checks, watching the
+ * node list and starting timers.
  *
  * <p>Used on the event-loop thread.
  */
@@ -26,7 +27,7 @@
         this.clock = clock;
     }
 
-    /** Checks a node's health; one that is no longer known is passed over. */
+    /** Starts a health check of a node; does nothing if the node is no longer known. */
     void checkHealth(NodeId id) {
         ListedNode node = directory.known().get(id);
         if (node != null) {
--- a/src/main/java/rosespread/controller/SettingsHolder.java
+++ b/src/main/java/rosespread/controller/SettingsHolder.java
@@ -12,8 +12,8 @@
 import rosespread.settings.SettingsReader;
 
 /**
- * The settings in force and their snapshot on disk. Settings are changed by one thread at a time;
- * what is in force can be read by any thread.
+ * Holds the settings in force and saves them in a snapshot on disk. Settings are changed by one
+ * thread at a time and can be read by any thread.
  */
 final class SettingsHolder {
     private static final Logger LOG = LoggerFactory.getLogger(SettingsHolder.class);
@@ -24,15 +24,19 @@
     private volatile String problem = "";
 
     /**
-     * @param folder where the snapshot is
-     * @param listener takes settings as they come into force, on the caller's thread
+     * @param folder the folder of the snapshot
+     * @param listener receives settings when they come into force, on the thread that restores or
+     *     applies them
      */
     SettingsHolder(Path folder, Consumer<FleetSettings> listener) {
         this.snapshot = new SettingsFile(folder);
         this.listener = listener;
     }
 
-    /** Brings the settings that were saved last into force, if they are valid. */
+    /**
+     * Brings the settings of the snapshot into force. If the snapshot cannot be read or is invalid,
+     * {@link #problem} returns the reason.
+     */
     synchronized void restore() {
         try {
             Optional<SettingsFile.Saved> saved = snapshot.load();
@@ -48,11 +52,13 @@
                     .log("settings restored from the snapshot");
         } catch (IOException | SettingsException e) {
             problem = "snapshot refused: " + e.getMessage();
-            LOG.atError().addKeyValue("reason", problem).log("waiting for settings");
+            LOG.atError()
+                    .addKeyValue("reason", problem)
+                    .log("settings snapshot not restored; waiting for settings");
         }
     }
 
-    /** See {@link Controller#apply}. */
+    /** Applies and saves settings, see {@link Controller#apply}. */
     synchronized Controller.Applied apply(
             String text, String operator, String requestId, long expectedRevision)
             throws SettingsException, IOException {
@@ -87,12 +93,15 @@
                                 .log("damaged settings snapshot set aside"));
     }
 
-    /** Returns the settings in force as they were given, empty before any. */
+    /** Returns the settings in force as they were applied; empty before any were applied. */
     Optional<SettingsFile.Saved> inForce() {
         return Optional.ofNullable(inForce);
     }
 
-    /** Returns why the snapshot was refused; empty if it was not or settings were applied since. */
+    /**
+     * Returns why the snapshot was refused; empty if the snapshot was not refused, or settings were
+     * applied since.
+     */
     String problem() {
         return problem;
     }
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -12,9 +12,9 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Commits a round's changes of all tables as versions. The policy's own changes are committed as
- * ordered if they pass validation; what the validator puts in their place, and what pinned tables
- * send, goes as far as there is capacity beside the policy's messages.
+ * Commits a round's changes of all tables as versions. The policy's changes are committed as
+ * ordered if they pass validation. The validator's replacements for refused changes and the changes
+ * of pinned tables are committed as far as the channel has capacity beside the policy's messages.
  *
  * <p>Used on the event-loop thread.
  */
@@ -42,7 +42,7 @@
         this.pinnedTables = new PinnedTableCommitter(registry, validation, selector, modes);
     }
 
-    /** Commits what goes out of each table; returns the deltas to send, in the tables' order. */
+    /** Commits the changes of each table; returns the deltas to send, in the order of table ids. */
     Map<TableId, Frame.Lines> commitRound(RoundActions actions, RoundTime time) {
         capacity.startRound(actions, time.nowNanos());
         Map<TableId, Frame.Lines> deltas = new TreeMap<>();
@@ -75,13 +75,14 @@
     }
 
     /**
-     * Whether a table has to be looked at: the policy changed it, or it does not follow the policy
-     * and the node list can tell what must go.
+     * Returns whether a review of a table is due, and marks the table as reviewed if so. A review
+     * is due if the policy changed the table. For a table that does not follow the policy, reviews
+     * also remove the entries that the node list no longer allows.
      */
     private boolean isReviewDue(ManagedTable table, RoundActions actions, long nowNanos) {
         boolean due =
                 actions.changesWeights(table.id())
-                        || followsFacts(table)
+                        || needsReviews(table)
                                 && table.isReviewDue(
                                         nowNanos, REVIEW_INTERVAL_NANOS, facts.version());
         if (due) {
@@ -90,7 +91,11 @@
         return due;
     }
 
-    private boolean followsFacts(ManagedTable table) {
+    /**
+     * Returns whether a table needs reviews although the policy did not change it: the table does
+     * not follow the policy, and the node list is known.
+     */
+    private boolean needsReviews(ManagedTable table) {
         return facts.isListKnown()
                 && (table.pin() != PinState.NONE
                         || table.isAwaitingPolicy() && !table.current().lines().isEmpty());
@@ -113,15 +118,15 @@
             RoundActions actions,
             TableChangeValidator.ValidationContext context,
             RoundTime time) {
-        boolean followed = table.pin() == PinState.NONE;
-        if (!followed) {
+        boolean followsPolicy = table.pin() == PinState.NONE;
+        if (!followsPolicy) {
             table.acceptedTotals().forget();
         }
         Map<NodeId, Double> changes = actions.weights(table.id());
         TableChangeValidator.ValidationResult result = validation.validate(table, changes, context);
         boolean passed = result.refusals().isEmpty();
         Map<NodeId, Double> delta =
-                followed && passed
+                followsPolicy && passed
                         ? changes
                         : replacement(table, result.lines(), context, time.nowNanos());
         return registry.commit(
@@ -131,22 +136,28 @@
                 time.wallMillis());
     }
 
-    /** Returns the changes that may leave now towards weights that the policy did not order. */
+    /**
+     * Returns the changes that can be sent now towards weights that the policy did not order in
+     * this round.
+     */
     private Map<NodeId, Double> replacement(
             ManagedTable table,
             Map<NodeId, Double> weights,
             TableChangeValidator.ValidationContext context,
             long nowNanos) {
         table.acceptedTotals().forget();
-        Map<NodeId, Double> all = table.current().changesTo(weights);
-        Map<NodeId, Double> selected = selector.select(table, all, context, nowNanos);
-        if (selected.size() < all.size()) {
+        Map<NodeId, Double> replacements = table.current().changesTo(weights);
+        Map<NodeId, Double> selected = selector.select(table, replacements, context, nowNanos);
+        if (selected.size() < replacements.size()) {
             table.deferCatchUp();
         }
         return selected;
     }
 
-    /** Until the policy has set a weight of the table, only entries that may not stay go. */
+    /**
+     * Commits only the removal of entries that must not stay, for a table whose weights the policy
+     * has not set yet.
+     */
     private TableVersion commitRetained(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
         TableVersion current = table.current();
--- a/src/main/java/rosespread/controller/TableOperations.java
+++ b/src/main/java/rosespread/controller/TableOperations.java
@@ -8,7 +8,7 @@
 import rosespread.table.TableVersion;
 
 /**
- * Carries out what operators order for a table: rollback, pin and release.
+ * Performs operators' acts on tables: rollback, pin and release.
  *
  * <p>Used on the event-loop thread.
  */
@@ -27,10 +27,11 @@
     }
 
     /**
-     * Pins a table to the weights of a retained version; they are committed as newer versions as
-     * the channel has capacity. Entries for nodes that drain, are gone or unknown are left out and
-     * warming nodes bounded. A later rollback replaces an earlier one; a delta in flight is
-     * overtaken, as a stream is ordered.
+     * Pins a table to the weights of a retained version. The weights are committed as new versions,
+     * as far as the channel has capacity. Entries for nodes that are draining, gone or unknown are
+     * left out, and the weights of nodes that are warming up are limited. A later rollback replaces
+     * an earlier one. A delta in flight needs no handling: a stream is ordered, so proxies apply
+     * the rollback after that delta.
      */
     TableActResult rollback(TableId id, long version) {
         Optional<ManagedTable> table = registry.existing(id);
@@ -64,7 +65,7 @@
                         + " lines change");
     }
 
-    /** Pins a table to the weights that are committed. */
+    /** Pins a table to its committed weights. */
     TableActResult pin(TableId id) {
         Optional<ManagedTable> table = registry.existing(id);
         if (table.isEmpty()) {
@@ -91,8 +92,8 @@
         return TableActResult.DONE;
     }
 
-    private static TableActResult unknownTable(TableId id, String when) {
+    private static TableActResult unknownTable(TableId id, String suffix) {
         return new TableActResult.Rejected(
-                TableActResult.Reason.UNKNOWN_TABLE, "no table " + id.value() + when);
+                TableActResult.Reason.UNKNOWN_TABLE, "no table " + id.value() + suffix);
     }
 }
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -20,38 +20,45 @@
 import rosespread.table.VersionHistory;
 
 /**
- * All tables with their versions and pins, and the drains that operators ordered. It outlives the
- * policy, and through its log the process: every change is appended before a message can tell of
- * it, and {@link #lastSequence} is the entry that such a message has to wait for.
+ * Registry of all tables with their versions and pins, and of the drains that operators ordered. It
+ * is kept when the policy restarts, and its log keeps it across restarts of the process: every
+ * change is appended to the log before a message can depend on it, and {@link #lastSequence} is the
+ * entry that such a message has to wait for.
  *
  * <p>Restored before the event loop starts; from then on owned by the event-loop thread.
  */
 public final class TableRegistry {
     /**
-     * Version numbers jump to a multiple of this beyond what a proxy holds, so that the next proxy
-     * with the same past needs no further jump.
+     * Version numbers are raised to the next multiple of this number above the version that a proxy
+     * holds. Other proxies that hold versions of the same origin then need no further raise.
      */
-    private static final long NUMBER_JUMP = 1024;
+    private static final long NUMBER_MULTIPLE = 1024;
 
-    /** No controller gets this far; a proxy that claims to hold more is mistaken. */
+    /**
+     * Largest version number that is accepted from a proxy. No controller reaches larger numbers,
+     * so a proxy that claims to hold one is mistaken.
+     */
     private static final long MAX_VERSION_NUMBER = 1L << 53;
 
     private final TableLog log;
     private final TreeMap<TableId, ManagedTable> tables = new TreeMap<>();
 
-    /** The numbers after which tables that do not exist yet begin, as proxies hold them. */
+    /**
+     * Numbers after which the versions of tables that do not exist yet begin, as proxies already
+     * hold versions of these tables.
+     */
     private final TreeMap<TableId, Long> minimumNumbers = new TreeMap<>();
 
     private final DrainRegistry drains = new DrainRegistry();
     private long layout;
     private long lastSequence;
 
-    /** An empty registry that appends to the log. */
+    /** Creates an empty registry that appends its changes to the log. */
     public TableRegistry(TableLog log) {
         this.log = log;
     }
 
-    /** Takes over what was persisted; called once, before anything is changed. */
+    /** Restores the persisted state; called once, before the first change. */
     public void restore(StoreSnapshot snapshot) {
         layout = snapshot.layout();
         snapshot.drains().forEach(drains::apply);
@@ -62,14 +69,18 @@
         policyRestarted();
     }
 
-    /** A new policy starts: each table stays as it is until the policy sets a weight of it. */
+    /**
+     * Handles that a new policy starts: each table stays as it is until the policy sets one of the
+     * table's weights.
+     */
     void policyRestarted() {
         tables.values().forEach(ManagedTable::awaitPolicy);
     }
 
     /**
-     * Sets the digest of what tables are laid out by. If it differs from the last one, only the
-     * numbers go on: pins and earlier versions are dropped.
+     * Sets the digest of the settings that determine the layout of tables. If it differs from the
+     * last digest, pins and earlier versions are dropped; version numbers and current weights are
+     * kept.
      */
     void setLayout(long digest) {
         if (digest == layout) {
@@ -80,7 +91,7 @@
         tables.values().forEach(ManagedTable::layoutChanged);
     }
 
-    /** Returns the table, made if there was none. */
+    /** Returns the table; creates it if it does not exist. */
     ManagedTable table(TableId id) {
         return tables.computeIfAbsent(
                 id,
@@ -90,17 +101,17 @@
                                 new VersionHistory(key, minimumNumbers.getOrDefault(key, 0L))));
     }
 
-    /** Returns the table if there is one. */
+    /** Returns the table, empty if it does not exist. */
     Optional<ManagedTable> existing(TableId id) {
         return Optional.ofNullable(tables.get(id));
     }
 
-    /** Returns a live view of all tables, in the order of their numbers. */
+    /** Returns a live view of all tables, in the order of their ids. */
     Collection<ManagedTable> tables() {
         return Collections.unmodifiableCollection(tables.values());
     }
 
-    /** Returns the log's sequence number of the last entry appended. */
+    /** Returns the sequence number of the last log entry that was appended. */
     long lastSequence() {
         return lastSequence;
     }
@@ -109,7 +120,13 @@
         return log;
     }
 
-    /** Commits changes, weight 0 for a removed entry; the version stays if nothing changes. */
+    /**
+     * Commits changes as a new version; does not create a version if nothing changes.
+     *
+     * @param delta the changed weights, 0 for a removed entry
+     * @param wallMillis the wall clock in milliseconds since the epoch
+     * @return the current version after the commit
+     */
     TableVersion commit(
             ManagedTable table,
             Map<NodeId, Double> delta,
@@ -126,12 +143,12 @@
     /**
      * Pins a table, releases it, or lets it follow the policy.
      *
-     * @param target the version that it is rolled back to, 0 if none
-     * @param pending the changes that lead there
+     * @param target the version that the table is rolled back to, 0 for none
+     * @param pending the changes that lead to that version
      */
     void setPin(ManagedTable table, PinState pin, long target, Map<NodeId, Double> pending) {
-        boolean lasting = table.setPin(pin, target, pending);
-        if (lasting && !table.history().isEmpty()) {
+        boolean persistedStateChanged = table.setPin(pin, target, pending);
+        if (persistedStateChanged && !table.history().isEmpty()) {
             lastSequence =
                     log.append(
                             new LogEntry.PinChanged(
@@ -140,16 +157,20 @@
     }
 
     /**
-     * Raises a table's number above one that a proxy holds, of another controller or of a past that
-     * was not persisted, so that versions never go backwards for it.
+     * Raises a table's version number above a version that a proxy holds, so that version numbers
+     * never decrease for the proxy. The proxy's version may be from another controller, or may not
+     * have been persisted before a restart.
+     *
+     * @param wallMillis the wall clock in milliseconds since the epoch
      */
-    void raiseNumberAbove(TableId id, long held, long wallMillis) {
+    void raiseNumberAbove(TableId id, long heldNumber, long wallMillis) {
         ManagedTable table = tables.get(id);
-        long known = table == null ? minimumNumbers.getOrDefault(id, 0L) : table.current().number();
-        if (held > MAX_VERSION_NUMBER || held <= known) {
+        long currentNumber =
+                table == null ? minimumNumbers.getOrDefault(id, 0L) : table.current().number();
+        if (heldNumber > MAX_VERSION_NUMBER || heldNumber <= currentNumber) {
             return;
         }
-        long number = (held / NUMBER_JUMP + 1) * NUMBER_JUMP;
+        long number = (heldNumber / NUMBER_MULTIPLE + 1) * NUMBER_MULTIPLE;
         minimumNumbers.put(id, number);
         if (table == null) {
             return;
@@ -166,14 +187,16 @@
         return drains;
     }
 
-    /** Applies and appends a drain or its end; returns whether it changes anything. */
+    /**
+     * Applies a drain or its end and appends it to the log; returns whether it changes anything.
+     */
     boolean applyDrain(Drain drain) {
         boolean changes = drains.apply(drain);
         lastSequence = log.append(new LogEntry.DrainChanged(drain));
         return changes;
     }
 
-    /** Returns everything that has to be persisted, for a log that begins a new file. */
+    /** Returns all state to be persisted, for a log that begins a new file. */
     StoreSnapshot snapshot() {
         List<TableSnapshot> persisted = new ArrayList<>();
         for (ManagedTable table : tables.values()) {
--- a/src/main/java/rosespread/controller/TableStatusReader.java
+++ b/src/main/java/rosespread/controller/TableStatusReader.java
@@ -12,8 +12,9 @@
 import rosespread.table.TableVersion;
 
 /**
- * Describes tables and versions for the control API, with nodes by their names. Called on the
- * event-loop thread; what it returns shares nothing with the tables.
+ * Reads the status of tables and versions for the control API, with nodes given by name. Called on
+ * the event-loop thread. Results share no mutable state with the tables, so other threads may use
+ * them.
  */
 final class TableStatusReader {
     private final TableRegistry registry;
@@ -24,27 +25,32 @@
         this.nodes = nodes;
     }
 
-    /** Returns all tables with the weights that are committed. */
+    /** Returns all tables with their committed weights. */
     List<ControllerStatus.Table> readAll() {
-        List<ControllerStatus.Table> all = new ArrayList<>();
-        registry.tables().forEach(table -> all.add(status(table, table.current().lines())));
-        return all;
+        List<ControllerStatus.Table> tables = new ArrayList<>();
+        registry.tables().forEach(table -> tables.add(status(table, table.current().lines())));
+        return tables;
     }
 
-    /** Returns one table with the weights as they will be once its pending changes are sent. */
+    /**
+     * Returns a table with its weights as they will be once all pending changes are sent; empty if
+     * the table does not exist.
+     */
     Optional<ControllerStatus.Table> read(TableId id) {
         return registry.existing(id).map(table -> status(table, table.weightsAfterPending()));
     }
 
     private ControllerStatus.Table status(ManagedTable table, Map<NodeId, Double> weights) {
-        Map<String, Long> refused = new TreeMap<>();
-        table.refusalCounts().forEach((reason, count) -> refused.put(reason.name(), count));
+        Map<String, Long> refusalCounts = new TreeMap<>();
+        table.refusalCounts().forEach((reason, count) -> refusalCounts.put(reason.name(), count));
         return new ControllerStatus.Table(
                 table.id().value(),
                 table.current().number(),
                 table.pin().name(),
-                table.refusals().stream().map(r -> r.reason() + ": " + r.figures()).toList(),
-                refused,
+                table.refusals().stream()
+                        .map(refusal -> refusal.reason() + ": " + refusal.figures())
+                        .toList(),
+                refusalCounts,
                 byName(weights),
                 table.history().versions().stream().map(TableStatusReader::status).toList());
     }
@@ -60,14 +66,14 @@
     }
 
     private Map<String, Double> byName(Map<NodeId, Double> weights) {
-        Map<String, Double> named = new TreeMap<>();
-        weights.forEach((node, weight) -> named.put(ListedNode.name(nodes, node), weight));
-        return named;
+        Map<String, Double> weightsByName = new TreeMap<>();
+        weights.forEach((node, weight) -> weightsByName.put(ListedNode.name(nodes, node), weight));
+        return weightsByName;
     }
 
     /**
-     * Returns what changes from one retained version to another, in the order of the nodes' names;
-     * empty if there is no such table or one of the versions is not retained.
+     * Returns the changes from one retained version to another, in the order of node names; empty
+     * if the table does not exist or one of the versions is not retained.
      */
     Optional<ControllerStatus.Difference> difference(TableId id, long from, long to) {
         return registry.existing(id).flatMap(table -> difference(table, from, to));
@@ -80,16 +86,17 @@
             return Optional.empty();
         }
         Map<NodeId, Double> before = table.history().version(from).orElseThrow().lines();
-        List<ControllerStatus.Changed> all = new ArrayList<>();
+        List<ControllerStatus.Changed> changedEntries = new ArrayList<>();
         changes.get()
                 .forEach(
                         (node, weight) ->
-                                all.add(
+                                changedEntries.add(
                                         new ControllerStatus.Changed(
                                                 ListedNode.name(nodes, node),
                                                 before.getOrDefault(node, 0.0),
                                                 weight)));
-        all.sort(Comparator.comparing(ControllerStatus.Changed::node));
-        return Optional.of(new ControllerStatus.Difference(table.id().value(), from, to, all));
+        changedEntries.sort(Comparator.comparing(ControllerStatus.Changed::node));
+        return Optional.of(
+                new ControllerStatus.Difference(table.id().value(), from, to, changedEntries));
     }
 }
