--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -112,7 +112,7 @@
                 sessions.joined().values().stream()
                         .filter(
                                 session ->
-                                        context.clock().nowNanos() - session.reportedAtNanos()
+                                        context.clock().nowNanos() - session.lastLoadReportAtNanos()
                                                 > limitNanos)
                         .count();
     }
@@ -130,7 +130,7 @@
                 session.name(),
                 session.unacknowledgedMessages(),
                 session.messagesWritten(),
-                millisSince(session.receivedAtNanos()),
+                millisSince(session.lastFrameReceivedAtNanos()),
                 session.subscribedTables().size());
     }
 
--- a/src/main/java/rosespread/controller/KeepAliveMonitor.java
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -39,14 +39,14 @@
                     Math.min(
                             next,
                             session.isJoined()
-                                    ? session.keepAliveAtNanos() + intervalNanos
+                                    ? session.lastKeepAliveSentAtNanos() + intervalNanos
                                     : session.openedAtNanos() + JOIN_TIMEOUT_NANOS);
         }
         return next;
     }
 
     private void check(ProxySession session, long nowNanos, long intervalNanos) {
-        long silentNanos = nowNanos - session.receivedAtNanos();
+        long silentNanos = nowNanos - session.lastFrameReceivedAtNanos();
         if (session.isJoined() && silentNanos > MAX_MISSED_INTERVALS * intervalNanos) {
             counters.increment(Counter.SILENT_SESSIONS);
             sessions.close(
@@ -61,7 +61,8 @@
                     session,
                     Frame.Reason.SLOW,
                     session.transport().writeBufferBytes() + " bytes were not read");
-        } else if (session.isJoined() && nowNanos - session.keepAliveAtNanos() >= intervalNanos) {
+        } else if (session.isJoined()
+                && nowNanos - session.lastKeepAliveSentAtNanos() >= intervalNanos) {
             session.recordKeepAliveSent(nowNanos);
             session.transport().write(FrameWriter.bytes(new Frame.KeepAlive(nowNanos, false)));
         }
--- a/src/main/java/rosespread/controller/ProxyFrameHandler.java
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -43,10 +43,10 @@
             keepAliveReceived(session, keepAlive);
         } else if (frame instanceof Frame.Close) {
             sessions.closedByPeer(session);
-        } else if (!session.isGreeted()) {
-            handshake.greet(session, frame);
+        } else if (!session.isHelloAccepted()) {
+            handshake.handleHello(session, frame);
         } else if (!session.isJoined()) {
-            handshake.join(session, frame);
+            handshake.handleJoin(session, frame);
         } else {
             joinedFrameReceived(session, frame);
         }
--- a/src/main/java/rosespread/controller/ProxySession.java
+++ b/src/main/java/rosespread/controller/ProxySession.java
@@ -66,23 +66,23 @@
     private final TreeMap<TableId, Set<MethodId>> subscriptions = new TreeMap<>();
     private final TreeSet<TableId> pendingFullUpdates = new TreeSet<>();
     private final ArrayDeque<Long> messageTimes = new ArrayDeque<>();
-    private boolean greeted;
+    private boolean helloAccepted;
     private boolean closed;
     private boolean acceptsCompression;
     private ProxyId proxy;
     private String name = "";
     private ZoneId zone;
-    private long receivedAtNanos;
-    private long keepAliveAtNanos;
-    private long reportedAtNanos;
+    private long lastFrameReceivedAtNanos;
+    private long lastKeepAliveSentAtNanos;
+    private long lastLoadReportAtNanos;
     private long messagesWritten;
 
     ProxySession(Transport transport, long nowNanos) {
         this.transport = transport;
         this.openedAtNanos = nowNanos;
-        this.receivedAtNanos = nowNanos;
-        this.keepAliveAtNanos = nowNanos;
-        this.reportedAtNanos = nowNanos;
+        this.lastFrameReceivedAtNanos = nowNanos;
+        this.lastKeepAliveSentAtNanos = nowNanos;
+        this.lastLoadReportAtNanos = nowNanos;
     }
 
     Transport transport() {
@@ -94,12 +94,12 @@
     }
 
     /** Records that the proxy's Hello was accepted. */
-    void markGreeted() {
-        greeted = true;
+    void markHelloAccepted() {
+        helloAccepted = true;
     }
 
-    boolean isGreeted() {
-        return greeted;
+    boolean isHelloAccepted() {
+        return helloAccepted;
     }
 
     /**
@@ -150,28 +150,28 @@
     }
 
     void recordFrameReceived(long nowNanos) {
-        receivedAtNanos = nowNanos;
+        lastFrameReceivedAtNanos = nowNanos;
     }
 
-    long receivedAtNanos() {
-        return receivedAtNanos;
+    long lastFrameReceivedAtNanos() {
+        return lastFrameReceivedAtNanos;
     }
 
     void recordKeepAliveSent(long nowNanos) {
-        keepAliveAtNanos = nowNanos;
+        lastKeepAliveSentAtNanos = nowNanos;
     }
 
-    long keepAliveAtNanos() {
-        return keepAliveAtNanos;
+    long lastKeepAliveSentAtNanos() {
+        return lastKeepAliveSentAtNanos;
     }
 
     void recordLoadReport(long nowNanos) {
-        reportedAtNanos = nowNanos;
+        lastLoadReportAtNanos = nowNanos;
     }
 
     /** Returns when the last load report was received, or when the session opened if none was. */
-    long reportedAtNanos() {
-        return reportedAtNanos;
+    long lastLoadReportAtNanos() {
+        return lastLoadReportAtNanos;
     }
 
     /** Counts a message towards the message limit from the time at which it is queued. */
--- a/src/main/java/rosespread/controller/SessionHandshake.java
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -44,7 +44,7 @@
     }
 
     /** Handles the first frame of a session, which must be Hello. */
-    void greet(ProxySession session, Frame frame) {
+    void handleHello(ProxySession session, Frame frame) {
         Optional<FleetSettings> settings = policyRunner.settings();
         if (!(frame instanceof Frame.Hello hello)) {
             sessions.close(session, Frame.Reason.BAD_FRAME, "the first frame must be Hello");
@@ -57,7 +57,7 @@
             sessions.close(
                     session, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
         } else {
-            session.markGreeted();
+            session.markHelloAccepted();
             session.transport()
                     .write(
                             FrameWriter.bytes(
@@ -69,7 +69,7 @@
     }
 
     /** Handles the second frame of a session, which must be Join. */
-    void join(ProxySession session, Frame frame) {
+    void handleJoin(ProxySession session, Frame frame) {
         if (!(frame instanceof Frame.Join join)) {
             sessions.close(session, Frame.Reason.BAD_FRAME, "the second frame must be Join");
             return;
