--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -51,8 +51,8 @@
 
     /**
      * Commits one step towards the desired weights. If no step is due or the policy has not set a
-     * weight yet, commits only the removal of entries that must not stay. Once the desired weights
-     * are reached, the table follows the policy again.
+     * weight of the table yet, commits only the removal of entries that must not stay. Once the
+     * desired weights are reached, the table follows the policy again.
      */
     TableVersion commitReleaseStep(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
--- a/src/main/java/rosespread/controller/SessionHandshake.java
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -11,9 +11,9 @@
 import rosespread.settings.FleetSettings;
 
 /**
- * Handles the first two frames of a session. Hello checks the protocol version; Join brings the
- * name and zone of the proxy and the table versions that it holds. The texts of rejections are part
- * of the protocol.
+ * Handles the first two frames of a session. Hello checks the protocol version; Join gives the name
+ * and zone of the proxy and the table versions that the proxy holds. The texts of rejections are
+ * part of the protocol.
  *
  * <p>Used on the event-loop thread.
  */
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -76,8 +76,8 @@
 
     /**
      * Returns whether a review of a table is due, and marks the table as reviewed if so. A review
-     * is due if the policy changed the table. For a table that does not follow the policy, reviews
-     * also remove the entries that the node list no longer allows.
+     * is due if the policy changed the table. While the table does not follow the policy and the
+     * node list tells which entries must be removed, {@link ManagedTable#isReviewDue} decides too.
      */
     private boolean isReviewDue(ManagedTable table, RoundActions actions, long nowNanos) {
         boolean due =
