--- a/src/main/java/rosespread/controller/KeepAliveMonitor.java
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -33,20 +33,20 @@
      */
     long check(long nowNanos, long intervalNanos) {
         long next = Long.MAX_VALUE;
-        for (ProxySession session : sessions.open()) {
+        for (ProxySession session : sessions.openSessions()) {
             check(session, nowNanos, intervalNanos);
             next =
                     Math.min(
                             next,
                             session.isJoined()
-                                    ? session.keepAliveAtNanos() + intervalNanos
+                                    ? session.lastKeepAliveSentAtNanos() + intervalNanos
                                     : session.openedAtNanos() + JOIN_TIMEOUT_NANOS);
         }
         return next;
     }
 
     private void check(ProxySession session, long nowNanos, long intervalNanos) {
-        long silentNanos = nowNanos - session.receivedAtNanos();
+        long silentNanos = nowNanos - session.lastFrameReceivedAtNanos();
         if (session.isJoined() && silentNanos > MAX_MISSED_INTERVALS * intervalNanos) {
             counters.increment(Counter.SILENT_SESSIONS);
             sessions.close(
@@ -61,7 +61,8 @@
                     session,
                     Frame.Reason.SLOW,
                     session.transport().writeBufferBytes() + " bytes were not read");
-        } else if (session.isJoined() && nowNanos - session.keepAliveAtNanos() >= intervalNanos) {
+        } else if (session.isJoined()
+                && nowNanos - session.lastKeepAliveSentAtNanos() >= intervalNanos) {
             session.recordKeepAliveSent(nowNanos);
             session.transport().write(FrameWriter.bytes(new Frame.KeepAlive(nowNanos, false)));
         }
