--- a/src/main/java/rosespread/eventloop/EventLoop.java
+++ b/src/main/java/rosespread/eventloop/EventLoop.java
@@ -6,24 +6,30 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The body of the event loop's thread: drains the queue, runs what is due, waits, and begins again.
- * Everything an event or a round touches is owned by this thread.
+ * The body of the event loop's thread: repeatedly handles the queued events, runs the round if one
+ * is due, and waits. The thread owns all state that events and rounds access.
  *
- * <p>An event or round that throws is logged and does not end the loop, not even by an {@link
- * Error} such as a heap that was full for a moment. Rounds that do nothing but fail do end it,
- * after {@link #MAX_FAILING_NANOS} and more than {@link #MAX_CONSECUTIVE_FAILURES} of them: a
- * controller that cannot decide must not look alive while its I/O threads go on answering.
+ * <p>An event or round that throws is logged and does not end the loop, even if it throws an {@link
+ * Error}, for example because the heap was temporarily full. The loop ends if more than {@link
+ * #MAX_CONSECUTIVE_FAILURES} rounds in a row have failed for more than {@link #MAX_FAILING_NANOS}:
+ * a controller that cannot run rounds must not look healthy because its I/O threads still answer.
  */
 public final class EventLoop implements Runnable {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-    /** Keeps a round that is always due from taking a whole core. */
+    /** Lower limit of the wait; prevents a round that is always due from occupying a whole core. */
     private static final long MIN_WAIT_NANOS = 200_000L;
 
-    /** Bounds the delay of what was scheduled without a wake-up. */
+    /**
+     * Upper limit of the wait; bounds the delay of a round that was scheduled without waking the
+     * thread.
+     */
     private static final long MAX_WAIT_NANOS = 20_000_000L;
 
-    /** Rounds run between so many events, even under a load that never lets the queue run empty. */
+    /**
+     * Limit of events per iteration, so that rounds run even under a load that never empties the
+     * queue.
+     */
     private static final int MAX_EVENTS_PER_ITERATION = 4097;
 
     private static final long MAX_FAILING_NANOS = 10_000_000_000L;
@@ -38,11 +44,11 @@
     private long failingSinceNanos;
 
     /**
-     * An event loop on the clock of {@link System#nanoTime()}.
+     * Creates an event loop that uses {@link System#nanoTime()} as its clock.
      *
-     * @param queue the events; this loop is its only consumer
-     * @param round runs what is due at the time it is given, and returns when to be called again;
-     *     both are times of {@link System#nanoTime()}
+     * @param queue the queue of events; this loop must be its only consumer
+     * @param round runs the round if one is due at the given time, and returns the time of its next
+     *     call; both are times of {@link System#nanoTime()}
      * @param onUnexpectedExit called once, on the loop's thread, if the loop ends without {@link
      *     #stop}
      */
@@ -61,7 +67,10 @@
         this.clock = clock;
     }
 
-    /** Runs on the calling thread until {@link #stop}, or until rounds have failed for good. */
+    /**
+     * Runs on the calling thread until {@link #stop} is called or the limits of failing rounds are
+     * exceeded.
+     */
     @Override
     public void run() {
         try {
@@ -74,7 +83,7 @@
     }
 
     private void runUntilStopped() {
-        while (!stopping && !hasFailedForGood()) {
+        while (!stopping && !hasFailedPermanently()) {
             long now = clock.getAsLong();
             handleEvents(now);
             long nextNanos = runRound(now);
@@ -83,7 +92,7 @@
         }
     }
 
-    private boolean hasFailedForGood() {
+    private boolean hasFailedPermanently() {
         return consecutiveFailures > MAX_CONSECUTIVE_FAILURES
                 && clock.getAsLong() - failingSinceNanos > MAX_FAILING_NANOS;
     }
@@ -106,7 +115,7 @@
         }
     }
 
-    /** Returns when to come back; at once if the round failed. */
+    /** Returns the time of the next call; that is {@code now} if the round failed. */
     private long runRound(long now) {
         try {
             long nextNanos = round.applyAsLong(now);
--- a/src/main/java/rosespread/eventloop/EventQueue.java
+++ b/src/main/java/rosespread/eventloop/EventQueue.java
@@ -8,22 +8,22 @@
  * A bounded lock-free queue of events with many producers, the I/O and timer threads, and one
  * consumer, the event loop's thread.
  *
- * <p>Overload is met in two ways. Reports are superseded by later reports, so they are dropped and
- * counted once the queue is half full. Every other event must arrive: its producer blocks while the
- * queue is full, which in turn stops it from reading its sockets.
+ * <p>Overload is handled in two ways. Reports are dropped and counted while the queue is at least
+ * half full, since later reports supersede them. All other events must be delivered: the producer
+ * blocks while the queue is full, and so stops reading its sockets.
  *
- * <p>Memory effects: what a producer did before it put an event happens before the event is
- * handled.
+ * <p>Memory consistency: actions of a producer before it puts an event happen-before the handling
+ * of that event.
  */
 public final class EventQueue {
-    /** Something that happened, as an action on the state that the event loop's thread owns. */
+    /** An action on the state that the event loop's thread owns. */
     @FunctionalInterface
     public interface Event {
         /**
-         * Applies the event; runs on the event loop's thread and must not block. What it throws is
-         * logged and ends only this event.
+         * Applies the event; runs on the event loop's thread and must not block. An exception or
+         * error is logged and ends only this event.
          *
-         * @param now the time of {@link System#nanoTime()} at which the queue is drained
+         * @param now the value of {@link System#nanoTime()} at the start of the loop's iteration
          */
         void handle(long now);
     }
@@ -40,8 +40,8 @@
 
     /**
      * Adds an event that must not be lost; blocks while the queue is full. After {@link #close} the
-     * event is discarded instead. May be called from any thread but the event loop's, which would
-     * wait for itself.
+     * event is discarded instead. May be called from any thread except the event loop's, which
+     * would deadlock on a full queue.
      */
     public void put(Event event) {
         while (!closed && !queue.offer(event)) {
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Adds a periodic report, or drops and counts it if the queue is half full or more. Never
+     * Adds a periodic report, or drops and counts it if the queue is at least half full. Never
      * blocks; may be called from any thread.
      */
     public void putReport(Event event) {
@@ -73,26 +73,30 @@
     }
 
     /**
-     * Discards every later event of {@link #put}, and releases the producers that wait for room.
-     * Called when the event loop has ended; may be called from any thread.
+     * Makes {@link #put} discard its events from now on, and releases the producers that are
+     * blocked in it. Called when the event loop has ended; may be called from any thread.
      */
     public void close() {
         closed = true;
     }
 
-    /** The next event, or null if there is none; only on the event loop's thread. */
+    /**
+     * Removes and returns the next event, or null if there is none. Only for the event loop's
+     * thread.
+     */
     Event poll() {
         return queue.poll();
     }
 
     /**
-     * Waits until an event is put or the time has passed; may return early. Only on the event
-     * loop's thread.
+     * Waits until an event is put or the given time has passed; may return early. Only for the
+     * event loop's thread.
      */
     void await(long nanos) {
         consumer = Thread.currentThread();
         consumerWaiting = true;
-        // Looked at after the flag is set: a producer either sees the flag or is seen here.
+        // Checked after the flag is set, so that no event is missed: either its producer sees the
+        // flag, or this check sees the event.
         if (queue.isEmpty() && nanos > 0) {
             LockSupport.parkNanos(nanos);
         }
--- a/src/main/java/rosespread/eventloop/PolicyEventLogger.java
+++ b/src/main/java/rosespread/eventloop/PolicyEventLogger.java
@@ -8,23 +8,23 @@
 import rosespread.api.PolicyEvent;
 
 /**
- * Writes the policy's events as log lines: a fixed message, and the figures as key-value pairs.
- * docs/on-call.md lists the messages. Used on the event-loop thread.
+ * Logs the policy's events, each as one line with a fixed message and its figures as key-value
+ * pairs. docs/on-call.md lists the messages. Used on the event loop's thread.
  */
 public final class PolicyEventLogger {
     private final Logger logger;
     private final Function<NodeId, String> nodeNames;
 
     /**
-     * @param logger takes the lines
-     * @param nodeNames the name by which operators know a node
+     * @param logger the logger that the lines are written to
+     * @param nodeNames maps a node's id to its name in the log
      */
     public PolicyEventLogger(Logger logger, Function<NodeId, String> nodeNames) {
         this.logger = logger;
         this.nodeNames = nodeNames;
     }
 
-    /** Logs one event. */
+    /** Logs the event at level INFO. */
     public void log(PolicyEvent event) {
         LoggingEventBuilder line = logger.atInfo();
         if (event instanceof PolicyEvent.NodeEjected ejected) {
@@ -36,7 +36,7 @@
         } else if (event instanceof PolicyEvent.LoadSheddingChanged shedding) {
             logLoadShedding(line, shedding);
         } else if (event instanceof PolicyEvent.AcknowledgementTimedOut timeout) {
-            logTimeout(line, timeout);
+            logAcknowledgementTimeout(line, timeout);
         } else {
             line.log(event.text());
         }
@@ -44,34 +44,34 @@
 
     private void logEjected(LoggingEventBuilder line, PolicyEvent.NodeEjected event) {
         line.addKeyValue("node", nodeNames.apply(event.node()))
-                .addKeyValue("failureRatio", figure(event.failureRatio()))
-                .addKeyValue("attempts", figure(event.attempts()))
-                .addKeyValue("othersFailureRatio", figure(event.othersFailureRatio()))
+                .addKeyValue("failureRatio", formatDecimal(event.failureRatio()))
+                .addKeyValue("attempts", formatDecimal(event.attempts()))
+                .addKeyValue("othersFailureRatio", formatDecimal(event.othersFailureRatio()))
                 .log("node ejected");
     }
 
     private void logReadmitted(LoggingEventBuilder line, PolicyEvent.NodeReadmitted event) {
         line.addKeyValue("node", nodeNames.apply(event.node()))
-                .addKeyValue("failureRatio", figure(event.failureRatio()))
-                .addKeyValue("ejectedSeconds", figure(event.ejectedSeconds()))
+                .addKeyValue("failureRatio", formatDecimal(event.failureRatio()))
+                .addKeyValue("ejectedSeconds", formatDecimal(event.ejectedSeconds()))
                 .log("node readmitted");
     }
 
     private static void logPanicMode(LoggingEventBuilder line, PolicyEvent.PanicModeChanged event) {
         line.addKeyValue("table", event.table().value())
-                .addKeyValue("ejectedCapacity", figure(event.ejectedCapacity()))
-                .addKeyValue("capacity", figure(event.capacity()))
+                .addKeyValue("ejectedCapacity", formatDecimal(event.ejectedCapacity()))
+                .addKeyValue("capacity", formatDecimal(event.capacity()))
                 .log(event.started() ? "panic mode started" : "panic mode ended");
     }
 
     private static void logLoadShedding(
             LoggingEventBuilder line, PolicyEvent.LoadSheddingChanged event) {
-        line.addKeyValue("demandPerSecond", figure(event.demand()))
-                .addKeyValue("availablePerSecond", figure(event.availableCapacity()))
+        line.addKeyValue("demandPerSecond", formatDecimal(event.demand()))
+                .addKeyValue("availablePerSecond", formatDecimal(event.availableCapacity()))
                 .log(event.started() ? "load shedding started" : "load shedding ended");
     }
 
-    private static void logTimeout(
+    private static void logAcknowledgementTimeout(
             LoggingEventBuilder line, PolicyEvent.AcknowledgementTimedOut event) {
         line.addKeyValue("table", event.table().value())
                 .addKeyValue("version", event.version())
@@ -79,7 +79,7 @@
                 .log("table update not acknowledged in time");
     }
 
-    private static String figure(double value) {
+    private static String formatDecimal(double value) {
         return String.format(Locale.ROOT, "%.2f", value);
     }
 }
--- a/src/main/java/rosespread/eventloop/RoundScheduler.java
+++ b/src/main/java/rosespread/eventloop/RoundScheduler.java
@@ -7,35 +7,36 @@
 import rosespread.api.EventSource;
 
 /**
- * Decides when the policy runs a round, and gathers the events for it. Rounds keep a minimum
- * interval, so that events which arrive together are one round; after a round that threw, a backoff
- * passes before the next.
+ * Decides when the policy runs a round, and collects the events for that round. Rounds have a
+ * minimum interval, so that events which arrive together share one round. After a round that threw,
+ * the next one runs only after a backoff.
  *
- * <p>Owned by the event loop's thread; not thread-safe. All times are nanoseconds of {@link
+ * <p>Not thread-safe; owned by the event loop's thread. All times are nanoseconds of {@link
  * System#nanoTime()}.
  */
 public final class RoundScheduler {
-    /** Runs rounds, and replaces the policy after one that failed. */
+    /** Runs rounds, and replaces the policy after a failed round. */
     public interface RoundHandler {
         /**
-         * Runs one round with the events since the last one. What it throws, an {@link Error}
-         * included, is a failed round.
+         * Runs one round with the events since the last one. The round has failed if this throws an
+         * exception or {@link Error}.
          */
         void runRound(EventSource events);
 
         /**
-         * Called after a round that threw: the policy's state cannot be trusted, so a new policy is
-         * to be made, told all that it needs, and {@link RoundScheduler#restart} called. If this
-         * throws as well, it is called again after the backoff, and no round runs before.
+         * Called after a failed round, whose policy may be in an inconsistent state. The handler
+         * must create a new policy, call {@link RoundScheduler#restart}, and supply the new policy
+         * with its input. If this method throws, it is called again after the backoff; no round
+         * runs until then.
          *
-         * @param failure what the round threw
+         * @param failure the exception or error that the round threw
          */
         void roundFailed(Throwable failure);
     }
 
     private static final long MIN_ROUND_INTERVAL_NANOS = 10_000_000L;
 
-    /** Keeps a failure that recurs at once from taking a whole core. */
+    /** Prevents a failure that recurs immediately from occupying a whole core. */
     private static final long FAILURE_BACKOFF_NANOS = 1_000_000_000L;
 
     private List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
@@ -43,7 +44,7 @@
     private long lastRoundNanos = Long.MIN_VALUE / 2;
     private long backoffUntilNanos = Long.MIN_VALUE;
 
-    /** What the last round threw, until {@link RoundHandler#roundFailed} has returned. */
+    /** The failure that {@link RoundHandler#roundFailed} has yet to handle, or null. */
     private Throwable unreportedFailure;
 
     private long roundsRun;
@@ -51,19 +52,22 @@
     private long maxRoundNanos;
     private long failures;
 
-    /** Adds an event for the next round, which is then due as soon as the interval allows. */
+    /**
+     * Adds an event for the next round, which is due as soon as the minimum interval and the
+     * backoff allow.
+     */
     public void add(Consumer<EventHandler> event) {
         pendingEvents.add(event);
     }
 
-    /** Schedules a timer event for this time; an earlier one that is scheduled already stays. */
+    /** Schedules a timer event for the given time, unless an earlier one is already scheduled. */
     public void scheduleAt(long nanos) {
         scheduledNanos = Math.min(scheduledNanos, nanos);
     }
 
     /**
-     * Drops all events and the timer, which were meant for a former policy, and makes a first round
-     * due for the new one.
+     * Discards all pending events and the timer, which belong to the previous policy, and makes the
+     * first round of the new policy due.
      */
     public void restart() {
         pendingEvents = new ArrayList<>();
@@ -75,8 +79,9 @@
      * Runs a round if one is due.
      *
      * @param now the current time
-     * @return when to call again, or {@link Long#MAX_VALUE} if nothing is scheduled
-     * @throws RuntimeException or an {@link Error}, if {@link RoundHandler#roundFailed} throws it
+     * @return the time of the next call, or {@link Long#MAX_VALUE} if nothing is scheduled
+     * @throws RuntimeException if {@link RoundHandler#roundFailed} throws it; an {@link Error}
+     *     likewise
      */
     public long runDue(long now, RoundHandler handler) {
         if (unreportedFailure != null && now >= backoffUntilNanos) {
@@ -106,7 +111,7 @@
         lastRoundNanos = now;
         long startNanos = System.nanoTime();
         try {
-            handler.runRound(receiver -> events.forEach(event -> event.accept(receiver)));
+            handler.runRound(eventHandler -> events.forEach(event -> event.accept(eventHandler)));
         } catch (RuntimeException | Error e) {
             failures++;
             unreportedFailure = e;
@@ -117,7 +122,8 @@
     }
 
     /**
-     * The failure is forgotten only once the handler has returned, so that none goes unreported.
+     * Reports the failure, and clears it only after the handler has returned, so that a handler
+     * that throws is called again.
      */
     private void reportFailure(RoundHandler handler) {
         handler.roundFailed(unreportedFailure);
--- a/src/main/java/rosespread/eventloop/package-info.java
+++ b/src/main/java/rosespread/eventloop/package-info.java
@@ -1,11 +1,11 @@
 /**
  * The single-writer event loop of a controller. I/O and timer threads put events into an {@link
  * rosespread.eventloop.EventQueue}; one thread runs an {@link rosespread.eventloop.EventLoop},
- * which applies them and then runs due rounds of the policy through a {@link
+ * which handles these events and then runs the policy's due rounds through a {@link
  * rosespread.eventloop.RoundScheduler}.
  *
- * <p>Only the queue may be used from several threads. Everything else, and all state that events
- * and rounds touch, belongs to the event loop's thread, so that none of it needs a lock. The
- * package uses the policy's interfaces in {@code rosespread.api} and nothing else of the project.
+ * <p>Only the queue is thread-safe. All other objects, and all state that events and rounds access,
+ * belong to the event loop's thread and need no lock. The package depends only on the policy's
+ * interfaces in {@code rosespread.api}.
  */
 package rosespread.eventloop;
--- a/src/test/java/rosespread/eventloop/EventLoopTest.java
+++ b/src/test/java/rosespread/eventloop/EventLoopTest.java
@@ -15,7 +15,7 @@
     private final AtomicInteger rounds = new AtomicInteger();
     private final AtomicInteger unexpectedExits = new AtomicInteger();
 
-    /** Each reading of the clock is half a second later. */
+    /** Advances by half a second at each reading. */
     private final AtomicLong clock = new AtomicLong();
 
     private EventLoop loop;
@@ -30,12 +30,12 @@
 
     @Test
     @Timeout(20)
-    void errorInAnEventOrARoundDoesNotEndTheLoop() {
+    void continuesAfterErrorInEventOrRound() {
         loop =
                 newLoop(
                         now -> {
                             if (rounds.incrementAndGet() == 1) {
-                                throw new OutOfMemoryError("on purpose");
+                                throw new OutOfMemoryError("injected failure");
                             }
                             if (rounds.get() == 3) {
                                 loop.stop();
@@ -44,7 +44,7 @@
                         });
         queue.put(
                 now -> {
-                    throw new NoClassDefFoundError("on purpose");
+                    throw new NoClassDefFoundError("injected failure");
                 });
         loop.run();
         assertEquals(3, rounds.get());
@@ -53,14 +53,14 @@
 
     @Test
     @Timeout(20)
-    void roundsThatOnlyFailEndTheLoopAndReportItsExit() {
+    void endsAndReportsUnexpectedExitIfAllRoundsFail() {
         loop =
                 newLoop(
                         now -> {
                             if (rounds.incrementAndGet() == 1000) {
                                 loop.stop();
                             }
-                            throw new IllegalStateException("on purpose");
+                            throw new IllegalStateException("injected failure");
                         });
         loop.run();
         assertTrue(rounds.get() > 10 && rounds.get() < 1000, rounds + " rounds");
--- a/src/test/java/rosespread/eventloop/EventQueueTest.java
+++ b/src/test/java/rosespread/eventloop/EventQueueTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void eventsComeInTheOrderInWhichTheyWerePut() {
+    void deliversEventsInOrder() {
         EventQueue.Event first = now -> {};
         EventQueue.Event second = now -> {};
         queue.put(first);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void reportsAreDroppedAndCountedFromHalfFullOn() {
+    void dropsAndCountsReportsWhenHalfFull() {
         fill(CAPACITY / 2);
         queue.putReport(EVENT);
         assertEquals(1, queue.droppedReports());
@@ -51,7 +51,7 @@
 
     @Test
     @Timeout(20)
-    void producerWaitsWhileTheQueueIsFull() throws InterruptedException {
+    void blocksProducerWhileFull() throws InterruptedException {
         fill(CAPACITY);
         Thread producer = startProducer();
         producer.join(50);
@@ -62,7 +62,7 @@
 
     @Test
     @Timeout(20)
-    void closeReleasesProducersThatWait() throws InterruptedException {
+    void closeReleasesBlockedProducer() throws InterruptedException {
         fill(CAPACITY);
         Thread producer = startProducer();
         producer.join(50);
@@ -73,7 +73,7 @@
 
     @Test
     @Timeout(20)
-    void eventWakesTheConsumer() {
+    void eventWakesConsumer() {
         Thread consumer = new Thread(() -> queue.await(Long.MAX_VALUE), "consumer");
         consumer.setDaemon(true);
         consumer.start();
--- a/src/test/java/rosespread/eventloop/PolicyEventLoggerTest.java
+++ b/src/test/java/rosespread/eventloop/PolicyEventLoggerTest.java
@@ -15,7 +15,6 @@
 import rosespread.api.PolicyEvent;
 import rosespread.api.TableId;
 
-/** Each event of the policy is one line: a fixed message and its figures as key-value pairs. */
 class PolicyEventLoggerTest {
     private static Stream<Arguments> events() {
         return Stream.of(
@@ -48,7 +47,7 @@
 
     @ParameterizedTest
     @MethodSource("events")
-    void anEventIsOneLineWithItsFiguresAsPairs(PolicyEvent event, String expected) {
+    void logsEachEventAsOneLineWithKeyValuePairs(PolicyEvent event, String expected) {
         LoggerContext context = new LoggerContext();
         Logger logger = context.getLogger("policy");
         ListAppender<ILoggingEvent> lines = new ListAppender<>();
--- a/src/test/java/rosespread/eventloop/RoundSchedulerTest.java
+++ b/src/test/java/rosespread/eventloop/RoundSchedulerTest.java
@@ -13,7 +13,7 @@
     private final RoundScheduler scheduler = new RoundScheduler();
     private final RecordingHandler handler = new RecordingHandler();
 
-    /** Records the calls it takes, and throws from those that it is told to fail. */
+    /** Records its calls, and throws from those that the test makes fail. */
     private final class RecordingHandler implements RoundScheduler.RoundHandler {
         private final List<String> calls = new ArrayList<>();
         private boolean roundFails;
@@ -23,7 +23,7 @@
         public void runRound(EventSource events) {
             calls.add("round");
             if (roundFails) {
-                throw new StackOverflowError("on purpose");
+                throw new StackOverflowError("injected failure");
             }
         }
 
@@ -31,7 +31,7 @@
         public void roundFailed(Throwable failure) {
             calls.add("failed");
             if (restartFails) {
-                throw new IllegalStateException("can't restart either");
+                throw new IllegalStateException("injected restart failure");
             }
             scheduler.restart();
         }
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void eventsTogetherAreOneRoundAndTheNextKeepsTheInterval() {
+    void runsOneRoundForSimultaneousEventsAndKeepsMinimumInterval() {
         scheduler.add(event -> {});
         scheduler.add(event -> {});
         assertEquals(Long.MAX_VALUE, runAtMillis(1000));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void earliestScheduledTimeCounts() {
+    void usesEarliestScheduledTime() {
         scheduler.scheduleAt(1500 * MILLI_NANOS);
         scheduler.scheduleAt(1200 * MILLI_NANOS);
         assertEquals(1200 * MILLI_NANOS, runAtMillis(1000));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void failedRoundIsFollowedByARestartAfterTheBackoff() {
+    void runsNextRoundAfterBackoffIfRoundFailed() {
         handler.roundFails = true;
         scheduler.add(event -> {});
         assertEquals(2000 * MILLI_NANOS, runAtMillis(1000));
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void failedRestartIsTriedAgainAfterTheBackoff() {
+    void retriesFailedRestartAfterBackoff() {
         handler.roundFails = true;
         handler.restartFails = true;
         scheduler.add(event -> {});
