--- a/src/main/java/rosespread/config/ConfigException.java
+++ b/src/main/java/rosespread/config/ConfigException.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * A configuration cannot be used: a field is missing, has a wrong type, or breaks a rule. The
- * message is one line for an operator.
+ * Thrown if a configuration is invalid: a field is missing, has a wrong type, or violates a rule.
+ * The message is one line for an operator.
  */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
     private final String path;
     private final String expected;
 
-    /** An error that is described by its message alone. */
+    /** Creates an exception without a field path and an expected type. */
     public ConfigException(String message) {
         this(null, null, message);
     }
@@ -32,12 +32,12 @@
                 objectPath + "." + key, "a value", objectPath + " lacks \"" + key + "\"");
     }
 
-    /** The path of the field at fault, such as {@code settings.domain.agents}, if it is known. */
+    /** The path of the invalid field, such as {@code settings.domain.agents}; empty if unknown. */
     public Optional<String> path() {
         return Optional.ofNullable(path);
     }
 
-    /** What the field should have been, such as {@code a number}, if it is known. */
+    /** The expected type of the field, such as {@code a number}; empty if unknown. */
     public Optional<String> expected() {
         return Optional.ofNullable(expected);
     }
--- a/src/main/java/rosespread/config/ConfigObject.java
+++ b/src/main/java/rosespread/config/ConfigObject.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 
 /**
- * A JSON object with typed access to its fields. Fields that nobody asks for are passed over; a
- * field that is null counts as missing. Every error names the field's path.
+ * A JSON object with typed access to its fields. Fields that are never read are ignored; a null
+ * field counts as missing. Every error states the path of the field.
  *
- * <p>Reads tokens into plain maps and lists instead of Jackson's tree, as the simulator adapter
- * starts often and has no use for the rest of databind.
+ * <p>Reads tokens into plain maps and lists instead of Jackson's tree model: the simulator adapter
+ * is started often and would otherwise load databind for this alone.
  */
 public final class ConfigObject {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Reads the whole value whose first token is the parser's current one.
+     * Reads the value that starts at the parser's current token.
      *
-     * @return the value, to be given to {@link #of}
+     * @return the value, to be passed to {@link #of}; null for a JSON null
      * @throws IOException if the input is malformed or ends within the value
      */
     public static Object read(JsonParser parser) throws IOException {
@@ -64,9 +64,9 @@
     }
 
     /**
-     * The object that {@link #read} returned.
+     * Wraps the object that {@link #read} returned.
      *
-     * @param path what errors call it, such as {@code the configuration}
+     * @param path the name of the object in errors, such as {@code the configuration}
      * @param value a result of {@link #read}, or null
      * @throws ConfigException if the value is not an object
      */
@@ -77,32 +77,32 @@
         throw ConfigException.wrongType(path, "an object");
     }
 
-    /** Whether the field is there and not null. */
+    /** Whether the field exists and is not null. */
     public boolean has(String key) {
         return values.get(key) != null;
     }
 
-    /** The object in a field that must be there. */
+    /** The object in a required field. */
     public ConfigObject object(String key) throws ConfigException {
         return of(pathOf(key), required(key));
     }
 
-    /** The objects of an array; none if the field is missing. */
+    /** The objects of an array; empty if the field is missing. */
     public List<ConfigObject> objects(String key) throws ConfigException {
-        List<ConfigObject> all = new ArrayList<>();
+        List<ConfigObject> objects = new ArrayList<>();
         for (Object value : array(key)) {
-            all.add(of(pathOf(key) + " entry", value));
+            objects.add(of(pathOf(key) + " entry", value));
         }
-        return all;
+        return objects;
     }
 
-    /** The objects of an array that must be there. */
+    /** The objects of a required array. */
     public List<ConfigObject> requiredObjects(String key) throws ConfigException {
         required(key);
         return objects(key);
     }
 
-    /** The entries of an array as text, whatever their type; none if the field is missing. */
+    /** The entries of an array, each converted to a string; empty if the field is missing. */
     List<String> names(String key) throws ConfigException {
         List<String> names = new ArrayList<>();
         for (Object value : array(key)) {
@@ -121,7 +121,7 @@
         throw ConfigException.wrongType(pathOf(key), "an array");
     }
 
-    /** The string in a field that must be there. */
+    /** The string in a required field. */
     public String text(String key) throws ConfigException {
         if (required(key) instanceof String text) {
             return text;
@@ -129,71 +129,76 @@
         throw ConfigException.wrongType(pathOf(key), "a string");
     }
 
-    /** The string in a field, or {@code absent} if the field is missing. */
-    public String text(String key, String absent) throws ConfigException {
-        return has(key) ? text(key) : absent;
+    /** The string in a field, or {@code defaultValue} if the field is missing. */
+    public String text(String key, String defaultValue) throws ConfigException {
+        return has(key) ? text(key) : defaultValue;
     }
 
-    /** The truth value in a field; false if the field is missing. */
+    /** The boolean in a field; false if the field is missing. */
     public boolean booleanValue(String key) throws ConfigException {
         return has(key) && booleanOf(required(key), key);
     }
 
-    /** The truth value at an index of an array; false beyond its end or if it is missing. */
+    /**
+     * The boolean at an index of an array; false beyond the array's end or if the array is missing.
+     */
     boolean booleanAt(String key, int index) throws ConfigException {
-        List<?> all = array(key);
-        return index < all.size() && booleanOf(all.get(index), key);
+        List<?> entries = array(key);
+        return index < entries.size() && booleanOf(entries.get(index), key);
     }
 
     private boolean booleanOf(Object value, String key) throws ConfigException {
-        if (value instanceof Boolean truth) {
-            return truth;
+        if (value instanceof Boolean flag) {
+            return flag;
         }
         throw ConfigException.wrongType(pathOf(key), "true or false");
     }
 
-    /** The number in a field that must be there. */
+    /** The number in a required field. */
     public double number(String key) throws ConfigException {
         return requiredNumber(key).doubleValue();
     }
 
-    /** The number in a field, or {@code absent} if the field is missing. */
-    public double number(String key, double absent) throws ConfigException {
-        return has(key) ? number(key) : absent;
+    /** The number in a field, or {@code defaultValue} if the field is missing. */
+    public double number(String key, double defaultValue) throws ConfigException {
+        return has(key) ? number(key) : defaultValue;
     }
 
-    /** The number at an index of an array; NaN if there is none at that index. */
+    /** The number at an index of an array; NaN if the array has no number at that index. */
     double numberAt(String key, int index) throws ConfigException {
-        List<?> all = array(key);
-        boolean within = index >= 0 && index < all.size();
-        return within && all.get(index) instanceof Number number
+        List<?> entries = array(key);
+        boolean inRange = index >= 0 && index < entries.size();
+        return inRange && entries.get(index) instanceof Number number
                 ? number.doubleValue()
                 : Double.NaN;
     }
 
-    /** As {@link #longValue}, narrowed to 32 bits. */
+    /** The integer in a required field: {@link #longValue} narrowed to 32 bits. */
     public int integer(String key) throws ConfigException {
         return (int) longValue(key);
     }
 
-    /** As {@link #integer(String)}, or {@code absent} if the field is missing. */
-    public int integer(String key, int absent) throws ConfigException {
-        return has(key) ? integer(key) : absent;
+    /** The integer in a field, or {@code defaultValue} if the field is missing. */
+    public int integer(String key, int defaultValue) throws ConfigException {
+        return has(key) ? integer(key) : defaultValue;
     }
 
-    /** The number in a field that must be there, without its fraction. */
+    /** The number in a required field, truncated to an integer. */
     public long longValue(String key) throws ConfigException {
         return requiredNumber(key).longValue();
     }
 
-    /** The nanoseconds in a field that must be there and holds seconds. */
+    /** The duration in a required field, converted from seconds to nanoseconds. */
     public long secondsAsNanos(String key) throws ConfigException {
         return Math.round(number(key) * NANOS_PER_SECOND);
     }
 
-    /** As {@link #secondsAsNanos(String)}, or {@code absentNanos} if the field is missing. */
-    public long secondsAsNanos(String key, long absentNanos) throws ConfigException {
-        return has(key) ? secondsAsNanos(key) : absentNanos;
+    /**
+     * The duration in a field, converted from seconds to nanoseconds, or {@code defaultNanos} if
+     * the field is missing.
+     */
+    public long secondsAsNanos(String key, long defaultNanos) throws ConfigException {
+        return has(key) ? secondsAsNanos(key) : defaultNanos;
     }
 
     private Number requiredNumber(String key) throws ConfigException {
--- a/src/main/java/rosespread/config/LoadReportColumns.java
+++ b/src/main/java/rosespread/config/LoadReportColumns.java
@@ -1,6 +1,6 @@
 package rosespread.config;
 
-/** The columns of load reports that the settings name in {@code report.columns}, by their index. */
+/** The indexes of load report columns, taken from {@code report.columns} of the settings. */
 final class LoadReportColumns {
     private static final String UTILIZATION = "utilization";
     private static final int NO_COLUMN = -1;
@@ -14,7 +14,7 @@
                         : NO_COLUMN;
     }
 
-    /** The utilization in the values of a report, as a ratio; NaN if it was not reported. */
+    /** The utilization in a load report, as a ratio; NaN if it was not reported. */
     double utilization(ConfigObject event) throws ConfigException {
         return event.numberAt("report", utilizationIndex);
     }
--- a/src/main/java/rosespread/config/NameRegistry.java
+++ b/src/main/java/rosespread/config/NameRegistry.java
@@ -10,17 +10,19 @@
 import rosespread.api.ZoneId;
 
 /**
- * Maps the names of zones, machine types and methods to the ids that the policy works with. Ids are
- * the positions in the settings' arrays. Zones and machine types that only a node list names get
- * the next free ids; the methods are fixed.
+ * Maps the names of zones, machine types and methods to the ids that the policy uses. An id is the
+ * position of the name in its array of the settings. Zones and machine types that only a node list
+ * names get the next free ids; the set of methods is fixed.
  *
- * <p>Thread-safe: names of zones and machine types are looked up by I/O threads as well.
+ * <p>Thread-safe, as I/O threads also look up zones and machine types.
  */
 public final class NameRegistry {
-    /** An admission limit that stands for none, far above the load of any proxy. */
+    /** The admission limit on the wire that means "no limit"; far above the load of any proxy. */
     public static final double UNBOUNDED_ADMISSION_LIMIT = 1e6;
 
-    /** The retry rule on the wire: a retry only after proof that the first attempt never ran. */
+    /**
+     * The retry rule on the wire that allows a retry only if the first attempt provably never ran.
+     */
     public static final int RETRY_ONLY_IF_NOT_EXECUTED = 1;
 
     private final Map<String, Integer> zones = new TreeMap<>();
@@ -31,7 +33,8 @@
     private final LoadReportColumns reportColumns;
 
     /**
-     * The names in a settings object: {@code azs}, {@code kinds} and {@code profiles[].name}.
+     * Reads the names from a settings object: zones from {@code azs}, machine types from {@code
+     * kinds} and methods from {@code profiles[].name}.
      *
      * @throws ConfigException if a field is missing or has a wrong type
      */
@@ -52,13 +55,13 @@
         reportColumns = new LoadReportColumns(settings);
     }
 
-    /** The id of a zone; a name not seen before gets the next free id. */
+    /** The id of a zone; a new name gets the next free id. */
     public synchronized ZoneId zone(String name) {
         zones.putIfAbsent(name, zones.size());
         return new ZoneId(zones.get(name));
     }
 
-    /** The id of a machine type; a name not seen before gets the next free id. */
+    /** The id of a machine type; a new name gets the next free id. */
     public synchronized MachineTypeId machineType(String name) {
         machineTypes.putIfAbsent(name, machineTypes.size());
         return new MachineTypeId(machineTypes.get(name));
@@ -67,39 +70,39 @@
     /**
      * The id of a method.
      *
-     * @throws ConfigException if the settings have no such method
+     * @throws ConfigException if the settings do not define the method
      */
     public MethodId method(String name) throws ConfigException {
         Integer index = methods.get(name);
         if (index == null) {
-            throw new ConfigException("no method \"" + name + "\" among the settings");
+            throw new ConfigException(
+                    "unknown method \"" + name + "\": the settings do not define it");
         }
         return new MethodId(index);
     }
 
-    /** The id of a method, or empty if the settings have no such method. */
+    /** The id of a method, or empty if the settings do not define it. */
     public Optional<MethodId> findMethod(String name) {
         return Optional.ofNullable(methods.get(name)).map(MethodId::new);
     }
 
-    /** The names of the methods, by id. */
+    /** The names of the methods, indexed by id. */
     public List<String> methodNames() {
         return methodNames;
     }
 
-    /** Whether the settings name this zone, in contrast to one that only a node list names. */
+    /** Whether the zone is named in the settings and not only in a node list. */
     public synchronized boolean isConfiguredZone(String name) {
         return zones.containsKey(name) && zones.get(name) < configuredZones;
     }
 
-    /** The number of zones named so far. */
+    /** The number of zones that have an id so far. */
     synchronized int zoneCount() {
         return zones.size();
     }
 
     /**
-     * The utilization that a load report of the simulator holds, as a ratio; NaN if it was not
-     * reported.
+     * The utilization in a load report of the simulator, as a ratio; NaN if it was not reported.
      *
      * @throws ConfigException if the report is not an array
      */
--- a/src/main/java/rosespread/config/PolicySettingsReader.java
+++ b/src/main/java/rosespread/config/PolicySettingsReader.java
@@ -9,17 +9,17 @@
 import rosespread.api.PolicySettings;
 import rosespread.api.ZoneId;
 
-/** Reads the policy's settings from a settings object of the platform or the simulator. */
+/** Converts a settings object of the platform or the simulator to the policy's settings. */
 public final class PolicySettingsReader {
     private final NameRegistry names;
 
-    /** A reader that looks names up in, and adds new ones to, this registry. */
+    /** Creates a reader that looks up names in a registry, and adds new names to it. */
     public PolicySettingsReader(NameRegistry names) {
         this.names = names;
     }
 
     /**
-     * Reads the settings. Times are in seconds there and in nanoseconds in the result.
+     * Reads the settings and converts their times from seconds to nanoseconds.
      *
      * @throws ConfigException if a field is missing or has a wrong type
      */
--- a/src/main/java/rosespread/config/package-info.java
+++ b/src/main/java/rosespread/config/package-info.java
@@ -1,10 +1,9 @@
 /**
- * Configuration that comes as a JSON document of the platform or the simulator: typed access to its
- * fields with the field's path in every error, the ids that names are given, and the policy's
- * settings. Operators' own settings are read by {@code rosespread.settings}.
+ * Configuration that the platform or the simulator supplies as a JSON document: typed access to its
+ * fields with the field's path in every error, the ids of names, and the policy's settings. The
+ * package {@code rosespread.settings} reads the operators' own settings.
  *
- * <p>The package uses only {@code rosespread.api}. A {@link rosespread.config.ConfigObject} is not
- * changed after it was read; a {@link rosespread.config.NameRegistry} may be used from several
- * threads.
+ * <p>The package depends only on {@code rosespread.api}. A {@link rosespread.config.ConfigObject}
+ * does not change after it was read; a {@link rosespread.config.NameRegistry} is thread-safe.
  */
 package rosespread.config;
--- a/src/test/java/rosespread/config/ConfigObjectTest.java
+++ b/src/test/java/rosespread/config/ConfigObjectTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void missingAndNullFieldsTakeTheirDefaults() throws Exception {
+    void returnsDefaultsForMissingAndNullFields() throws Exception {
         ConfigObject object = parse("{'nothing':null}");
         assertFalse(object.has("nothing"));
         assertFalse(object.booleanValue("nothing"));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void wrongTypesAreReportedWithPathAndExpectedType() throws Exception {
+    void reportsWrongTypeWithPathAndExpectedType() throws Exception {
         ConfigObject object = parse("{'inner':{'a':'x'},'list':[1],'n':1}");
         assertError(
                 "root.inner.a",
@@ -78,14 +78,14 @@
     }
 
     @Test
-    void missingFieldIsReportedWithItsPath() throws Exception {
+    void reportsMissingFieldWithPath() throws Exception {
         ConfigObject object = parse("{}");
         assertError("root.a", "a value", "root lacks \"a\"", () -> object.text("a"));
         assertError("root.a", "a value", "root lacks \"a\"", () -> object.requiredObjects("a"));
     }
 
     @Test
-    void valueThatIsNoObjectIsRejected() {
+    void rejectsValueThatIsNotObject() {
         assertError("root", "an object", "root is not an object", () -> parse("[]"));
     }
 }
--- a/src/test/java/rosespread/config/NameRegistryTest.java
+++ b/src/test/java/rosespread/config/NameRegistryTest.java
@@ -52,13 +52,13 @@
     private NameRegistry names;
 
     @BeforeEach
-    void read() throws ConfigException {
+    void readSettings() throws ConfigException {
         settings = ConfigObject.of("settings", SETTINGS);
         names = new NameRegistry(settings);
     }
 
     @Test
-    void configuredNamesHaveTheirPositionsAsIds() throws ConfigException {
+    void usesPositionsOfConfiguredNamesAsIds() throws ConfigException {
         assertEquals(new ZoneId(1), names.zone("b"));
         assertEquals(new MachineTypeId(0), names.machineType("small"));
         assertEquals(new MethodId(1), names.method("book"));
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void newZoneGetsTheNextIdAndIsNotConfigured() {
+    void givesNewZoneNextIdAndDoesNotReportItAsConfigured() {
         assertEquals(new ZoneId(2), names.zone("c"));
         assertTrue(names.isConfiguredZone("b"));
         assertFalse(names.isConfiguredZone("c"));
@@ -74,13 +74,13 @@
     }
 
     @Test
-    void unknownMethodIsNotAdded() {
+    void doesNotAddUnknownMethod() {
         assertThrows(ConfigException.class, () -> names.method("sell"));
         assertEquals(Optional.empty(), names.findMethod("sell"));
     }
 
     @Test
-    void utilizationIsReadFromItsColumn() throws ConfigException {
+    void readsUtilizationFromItsColumn() throws ConfigException {
         ConfigObject report = ConfigObject.of("event", Map.of("report", List.of(3, 0.5)));
         ConfigObject shortReport = ConfigObject.of("event", Map.of("report", List.of(3)));
         assertEquals(0.5, names.utilization(report));
@@ -88,14 +88,14 @@
     }
 
     @Test
-    void policySettingsHoldIdsAndNanoseconds() throws ConfigException {
-        PolicySettings read = new PolicySettingsReader(names).read(settings);
-        assertEquals(2_000_000_000L, read.drainTimeoutNanos());
-        assertEquals(PolicySettings.Throttle.RATE, read.throttle());
+    void convertsNamesToIdsAndSecondsToNanoseconds() throws ConfigException {
+        PolicySettings policySettings = new PolicySettingsReader(names).read(settings);
+        assertEquals(2_000_000_000L, policySettings.drainTimeoutNanos());
+        assertEquals(PolicySettings.Throttle.RATE, policySettings.throttle());
         assertEquals(
                 List.of(
                         new PolicySettings.Method(1, Set.of(new MachineTypeId(1)), Set.of(), false),
                         new PolicySettings.Method(3, Set.of(), Set.of(new ZoneId(1)), true)),
-                read.methods());
+                policySettings.methods());
     }
 }
