--- a/src/main/java/rosespread/adapter/MalformedBatchException.java
+++ b/src/main/java/rosespread/adapter/MalformedBatchException.java
@@ -1,17 +1,17 @@
 package rosespread.adapter;
 
-/** A line of input is not a batch; the message is one line for the reader of standard error. */
+/** Thrown if a line of input is not a valid batch. The message is one line for standard error. */
 public final class MalformedBatchException extends Exception {
     private static final long serialVersionUID = 1L;
 
     private final long lineNumber;
 
     MalformedBatchException(long lineNumber, String detail) {
-        super("line " + lineNumber + " is not a batch: " + detail);
+        super("line " + lineNumber + " is not a valid batch: " + detail);
         this.lineNumber = lineNumber;
     }
 
-    /** The number of the line, from 1. */
+    /** The line number, starting at 1. */
     public long lineNumber() {
         return lineNumber;
     }
--- a/src/main/java/rosespread/adapter/SimulatedController.java
+++ b/src/main/java/rosespread/adapter/SimulatedController.java
@@ -15,8 +15,8 @@
 import rosespread.policy.RoutingPolicy;
 
 /**
- * One of the simulator's controllers in this process: its policy, and the events that wait for its
- * next round.
+ * One of the simulator's controllers in this process: its policy and the pending events of its next
+ * round.
  */
 final class SimulatedController {
     private final int id;
@@ -25,7 +25,7 @@
     private List<Consumer<EventHandler>> pendingEvents = new ArrayList<>();
 
     /**
-     * A controller as its launch event describes it.
+     * Creates a controller from its launch event.
      *
      * @throws ConfigException if a field is missing or has a wrong type
      */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Takes an event for the next round; one of an unknown name is passed over.
+     * Adds an event to the next round; events with an unknown name are ignored.
      *
      * @throws ConfigException if the event is malformed
      */
@@ -51,10 +51,9 @@
 
     /**
      * Runs a round with the events since the last one, and writes its actions. If the policy
-     * throws, a fault action is written after those it had made; the simulator ends the run at
-     * that.
+     * throws, a fault action follows the actions made until then, and the simulator ends the run.
      *
-     * @param now the simulator's time in nanoseconds
+     * @param now the simulated time in nanoseconds
      * @throws IOException if the reply cannot be written
      */
     void runRound(long now, JsonGenerator reply) throws IOException {
--- a/src/main/java/rosespread/adapter/SimulatorActionWriter.java
+++ b/src/main/java/rosespread/adapter/SimulatorActionWriter.java
@@ -12,10 +12,10 @@
 import rosespread.config.NameRegistry;
 
 /**
- * Writes a controller's actions to the reply, in the order in which the policy makes them. The
- * order of an action's fields is part of the wire.
+ * Writes a controller's actions to the reply in the order of the policy's calls. The order of an
+ * action's fields is part of the wire format.
  *
- * <p>An I/O error of the reply leaves each method as {@link UncheckedIOException}.
+ * <p>Every method throws {@link UncheckedIOException} if the reply cannot be written.
  */
 final class SimulatorActionWriter implements PolicyActions {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -28,7 +28,7 @@
         this.reply = reply;
     }
 
-    /** Writes an action's own fields. */
+    /** Writes the fields that are specific to one kind of action. */
     private interface Fields {
         void write() throws IOException;
     }
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Writes that the controller's policy has failed. */
+    /** Writes the fault action, which reports that the controller's policy threw. */
     static void writeFault(int controllerId, JsonGenerator reply, String text) {
         new SimulatorActionWriter(controllerId, reply)
                 .writeAction("Fault", () -> reply.writeStringField(WireNames.TEXT, text));
--- a/src/main/java/rosespread/adapter/SimulatorAdapter.java
+++ b/src/main/java/rosespread/adapter/SimulatorAdapter.java
@@ -17,9 +17,10 @@
 import rosespread.config.ConfigObject;
 
 /**
- * Speaks the simulator's wire: one batch of events a line in, one reply a line out. It runs as many
- * controllers as the events launch, each by itself; a reply holds a round of each controller that
- * the batch had an event for, by ascending id.
+ * Implements the simulator's line protocol: each input line is a batch of events and gets one reply
+ * line. Runs any number of independent controllers, which events launch. A batch runs one round of
+ * each controller that it has an event for, in the order of their ids; the reply contains the
+ * actions of these rounds.
  *
  * <p>Not thread-safe; runs on the thread that calls {@link #run}.
  */
@@ -31,7 +32,7 @@
     private final OutputStream out;
     private final Map<Integer, SimulatedController> controllers = new TreeMap<>();
 
-    /** An adapter on these streams, which it does not close; the input is UTF-8. */
+    /** Creates an adapter. The input is read as UTF-8; neither stream is closed. */
     public SimulatorAdapter(InputStream in, OutputStream out) {
         this.in =
                 new BufferedReader(
@@ -40,24 +41,25 @@
     }
 
     /**
-     * Replies to batches until the input ends. Each reply is flushed before the next line is read.
+     * Replies to each batch until the input ends. Each reply is flushed before the next line is
+     * read.
      *
-     * @throws IOException if a stream fails
-     * @throws MalformedBatchException if a line is not a batch
+     * @throws IOException if reading or writing fails
+     * @throws MalformedBatchException if a line is not a valid batch
      */
     public void run() throws IOException, MalformedBatchException {
         long lineNumber = 0;
         String line = in.readLine();
         while (line != null) {
             lineNumber++;
-            reply(lineNumber, line);
+            replyTo(lineNumber, line);
             line = in.readLine();
         }
     }
 
-    private void reply(long lineNumber, String line) throws IOException, MalformedBatchException {
+    private void replyTo(long lineNumber, String line) throws IOException, MalformedBatchException {
         try {
-            reply(line).writeTo(out);
+            runBatch(line).writeTo(out);
             out.flush();
         } catch (JsonProcessingException e) {
             throw new MalformedBatchException(lineNumber, e.getOriginalMessage());
@@ -66,23 +68,23 @@
         }
     }
 
-    private ByteArrayOutputStream reply(String line) throws IOException, ConfigException {
+    private ByteArrayOutputStream runBatch(String line) throws IOException, ConfigException {
         ConfigObject batch = ConfigObject.of("the line", parse(line));
         long now = batch.secondsAsNanos("simTime");
-        Map<Integer, SimulatedController> concerned = new TreeMap<>();
+        Map<Integer, SimulatedController> controllersWithEvents = new TreeMap<>();
         for (ConfigObject event : batch.requiredObjects("msgs")) {
-            dispatch(event, concerned);
+            dispatch(event, controllersWithEvents);
         }
-        return runRounds(now, concerned.values());
+        return runRounds(now, controllersWithEvents.values());
     }
 
-    private ByteArrayOutputStream runRounds(long now, Iterable<SimulatedController> concerned)
-            throws IOException {
+    private ByteArrayOutputStream runRounds(
+            long now, Iterable<SimulatedController> controllersWithEvents) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator reply = json.createGenerator(bytes)) {
             reply.writeStartObject();
             reply.writeArrayFieldStart("steps");
-            for (SimulatedController controller : concerned) {
+            for (SimulatedController controller : controllersWithEvents) {
                 controller.runRound(now, reply);
             }
             reply.writeEndArray();
@@ -92,7 +94,7 @@
         return bytes;
     }
 
-    /** The value of a line; null if it holds none or more than one. */
+    /** Parses the single JSON value of a line; null if the line has no value or more than one. */
     private Object parse(String line) throws IOException {
         try (JsonParser parser = json.createParser(line)) {
             if (parser.nextToken() == null) {
@@ -104,28 +106,30 @@
     }
 
     /**
-     * Hands an event to its controller; one for a controller that was not launched is passed over.
+     * Passes an event to its controller; events for a controller that was not launched are ignored.
      *
-     * @param concerned the controllers that have had an event of this batch; kept up to date
+     * @param controllersWithEvents the controllers with an event in this batch; updated by this
+     *     method
      */
-    private void dispatch(ConfigObject event, Map<Integer, SimulatedController> concerned)
+    private void dispatch(
+            ConfigObject event, Map<Integer, SimulatedController> controllersWithEvents)
             throws ConfigException {
         int id = event.integer(WireNames.CONTROLLER);
         switch (event.text(WireNames.MESSAGE)) {
             case "Launch" -> {
                 SimulatedController launched = new SimulatedController(id, event);
                 controllers.put(id, launched);
-                concerned.put(id, launched);
+                controllersWithEvents.put(id, launched);
             }
             case "Detach" -> {
                 controllers.remove(id);
-                concerned.remove(id);
+                controllersWithEvents.remove(id);
             }
             default -> {
                 SimulatedController controller = controllers.get(id);
                 if (controller != null) {
                     controller.handleEvent(event);
-                    concerned.put(id, controller);
+                    controllersWithEvents.put(id, controller);
                 }
             }
         }
--- a/src/main/java/rosespread/adapter/SimulatorEventReader.java
+++ b/src/main/java/rosespread/adapter/SimulatorEventReader.java
@@ -23,10 +23,12 @@
     }
 
     /**
-     * Decodes one event whole before its calls are made; an event of an unknown name has none.
+     * Decodes one event completely before any of its calls is made. An event with an unknown name
+     * adds no call.
      *
-     * @param events the calls are appended to this
-     * @throws ConfigException if a field is missing, has a wrong type or an unknown name
+     * @param events the list that the calls are appended to
+     * @throws ConfigException if a field is missing or has a wrong type, or if a name in it is
+     *     unknown
      */
     void read(ConfigObject event, List<Consumer<EventHandler>> events) throws ConfigException {
         switch (event.text(WireNames.MESSAGE)) {
@@ -85,7 +87,7 @@
         return handler -> handler.acknowledged(proxy, revision, latencyNanos);
     }
 
-    /** A latency without answered attempts, or of 0, was not measured. */
+    /** Reports the latency as NaN (not measured) if it is 0 or if no attempt was answered. */
     private Consumer<EventHandler> loadReported(ConfigObject event) throws ConfigException {
         NodeId node = node(event);
         ZoneId zone = names.zone(event.text(WireNames.ZONE));
--- a/src/main/java/rosespread/adapter/WireNames.java
+++ b/src/main/java/rosespread/adapter/WireNames.java
@@ -3,7 +3,7 @@
 import rosespread.api.EventHandler;
 import rosespread.config.ConfigException;
 
-/** The simulator's names of fields, and of the values that the policy has enums for. */
+/** The simulator's field names, and its names of the values that are enums in the policy's API. */
 final class WireNames {
     static final String MESSAGE = "msg";
     static final String CONTROLLER = "conductorId";
@@ -13,26 +13,26 @@
     static final String TABLE = "tbl";
     static final String METHOD_BITS = "classBits";
 
-    /** A weight, or a proxy's rate. */
+    /** The weight of a listed node or of a weight entry, or the usual RPC rate of a proxy. */
     static final String WEIGHT = "w";
 
-    /** The number of an acknowledgement. */
+    /** The acknowledgement token. */
     static final String REVISION = "rev";
 
     static final String ACTIVE = "active";
     static final String COUNT = "count";
 
-    /** A duration in seconds: an acknowledgement's latency, or the mean one of RPCs. */
+    /** A latency in seconds: that of an acknowledgement, or the mean latency of RPCs. */
     static final String LATENCY = "costTime";
 
-    /** The seconds that a report covers. */
+    /** The period that a report covers, in seconds. */
     static final String REPORT_PERIOD = "covers";
 
     static final String TEXT = "reasonText";
 
     private WireNames() {}
 
-    /** The result of a health check; names not known are failures. */
+    /** The result of a health check; {@code FAILED} for an unknown name. */
     static EventHandler.HealthCheckResult healthCheckResult(String name) {
         return switch (name) {
             case "delivered" -> EventHandler.HealthCheckResult.PASSED;
@@ -46,7 +46,7 @@
     /**
      * The kind of a node list.
      *
-     * @throws ConfigException if the name is not known
+     * @throws ConfigException if the name is unknown
      */
     static EventHandler.NodeListKind nodeListKind(String name) throws ConfigException {
         return switch (name) {
@@ -54,21 +54,29 @@
             case "Complete" -> EventHandler.NodeListKind.FULL;
             case "Persisted" -> EventHandler.NodeListKind.CACHED;
             case "Error" -> EventHandler.NodeListKind.UNAVAILABLE;
-            default -> throw new ConfigException("no list is of kind \"" + name + "\"");
+            default ->
+                    throw new ConfigException(
+                            "unknown node list kind \""
+                                    + name
+                                    + "\", expected Partial, Complete, Persisted or Error");
         };
     }
 
     /**
      * The state of a listed node.
      *
-     * @throws ConfigException if the name is not known
+     * @throws ConfigException if the name is unknown
      */
     static EventHandler.NodeState nodeState(String name) throws ConfigException {
         return switch (name) {
             case "ready" -> EventHandler.NodeState.READY;
             case "draining" -> EventHandler.NodeState.DRAINING;
             case "gone" -> EventHandler.NodeState.GONE;
-            default -> throw new ConfigException("no node is \"" + name + "\"");
+            default ->
+                    throw new ConfigException(
+                            "unknown node state \""
+                                    + name
+                                    + "\", expected ready, draining or gone");
         };
     }
 }
--- a/src/main/java/rosespread/adapter/package-info.java
+++ b/src/main/java/rosespread/adapter/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The controller on the simulator's wire: batches of events as lines of JSON on standard input, and
- * replies with the policy's actions on standard output. The simulator's names for messages, fields
- * and values are known to this package alone.
+ * The controller as a program for the simulator: it reads batches of events as lines of JSON from
+ * standard input, and writes replies with the policy's actions to standard output. Only this
+ * package uses the simulator's names of messages, fields and values.
  *
- * <p>It uses {@code rosespread.api}, {@code rosespread.config} and {@code rosespread.policy}, and
- * of Jackson only the streaming part, as the program is started often and must start quickly. All
- * of it runs on one thread; time is the simulator's.
+ * <p>The package depends on {@code rosespread.api}, {@code rosespread.config} and {@code
+ * rosespread.policy}. It uses only the streaming API of Jackson, since the program is started often
+ * and must start quickly. It runs on one thread and uses simulated time only.
  */
 package rosespread.adapter;
--- a/src/test/java/rosespread/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorAdapterTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void eachBatchGetsOneReplyAndARestrictedMethodItsTable() throws Exception {
+    void repliesOncePerBatchAndSubscribesProxyToTableOfRestrictedMethod() throws Exception {
         String join =
                 "{'msg':'Attached','conductorId':0,'clientLb':3,'zone':'a','w':6.5,'active':true}";
         String[] replies = run(batch() + batch(launch(0, INFO)) + batch(join)).split("\n");
@@ -62,18 +62,19 @@
     }
 
     @Test
-    void unknownEventsAndControllersNotLaunchedArePassedOver() throws Exception {
-        String odd = "{'msg':'Novelty','conductorId':0,'x':[1,{'y':null}]}";
-        assertEquals("{\"steps\":[]}\n", run(batch(odd)));
-        assertEquals(2, run(batch(launch(0, INFO)) + batch(odd)).split("\n").length);
+    void ignoresUnknownEventsAndControllersNotLaunched() throws Exception {
+        String unknownEvent = "{'msg':'Novelty','conductorId':0,'x':[1,{'y':null}]}";
+        assertEquals("{\"steps\":[]}\n", run(batch(unknownEvent)));
+        assertEquals(2, run(batch(launch(0, INFO)) + batch(unknownEvent)).split("\n").length);
     }
 
     @Test
-    void controllersInOneProcessAreIndependent() throws Exception {
-        String alone = run(batch(launch(1, INFO)));
-        String both = run(batch(launch(0, INFO), launch(1, INFO)));
-        String own = alone.substring(alone.indexOf('[') + 1, alone.lastIndexOf(']'));
-        assertTrue(both.contains(own));
+    void runsControllersIndependently() throws Exception {
+        String singleReply = run(batch(launch(1, INFO)));
+        String replyOfBoth = run(batch(launch(0, INFO), launch(1, INFO)));
+        String actions =
+                singleReply.substring(singleReply.indexOf('[') + 1, singleReply.lastIndexOf(']'));
+        assertTrue(replyOfBoth.contains(actions));
     }
 
     @ParameterizedTest
@@ -81,14 +82,14 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "nonsense                                    | line 2 is not a batch",
-                "[]                                          | line 2 is not a batch: the line is not an object",
+                "nonsense                                    | line 2 is not a valid batch",
+                "[]                                          | line 2 is not a valid batch: the line is not an object",
                 "{\"msgs\":[]}                               | lacks \"simTime\"",
                 "{\"simTime\":1}                             | lacks \"msgs\"",
-                "{\"simTime\":1,\"msgs\":[]} trailing        | line 2 is not a batch",
+                "{\"simTime\":1,\"msgs\":[]} trailing        | line 2 is not a valid batch",
                 "{\"simTime\":1,\"msgs\":[{\"msg\":\"x\"}]}  | lacks \"conductorId\""
             })
-    void lineThatIsNotABatchIsReported(String line, String expected) {
+    void rejectsMalformedBatch(String line, String expected) {
         MalformedBatchException error =
                 assertThrows(MalformedBatchException.class, () -> run(batch() + line + "\n"));
         assertTrue(error.getMessage().contains(expected), error.getMessage());
@@ -96,7 +97,7 @@
 
     @ParameterizedTest
     @CsvSource({"channelRate", "queueCap", "coldShare", "importance", "profiles", "contract"})
-    void missingSettingIsReported(String key) {
+    void reportsMissingSetting(String key) {
         String info = INFO.replace("'" + key + "'", "'other'");
         MalformedBatchException error =
                 assertThrows(MalformedBatchException.class, () -> run(batch(launch(0, info))));
--- a/src/test/java/rosespread/adapter/SimulatorWireTest.java
+++ b/src/test/java/rosespread/adapter/SimulatorWireTest.java
@@ -24,10 +24,10 @@
 import rosespread.config.ConfigException;
 
 /**
- * Pins the simulator's wire: each action literally, the words for verdicts, lists and nodes, and by
- * length and digest the replies to a fixed session of three conductors. The text of log lines is
- * left out of the digest. The session orders neither a node withdrawn nor a level; these are pinned
- * literally only.
+ * Compares the simulator's wire format with recorded values: the JSON of each action, the enum
+ * values of the simulator's names, and the length and digest of each reply in a fixed session of
+ * three controllers. The digests leave out the text of log lines. The session produces no action
+ * that excludes a node or sets an admission limit; only the comparison of the JSON covers these.
  */
 class SimulatorWireTest {
     private static final String INFO =
@@ -48,10 +48,10 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String written(Consumer<PolicyActions> orders) throws IOException {
+    private static String writtenActions(Consumer<PolicyActions> actions) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator reply = new JsonFactory().createGenerator(bytes)) {
-            orders.accept(new SimulatorActionWriter(3, reply));
+            actions.accept(new SimulatorActionWriter(3, reply));
             SimulatorActionWriter.writeFault(3, reply, "why");
         }
         return bytes.toString(StandardCharsets.UTF_8).replace('"', '\'').replace("} {", "}\n{")
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void eachActionLiterally() throws IOException {
+    void writesRecordedJsonForEachAction() throws IOException {
         assertEquals(
                 """
                 {'msg':'Assign','conductorId':3,'tbl':1,'w':0.1,'node':4000000000}
@@ -74,52 +74,52 @@
                 {'msg':'Log','conductorId':3,'reasonText':'line'}
                 {'msg':'Fault','conductorId':3,'reasonText':'why'}
                 """,
-                written(
-                        orders -> {
-                            orders.setWeight(new TableId(1), new NodeId(4_000_000_000L), 0.1);
-                            orders.subscribe(
+                writtenActions(
+                        actions -> {
+                            actions.setWeight(new TableId(1), new NodeId(4_000_000_000L), 0.1);
+                            actions.subscribe(
                                     new ProxyId(2),
                                     List.of(new MethodId(0), new MethodId(33)),
                                     new TableId(1));
-                            orders.setExcluded(new NodeId(7), true);
-                            orders.setAdmissionLimit(new TableId(1), new MethodId(2), 3.5);
-                            orders.setAdmissionLimit(
+                            actions.setExcluded(new NodeId(7), true);
+                            actions.setAdmissionLimit(new TableId(1), new MethodId(2), 3.5);
+                            actions.setAdmissionLimit(
                                     new TableId(1), new MethodId(0), Double.POSITIVE_INFINITY);
-                            orders.requestAcknowledgement(9);
-                            orders.checkHealth(new NodeId(7));
-                            orders.watchNodes();
-                            orders.startTimer(1_500_000_000L);
-                            ((SimulatorActionWriter) orders).writeLog("line");
+                            actions.requestAcknowledgement(9);
+                            actions.checkHealth(new NodeId(7));
+                            actions.watchNodes();
+                            actions.startTimer(1_500_000_000L);
+                            ((SimulatorActionWriter) actions).writeLog("line");
                         }));
     }
 
-    /** Meanings by place, as the names of the constants are no part of the wire. */
+    /** Compares ordinals, as the names of the enum constants are not part of the wire format. */
     @Test
-    void wordsForVerdictsListsAndNodes() throws ConfigException {
-        List<String> told = new ArrayList<>();
-        for (String word :
+    void mapsWireNamesToEnumValues() throws ConfigException {
+        List<String> ordinals = new ArrayList<>();
+        for (String name :
                 List.of("delivered", "shed", "expired", "dial_failed", "dropped", "else")) {
-            told.add(String.valueOf(WireNames.healthCheckResult(word).ordinal()));
+            ordinals.add(String.valueOf(WireNames.healthCheckResult(name).ordinal()));
         }
-        for (String word : List.of("Partial", "Complete", "Persisted", "Error")) {
-            told.add(String.valueOf(WireNames.nodeListKind(word).ordinal()));
+        for (String name : List.of("Partial", "Complete", "Persisted", "Error")) {
+            ordinals.add(String.valueOf(WireNames.nodeListKind(name).ordinal()));
         }
-        for (String word : List.of("ready", "draining", "gone")) {
-            told.add(String.valueOf(WireNames.nodeState(word).ordinal()));
+        for (String name : List.of("ready", "draining", "gone")) {
+            ordinals.add(String.valueOf(WireNames.nodeState(name).ordinal()));
         }
-        assertEquals("0 2 3 4 4 1 2 1 0 3 0 1 2", String.join(" ", told));
+        assertEquals("0 2 3 4 4 1 2 1 0 3 0 1 2", String.join(" ", ordinals));
         assertThrows(ConfigException.class, () -> WireNames.nodeListKind("partial"));
         assertThrows(ConfigException.class, () -> WireNames.nodeState("Ready"));
     }
 
-    private void batch(double time, String... events) {
+    private void addBatch(double time, String... events) {
         batches.add(
                 ("{'simTime':" + time + ",'msgs':[" + String.join(",", events) + "]}\n")
                         .replace('\'', '"'));
     }
 
-    private static String event(String name, int conductor, String fields) {
-        return "{'msg':'" + name + "','conductorId':" + conductor + fields + "}";
+    private static String event(String name, int controller, String fields) {
+        return "{'msg':'" + name + "','conductorId':" + controller + fields + "}";
     }
 
     private static String entry(int node, String state) {
@@ -134,27 +134,27 @@
                 + "'}";
     }
 
-    private static String list(int conductor, String kind, String... entries) {
+    private static String list(int controller, String kind, String... entries) {
         return event(
                 "Topology",
-                conductor,
+                controller,
                 ",'rev':0,'kind':'" + kind + "','elements':[" + String.join(",", entries) + "]");
     }
 
-    private static String launch(int conductor) {
+    private static String launch(int controller) {
         String[] entries = new String[12];
         for (int node = 0; node < entries.length; node++) {
             entries[node] = entry(node, "ready");
         }
-        return event("Launch", conductor, ",'nonce64':" + (5 + conductor) + ",'info':" + INFO)
+        return event("Launch", controller, ",'nonce64':" + (5 + controller) + ",'info':" + INFO)
                 + ","
-                + list(conductor, "Persisted", entries);
+                + list(controller, "Persisted", entries);
     }
 
-    private static String join(int conductor, int proxy) {
+    private static String join(int controller, int proxy) {
         return event(
                 "Attached",
-                conductor,
+                controller,
                 ",'clientLb':"
                         + proxy
                         + ",'zone':'"
@@ -164,7 +164,7 @@
                         + ",'active':true");
     }
 
-    private void reports(double time, int sick) {
+    private void addReports(double time, int failingNode) {
         List<String> events = new ArrayList<>();
         for (int node = 0; node < 12; node++) {
             events.add(
@@ -174,7 +174,7 @@
                             ",'node':"
                                     + node
                                     + ",'zone':'a','count':50,'unanswered':"
-                                    + (node == sick ? 50 : 0)
+                                    + (node == failingNode ? 50 : 0)
                                     + ",'costTime':0.02,'covers':1,'report':["
                                     + (0.4 + node / 10.0)
                                     + "]"));
@@ -188,70 +188,71 @@
             events.add(event("Installed", 0, ",'clientLb':" + proxy + ",'rev':1,'costTime':0.05"));
         }
         events.add(event("Wakeup", 0, ""));
-        batch(time, events.toArray(String[]::new));
+        addBatch(time, events.toArray(String[]::new));
     }
 
-    private void session() {
-        batch(0);
-        batch(0.5, launch(0), launch(1));
-        batch(1, join(0, 0), join(0, 1), join(0, 2), join(0, 3), join(1, 0));
+    private void addSessionBatches() {
+        addBatch(0);
+        addBatch(0.5, launch(0), launch(1));
+        addBatch(1, join(0, 0), join(0, 1), join(0, 2), join(0, 3), join(1, 0));
         for (int i = 0; i < 8; i++) {
-            reports(2 + i, i > 2 ? 4 : -1);
+            addReports(2 + i, i > 2 ? 4 : -1);
         }
-        batch(10.5, event("PingResult", 0, ",'node':4,'verdict':'dial_failed'"));
-        batch(
+        addBatch(10.5, event("PingResult", 0, ",'node':4,'verdict':'dial_failed'"));
+        addBatch(
                 11,
                 list(0, "Partial", entry(5, "draining"), entry(6, "gone")),
                 event("Unsubscribed", 0, ",'clientLb':3"));
-        batch(
+        addBatch(
                 12,
                 event("PingResult", 0, ",'node':4,'verdict':'delivered'"),
                 event("Wakeup", 0, ""));
-        reports(13, -1);
-        batch(14, list(0, "Error"), event("Detach", 1, ""));
-        batch(15, event("Wakeup", 1, ""), event("Wakeup", 0, ""), event("Novelty", 0, ""));
-        reports(16, -1);
-        drainWhileManyJoin();
+        addReports(13, -1);
+        addBatch(14, list(0, "Error"), event("Detach", 1, ""));
+        addBatch(15, event("Wakeup", 1, ""), event("Wakeup", 0, ""), event("Novelty", 0, ""));
+        addReports(16, -1);
+        addMassReconnectDuringDrain();
     }
 
-    /** Many proxies join at once, and a node leaves and comes back meanwhile. */
-    private void drainWhileManyJoin() {
-        batch(17, launch(2));
+    /** Lets many proxies join at once while a node drains and becomes ready again. */
+    private void addMassReconnectDuringDrain() {
+        addBatch(17, launch(2));
         String[] joins = new String[45];
         for (int proxy = 0; proxy < joins.length; proxy++) {
             joins[proxy] = join(2, proxy);
         }
-        batch(18, joins);
-        batch(18.1, list(2, "Partial", entry(5, "draining")));
-        batch(18.4, event("Wakeup", 2, ""));
-        batch(19, event("Wakeup", 2, ""));
-        batch(20, list(2, "Partial", entry(5, "ready")));
-        batch(22, event("Wakeup", 2, ""));
-        batch(30, event("Wakeup", 2, ""));
+        addBatch(18, joins);
+        addBatch(18.1, list(2, "Partial", entry(5, "draining")));
+        addBatch(18.4, event("Wakeup", 2, ""));
+        addBatch(19, event("Wakeup", 2, ""));
+        addBatch(20, list(2, "Partial", entry(5, "ready")));
+        addBatch(22, event("Wakeup", 2, ""));
+        addBatch(30, event("Wakeup", 2, ""));
     }
 
-    /** Whole replies but for the text of log lines: length and digest of each. */
+    /** Returns the length and digest of each reply without the text of its log lines. */
     private static String digests(String replies) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder digests = new StringBuilder();
         for (String reply : replies.split("\n")) {
-            String rest =
+            String withoutLogText =
                     reply.replaceAll(
                             "\"reasonText\":\"([^\"\\\\]|\\\\.)*\"", "\"reasonText\":\"\"");
-            all.append(rest.length())
+            digests.append(withoutLogText.length())
                     .append(' ')
                     .append(
                             Long.toHexString(
                                     Hashing.xxh3_64()
                                             .hashBytesToLong(
-                                                    rest.getBytes(StandardCharsets.UTF_8))))
+                                                    withoutLogText.getBytes(
+                                                            StandardCharsets.UTF_8))))
                     .append('\n');
         }
-        return all.toString();
+        return digests.toString();
     }
 
     @Test
-    void repliesToAFixedSession() throws IOException, MalformedBatchException {
-        session();
+    void repliesToFixedSessionMatchRecordedDigests() throws IOException, MalformedBatchException {
+        addSessionBatches();
         String replies = run(String.join("", batches));
         for (String action : List.of("Assign", "Point", "Mark", "Ping", "StreamChanges", "Arm")) {
             assertTrue(replies.contains("\"msg\":\"" + action + "\""), "no " + action);
