--- a/src/main/java/rosespread/discovery/CatalogIndex.java
+++ b/src/main/java/rosespread/discovery/CatalogIndex.java
@@ -4,24 +4,25 @@
 import java.util.regex.Pattern;
 
 /**
- * The catalogue's index of the list that is known, by which blocking queries wait for the next. The
- * index only rises; one that is lower comes from a server that lags, or from a catalogue that was
- * set up again. So a lower index is rejected until lower ones have come for a grace time.
+ * The catalog's index of the last accepted node list, which blocking queries use to wait for the
+ * next list. The index of a catalog only rises. A lower index comes from a lagging server or from a
+ * catalog that was recreated, so it is rejected until lower indexes have been received for a grace
+ * period.
  *
  * <p>Not thread-safe.
  */
 final class CatalogIndex {
-    /** What a response's index says of its list. */
+    /** The state of a received list, compared with the last accepted one. */
     enum Change {
-        /** The list is another one than is known. */
+        /** The list differs from the last accepted one. */
         CHANGED,
-        /** The list is the one that is known. */
+        /** The list is the same as the last accepted one. */
         UNCHANGED,
-        /** The list is older than the one that is known, and must not be used. */
+        /** The list is older than the last accepted one and must not be used. */
         STALE
     }
 
-    /** Up to 18 digits always fit a long. */
+    /** 18 digits always fit in a long. */
     private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,18}");
 
     private static final long NOT_STALE = Long.MIN_VALUE;
@@ -34,7 +35,10 @@
         this.rollbackGraceNanos = rollbackGraceNanos;
     }
 
-    /** The index in the header {@code X-Consul-Index}; empty unless it is a whole number over 0. */
+    /**
+     * Parses the value of the header {@code X-Consul-Index}; empty unless it is a whole number
+     * above 0.
+     */
     static OptionalLong parse(String header) {
         if (!WHOLE_NUMBER.matcher(header).matches()) {
             return OptionalLong.empty();
@@ -43,22 +47,25 @@
         return index == 0 ? OptionalLong.empty() : OptionalLong.of(index);
     }
 
-    /** The index of the list that is known; 0 if none is. */
+    /** The index of the last accepted list; 0 if there is none. */
     long value() {
         return value;
     }
 
     /**
-     * Whether the next query may wait for a change. It may not while responses are stale, as a
-     * catalogue set up again would reach the known index only much later.
+     * Whether the next query may block until a change. It may not while responses are stale, since
+     * a recreated catalog reaches the known index only much later.
      */
     boolean mayBlock() {
         return value > 0 && staleSinceNanos == NOT_STALE;
     }
 
-    /** Takes a response's index, unless that is stale. */
-    Change advance(long next, long now) {
-        if (next < value) {
+    /**
+     * Compares the index of a response, received at time {@code now} in nanoseconds, with the known
+     * index, and accepts it unless it is stale.
+     */
+    Change advance(long newIndex, long now) {
+        if (newIndex < value) {
             if (staleSinceNanos == NOT_STALE) {
                 staleSinceNanos = now;
             }
@@ -67,8 +74,8 @@
             }
         }
         staleSinceNanos = NOT_STALE;
-        Change change = next == value ? Change.UNCHANGED : Change.CHANGED;
-        value = next;
+        Change change = newIndex == value ? Change.UNCHANGED : Change.CHANGED;
+        value = newIndex;
         return change;
     }
 }
--- a/src/main/java/rosespread/discovery/CatalogReader.java
+++ b/src/main/java/rosespread/discovery/CatalogReader.java
@@ -10,12 +10,12 @@
 import rosespread.api.EventHandler.NodeState;
 
 /**
- * Reads the response body of Consul's {@code /v1/health/service/NAME}.
+ * Parses the response body of Consul's {@code /v1/health/service/NAME}.
  *
- * <p>Zone, machine type and start come from {@code Service.Meta} (zone, kind, started as
- * milliseconds since the epoch) or else from tags "zone=…", "kind=…", "started=…". Maintenance of
- * the service or its machine means that the node drains; any other critical check means that no
- * process runs. Fields that are not known are passed over.
+ * <p>Zone, machine type and start time (milliseconds since the epoch) are the values "zone", "kind"
+ * and "started" of {@code Service.Meta}, or else of tags such as "zone=…". A node whose service or
+ * machine is in maintenance is draining; a node with any other critical check is gone, as its
+ * process does not run. Unknown fields are ignored.
  */
 final class CatalogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -29,12 +29,13 @@
     /**
      * The nodes in the order of the response.
      *
-     * @throws NodeListException if the body is not such a response
+     * @throws NodeListException if the body is malformed
      */
     static List<ListedNode> read(String body) throws NodeListException {
         JsonNode entries = parse(body);
         if (entries == null || !entries.isArray() || entries.size() > MAX_ENTRIES) {
-            throw new NodeListException("not an array of at most " + MAX_ENTRIES + " entries");
+            throw new NodeListException(
+                    "response body is not a JSON array of at most " + MAX_ENTRIES + " entries");
         }
         List<ListedNode> nodes = new ArrayList<>(entries.size());
         Set<Long> ids = new TreeSet<>();
@@ -55,7 +56,7 @@
             return JSON.readTree(body);
         } catch (JsonProcessingException e) {
             throw new NodeListException(
-                    "not JSON at line "
+                    "response body is not valid JSON at line "
                             + e.getLocation().getLineNr()
                             + ", column "
                             + e.getLocation().getColumnNr());
@@ -67,9 +68,12 @@
         String name = service.path("ID").asText();
         String host = host(entry);
         int port = service.path("Port").asInt();
-        if (name.isEmpty() || !isUsable(host, port)) {
+        if (name.isEmpty() || !isValidAddress(host, port)) {
             throw new NodeListException(
-                    path + ".Service lacks ID, Address or a Port from 1 to 65535");
+                    path
+                            + ".Service lacks an ID, an Address of at most 255 characters"
+                            + " or a Port from 1 to 65535; Port is "
+                            + port);
         }
         HealthStatus status = HealthStatus.of(entry.path("Checks"));
         long startedMillis = startedMillis(service, path);
@@ -85,11 +89,11 @@
                 startedMillis);
     }
 
-    private static boolean isUsable(String host, int port) {
+    private static boolean isValidAddress(String host, int port) {
         return !host.isEmpty() && host.length() <= MAX_HOST_LENGTH && port >= 1 && port <= MAX_PORT;
     }
 
-    /** The service's own address, or that of its machine if it has none. */
+    /** The address of the service, or of its machine if the service has none. */
     private static String host(JsonNode entry) {
         String host = entry.path("Service").path("Address").asText();
         return host.isEmpty() ? entry.path("Node").path("Address").asText() : host;
@@ -104,12 +108,13 @@
         try {
             return Long.parseLong(label(service, "started", "0"));
         } catch (NumberFormatException e) {
-            throw new NodeListException(path + ".Service.Meta.started is not a whole number");
+            throw new NodeListException(
+                    path + ".Service: \"started\" in Meta or Tags is not a whole number");
         }
     }
 
-    /** A value of {@code Meta}, or else of a tag "name=value". */
-    private static String label(JsonNode service, String name, String absent) {
+    /** The value in {@code Meta}, or else of a tag "name=value", or else the default. */
+    private static String label(JsonNode service, String name, String defaultValue) {
         JsonNode meta = service.path("Meta").path(name);
         if (!meta.isMissingNode()) {
             return meta.asText();
@@ -119,27 +124,27 @@
                 return tag.asText().substring(name.length() + 1);
             }
         }
-        return absent;
+        return defaultValue;
     }
 
-    /** What the checks of one service and its machine come to. */
+    /** The combined result of the checks of one service and its machine. */
     private record HealthStatus(boolean maintenance, boolean critical, boolean warning) {
         static HealthStatus of(JsonNode checks) {
             boolean maintenance = false;
             boolean critical = false;
             boolean warning = false;
             for (JsonNode check : checks) {
-                boolean ofMaintenance = isMaintenance(check.path("CheckID").asText());
+                boolean maintenanceCheck = isMaintenanceCheck(check.path("CheckID").asText());
                 String status = check.path("Status").asText();
                 boolean isCritical = status.equals("critical");
-                maintenance |= ofMaintenance && isCritical || status.equals("maintenance");
-                critical |= !ofMaintenance && isCritical;
+                maintenance |= maintenanceCheck && isCritical || status.equals("maintenance");
+                critical |= !maintenanceCheck && isCritical;
                 warning |= status.equals("warning");
             }
             return new HealthStatus(maintenance, critical, warning);
         }
 
-        private static boolean isMaintenance(String checkId) {
+        private static boolean isMaintenanceCheck(String checkId) {
             return checkId.equals("_node_maintenance")
                     || checkId.startsWith("_service_maintenance");
         }
--- a/src/main/java/rosespread/discovery/HealthChecker.java
+++ b/src/main/java/rosespread/discovery/HealthChecker.java
@@ -8,10 +8,11 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Checks the health of a node by one GET request. Statuses below 400 pass; 429 and 503 are a
- * rejection, by which the node is alive; all others are a failure.
+ * Checks the health of a node with one GET request. A status below 400 means that the check passed;
+ * 429 or 503 that the node is running but rejected the request; any other status that the check
+ * failed.
  *
- * <p>Thread-safe, and without state of its own.
+ * <p>Thread-safe and stateless.
  */
 public final class HealthChecker {
     private static final int FIRST_ERROR_STATUS = 400;
@@ -23,10 +24,10 @@
     private final long timeoutNanos;
 
     /**
-     * A health checker.
+     * Creates a health checker.
      *
-     * @param path the path that nodes answer health checks at
-     * @param timeoutNanos how long a response may take, in nanoseconds
+     * @param path the path of the health checks on the nodes
+     * @param timeoutNanos the time limit of a response in nanoseconds
      */
     public HealthChecker(HttpClient http, String path, long timeoutNanos) {
         this.http = http;
--- a/src/main/java/rosespread/discovery/NodeListClient.java
+++ b/src/main/java/rosespread/discovery/NodeListClient.java
@@ -12,25 +12,29 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Follows the nodes of a service in Consul's health catalogue by blocking queries, one at a time.
+ * Watches the nodes of a service in Consul's health catalog with blocking queries, one at a time.
  *
- * <p>A query that fails, times out, or brings a malformed or stale list is reported as
- * "unavailable" and repeated after a backoff; the last good list stays valid. See {@link
- * CatalogIndex} for what stale means.
+ * <p>A query that fails, times out, or returns a malformed or stale list is reported to the
+ * listener as unavailable and, unless the client works on demand, retried after a backoff; the last
+ * list stays valid. {@link CatalogIndex} defines when a list is stale.
  *
  * <p>Thread-safe: all state is guarded by this object's lock.
  */
 public final class NodeListClient implements AutoCloseable {
     /**
-     * Takes the lists. Called on I/O and timer threads, one call at a time and with the client's
-     * lock held, so that no call comes after {@link #close} has returned; must not block.
+     * Receives the lists. Its methods are called on I/O and timer threads, one call at a time. They
+     * must not block. The client holds its lock during a call, so that there is no call after
+     * {@link #close} has returned.
      */
     public interface Listener {
-        /** A list with another index than the last one, which it replaces. */
+        /**
+         * Called with a list whose index differs from that of the last one; it replaces the last
+         * list.
+         */
         void nodeListReceived(List<ListedNode> nodes);
 
         /**
-         * A query failed; the last list stays valid.
+         * Called after a failed query; the last list stays valid.
          *
          * @param reason one line for an operator
          */
@@ -40,10 +44,14 @@
     private static final long MIN_BACKOFF_NANOS = 100_000_000L;
     private static final long MAX_BACKOFF_NANOS = 2_000_000_000L;
 
-    /** Keeps the shift of the backoff in range; the maximum is reached before. */
+    /**
+     * Prevents an overflow of the backoff's shift; {@link #MAX_BACKOFF_NANOS} is reached earlier.
+     */
     private static final int MAX_BACKOFF_DOUBLINGS = 10;
 
-    /** Consul adds up to a sixteenth of the wait, so that clients do not all return at once. */
+    /**
+     * Consul extends the wait by up to 1/16 so that queries of several clients do not end together.
+     */
     private static final int CONSUL_JITTER_DIVISOR = 16;
 
     private static final int STATUS_OK = 200;
@@ -65,19 +73,19 @@
     private int consecutiveFailures;
 
     /**
-     * A client that does nothing until {@link #start}.
+     * Creates a client, which sends no query until {@link #start} is called.
      *
      * @param server the address of Consul's HTTP API
      * @param service the name of the service
-     * @param userAgent the user agent of the queries
-     * @param blockingWaitNanos how long a query may block for a change
-     * @param responseTimeoutNanos how long a response may take beyond that
-     * @param indexRollbackGraceNanos how long responses must be older than the known list until
-     *     they are taken as a catalogue that was set up again
-     * @param onDemand whether to stop after a failure until {@link #start} is called again, instead
-     *     of retrying
+     * @param userAgent the user-agent header of the queries
+     * @param blockingWaitNanos how long a query may block until a change
+     * @param responseTimeoutNanos how long a response may take in addition to the blocking wait
+     * @param indexRollbackGraceNanos how long responses must be older than the known list before
+     *     the client assumes that the catalog was recreated and accepts them
+     * @param onDemand whether the client stops after a failure until {@link #start} is called
+     *     again, instead of retrying
      * @param timer runs the retries
-     * @param clock nanoseconds of any origin
+     * @param clock a clock in nanoseconds with an arbitrary origin
      * @param random draws the jitter of the backoff
      */
     public NodeListClient(
@@ -107,9 +115,7 @@
         this.index = new CatalogIndex(indexRollbackGraceNanos);
     }
 
-    /**
-     * Starts to follow the list; does nothing if it is followed already or the client is closed.
-     */
+    /** Starts to watch the list; does nothing if the client is already running or closed. */
     public synchronized void start() {
         if (!running && !closed) {
             running = true;
@@ -117,7 +123,10 @@
         }
     }
 
-    /** Stops for good; the listener is not called any more. A query in flight is ignored. */
+    /**
+     * Stops the client permanently; the listener is not called any more. The response of a query in
+     * flight is ignored.
+     */
     @Override
     public synchronized void close() {
         closed = true;
@@ -160,13 +169,13 @@
             return;
         }
         if (response.status() != STATUS_OK) {
-            handleFailure("status " + response.status());
+            handleFailure("response has status " + response.status() + ", expected 200");
             return;
         }
         String header = response.headers().first("x-consul-index").orElse("");
-        OptionalLong next = CatalogIndex.parse(header);
-        if (next.isEmpty()) {
-            handleFailure("X-Consul-Index is \"" + header + "\", not a whole number over 0");
+        OptionalLong nextIndex = CatalogIndex.parse(header);
+        if (nextIndex.isEmpty()) {
+            handleFailure("X-Consul-Index is \"" + header + "\", expected a whole number above 0");
             return;
         }
         List<ListedNode> nodes;
@@ -176,14 +185,14 @@
             handleFailure(e.getMessage());
             return;
         }
-        handleList(next.getAsLong(), nodes);
+        handleList(nextIndex.getAsLong(), nodes);
     }
 
-    private void handleList(long next, List<ListedNode> nodes) {
-        long known = index.value();
-        CatalogIndex.Change change = index.advance(next, clock.getAsLong());
+    private void handleList(long nextIndex, List<ListedNode> nodes) {
+        long knownIndex = index.value();
+        CatalogIndex.Change change = index.advance(nextIndex, clock.getAsLong());
         if (change == CatalogIndex.Change.STALE) {
-            handleFailure("index " + next + " is older than " + known + ", which is known");
+            handleFailure("index " + nextIndex + " is older than the known index " + knownIndex);
             return;
         }
         consecutiveFailures = 0;
--- a/src/main/java/rosespread/discovery/NodeListException.java
+++ b/src/main/java/rosespread/discovery/NodeListException.java
@@ -1,6 +1,9 @@
 package rosespread.discovery;
 
-/** A response is not a list of nodes; the message names the entry and field, or line and column. */
+/**
+ * Thrown if a response is not a valid node list. The message states the entry and field, or the
+ * line and column.
+ */
 final class NodeListException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/rosespread/discovery/CatalogFixture.java
+++ b/src/test/java/rosespread/discovery/CatalogFixture.java
@@ -1,10 +1,10 @@
 package rosespread.discovery;
 
-/** Entries of Consul's health catalogue. */
+/** Creates entries of Consul's health catalog as JSON. */
 final class CatalogFixture {
     private CatalogFixture() {}
 
-    /** A service at 127.0.0.1:80 in zone "a", of machine type "k", with these checks. */
+    /** Returns a service at 127.0.0.1:80 in zone "a" with machine type "k" and the given checks. */
     static String entry(String name, String checks) {
         return "{\"Node\":{\"Address\":\"127.0.0.1\"},\"Service\":{\"ID\":\""
                 + name
--- a/src/test/java/rosespread/discovery/CatalogIndexTest.java
+++ b/src/test/java/rosespread/discovery/CatalogIndexTest.java
@@ -16,17 +16,17 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "0", "-1", "1.5", "x", "1234567890123456789"})
-    void headerThatIsNoIndexIsRejected(String header) {
+    void rejectsHeaderThatIsNotIndex(String header) {
         assertEquals(OptionalLong.empty(), CatalogIndex.parse(header));
     }
 
     @Test
-    void wholeNumberIsAnIndex() {
+    void parsesWholeNumberAsIndex() {
         assertEquals(OptionalLong.of(42), CatalogIndex.parse("42"));
     }
 
     @Test
-    void higherIndexIsAChangeAndTheSameOneIsNot() {
+    void reportsHigherIndexAsChangedAndEqualIndexAsUnchanged() {
         assertFalse(index.mayBlock());
         assertEquals(Change.CHANGED, index.advance(5, 0));
         assertTrue(index.mayBlock());
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void lowerIndexIsStaleUntilTheGraceTimeHasPassed() {
+    void reportsLowerIndexAsStaleUntilGracePeriodHasPassed() {
         index.advance(5, 0);
         assertEquals(Change.STALE, index.advance(3, 1000));
         assertFalse(index.mayBlock());
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void currentIndexEndsTheGraceTime() {
+    void restartsGracePeriodAfterKnownIndex() {
         index.advance(5, 0);
         index.advance(3, 1000);
         assertEquals(Change.UNCHANGED, index.advance(5, 1001));
--- a/src/test/java/rosespread/discovery/CatalogReaderTest.java
+++ b/src/test/java/rosespread/discovery/CatalogReaderTest.java
@@ -20,7 +20,8 @@
                 "{\"CheckID\":\"_service_maintenance:x\",\"Status\":\"critical\"}|DRAINING",
                 "{\"CheckID\":\"_node_maintenance\",\"Status\":\"critical\"}|DRAINING"
             })
-    void stateZoneTypeAndStartAreRead(String checks, NodeState state) throws NodeListException {
+    void readsStateZoneMachineTypeAndStartTime(String checks, NodeState state)
+            throws NodeListException {
         String entry = CatalogFixture.entry("x", checks == null ? "" : checks);
         ListedNode node = CatalogReader.read("[" + entry + "]").get(0);
         assertEquals(state, node.state());
@@ -28,7 +29,7 @@
     }
 
     @Test
-    void nodeListedTwiceIsRejected() {
+    void rejectsNodeListedTwice() {
         String entry = CatalogFixture.entry("x", "");
         assertThrows(
                 NodeListException.class, () -> CatalogReader.read("[" + entry + "," + entry + "]"));
--- a/src/test/java/rosespread/discovery/HealthCheckerTest.java
+++ b/src/test/java/rosespread/discovery/HealthCheckerTest.java
@@ -18,11 +18,14 @@
 import rosespread.http.HttpServer;
 
 class HealthCheckerTest {
-    private static final InetSocketAddress ANY =
+    private static final InetSocketAddress ANY_LOOPBACK_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     private static final long TIMEOUT_NANOS = 150_000_000L;
 
-    /** A node that answers after the deadline has timed out, and its late answer is nobody's. */
+    /**
+     * A node that responds after the deadline counts as timed out; its late response produces no
+     * second result.
+     */
     @ParameterizedTest
     @CsvSource({
         "200,PASSED",
@@ -35,38 +38,42 @@
         "closes,UNREACHABLE",
         "down,UNREACHABLE"
     })
-    void eachOutcomeHasOneResult(String node, HealthCheckResult expected) throws IOException {
-        List<HttpServer.Exchange> late = new CopyOnWriteArrayList<>();
+    void reportsOneResultPerCheck(String nodeBehavior, HealthCheckResult expected)
+            throws IOException {
+        List<HttpServer.Exchange> lateExchanges = new CopyOnWriteArrayList<>();
         List<HealthCheckResult> results = new CopyOnWriteArrayList<>();
         try (HttpServer server =
                         new HttpServer(
                                 1,
                                 HttpLimits.DEFAULT,
                                 (call, exchange) -> {
-                                    switch (node) {
-                                        case "late" -> late.add(exchange);
+                                    switch (nodeBehavior) {
+                                        case "late" -> lateExchanges.add(exchange);
                                         case "closes" -> exchange.abort();
                                         default ->
                                                 exchange.respond(
                                                         HttpMessage.Response.of(
-                                                                Integer.parseInt(node),
+                                                                Integer.parseInt(nodeBehavior),
                                                                 "text/plain",
                                                                 ""));
                                     }
                                 });
                 HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 5)) {
-            InetSocketAddress at = server.listen(ANY);
-            if (node.equals("down")) {
-                try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                    at = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
+            InetSocketAddress address = server.listen(ANY_LOOPBACK_PORT);
+            if (nodeBehavior.equals("down")) {
+                try (ServerSocket closedSocket =
+                        new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                    address =
+                            new InetSocketAddress(
+                                    closedSocket.getInetAddress(), closedSocket.getLocalPort());
                 }
             }
             HealthChecker checker = new HealthChecker(http, "/health", TIMEOUT_NANOS);
-            checker.check(at, results::add);
+            checker.check(address, results::add);
             await().until(() -> results.size() == 1);
-            late.forEach(
+            lateExchanges.forEach(
                     exchange -> exchange.respond(HttpMessage.Response.of(200, "text/plain", "")));
-            checker.check(at, results::add);
+            checker.check(address, results::add);
             await().until(() -> results.size() == 2);
             assertEquals(List.of(expected, expected), results);
         }
--- a/src/test/java/rosespread/discovery/NodeListClientTest.java
+++ b/src/test/java/rosespread/discovery/NodeListClientTest.java
@@ -28,7 +28,7 @@
 class NodeListClientTest {
     private static final long MILLI_NANOS = 1_000_000L;
     private final List<String> received = new CopyOnWriteArrayList<>();
-    private final List<String> targets = new CopyOnWriteArrayList<>();
+    private final List<String> requestTargets = new CopyOnWriteArrayList<>();
     private final AtomicLong clock = new AtomicLong();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private final HttpClient http = new HttpClient(1, HttpLimits.LARGE, 300, 5);
@@ -43,21 +43,21 @@
         timer.shutdownNow();
     }
 
-    private void start(BiConsumer<Integer, HttpServer.Exchange> answers) throws IOException {
+    private void start(BiConsumer<Integer, HttpServer.Exchange> responder) throws IOException {
         server =
                 new HttpServer(
                         1,
                         HttpLimits.DEFAULT,
                         (call, exchange) -> {
-                            targets.add(call.target());
-                            answers.accept(targets.size(), exchange);
+                            requestTargets.add(call.target());
+                            responder.accept(requestTargets.size(), exchange);
                         });
-        InetSocketAddress at =
+        InetSocketAddress address =
                 server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         client =
                 new NodeListClient(
                         http,
-                        at,
+                        address,
                         "nodes",
                         "test",
                         5000 * MILLI_NANOS,
@@ -72,7 +72,7 @@
                             public void nodeListReceived(List<ListedNode> nodes) {
                                 received.add(
                                         nodes.stream()
-                                                .map(n -> n.name() + " " + n.state())
+                                                .map(node -> node.name() + " " + node.state())
                                                 .toList()
                                                 .toString());
                             }
@@ -85,7 +85,7 @@
         client.start();
     }
 
-    private static void answer(
+    private static void respond(
             HttpServer.Exchange exchange, int status, String index, String body) {
         exchange.respond(
                 new HttpMessage.Response(
@@ -95,40 +95,47 @@
     }
 
     @Test
-    void queriesBlockFromTheKnownIndex() throws IOException {
+    void blocksQueriesOnKnownIndex() throws IOException {
         start(
-                (n, exchange) -> {
-                    if (n < 3) {
-                        answer(
+                (queryNumber, exchange) -> {
+                    if (queryNumber < 3) {
+                        respond(
                                 exchange,
                                 200,
-                                String.valueOf(10 + n),
-                                "[" + CatalogFixture.entry("x" + n, "") + "]");
+                                String.valueOf(10 + queryNumber),
+                                "[" + CatalogFixture.entry("x" + queryNumber, "") + "]");
                     }
                 });
-        await().until(() -> targets.size() == 3);
+        await().until(() -> requestTargets.size() == 3);
         assertEquals(
                 List.of(
                         "/v1/health/service/nodes",
                         "/v1/health/service/nodes?index=11&wait=5000ms",
                         "/v1/health/service/nodes?index=12&wait=5000ms"),
-                targets);
+                requestTargets);
         assertEquals(List.of("[x1 READY]", "[x2 READY]"), received);
     }
 
     @Test
-    void olderListIsAcceptedOnlyAfterTheGraceTime() throws IOException {
+    void acceptsOlderListOnlyAfterGracePeriod() throws IOException {
         start(
-                (n, exchange) ->
-                        answer(
+                (queryNumber, exchange) ->
+                        respond(
                                 exchange,
                                 200,
-                                n == 1 ? "50" : "20",
-                                "[" + CatalogFixture.entry(n == 1 ? "new" : "old", "") + "]"));
+                                queryNumber == 1 ? "50" : "20",
+                                "["
+                                        + CatalogFixture.entry(queryNumber == 1 ? "new" : "old", "")
+                                        + "]"));
         await().until(() -> received.size() >= 3);
         assertEquals("[new READY]", received.get(0));
         assertTrue(
-                received.stream().skip(1).allMatch(h -> h.contains("index 20 is older than 50")),
+                received.stream()
+                        .skip(1)
+                        .allMatch(
+                                event ->
+                                        event.contains(
+                                                "index 20 is older than the known index 50")),
                 received.toString());
         clock.addAndGet(1001 * MILLI_NANOS);
         await().until(() -> received.contains("[old READY]"));
@@ -141,19 +148,23 @@
                 "500|5|[]|status 500",
                 "200|0|[]|X-Consul-Index",
                 "200||[]|X-Consul-Index",
-                "200|5|{}|not an array",
-                "200|5|[{]|not JSON at line 1",
+                "200|5|{}|not a JSON array",
+                "200|5|[{]|not valid JSON at line 1",
                 "200|5|[{}]|[0].Service lacks"
             })
-    void malformedResponseIsUnavailableAndTheLastListStays(
+    void reportsMalformedResponseAsUnavailableAndRetries(
             int status, String index, String body, String reason) throws IOException {
         start(
-                (n, exchange) ->
-                        answer(
+                (queryNumber, exchange) ->
+                        respond(
                                 exchange,
-                                n == 2 ? status : 200,
-                                n == 2 ? index == null ? "" : index : String.valueOf(n),
-                                n == 2 ? body : "[" + CatalogFixture.entry("x", "") + "]"));
+                                queryNumber == 2 ? status : 200,
+                                queryNumber == 2
+                                        ? index == null ? "" : index
+                                        : String.valueOf(queryNumber),
+                                queryNumber == 2
+                                        ? body
+                                        : "[" + CatalogFixture.entry("x", "") + "]"));
         await().until(() -> received.size() >= 3);
         assertEquals("[x READY]", received.get(0));
         assertTrue(
@@ -163,11 +174,11 @@
     }
 
     @Test
-    void silentServerIsUnavailableAndQueriedAgain() throws IOException {
+    void reportsSilentServerAsUnavailableAndRetries() throws IOException {
         start(
-                (n, exchange) -> {
-                    if (n == 2) {
-                        answer(exchange, 200, "7", "[]");
+                (queryNumber, exchange) -> {
+                    if (queryNumber == 2) {
+                        respond(exchange, 200, "7", "[]");
                     }
                 });
         await().until(() -> received.size() >= 2);
--- a/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
+++ b/src/test/java/rosespread/discovery/OutgoingRequestsTest.java
@@ -13,13 +13,13 @@
 import rosespread.http.HttpLimits;
 import rosespread.http.RecordingServer;
 
-/** The exact requests of the Consul list client and of the health checker. */
+/** Compares the requests of the node list client and of the health checker byte for byte. */
 class OutgoingRequestsTest {
     private static final long MILLI_NANOS = 1_000_000L;
-    private static final String FIRST =
+    private static final String FIRST_QUERY =
             "GET /v1/health/service/nodes HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n"
                     + "user-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
-    private static final String BLOCKING =
+    private static final String BLOCKING_QUERY =
             "GET /v1/health/service/nodes?index=42&wait=5000ms HTTP/1.1\r\n"
                     + "host: 127.0.0.1:PORT\r\nuser-agent: agent-7\r\ncontent-length: 0\r\n\r\n";
     private static final String HEALTH_CHECK =
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void listRequestsAreUnchanged() throws IOException {
+    void sendsExactNodeListRequests() throws IOException {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (RecordingServer server =
                         new RecordingServer(RecordingServer.json("X-Consul-Index: 42\r\n", "[]"));
@@ -57,14 +57,14 @@
                 NodeListClient client = client(http, server, timer)) {
             client.start();
             await().until(() -> server.requests().size() >= 2);
-            assertEquals(List.of(FIRST, BLOCKING), server.requests().subList(0, 2));
+            assertEquals(List.of(FIRST_QUERY, BLOCKING_QUERY), server.requests().subList(0, 2));
         } finally {
             timer.shutdownNow();
         }
     }
 
     @Test
-    void healthCheckRequestIsUnchanged() throws IOException {
+    void sendsExactHealthCheckRequest() throws IOException {
         try (RecordingServer server = new RecordingServer(RecordingServer.json("", "{}"));
                 HttpClient http = new HttpClient(1, HttpLimits.DEFAULT, 300, 5)) {
             new HealthChecker(http, "/health", 2000 * MILLI_NANOS)
