--- a/src/main/java/rosespread/discovery/CatalogReader.java
+++ b/src/main/java/rosespread/discovery/CatalogReader.java
@@ -12,10 +12,10 @@
 /**
  * Parses the response body of Consul's {@code /v1/health/service/NAME}.
  *
- * <p>Zone, machine type and start time (milliseconds since the epoch) are the values "zone", "kind"
- * and "started" of {@code Service.Meta}, or else of tags such as "zone=…". A node whose service or
- * machine is in maintenance is draining; a node with any other critical check is gone, as its
- * process does not run. Unknown fields are ignored.
+ * <p>Zone, machine type and start time (milliseconds since the epoch) are the values {@code zone},
+ * {@code kind} and {@code started} of {@code Service.Meta}, or else of tags such as "zone=…". A
+ * node whose service or machine is in maintenance is draining; a node with any other critical check
+ * is gone, as its process does not run. Unknown fields are ignored.
  */
 final class CatalogReader {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -109,7 +109,7 @@
             return Long.parseLong(label(service, "started", "0"));
         } catch (NumberFormatException e) {
             throw new NodeListException(
-                    path + ".Service: \"started\" in Meta or Tags is not a whole number");
+                    path + ".Service: value of started in Meta or Tags is not a whole number");
         }
     }
 
