--- a/src/test/java/rosespread/controller/StoredFormatTest.java
+++ b/src/test/java/rosespread/controller/StoredFormatTest.java
@@ -25,34 +25,38 @@
 import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 
-/** What is stored and exchanged now has the form that it had. */
+/** Stored files and drains exchanged between controllers keep their recorded format. */
 class StoredFormatTest extends StoredStateFixture {
-    private static final NodeId LOW = new NodeId(3);
-    private static final NodeId HIGH = new NodeId(-2);
+    private static final NodeId LOW_NODE = new NodeId(3);
+    private static final NodeId HIGH_NODE = new NodeId(-2);
 
-    /** Each kind of entry with each state and cause that one can carry. */
+    /** Writes each kind of log entry, with each version cause and each pin state. */
     @Test
-    void entriesHaveTheFormThatTheyHad(@TempDir Path empty) throws IOException {
+    void logEntriesKeepRecordedFormat(@TempDir Path empty) throws IOException {
         TableVersion version = TableVersion.empty(new TableId(7), 4);
         List<LogEntry> entries = new ArrayList<>(List.of(new LogEntry.LayoutChanged(-3)));
         double weight = 1;
         for (TableVersion.Cause cause : TableVersion.Cause.values()) {
             version =
                     version.with(
-                            Map.of(LOW, weight, HIGH, weight / 4), cause, WALL + (long) weight);
+                            Map.of(LOW_NODE, weight, HIGH_NODE, weight / 4),
+                            cause,
+                            WALL_MILLIS + (long) weight);
             entries.add(new LogEntry.VersionCommitted(version));
             weight++;
         }
-        for (PinState hold : PinState.values()) {
+        for (PinState pinState : PinState.values()) {
             entries.add(
                     new LogEntry.PinChanged(
                             new TableId(7),
-                            hold,
-                            hold == PinState.PINNED ? 5 : 0,
-                            hold == PinState.PINNED ? Map.of(LOW, 0.25, HIGH, 0.0) : Map.of()));
+                            pinState,
+                            pinState == PinState.PINNED ? 5 : 0,
+                            pinState == PinState.PINNED
+                                    ? Map.of(LOW_NODE, 0.25, HIGH_NODE, 0.0)
+                                    : Map.of()));
         }
         entries.add(new LogEntry.DrainChanged(drain()));
-        try (TableStore store = store(empty)) {
+        try (TableStore store = newStore(empty)) {
             store.open();
             entries.forEach(store::append);
             await().until(() -> store.durable() == entries.size());
@@ -61,24 +65,29 @@
     }
 
     private static Drain drain() {
-        return new Drain(LOW, "node-\u00fc", true, 41, "eve", "call-41", WALL);
+        return new Drain(LOW_NODE, "node-\u00fc", true, 41, "eve", "call-41", WALL_MILLIS);
     }
 
     @Test
-    void anImageHasTheFormThatItHad(@TempDir Path empty) throws IOException {
-        TableVersion whole =
+    void snapshotKeepsRecordedFormat(@TempDir Path empty) throws IOException {
+        TableVersion full =
                 TableVersion.whole(
                         new TableId(7),
                         5,
                         TableVersion.Cause.REJOIN,
-                        WALL,
+                        WALL_MILLIS,
                         2,
-                        Map.of(LOW, 1.5, HIGH, 0.1));
-        TableVersion next = whole.with(Map.of(HIGH, 0.0), TableVersion.Cause.OPERATOR, WALL + 1);
+                        Map.of(LOW_NODE, 1.5, HIGH_NODE, 0.1));
+        TableVersion next =
+                full.with(Map.of(HIGH_NODE, 0.0), TableVersion.Cause.OPERATOR, WALL_MILLIS + 1);
         TableSnapshot table =
                 new TableSnapshot(
-                        List.of(whole, next), Set.of(5L), PinState.PINNED, 5, Map.of(HIGH, 0.1));
-        try (TableStore store = store(empty)) {
+                        List.of(full, next),
+                        Set.of(5L),
+                        PinState.PINNED,
+                        5,
+                        Map.of(HIGH_NODE, 0.1));
+        try (TableStore store = newStore(empty)) {
             store.open();
             store.writeSnapshot(new StoreSnapshot(-3, List.of(table), List.of(drain())));
             await().until(() -> Files.exists(empty.resolve("tables-000002.log")));
@@ -87,11 +96,15 @@
     }
 
     @Test
-    void aSnapshotHasTheFormThatItHad(@TempDir Path empty) throws IOException {
+    void settingsFileKeepsRecordedFormat(@TempDir Path empty) throws IOException {
         new SettingsFile(empty)
                 .save(
                         new SettingsFile.Saved(
-                                "{\"zones\":[\"a\"],\"seed\":7}", 12, "eve", "call-9", WALL));
+                                "{\"zones\":[\"a\"],\"seed\":7}",
+                                12,
+                                "eve",
+                                "call-9",
+                                WALL_MILLIS));
         assertEquals(
                 """
                 {
@@ -110,9 +123,9 @@
     }
 
     @Test
-    void anAuditLineHasTheFormThatItHad(@TempDir Path empty) throws IOException {
-        try (AuditLog log = new AuditLog(empty.resolve(AUDIT), () -> WALL)) {
-            log.write(act());
+    void auditLineKeepsRecordedFormat(@TempDir Path empty) throws IOException {
+        try (AuditLog log = new AuditLog(empty.resolve(AUDIT), () -> WALL_MILLIS)) {
+            log.write(auditedAction());
         }
         assertEquals(
                 "{\"n\":1,\"at\":1700000000000,\"who\":\"eve\",\"from\":\"control.example\",\"what\":"
@@ -123,7 +136,7 @@
     }
 
     @Test
-    void aDrainHasTheFormThatConductorsTellEachOther() throws IOException {
+    void drainKeepsFormatExchangedByControllers() throws IOException {
         ObjectMapper json = new ObjectMapper();
         assertEquals(
                 "{\"words\":[{\"node\":\"3\",\"name\":\"node-\u00fc\",\"on\":true,\"stamp\":41,"
--- a/src/test/java/rosespread/controller/StoredStateDamageTest.java
+++ b/src/test/java/rosespread/controller/StoredStateDamageTest.java
@@ -23,54 +23,54 @@
 import rosespread.table.PinState;
 import rosespread.table.TableSnapshot;
 
-/** A damaged state directory of an earlier version is treated as it was. */
+/** Damage to a state directory of an earlier version is handled and reported as recorded. */
 class StoredStateDamageTest extends StoredStateFixture {
-    /** Bytes of the last entry of the tables file. */
-    private static final int LAST_ENTRY = 148;
+    /** The size of the last entry of the tables file. */
+    private static final int LAST_ENTRY_BYTES = 148;
 
-    /** The pin's target and what it still has to change stand in the entry that ordered it. */
+    /** The entry that orders a rollback holds its target and the weights still to be changed. */
     @Test
-    void aTailCutWithinARollbackLeavesItPending() throws IOException {
-        String all = text("v1/" + TABLES);
-        int end = all.indexOf("1c08174b {\"n\":25");
-        Files.writeString(file(TABLES), all.substring(0, end + 40));
-        TableSnapshot table = restored().tables().get(2);
+    void fileTruncatedDuringRollbackLeavesRollbackPending() throws IOException {
+        String content = text("v1/" + TABLES);
+        int end = content.indexOf("1c08174b {\"n\":25");
+        Files.writeString(file(TABLES), content.substring(0, end + 40));
+        TableSnapshot table = restore().tables().get(2);
         assertEquals("PINNED", table.pinState().name());
         assertEquals(1, table.rollbackTarget());
         assertEquals(Set.of(1L), table.retained());
         assertEquals(
                 Map.of("93c218910c6b496c", 1.0, "5d8619fdc4715e", 1.0, "6a284bbb7df2b3a6", 1.0),
-                weights(table.pending()));
+                weightsByHexId(table.pending()));
         assertEquals(3, table.current().number());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 10, 140})
-    void aTablesFilesCutTailCostsItsLastEntry(int bytes) throws IOException {
-        cut(TABLES, bytes);
-        StoreSnapshot image = restored();
-        assertEquals(text("restored.txt"), tables(image));
-        assertEquals(4, image.drains().size());
-        int left = LAST_ENTRY - bytes;
+    void truncatedTablesFileLosesOnlyLastEntry(int bytes) throws IOException {
+        truncate(TABLES, bytes);
+        StoreSnapshot snapshot = restore();
+        assertEquals(text("restored.txt"), describeTables(snapshot));
+        assertEquals(4, snapshot.drains().size());
+        int remaining = LAST_ENTRY_BYTES - bytes;
         assertEquals(
                 List.of(
                         "WARN "
                                 + file(TABLES)
                                 + ": the last "
-                                + left
+                                + remaining
                                 + " bytes, from byte "
-                                + (TABLES_BYTES - LAST_ENTRY)
+                                + (TABLES_BYTES - LAST_ENTRY_BYTES)
                                 + " on, were not whole and are cut"),
-                warned());
+                loggedWarnings());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"garbage", "garbage\n", "00000000 {\"n\":33}\n", "\n\n\n"})
-    void garbageAfterATablesFileIsCut(String garbage) throws IOException {
-        add(TABLES, garbage);
-        StoreSnapshot image = restored();
-        assertEquals(text("restored.txt"), tables(image));
-        assertEquals(5, image.drains().size());
+    void removesGarbageAfterTablesFile(String garbage) throws IOException {
+        append(TABLES, garbage);
+        StoreSnapshot snapshot = restore();
+        assertEquals(text("restored.txt"), describeTables(snapshot));
+        assertEquals(5, snapshot.drains().size());
         assertEquals(
                 List.of(
                         "WARN "
@@ -78,10 +78,12 @@
                                 + ": the last "
                                 + garbage.length()
                                 + " bytes, from byte 4699 on, were not whole and are cut"),
-                warned());
+                loggedWarnings());
     }
 
-    /** What no crash can leave is refused as a whole, and the file stays for a look. */
+    /**
+     * A file with damage that no crash can cause is rejected as a whole and kept for inspection.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -91,11 +93,11 @@
                 "\"hold\":\"PINNED\"|\"hold\":\"PINNEX\"|57 of 4699: the checksum is 849ba982, written was "
                         + "\"d24b5ece\""
             })
-    void damageWithinATablesFileIsRefused(String from, String to, String fault) throws IOException {
-        String all = text("v1/" + TABLES);
-        Files.writeString(file(TABLES), all.replaceFirst(Pattern.quote(from), to));
-        assertEquals(StoreSnapshot.EMPTY, restored());
-        assertTrue(Files.exists(file(TABLES + ".damaged-" + WALL)));
+    void rejectsDamageWithinTablesFile(String from, String to, String fault) throws IOException {
+        String content = text("v1/" + TABLES);
+        Files.writeString(file(TABLES), content.replaceFirst(Pattern.quote(from), to));
+        assertEquals(StoreSnapshot.EMPTY, restore());
+        assertTrue(Files.exists(file(TABLES + ".damaged-" + WALL_MILLIS)));
         assertEquals(
                 List.of(
                         "ERROR "
@@ -103,12 +105,14 @@
                                 + ": damaged at byte "
                                 + fault
                                 + "; set aside as "
-                                + file(TABLES + ".damaged-" + WALL)
+                                + file(TABLES + ".damaged-" + WALL_MILLIS)
                                 + "; tables begin from the list and from what proxies hold"),
-                warned());
+                loggedWarnings());
     }
 
-    /** A whole last line whose checksum is right but which does not follow from those before. */
+    /**
+     * The last line is complete with a valid checksum, but does not follow from the lines before.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -129,54 +133,54 @@
                         + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 9 after 8 does not "
                         + "follow version 6"
             })
-    void anEntryThatDoesNotFollowIsRefused(String json, String fault) throws IOException {
-        refuses(json, fault);
+    void rejectsEntryThatDoesNotFollow(String json, String fault) throws IOException {
+        assertRejected(json, fault);
     }
 
     @Test
-    void anEntryWithAnUnknownStateIsRefused() throws IOException {
-        refuses(
+    void rejectsEntryWithUnknownPinState() throws IOException {
+        assertRejected(
                 "{\"n\":33,\"hold\":{\"table\":1,\"state\":\"HELD\",\"to\":0,\"pending\":{}}}",
                 "No enum constant " + PinState.class.getCanonicalName() + ".HELD");
     }
 
-    private void refuses(String json, String fault) throws IOException {
+    private void assertRejected(String json, String fault) throws IOException {
         CRC32C crc = new CRC32C();
         crc.update(json.getBytes(StandardCharsets.UTF_8));
-        add(TABLES, String.format("%08x %s\n", crc.getValue(), json));
-        assertEquals(StoreSnapshot.EMPTY, restored());
+        append(TABLES, String.format("%08x %s\n", crc.getValue(), json));
+        assertEquals(StoreSnapshot.EMPTY, restore());
         assertEquals(
                 List.of(
                         "ERROR "
                                 + file(TABLES)
                                 + ": damaged at byte 4699 of "
-                                + Files.size(file(TABLES + ".damaged-" + WALL))
+                                + Files.size(file(TABLES + ".damaged-" + WALL_MILLIS))
                                 + ": "
                                 + fault
                                 + "; set aside as "
-                                + file(TABLES + ".damaged-" + WALL)
+                                + file(TABLES + ".damaged-" + WALL_MILLIS)
                                 + "; tables begin from the list and from what proxies hold"),
-                warned());
+                loggedWarnings());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 10, 180})
-    void anAuditLogsCutTailCostsItsLastLine(int bytes) throws IOException {
-        cut(AUDIT, bytes);
-        try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
-            assertTrue(log.write(act()));
+    void truncatedAuditLogLosesOnlyLastLine(int bytes) throws IOException {
+        truncate(AUDIT, bytes);
+        try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL_MILLIS)) {
+            assertTrue(log.write(auditedAction()));
         }
         assertEquals(AUDIT_LINES, AuditLog.verify(file(AUDIT)).lines());
         assertEquals("", AuditLog.verify(file(AUDIT)).fault());
     }
 
     @Test
-    void garbageWithoutAnEndAfterAnAuditLogIsCut() throws IOException {
-        add(AUDIT, "garbage");
+    void removesUnterminatedGarbageAfterAuditLog() throws IOException {
+        append(AUDIT, "garbage");
         assertEquals(
                 new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, "line 29, byte 6018: not JSON"),
                 AuditLog.verify(file(AUDIT)));
-        new AuditLog(file(AUDIT), () -> WALL).close();
+        new AuditLog(file(AUDIT), () -> WALL_MILLIS).close();
         assertArrayEquals(resource("v1/" + AUDIT), Files.readAllBytes(file(AUDIT)));
     }
 
@@ -190,42 +194,41 @@
                 "{\"n\":30,\"chain\":\"0\"}|line 29, byte 6018: its number is 30",
                 "{\"n\":29,\"chain\":\"0\"}|line 29, byte 6018: its chain does not follow from the line before"
             })
-    void aWholeLineOfGarbageAfterAnAuditLogIsRefused(String garbage, String fault)
-            throws IOException {
-        add(AUDIT, garbage + "\n");
+    void rejectsCompleteGarbageLineAfterAuditLog(String garbage, String fault) throws IOException {
+        append(AUDIT, garbage + "\n");
         IOException e =
-                assertThrows(IOException.class, () -> new AuditLog(file(AUDIT), () -> WALL));
+                assertThrows(IOException.class, () -> new AuditLog(file(AUDIT), () -> WALL_MILLIS));
         assertEquals(file(AUDIT) + ": " + fault, e.getMessage());
     }
 
     @Test
-    void aChangedAuditLineIsFound() throws IOException {
-        String all = text("v1/" + AUDIT);
-        Files.writeString(file(AUDIT), all.replaceFirst("drain-n1", "drain-n7"));
-        AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
-        assertEquals(12, verdict.lines());
+    void detectsChangedAuditLine() throws IOException {
+        String content = text("v1/" + AUDIT);
+        Files.writeString(file(AUDIT), content.replaceFirst("drain-n1", "drain-n7"));
+        AuditLog.Verification verification = AuditLog.verify(file(AUDIT));
+        assertEquals(12, verification.lines());
         assertEquals(
                 "line 13, byte 2542: its chain does not follow from the line before",
-                verdict.fault());
+                verification.fault());
     }
 
     @Test
-    void aDamagedSettingsFileIsRefused() throws IOException {
-        cut(SETTINGS, 3);
+    void rejectsDamagedSettingsFile() throws IOException {
+        truncate(SETTINGS, 3);
         assertEquals(
                 "/settings.json: damaged at byte 814 of 814: Unexpected end-of-input in"
                         + " VALUE_STRING",
-                refusal());
+                loadFailure());
         Files.write(file(SETTINGS), resource("v1/" + SETTINGS));
         Files.writeString(
                 file(SETTINGS), text("v1/" + SETTINGS).replace("\"seed\" : 7", "\"seed\" : 8"));
         assertEquals(
                 "/settings.json: field digest is \"0x84b42e3ec1046869b6f327bd0cd5d98e\"; what is in "
                         + "the file has \"0xeb742477e9ed484f0505854cef605dca\"",
-                refusal());
+                loadFailure());
     }
 
-    private String refusal() {
+    private String loadFailure() {
         return assertThrows(IOException.class, () -> new SettingsFile(folder).load())
                 .getMessage()
                 .replace(folder.toString(), "");
--- a/src/test/java/rosespread/controller/StoredStateFixture.java
+++ b/src/test/java/rosespread/controller/StoredStateFixture.java
@@ -27,9 +27,9 @@
 import rosespread.table.TableVersion;
 
 /**
- * A copy of a state directory that an earlier version wrote: the test resource {@code stored/v1},
- * which a whole process wrote over two restarts. Expected values are the recorded ones, never
- * computed anew.
+ * Copies a state directory that an earlier version wrote: the test resource {@code stored/v1},
+ * which a complete process wrote over two restarts. Expected values are the recorded ones and must
+ * not be recomputed.
  */
 abstract class StoredStateFixture {
     static final String TABLES = "tables-000003.log";
@@ -40,7 +40,7 @@
     static final int AUDIT_BYTES = 6018;
     static final String AUDIT_CHAIN =
             "5703763dcae16b29c54b1fcdbf554e1a6a63fcecd9c3d012e4123450beca3591";
-    static final long WALL = 1_700_000_000_000L;
+    static final long WALL_MILLIS = 1_700_000_000_000L;
 
     private static final Logger ROOT =
             (Logger) LoggerFactory.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
@@ -50,7 +50,7 @@
     @TempDir Path folder;
 
     @BeforeEach
-    void copy() throws IOException {
+    void copyStoredFiles() throws IOException {
         for (String name : List.of(TABLES, AUDIT, SETTINGS)) {
             Files.write(folder.resolve(name), resource("v1/" + name));
         }
@@ -59,12 +59,12 @@
     }
 
     @AfterEach
-    void listenNoMore() {
+    void detachAppender() {
         ROOT.detachAppender(logged);
     }
 
-    /** Warnings and errors that name the folder. */
-    List<String> warned() {
+    /** Returns the logged warnings and errors that name the folder. */
+    List<String> loggedWarnings() {
         return List.copyOf(logged.list).stream()
                 .filter(e -> e.getLevel().isGreaterOrEqual(Level.WARN))
                 .map(e -> e.getLevel() + " " + e.getFormattedMessage())
@@ -87,39 +87,41 @@
         return folder.resolve(name);
     }
 
-    void cut(String name, int bytes) throws IOException {
-        byte[] all = Files.readAllBytes(file(name));
-        Files.write(file(name), Arrays.copyOf(all, all.length - bytes));
+    void truncate(String name, int bytes) throws IOException {
+        byte[] content = Files.readAllBytes(file(name));
+        Files.write(file(name), Arrays.copyOf(content, content.length - bytes));
     }
 
-    void add(String name, String garbage) throws IOException {
+    void append(String name, String garbage) throws IOException {
         Files.writeString(file(name), garbage, StandardOpenOption.APPEND);
     }
 
-    TableStore store(Path at) {
-        return new TableStore(at, LogOutput.DISK, () -> WALL, () -> {});
+    TableStore newStore(Path directory) {
+        return new TableStore(directory, LogOutput.DISK, () -> WALL_MILLIS, () -> {});
     }
 
-    StoreSnapshot restored() throws IOException {
-        try (TableStore store = store(folder)) {
+    StoreSnapshot restore() throws IOException {
+        try (TableStore store = newStore(folder)) {
             return store.open();
         }
     }
 
-    /** One line for each table and each of its versions, with all weights. */
-    static String tables(StoreSnapshot image) {
-        StringBuilder all = new StringBuilder();
-        for (TableSnapshot table : image.tables()) {
-            all.append(table.pinState().name())
+    /** Describes each table and each of its versions on a line of its own, with all weights. */
+    static String describeTables(StoreSnapshot snapshot) {
+        StringBuilder description = new StringBuilder();
+        for (TableSnapshot table : snapshot.tables()) {
+            description
+                    .append(table.pinState().name())
                     .append(" to ")
                     .append(table.rollbackTarget())
                     .append(" kept ")
                     .append(table.retained())
                     .append(" pending ")
-                    .append(weights(table.pending()))
+                    .append(weightsByHexId(table.pending()))
                     .append('\n');
             for (TableVersion v : table.versions()) {
-                all.append("  ")
+                description
+                        .append("  ")
                         .append(v.table().value())
                         .append(" version ")
                         .append(v.number())
@@ -132,20 +134,20 @@
                         .append(' ')
                         .append(Long.toHexString(v.digest()))
                         .append(' ')
-                        .append(weights(v.lines()))
+                        .append(weightsByHexId(v.lines()))
                         .append('\n');
             }
         }
-        return all.toString();
+        return description.toString();
     }
 
-    static Map<String, Double> weights(Map<NodeId, Double> lines) {
-        Map<String, Double> named = new TreeMap<>();
-        lines.forEach((node, weight) -> named.put(Long.toHexString(node.value()), weight));
-        return named;
+    static Map<String, Double> weightsByHexId(Map<NodeId, Double> entries) {
+        Map<String, Double> weights = new TreeMap<>();
+        entries.forEach((node, weight) -> weights.put(Long.toHexString(node.value()), weight));
+        return weights;
     }
 
-    static AuditLog.Act act() {
+    static AuditLog.Act auditedAction() {
         return new AuditLog.Act(
                 "eve", "control.example", "POST /v1/tables/1/release", "free-1", "200 done");
     }
--- a/src/test/java/rosespread/controller/StoredStateTest.java
+++ b/src/test/java/rosespread/controller/StoredStateTest.java
@@ -21,24 +21,24 @@
 import rosespread.store.StoreSnapshot;
 import rosespread.validation.TableChangeValidator;
 
-/** A state directory that an earlier version wrote is restored as it was. */
+/** A state directory that an earlier version wrote is restored unchanged. */
 class StoredStateTest extends StoredStateFixture {
-    private static final InetSocketAddress ANY =
+    private static final InetSocketAddress ANY_PORT =
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
-    private static final String REWRITTEN = "tables-000004.log";
+    private static final String REWRITTEN_TABLES = "tables-000004.log";
 
     @Test
-    void theResourceIsAsItWasWritten() throws IOException {
+    void resourceFilesHaveRecordedSizes() throws IOException {
         assertEquals(TABLES_BYTES, resource("v1/" + TABLES).length);
         assertEquals(AUDIT_BYTES, resource("v1/" + AUDIT).length);
     }
 
     @Test
     void restoresTablesVersionsAndPins() throws IOException {
-        StoreSnapshot image = restored();
-        assertEquals("95ab53fcb8a899b2", Long.toHexString(image.layout()));
-        assertEquals(text("restored.txt"), tables(image));
+        StoreSnapshot snapshot = restore();
+        assertEquals("95ab53fcb8a899b2", Long.toHexString(snapshot.layout()));
+        assertEquals(text("restored.txt"), describeTables(snapshot));
     }
 
     @Test
@@ -50,10 +50,10 @@
                         "6a284bbb7df2b3a6 n2 false 3 ana undrain-n2 1796224305011",
                         "d01772803416568a n5 true 4 ana drain-n5 1796224308302",
                         "5d8619fdc4715e n4 false 5 unnamed own-1796224305712-3 1796224308389"),
-                drains(restored().drains()));
+                describeDrains(restore().drains()));
     }
 
-    private static List<String> drains(List<Drain> drains) {
+    private static List<String> describeDrains(List<Drain> drains) {
         return drains.stream()
                 .map(
                         d ->
@@ -74,12 +74,13 @@
     }
 
     @Test
-    void writesWhatItRestoredAsItDid() throws IOException {
-        restored();
-        assertEquals(text("rewritten-" + REWRITTEN), Files.readString(file(REWRITTEN)));
+    void rewritesRestoredStateAsRecorded() throws IOException {
+        restore();
+        assertEquals(
+                text("rewritten-" + REWRITTEN_TABLES), Files.readString(file(REWRITTEN_TABLES)));
         assertFalse(Files.exists(file(TABLES)));
-        StoreSnapshot again = restored();
-        assertEquals(text("restored.txt"), tables(again));
+        StoreSnapshot again = restore();
+        assertEquals(text("restored.txt"), describeTables(again));
     }
 
     @Test
@@ -99,13 +100,13 @@
                 saved.json());
     }
 
-    /** The whole process takes it up: nothing is listed, so that nothing moves. */
+    /** Starts a complete controller. No node is listed, so that no weight changes. */
     @Test
-    void aProcessGoesOnFromIt() throws Exception {
+    void controllerContinuesFromStoredState() throws Exception {
         try (Controller controller =
                 new Controller(
                         "c", folder, Controller.ROUTING_POLICY, new TableChangeValidator())) {
-            controller.start(ANY);
+            controller.start(ANY_PORT);
             assertEquals("", controller.settingsFault());
             assertEquals(2, controller.settings().orElseThrow().revision());
             Controller.Applied applied = controller.apply("not read", "x", "settings-2", -1);
@@ -116,7 +117,7 @@
                             "1 PINNED 6 7aef3e81f7c40890 6",
                             "2 RELEASING 8 5bac19e3d9367829 8",
                             "3 PINNED 5 599cf9e6ebaa9fa0 5"),
-                    controller.status().tables().stream().map(StoredStateTest::told).toList());
+                    controller.status().tables().stream().map(StoredStateTest::describe).toList());
             assertEquals(
                     Set.of(
                             "n1 true 1 ana",
@@ -141,7 +142,7 @@
         }
     }
 
-    private static String told(ControllerStatus.Table table) {
+    private static String describe(ControllerStatus.Table table) {
         ControllerStatus.Version last = table.versions().get(table.versions().size() - 1);
         return table.table()
                 + " "
@@ -155,11 +156,11 @@
     }
 
     @Test
-    void theAuditChainHoldsAndGoesOn() throws IOException {
-        AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
-        assertEquals(new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, ""), verdict);
-        try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL)) {
-            assertTrue(log.write(act()));
+    void verifiesAndContinuesAuditChain() throws IOException {
+        AuditLog.Verification verification = AuditLog.verify(file(AUDIT));
+        assertEquals(new AuditLog.Verification(AUDIT_LINES, AUDIT_CHAIN, ""), verification);
+        try (AuditLog log = new AuditLog(file(AUDIT), () -> WALL_MILLIS)) {
+            assertTrue(log.write(auditedAction()));
         }
         assertEquals(
                 text("v1/" + AUDIT)
@@ -172,28 +173,31 @@
     }
 
     @Test
-    void auditEntriesCarryTheirFacts() throws IOException {
-        List<String> acts = new ArrayList<>();
+    void auditEntriesNameOperatorRequestAndOutcome() throws IOException {
+        List<String> completedActions = new ArrayList<>();
         for (String line : Files.readAllLines(file(AUDIT))) {
-            JsonNode all = new ObjectMapper().readTree(line);
-            if (!all.path("outcome").asText().equals("asked")) {
-                acts.add(
-                        all.path("n").asLong()
+            JsonNode entry = new ObjectMapper().readTree(line);
+            if (!entry.path("outcome").asText().equals("asked")) {
+                completedActions.add(
+                        entry.path("n").asLong()
                                 + " "
-                                + all.path("who").asText()
+                                + entry.path("who").asText()
                                 + " "
-                                + all.path("what").asText()
+                                + entry.path("what").asText()
                                 + " "
-                                + all.path("call").asText()
+                                + entry.path("call").asText()
                                 + " "
-                                + all.path("outcome").asText().substring(0, 3));
+                                + entry.path("outcome").asText().substring(0, 3));
             }
         }
-        assertEquals(14, acts.size());
-        assertEquals("2 ana PUT /v1/settings settings-1 200", acts.get(0));
-        assertEquals("4 bo PUT /v1/settings settings-bad 422", acts.get(1));
-        assertEquals("10 bo POST /v1/tables/2/rollback?version=2 back-2 200", acts.get(4));
-        assertEquals("20 bo POST /v1/nodes/n4/drain drain-n4 412", acts.get(9));
-        assertEquals("28 unnamed POST /v1/nodes/n4/undrain own-1796224305712-3 200", acts.get(13));
+        assertEquals(14, completedActions.size());
+        assertEquals("2 ana PUT /v1/settings settings-1 200", completedActions.get(0));
+        assertEquals("4 bo PUT /v1/settings settings-bad 422", completedActions.get(1));
+        assertEquals(
+                "10 bo POST /v1/tables/2/rollback?version=2 back-2 200", completedActions.get(4));
+        assertEquals("20 bo POST /v1/nodes/n4/drain drain-n4 412", completedActions.get(9));
+        assertEquals(
+                "28 unnamed POST /v1/nodes/n4/undrain own-1796224305712-3 200",
+                completedActions.get(13));
     }
 }
