--- a/src/test/java/rosespread/controller/ChannelClient.java
+++ b/src/test/java/rosespread/controller/ChannelClient.java
@@ -12,7 +12,7 @@
 import rosespread.channel.FrameReader;
 import rosespread.channel.FrameWriter;
 
-/** A proxy's end of the channel on a plain socket. */
+/** The proxy's end of the channel, on a plain socket. */
 final class ChannelClient {
     static final byte[] HELLO = FrameWriter.bytes(new Frame.Hello(Frame.VERSION, "p", List.of()));
 
@@ -40,10 +40,10 @@
         write(FrameWriter.bytes(frame));
     }
 
-    /** Writes so that each byte may come by itself. */
+    /** Writes byte by byte, so that each byte may arrive separately. */
     void writeByteByByte(byte[] bytes) throws IOException {
-        for (byte one : bytes) {
-            socket.getOutputStream().write(one);
+        for (byte b : bytes) {
+            socket.getOutputStream().write(b);
         }
     }
 
@@ -60,7 +60,8 @@
     }
 
     /**
-     * Reads until a frame of this type, answering keep-alives; returns null at the stream's end.
+     * Reads up to the next frame of this type and answers keep-alives; returns null at the end of
+     * the stream.
      */
     <T extends Frame> T await(Class<T> type) throws IOException, FrameException {
         byte[] buffer = new byte[BUFFER_BYTES];
--- a/src/test/java/rosespread/controller/ControllerApiTest.java
+++ b/src/test/java/rosespread/controller/ControllerApiTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import rosespread.channel.Frame;
 
-/** What a whole controller answers to calls of its control API, faulty ones above all. */
+/** Responses of a complete controller's control API, mainly to invalid requests. */
 class ControllerApiTest {
     @TempDir private Path folder;
     private LoopbackController loopback;
@@ -44,12 +44,12 @@
                 "DELETE|/v1/settings||405|only GET and PUT",
                 "GET|/v1/nodes||200|triedAgoMs"
             })
-    void aCallAboutNodesOrSettingsIsAnswered(
+    void answersNodeAndSettingsRequests(
             String method, String path, String header, int status, String text) throws Exception {
         String body = method.equals("PUT") ? loopback.settings() : "";
         String[] headers = header == null ? new String[0] : new String[] {header};
-        String answer = loopback.call(method, path, body, headers);
-        assertTrue(answer.startsWith("HTTP/1.1 " + status) && answer.contains(text), answer);
+        String response = loopback.call(method, path, body, headers);
+        assertTrue(response.startsWith("HTTP/1.1 " + status) && response.contains(text), response);
     }
 
     @ParameterizedTest
@@ -68,10 +68,10 @@
                 "GET|/v1/tables/1/pin|405|only POST",
                 "POST|/v1/tables/77/pin|409|no table 77"
             })
-    void aCallAboutTablesIsAnswered(String method, String path, int status, String text)
+    void answersTableRequests(String method, String path, int status, String text)
             throws Exception {
         loopback.connect().join("p").await(Frame.Bind.class);
-        String answer = loopback.call(method, path, "");
-        assertTrue(answer.startsWith("HTTP/1.1 " + status) && answer.contains(text), answer);
+        String response = loopback.call(method, path, "");
+        assertTrue(response.startsWith("HTTP/1.1 " + status) && response.contains(text), response);
     }
 }
--- a/src/test/java/rosespread/controller/ControllerChannelTest.java
+++ b/src/test/java/rosespread/controller/ControllerChannelTest.java
@@ -19,10 +19,11 @@
 import rosespread.channel.FrameWriter;
 
 /**
- * A whole controller's channel against plain sockets: cut frames, garbage, silence, many proxies.
+ * The channel of a complete controller, driven over plain sockets: split frames, garbage, silent
+ * sockets, many proxies.
  */
 class ControllerChannelTest {
-    private static final int MANY_PROXIES = 156;
+    private static final int PROXY_COUNT = 156;
     private static final long DRAIN_TIMEOUT_NANOS = 2_000_000_000L;
 
     @TempDir private Path folder;
@@ -40,7 +41,7 @@
     }
 
     @Test
-    void aFrameMayBeCutAtEveryByte() throws Exception {
+    void acceptsFramesSplitAtEveryByte() throws Exception {
         ChannelClient client = loopback.connect();
         client.writeByteByByte(ChannelClient.HELLO);
         client.writeByteByByte(FrameWriter.bytes(new Frame.Join("bytes", "a", 1)));
@@ -48,7 +49,7 @@
     }
 
     @Test
-    void garbageCostsOnlyTheStreamThatBroughtIt() throws Exception {
+    void closesOnlyStreamThatSentGarbage() throws Exception {
         ChannelClient good = loopback.connect().join("good");
         good.await(Frame.Mark.class);
         ChannelClient bad = loopback.connect().join("bad");
@@ -63,7 +64,7 @@
     }
 
     @Test
-    void aClosedSocketIsNoticedAtOnceAndASilentOneByKeepAlive() throws Exception {
+    void detectsClosedSocketAtOnceAndSilentSocketByKeepAlive() throws Exception {
         loopback.connect().join("closes").socket().close();
         ChannelClient silent = loopback.connect().join("silent");
         await().until(() -> loopback.status().joins() == 2);
@@ -76,35 +77,36 @@
     }
 
     @Test
-    void proxiesThatJoinAtOnceAreAllSubscribed() throws Exception {
+    void subscribesAllProxiesThatJoinTogether() throws Exception {
         List<ChannelClient> clients = new ArrayList<>();
-        for (int i = 0; i < MANY_PROXIES; i++) {
+        for (int i = 0; i < PROXY_COUNT; i++) {
             clients.add(loopback.connect().join("p" + i));
         }
         for (ChannelClient client : clients) {
             client.await(Frame.Bind.class);
             client.acknowledgeNext();
         }
-        await().until(() -> loopback.status().proxiesBound() == MANY_PROXIES);
+        await().until(() -> loopback.status().proxiesBound() == PROXY_COUNT);
         assertTrue(loopback.status().mostLinesWaiting() <= 30_000);
     }
 
     /**
-     * Its small windows are full, its delivery in flight: others get the drain, and it is closed.
+     * The stuck proxy's small socket windows are full and a delivery to it is in flight. The other
+     * proxy still gets the drain, and the stuck stream is closed.
      */
     @Test
-    void aProxyThatStopsReadingDelaysNoDrain() throws Exception {
+    void proxyThatStopsReadingDelaysNoDrain() throws Exception {
         ChannelClient stuck = loopback.connect().join("stuck");
         ChannelClient good = loopback.connect().join("good");
         Frame.Bind bind = good.await(Frame.Bind.class);
         good.acknowledgeNext();
-        await().until(() -> loopback.status().proxiesBound() == 2 && loopback.isNodeListFollowed());
+        await().until(() -> loopback.status().proxiesBound() == 2 && loopback.isNodeListWatched());
         long drainedAt = System.nanoTime();
-        loopback.listMaintenanceOfN();
+        loopback.reportNodeNInMaintenance();
         Frame.Lines drain = good.await(Frame.Lines.class);
         assertTrue(
                 System.nanoTime() - drainedAt < DRAIN_TIMEOUT_NANOS,
-                "the drain came within its grace");
+                "drain arrived after the drain timeout");
         assertEquals(0, drain.lines().get(0).weight());
         assertTrue(
                 bind.lines().stream()
--- a/src/test/java/rosespread/controller/ControllerTest.java
+++ b/src/test/java/rosespread/controller/ControllerTest.java
@@ -20,7 +20,7 @@
 import rosespread.drain.Drain;
 import rosespread.validation.TableChangeValidator;
 
-/** A whole controller over restarts: settings, pins, drains, and damaged files. */
+/** A complete controller over restarts: settings, pins, drains and damaged files. */
 class ControllerTest {
     @TempDir private Path folder;
     private LoopbackController loopback;
@@ -35,7 +35,7 @@
         loopback.close();
     }
 
-    private Path onlyFile(Predicate<String> name) throws IOException {
+    private Path findFile(Predicate<String> name) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(file -> name.test(file.getFileName().toString()))
                     .findFirst()
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void settingsAreAwaitedSavedAndRestored() throws Exception {
+    void waitsForSettingsThenSavesAndRestoresThem() throws Exception {
         assertTrue(loopback.call("GET", "/v1/health", "").startsWith("HTTP/1.1 503"));
         assertEquals(
                 Frame.Reason.NO_SETTINGS,
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void anOperatorsPinOutlivesTheProcess() throws Exception {
+    void operatorPinSurvivesRestart() throws Exception {
         loopback.applySettings();
         Frame.Bind bound = loopback.connect().join("p").await(Frame.Bind.class);
         String path = "/v1/tables/" + bound.table().value();
@@ -78,12 +78,12 @@
     }
 
     @Test
-    void anOperatorsDrainIsToldAsTheListWouldAndOutlivesTheProcess() throws Exception {
+    void operatorDrainActsLikeListedDrainAndSurvivesRestart() throws Exception {
         loopback.replaceInSettings("\"drainGraceMs\"", "\"drainLeastShare\":0.4,\"drainGraceMs\"");
         loopback.replaceInSettings("\"onlyKinds\":[\"k\"]", "\"onlyKinds\":[]");
         loopback.applySettings();
         loopback.connect().join("p").await(Frame.Bind.class);
-        drainsAreDoneOnceAndGuarded();
+        assertDrainIsIdempotentAndGuarded();
         await().until(
                         () ->
                                 loopback.controller()
@@ -106,7 +106,7 @@
         await().until(() -> loopback.controller().table(1).orElseThrow().lines().size() == 2);
     }
 
-    private void drainsAreDoneOnceAndGuarded() throws IOException {
+    private void assertDrainIsIdempotentAndGuarded() throws IOException {
         String[] once = {"x-operator: ana", "idempotency-key: one", "if-match: \"0\""};
         String first = loopback.call("POST", "/v1/nodes/n/drain", "", once);
         assertTrue(first.startsWith("HTTP/1.1 200") && first.contains("\"revision\" : 1"), first);
@@ -125,24 +125,24 @@
                 guarded);
     }
 
-    /** A controller that was down during a drain learns of it before proxies can dial. */
+    /** A controller that was down during a drain learns of it before proxies can connect. */
     @Test
-    void aControllerThatMissedADrainLearnsOfItFromItsPeers(@TempDir Path other) throws Exception {
+    void learnsMissedDrainFromPeers(@TempDir Path otherFolder) throws Exception {
         loopback.replaceInSettings("\"drainGraceMs\"", "\"drainLeastShare\":0,\"drainGraceMs\"");
         loopback.applySettings();
         loopback.post("/v1/nodes/n/drain", "x-operator: ana");
-        saveSettingsWithPeers(other);
-        try (Controller late = newController(other)) {
-            InetSocketAddress address = late.start(LoopbackController.ANY_PORT);
+        saveSettingsWithPeers(otherFolder);
+        try (Controller restarted = newController(otherFolder)) {
+            InetSocketAddress address = restarted.start(LoopbackController.ANY_PORT);
             assertEquals(
                     List.of("ana"),
-                    late.drains().stream().map(Drain::by).toList(),
-                    "before any dials");
-            await().until(() -> late.status().nodes().size() == 2);
+                    restarted.drains().stream().map(Drain::by).toList(),
+                    "drains known before proxies can connect");
+            await().until(() -> restarted.status().nodes().size() == 2);
             Frame.Bind bound = loopback.connect(address).join("p").await(Frame.Bind.class);
             assertEquals(1, bound.lines().size());
             loopback.post("/v1/nodes/n/undrain");
-            await().until(() -> late.drains().stream().noneMatch(Drain::on));
+            await().until(() -> restarted.drains().stream().noneMatch(Drain::on));
         }
     }
 
@@ -151,8 +151,8 @@
                 "late", folder, Controller.ROUTING_POLICY, new TableChangeValidator());
     }
 
-    /** Leaves a folder with settings that name peers, one of them dead, and without any tables. */
-    private void saveSettingsWithPeers(Path other) throws Exception {
+    /** Prepares a folder without tables, with settings that name two peers, one unreachable. */
+    private void saveSettingsWithPeers(Path otherFolder) throws Exception {
         String withPeers =
                 loopback.settings()
                         .replace(
@@ -160,19 +160,19 @@
                                 "\"peers\":[\"127.0.0.1:"
                                         + loopback.adminAddress().getPort()
                                         + "\",\"127.0.0.1:1\"],\"drainGraceMs\"");
-        Controller first = newController(other);
+        Controller first = newController(otherFolder);
         first.start(LoopbackController.ANY_PORT);
         first.apply(withPeers, "o", "c", -1);
         first.close();
-        Files.delete(other.resolve("tables-000001.log"));
+        Files.delete(otherFolder.resolve("tables-000001.log"));
     }
 
     @Test
-    void damagedTablesAreSetAsideAndVersionsGoOnFromThoseOfProxies() throws Exception {
+    void setsDamagedTablesAsideAndContinuesFromVersionsOfProxies() throws Exception {
         loopback.applySettings();
         Frame.Bind bound = loopback.connect().join("p").await(Frame.Bind.class);
         loopback.stop();
-        Path file = onlyFile(name -> name.endsWith(".log"));
+        Path file = findFile(name -> name.endsWith(".log"));
         byte[] bytes = Files.readAllBytes(file);
         bytes[20] ^= 1;
         Files.write(file, bytes);
@@ -183,22 +183,22 @@
                 new Frame.Join(
                         "p", "a", 1, false, List.of(new Frame.Holding(bound.table(), 7000))));
         assertTrue(again.await(Frame.Bind.class).version() > 7000);
-        assertTrue(Files.exists(onlyFile(name -> name.contains(".log.damaged-"))));
+        assertTrue(Files.exists(findFile(name -> name.contains(".log.damaged-"))));
     }
 
     @Test
-    void aDamagedSnapshotIsRefusedAndTheControllerStaysUp() throws Exception {
+    void rejectsDamagedSettingsFileAndStaysUp() throws Exception {
         loopback.stop();
         Files.writeString(folder.resolve("settings.json"), "{\"format\":1,");
         loopback.start();
         String health = loopback.call("GET", "/v1/health", "");
         assertTrue(health.contains("settings.json: damaged at byte"), health);
         loopback.applySettings();
-        assertTrue(Files.exists(onlyFile(name -> name.startsWith("settings.json.damaged-"))));
+        assertTrue(Files.exists(findFile(name -> name.startsWith("settings.json.damaged-"))));
     }
 
     @Test
-    void proxiesAreToldThatItStops() throws Exception {
+    void sendsStoppingCloseToProxies() throws Exception {
         loopback.applySettings();
         ChannelClient client = loopback.connect().join("p");
         client.await(Frame.Mark.class);
--- a/src/test/java/rosespread/controller/LoopbackController.java
+++ b/src/test/java/rosespread/controller/LoopbackController.java
@@ -21,8 +21,8 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * A whole controller on loopback with its control API, and a node list of the nodes n and m. It
- * waits for settings.
+ * A complete controller on loopback with its control API and a node list server that lists the
+ * nodes n and m. It waits for settings.
  */
 final class LoopbackController implements AutoCloseable {
     static final InetSocketAddress ANY_PORT =
@@ -46,11 +46,11 @@
                 new HttpServer(
                         1,
                         HttpLimits.DEFAULT,
-                        (call, exchange) -> {
-                            if (call.target().contains("index")) {
+                        (request, exchange) -> {
+                            if (request.target().contains("index")) {
                                 blockedQueries.add(exchange);
                             } else {
-                                exchange.respond(nodes("5", ""));
+                                exchange.respond(nodeListResponse("5", ""));
                             }
                         });
         this.settings =
@@ -61,8 +61,8 @@
         start();
     }
 
-    /** The catalogue's answer; {@code checks} are those of node n. */
-    private static HttpMessage.Response nodes(String index, String checks) {
+    /** The response of the Consul catalog; {@code checks} are the health checks of node n. */
+    private static HttpMessage.Response nodeListResponse(String index, String checks) {
         return new HttpMessage.Response(
                 200,
                 HttpHeaders.of("x-consul-index", index),
@@ -74,7 +74,7 @@
                         .getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Starts a process on the folder. */
+    /** Starts a controller on the folder. */
     void start() throws IOException {
         controller =
                 new Controller(
@@ -84,7 +84,7 @@
         adminAddress = admin.listen(ANY_PORT);
     }
 
-    /** Ends the process; the folder stays. */
+    /** Stops the controller; the folder stays. */
     void stop() {
         admin.close();
         controller.close();
@@ -121,11 +121,11 @@
     }
 
     /** Changes the settings that {@link #applySettings} applies. */
-    void replaceInSettings(String text, String by) {
-        settings = settings.replace(text, by);
+    void replaceInSettings(String text, String replacement) {
+        settings = settings.replace(text, replacement);
     }
 
-    /** Applies the settings and waits for the nodes. */
+    /** Applies the settings and waits until both nodes are listed. */
     void applySettings() throws IOException {
         assertTrue(call("PUT", "/v1/settings", settings).startsWith("HTTP/1.1 200"));
         awaitNodes();
@@ -135,17 +135,17 @@
         await().until(() -> status().nodes().size() == 2);
     }
 
-    /** Whether the controller's client waits for a change of the node list. */
-    boolean isNodeListFollowed() {
+    /** Whether the controller has a blocking query open for changes of the node list. */
+    boolean isNodeListWatched() {
         return !blockedQueries.isEmpty();
     }
 
-    /** The node list tells that node n is in maintenance. */
-    void listMaintenanceOfN() {
+    /** Answers the blocking query with node n in maintenance. */
+    void reportNodeNInMaintenance() {
         blockedQueries
                 .get(0)
                 .respond(
-                        nodes(
+                        nodeListResponse(
                                 "6",
                                 "{\"CheckID\":\"_service_maintenance:n\",\"Status\":\"critical\"}"));
     }
@@ -155,7 +155,7 @@
         return connect(channelAddress);
     }
 
-    /** Connects to the channel of another controller; closed with this one. */
+    /** Connects to the channel of another controller; the client is closed with this one. */
     ChannelClient connect(InetSocketAddress address) throws IOException {
         ChannelClient client = new ChannelClient(address, TIMEOUT_MILLIS);
         sockets.add(client.socket());
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Calls the control API without a body, fails if it is not done. */
+    /** Posts to the control API without a body; fails unless the status is 200. */
     void post(String path, String... headers) throws IOException {
         String response = call("POST", path, "", headers);
         assertTrue(response.startsWith("HTTP/1.1 200"), response);
