--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -28,25 +28,25 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Pins by length and digest the bytes that the controller writes on the project's own channel for a
- * fixed row of scripted rounds, stream by stream: greetings, whole tables plain and packed, deltas,
- * levels, nodes withdrawn and let in again, marks, missed deltas, versions gone back to, closed
- * streams.
+ * Compares the bytes that the controller writes on the proxy channel with recorded values, by
+ * length and digest per stream, for a fixed script of rounds: greetings, full tables plain and
+ * compressed, deltas, admission limits, nodes excluded and readmitted, marks, missed deltas,
+ * rollbacks, closed streams.
  */
 class ChannelBytesTest {
-    private static final long MILLI = 1_000_000L;
-    private static final int NODES = 120;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final int NODE_COUNT = 120;
 
     private final List<ListedNode> nodes = new ArrayList<>();
     private final Map<String, ByteArrayOutputStream> streams = new TreeMap<>();
-    private Consumer<PolicyActions> script = orders -> {};
-    private long now = 1_000_000 * MILLI;
-    private ControllerState core;
+    private Consumer<PolicyActions> nextActions = actions -> {};
+    private long now = 1_000_000 * NANOS_PER_MILLI;
+    private ControllerState state;
 
-    private final class Stream implements ProxySession.Transport {
+    private final class RecordingStream implements ProxySession.Transport {
         private final ByteArrayOutputStream bytes;
 
-        Stream(String name) {
+        RecordingStream(String name) {
             bytes = streams.computeIfAbsent(name, n -> new ByteArrayOutputStream());
         }
 
@@ -71,15 +71,15 @@
         }
     }
 
-    private ControllerState.Environment world() {
+    private ControllerState.Environment environment() {
         return new ControllerState.Environment() {
             @Override
             public Policy newPolicy(FleetSettings settings, long seed) {
-                return (time, feed, orders) -> {
-                    feed.deliverTo(new NoOpEventHandler());
-                    Consumer<PolicyActions> once = script;
-                    script = o -> {};
-                    once.accept(orders);
+                return (nowNanos, events, actions) -> {
+                    events.deliverTo(new NoOpEventHandler());
+                    Consumer<PolicyActions> current = nextActions;
+                    nextActions = ignored -> {};
+                    current.accept(actions);
                 };
             }
 
@@ -92,26 +92,26 @@
     }
 
     @BeforeEach
-    void begin() throws SettingsException {
-        core =
+    void start() throws SettingsException {
+        state =
                 new ControllerState(
-                        world(),
+                        environment(),
                         new TableChangeValidator(),
                         new TableRegistry(new MemoryLog(StoreSnapshot.EMPTY)),
-                        () -> 1_700_000_000_000L + now / MILLI);
-        core.applySettings(
+                        () -> 1_700_000_000_000L + now / NANOS_PER_MILLI);
+        state.applySettings(
                 now,
                 SettingsReader.read(
                         SettingsTest.GOOD.replace(
                                 "\"linesPerSecond\":1000", "\"linesPerSecond\":100000")));
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             nodes.add(node(i, EventHandler.NodeState.READY));
         }
-        core.nodesListed(now, nodes);
-        pass(50);
+        state.nodesListed(now, nodes);
+        advanceMillis(50);
     }
 
-    private static ListedNode node(int i, EventHandler.NodeState state) {
+    private static ListedNode node(int i, EventHandler.NodeState nodeState) {
         String host = "10.0.0." + i;
         return new ListedNode(
                 ListedNode.id("n" + i, host, 80),
@@ -121,61 +121,64 @@
                 i % 2 == 0 ? "a" : "b",
                 "k",
                 1,
-                state,
+                nodeState,
                 0);
     }
 
-    private void pass(long millis) {
-        for (long end = now + millis * MILLI; now < end; ) {
-            now += 5 * MILLI;
-            core.runDue(now);
+    private void advanceMillis(long millis) {
+        for (long end = now + millis * NANOS_PER_MILLI; now < end; ) {
+            now += 5 * NANOS_PER_MILLI;
+            state.runDue(now);
         }
     }
 
-    private void order(Consumer<PolicyActions> orders) {
-        script = orders;
-        core.healthChecked(now, id(0), EventHandler.HealthCheckResult.PASSED);
-        pass(60);
+    private void runRound(Consumer<PolicyActions> actions) {
+        nextActions = actions;
+        state.healthChecked(now, id(0), EventHandler.HealthCheckResult.PASSED);
+        advanceMillis(60);
     }
 
     private ProxySession join(
-            String stream, String proxy, String zone, boolean unpacks, Frame.Holding... held) {
-        ProxySession link = core.sessionOpened(now, new Stream(stream));
-        core.frameReceived(now, link, new Frame.Hello(Frame.VERSION, proxy, List.of()));
-        core.frameReceived(now, link, new Frame.Join(proxy, zone, 5, unpacks, List.of(held)));
-        pass(20);
-        return link;
+            String stream, String proxy, String zone, boolean decompresses, Frame.Holding... held) {
+        ProxySession session = state.sessionOpened(now, new RecordingStream(stream));
+        state.frameReceived(now, session, new Frame.Hello(Frame.VERSION, proxy, List.of()));
+        state.frameReceived(
+                now, session, new Frame.Join(proxy, zone, 5, decompresses, List.of(held)));
+        advanceMillis(20);
+        return session;
     }
 
     private NodeId id(int node) {
         return nodes.get(node).id();
     }
 
-    private void line(PolicyActions orders, int table, int node, double weight) {
-        orders.setWeight(new TableId(table), id(node), weight);
+    private void setWeight(PolicyActions actions, int table, int node, double weight) {
+        actions.setWeight(new TableId(table), id(node), weight);
     }
 
-    private static void bind(PolicyActions orders, int proxy, int table, int... methods) {
-        List<MethodId> all = new ArrayList<>();
+    private static void subscribe(PolicyActions actions, int proxy, int table, int... methods) {
+        List<MethodId> methodIds = new ArrayList<>();
         for (int method : methods) {
-            all.add(new MethodId(method));
+            methodIds.add(new MethodId(method));
         }
-        orders.subscribe(new ProxyId(proxy), all, new TableId(table));
+        actions.subscribe(new ProxyId(proxy), methodIds, new TableId(table));
     }
 
-    private static void level(PolicyActions orders, int table, int method, double admitted) {
-        orders.setAdmissionLimit(new TableId(table), new MethodId(method), admitted);
+    private static void setAdmissionLimit(
+            PolicyActions actions, int table, int method, double limit) {
+        actions.setAdmissionLimit(new TableId(table), new MethodId(method), limit);
     }
 
-    private static void furtherTries(PolicyActions orders, int method, Frame.Tries when) {
-        ((TableUpdateWriter) orders).setRetryCondition(new MethodId(method), when);
+    private static void setRetryCondition(
+            PolicyActions actions, int method, Frame.Tries condition) {
+        ((TableUpdateWriter) actions).setRetryCondition(new MethodId(method), condition);
     }
 
     private String digests() {
-        StringBuilder all = new StringBuilder();
+        StringBuilder digests = new StringBuilder();
         streams.forEach(
                 (name, bytes) ->
-                        all.append(name)
+                        digests.append(name)
                                 .append(": ")
                                 .append(bytes.size())
                                 .append(' ')
@@ -184,84 +187,84 @@
                                                 Hashing.xxh3_64()
                                                         .hashBytesToLong(bytes.toByteArray())))
                                 .append('\n'));
-        return all.toString();
+        return digests.toString();
     }
 
-    private void wholeTables() {
+    private void sendFullTables() {
         join("p0 plain", "p0", "a", false);
         join("p1 unpacks", "p1", "b", true);
         join("p2 two tables", "p2", "a", true, new Frame.Holding(new TableId(2), 5));
-        order(
-                orders -> {
-                    for (int node = 0; node < NODES; node++) {
-                        line(orders, 1, node, 1);
+        runRound(
+                actions -> {
+                    for (int node = 0; node < NODE_COUNT; node++) {
+                        setWeight(actions, 1, node, 1);
                     }
                     for (int node = 0; node < 6; node++) {
-                        line(orders, 2, node, 1 + node / 8.0);
+                        setWeight(actions, 2, node, 1 + node / 8.0);
                     }
-                    level(orders, 1, 0, Double.POSITIVE_INFINITY);
-                    level(orders, 2, 1, 12.5);
-                    bind(orders, 0, 1, 0, 1);
-                    bind(orders, 1, 1, 0, 1);
-                    bind(orders, 2, 1, 0);
-                    bind(orders, 2, 2, 1);
-                    orders.requestAcknowledgement(1);
+                    setAdmissionLimit(actions, 1, 0, Double.POSITIVE_INFINITY);
+                    setAdmissionLimit(actions, 2, 1, 12.5);
+                    subscribe(actions, 0, 1, 0, 1);
+                    subscribe(actions, 1, 1, 0, 1);
+                    subscribe(actions, 2, 1, 0);
+                    subscribe(actions, 2, 2, 1);
+                    actions.requestAcknowledgement(1);
                 });
     }
 
-    private void changes() {
-        order(
-                orders -> {
-                    line(orders, 1, 3, 0.75);
-                    line(orders, 1, 4, 0);
-                    line(orders, 2, 7, 1.25);
-                    orders.requestAcknowledgement(2);
+    private void changeTables() {
+        runRound(
+                actions -> {
+                    setWeight(actions, 1, 3, 0.75);
+                    setWeight(actions, 1, 4, 0);
+                    setWeight(actions, 2, 7, 1.25);
+                    actions.requestAcknowledgement(2);
                 });
-        order(
-                orders -> {
-                    furtherTries(orders, 0, Frame.Tries.AFTER_ANY_FAILURE);
-                    level(orders, 1, 0, 40);
-                    level(orders, 1, 1, 0);
+        runRound(
+                actions -> {
+                    setRetryCondition(actions, 0, Frame.Tries.AFTER_ANY_FAILURE);
+                    setAdmissionLimit(actions, 1, 0, 40);
+                    setAdmissionLimit(actions, 1, 1, 0);
                 });
-        order(orders -> orders.setExcluded(id(3), true));
-        order(
-                orders -> {
-                    bind(orders, 1, 2, 0, 1);
-                    orders.requestAcknowledgement(3);
+        runRound(actions -> actions.setExcluded(id(3), true));
+        runRound(
+                actions -> {
+                    subscribe(actions, 1, 2, 0, 1);
+                    actions.requestAcknowledgement(3);
                 });
-        order(
-                orders -> {
-                    orders.setExcluded(id(3), false);
-                    line(orders, 1, 3, 1);
-                    orders.requestAcknowledgement(4);
+        runRound(
+                actions -> {
+                    actions.setExcluded(id(3), false);
+                    setWeight(actions, 1, 3, 1);
+                    actions.requestAcknowledgement(4);
                 });
     }
 
-    private void recovery(ProxySession missing) {
-        core.frameReceived(now, missing, new Frame.Missed(new TableId(1), 1));
-        pass(300);
-        assertEquals(TableActResult.DONE, core.rollback(now, new TableId(2), 1025));
-        pass(300);
+    private void recover(ProxySession sessionWithMissedDelta) {
+        state.frameReceived(now, sessionWithMissedDelta, new Frame.Missed(new TableId(1), 1));
+        advanceMillis(300);
+        assertEquals(TableActResult.DONE, state.rollback(now, new TableId(2), 1025));
+        advanceMillis(300);
         nodes.set(5, node(5, EventHandler.NodeState.DRAINING));
-        core.nodesListed(now, nodes);
-        pass(300);
+        state.nodesListed(now, nodes);
+        advanceMillis(300);
         join("p0 second stream", "p0", "a", true);
-        order(
-                orders -> {
-                    bind(orders, 0, 1, 0);
-                    bind(orders, 0, 2, 1);
+        runRound(
+                actions -> {
+                    subscribe(actions, 0, 1, 0);
+                    subscribe(actions, 0, 2, 1);
                 });
-        core.frameReceived(now, missing, new Frame.KeepAlive(3, false));
-        pass(3000);
+        state.frameReceived(now, sessionWithMissedDelta, new Frame.KeepAlive(3, false));
+        advanceMillis(3000);
     }
 
     @Test
-    void fixedRowOfRounds() {
-        wholeTables();
-        ProxySession late = join("p3 late", "p3", "b", false);
-        order(orders -> bind(orders, 3, 1, 0, 1));
-        changes();
-        recovery(late);
+    void writesRecordedBytes() {
+        sendFullTables();
+        ProxySession lateSession = join("p3 late", "p3", "b", false);
+        runRound(actions -> subscribe(actions, 3, 1, 0, 1));
+        changeTables();
+        recover(lateSession);
         assertEquals(
                 """
                 p0 plain: 5770 21666727d38d06
