--- a/src/test/java/rosespread/controller/AcknowledgingProxy.java
+++ b/src/test/java/rosespread/controller/AcknowledgingProxy.java
@@ -11,17 +11,17 @@
 import rosespread.channel.FrameReader;
 
 /**
- * A proxy that acknowledges each message as it comes, and notes the versions that it holds. It
- * fails a test if a delta does not follow from the version before.
+ * A proxy that acknowledges each message on arrival and records the table versions that it holds.
+ * Fails the test if a delta does not start at the version held.
  */
 final class AcknowledgingProxy implements ProxySession.Transport {
     private final ControllerFixture fixture;
     private final TreeMap<TableId, Long> versions = new TreeMap<>();
     private final ProxySession session;
-    private long messages;
+    private long messageCount;
     private boolean acknowledges = true;
 
-    /** A proxy that has joined with these versions. */
+    /** Joins with these versions. */
     AcknowledgingProxy(ControllerFixture fixture, String name, List<Frame.Holding> held) {
         this.fixture = fixture;
         this.session = fixture.join(this, new Frame.Join(name, "a", 5, false, held));
@@ -31,12 +31,12 @@
         return session;
     }
 
-    /** Returns the messages received. */
-    long messages() {
-        return messages;
+    /** Returns the number of messages received. */
+    long messageCount() {
+        return messageCount;
     }
 
-    /** Returns the version held of a table; fails if there is none. */
+    /** Returns the version of a table that the proxy holds; throws if it holds none. */
     long version(TableId table) {
         return versions.get(table);
     }
@@ -48,19 +48,19 @@
     @Override
     public void write(byte[] bytes) {
         try {
-            new FrameReader(1 << 20, this::take).feed(ByteBuffer.wrap(bytes));
+            new FrameReader(1 << 20, this::handle).feed(ByteBuffer.wrap(bytes));
         } catch (FrameException e) {
             throw new AssertionError(e);
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         if (frame instanceof Frame.Bind bind) {
             versions.put(bind.table(), bind.version());
         } else if (frame instanceof Frame.Lines delta) {
             assertEquals(versions.put(delta.table(), delta.to()), delta.from());
         } else if (frame instanceof Frame.Mark mark) {
-            messages++;
+            messageCount++;
             if (acknowledges) {
                 fixture.receive(session, new Frame.Installed(mark.number()));
             }
--- a/src/test/java/rosespread/controller/ControllerFixture.java
+++ b/src/test/java/rosespread/controller/ControllerFixture.java
@@ -18,45 +18,45 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * A controller without threads and sockets, on a clock of the test's own, with a log in memory and
- * a policy that does what a test orders.
+ * A controller without threads and sockets, with a clock set by the test, an in-memory log and a
+ * policy that performs the actions that a test gives it.
  */
 final class ControllerFixture {
-    static final long MILLI = 1_000_000L;
+    static final long NANOS_PER_MILLI = 1_000_000L;
     static final long WALL_MILLIS = 1_700_000_000_000L;
     static final TableId TABLE = new TableId(1);
 
-    private static final long STEP_NANOS = 5 * MILLI;
+    private static final long STEP_NANOS = 5 * NANOS_PER_MILLI;
     private static final String HOST = "127.0.0.1";
     private static final int PORT = 80;
 
     private final RecordingEventHandler recorder = new RecordingEventHandler(this::nowNanos);
-    private final boolean records;
+    private final boolean recordsEvents;
     private final LongUnaryOperator wallMillis;
-    private final ArrayDeque<Consumer<PolicyActions>> orders = new ArrayDeque<>();
+    private final ArrayDeque<Consumer<PolicyActions>> pendingActions = new ArrayDeque<>();
     private Runnable afterStep = () -> {};
-    private long nowNanos = 1_000_000 * MILLI;
+    private long nowNanos = 1_000_000 * NANOS_PER_MILLI;
     private MemoryLog log;
     private ControllerState state;
 
-    private ControllerFixture(boolean records, LongUnaryOperator wallMillis) {
-        this.records = records;
+    private ControllerFixture(boolean recordsEvents, LongUnaryOperator wallMillis) {
+        this.recordsEvents = recordsEvents;
         this.wallMillis = wallMillis;
     }
 
-    /** Its wall clock goes with the test's clock; nothing is recorded. */
+    /** Creates a fixture whose wall clock follows the test's clock and which records no events. */
     static ControllerFixture withRunningWallClock() {
-        return new ControllerFixture(false, now -> WALL_MILLIS + now / MILLI);
+        return new ControllerFixture(false, now -> WALL_MILLIS + now / NANOS_PER_MILLI);
     }
 
     /**
-     * Has good settings and a wall clock that stands still; the policy's events from here on and
-     * calls to the environment are recorded.
+     * Creates a controller with valid settings and a fixed wall clock. The policy's events after
+     * the start and the calls to the environment are recorded.
      */
     static ControllerFixture startedAndRecording() throws SettingsException {
         ControllerFixture fixture = new ControllerFixture(true, now -> WALL_MILLIS);
         fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
-        fixture.pass(20);
+        fixture.advanceMillis(20);
         fixture.recorder.events().clear();
         return fixture;
     }
@@ -65,14 +65,16 @@
         return recorder;
     }
 
-    /** Called after each step of the clock. */
+    /** Sets an action that runs after each step of the clock. */
     void afterEachStep(Runnable action) {
         afterStep = action;
     }
 
-    /** Starts as a process does that finds this on disk; the one before ends outright. */
+    /**
+     * Starts a controller that restores this snapshot; the previous one ends without a shutdown.
+     */
     void start(StoreSnapshot persisted, String settings) throws SettingsException {
-        orders.clear();
+        pendingActions.clear();
         log = new MemoryLog(persisted);
         TableRegistry registry = new TableRegistry(log);
         registry.restore(persisted);
@@ -85,7 +87,7 @@
         applySettings(settings);
     }
 
-    /** Restarts from what is durable; all else is lost, and so are the streams. */
+    /** Restarts from the durable entries; all other entries and the streams are lost. */
     void restart(String settings) throws SettingsException {
         start(log.persisted(), settings);
     }
@@ -110,20 +112,20 @@
         return nowNanos;
     }
 
-    /** Lets time pass in steps of 5 ms. */
-    void pass(long millis) {
-        for (long end = nowNanos + millis * MILLI; nowNanos < end; ) {
+    /** Advances the clock in steps of 5 ms. */
+    void advanceMillis(long millis) {
+        for (long end = nowNanos + millis * NANOS_PER_MILLI; nowNanos < end; ) {
             nowNanos += STEP_NANOS;
             state.runDue(nowNanos);
             afterStep.run();
         }
     }
 
-    /** Has the policy order this in its next round, and lets time pass. */
-    void order(Consumer<PolicyActions> actions, long millis) {
-        orders.add(actions);
+    /** Has the policy perform these actions in its next round, and advances the clock. */
+    void runRound(Consumer<PolicyActions> actions, long millis) {
+        pendingActions.add(actions);
         state.healthChecked(nowNanos, id(0), EventHandler.HealthCheckResult.PASSED);
-        pass(millis);
+        advanceMillis(millis);
     }
 
     /** Opens a session and joins. */
@@ -139,12 +141,12 @@
         return join(transport, new Frame.Join(name, "a", 5));
     }
 
-    /** A frame comes from a proxy. */
+    /** Handles a frame from a proxy. */
     void receive(ProxySession session, Frame frame) {
         state.frameReceived(nowNanos, session, frame);
     }
 
-    void list(List<ListedNode> nodes) {
+    void listNodes(List<ListedNode> nodes) {
         state.nodesListed(nowNanos, nodes);
     }
 
@@ -164,12 +166,12 @@
         return ListedNode.id("n" + node, HOST, PORT);
     }
 
-    /** The node of this number, all at one port. */
+    /** Returns the node of this number; all such nodes have the same port. */
     static ListedNode node(int node, EventHandler.NodeState nodeState) {
         return node("n" + node, PORT, nodeState, 0);
     }
 
-    /** The node n, which tests list by itself. */
+    /** Returns the node n, which tests list as the only node. */
     static ListedNode singleNode(EventHandler.NodeState nodeState, long startedMillis) {
         return node("n", PORT, nodeState, startedMillis);
     }
@@ -188,8 +190,8 @@
                 startedMillis);
     }
 
-    private void record(String call) {
-        if (records) {
+    private void recordCall(String call) {
+        if (recordsEvents) {
             recorder.events().add(call);
         }
     }
@@ -197,23 +199,23 @@
     private final class ScriptedEnvironment implements ControllerState.Environment {
         @Override
         public Policy newPolicy(FleetSettings settings, long seed) {
-            record("fresh planner");
+            recordCall("new policy");
             return (now, events, actions) -> {
-                events.deliverTo(records ? recorder : new NoOpEventHandler());
-                while (!orders.isEmpty()) {
-                    orders.poll().accept(actions);
+                events.deliverTo(recordsEvents ? recorder : new NoOpEventHandler());
+                while (!pendingActions.isEmpty()) {
+                    pendingActions.poll().accept(actions);
                 }
             };
         }
 
         @Override
         public void checkHealth(ListedNode node) {
-            record("probe " + node.name());
+            recordCall("start health check of " + node.name());
         }
 
         @Override
         public void watchNodes() {
-            record("follow");
+            recordCall("watch nodes");
         }
     }
 }
--- a/src/test/java/rosespread/controller/ControllerStateTest.java
+++ b/src/test/java/rosespread/controller/ControllerStateTest.java
@@ -11,7 +11,7 @@
 import rosespread.channel.Frame;
 import rosespread.settings.SettingsException;
 
-/** What the policy is told: load reports, node lists and starts, and how it is restarted. */
+/** The events that the policy gets (load reports, node lists, node starts), and its restart. */
 class ControllerStateTest {
     private static final NodeId NODE = ControllerFixture.singleNode(NodeState.READY, 0).id();
 
@@ -22,13 +22,13 @@
         fixture = ControllerFixture.startedAndRecording();
     }
 
-    private void list(NodeState state, long startedMillis) {
-        fixture.list(List.of(ControllerFixture.singleNode(state, startedMillis)));
+    private void listNode(NodeState state, long startedMillis) {
+        fixture.listNodes(List.of(ControllerFixture.singleNode(state, startedMillis)));
     }
 
     @Test
-    void loadReportsOfAZoneAreAddedUpOverTheTimeThatTheyCover() {
-        list(NodeState.READY, 0);
+    void aggregatesLoadReportsOfZoneOverCoveredTime() {
+        listNode(NodeState.READY, 0);
         ProxySession one = fixture.join(new RecordingTransport(), "p1");
         ProxySession two = fixture.join(new RecordingTransport(), "p2");
         for (ProxySession session : List.of(one, one, two, two)) {
@@ -40,49 +40,54 @@
                                     new Frame.Sum(NODE, 4, 1, 0.5, 0.3),
                                     new Frame.Sum(new NodeId(99), 1, 0, 1, 1))));
         }
-        fixture.pass(1100);
+        fixture.advanceMillis(1100);
         assertEquals(List.of("sums 16/4 over 2000 at 0.5"), fixture.recorder().events("sums"));
         assertEquals(4, fixture.status().sumsOfUnknownNodes());
     }
 
     @Test
-    void aNodesStartIsWorkedOutOnceThoughItIsListedOften() {
-        list(NodeState.READY, ControllerFixture.WALL_MILLIS - 3000);
-        fixture.pass(500);
-        list(NodeState.DRAINING, ControllerFixture.WALL_MILLIS - 3000);
-        fixture.pass(15);
+    void computesNodeStartOnceWhenListedRepeatedly() {
+        listNode(NodeState.READY, ControllerFixture.WALL_MILLIS - 3000);
+        fixture.advanceMillis(500);
+        listNode(NodeState.DRAINING, ControllerFixture.WALL_MILLIS - 3000);
+        fixture.advanceMillis(15);
         assertEquals(
                 List.of("node READY up 3005", "node DRAINING up 3505"),
                 fixture.recorder().events("node"));
     }
 
     @Test
-    void aFailedPolicyIsRestartedAndProxiesRejoin() {
+    void restartsFailedPolicyAndProxiesRejoin() {
         RecordingTransport transport = new RecordingTransport();
-        list(NodeState.READY, 0);
+        listNode(NodeState.READY, 0);
         fixture.join(transport, "p");
-        fixture.pass(15);
+        fixture.advanceMillis(15);
         fixture.recorder().events().clear();
-        fixture.order(
+        fixture.runRound(
                 actions -> {
-                    throw new IllegalStateException("broken on purpose");
+                    throw new IllegalStateException("thrown by the test");
                 },
                 15);
         assertTrue(transport.closed().contains("begins anew"), transport.closed());
         fixture.join(new RecordingTransport(), "p");
-        fixture.pass(1200);
+        fixture.advanceMillis(1200);
         assertEquals(
-                List.of("probed PASSED", "fresh planner", "list CACHED", "node READY", "joined 0"),
+                List.of(
+                        "health check PASSED",
+                        "new policy",
+                        "list CACHED",
+                        "node READY",
+                        "joined 0"),
                 fixture.recorder().events().subList(0, 5));
         assertEquals(1, fixture.status().moduleFaults());
     }
 
     @Test
-    void anUnavailableNodeListIsReportedAndTheLastOneKept() {
-        list(NodeState.READY, 0);
-        fixture.pass(15);
+    void reportsUnavailableNodeListAndKeepsLastList() {
+        listNode(NodeState.READY, 0);
+        fixture.advanceMillis(15);
         fixture.state().nodeListUnavailable(fixture.nowNanos(), "silent");
-        fixture.pass(15);
+        fixture.advanceMillis(15);
         assertEquals(
                 List.of("list FULL", "node READY", "list UNAVAILABLE"),
                 fixture.recorder().events("list", "node"));
--- a/src/test/java/rosespread/controller/MemoryLog.java
+++ b/src/test/java/rosespread/controller/MemoryLog.java
@@ -8,14 +8,14 @@
 import rosespread.store.StoreSnapshot;
 import rosespread.store.TableLog;
 
-/** A log in memory that makes entries durable at once, or not while a test stalls it. */
+/** An in-memory log that makes entries durable at once unless a test stalls it. */
 final class MemoryLog implements TableLog {
     private final LogReplay durableEntries;
     private final List<LogEntry> notDurable = new ArrayList<>();
     private long appended;
     private long durable;
     private boolean stalled;
-    private String trouble = "";
+    private String fault = "";
 
     MemoryLog(StoreSnapshot persisted) {
         durableEntries = new LogReplay(persisted);
@@ -31,28 +31,28 @@
         return appended;
     }
 
-    /** From now on nothing becomes durable by itself. */
+    /** Stops making entries durable; only {@link #makeDurable} does. */
     void stall() {
         stalled = true;
     }
 
-    /** As {@link #stall}, and the log says why. */
+    /** Stalls as {@link #stall} does, and reports this reason as the fault. */
     void fail(String reason) {
         stalled = true;
-        trouble = reason;
+        fault = reason;
     }
 
-    /** From now on entries become durable at once; those before wait for {@link #makeDurable}. */
+    /** Makes new entries durable at once again; earlier ones wait for {@link #makeDurable}. */
     void resume() {
         stalled = false;
-        trouble = "";
+        fault = "";
     }
 
     boolean isStalled() {
         return stalled;
     }
 
-    /** Makes all entries so far durable. */
+    /** Makes all entries appended so far durable. */
     void makeDurable() {
         try {
             for (LogEntry entry : notDurable) {
@@ -65,7 +65,7 @@
         durable = appended;
     }
 
-    /** Returns what a restart finds. */
+    /** Returns the snapshot that a restart restores. */
     StoreSnapshot persisted() {
         return durableEntries.snapshot();
     }
@@ -81,11 +81,11 @@
     }
 
     @Override
-    public void writeSnapshot(StoreSnapshot image) {}
+    public void writeSnapshot(StoreSnapshot snapshot) {}
 
     @Override
     public String fault() {
-        return trouble;
+        return fault;
     }
 
     @Override
--- a/src/test/java/rosespread/controller/NoOpEventHandler.java
+++ b/src/test/java/rosespread/controller/NoOpEventHandler.java
@@ -7,7 +7,7 @@
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
 
-/** Hears everything and does nothing. */
+/** Ignores all events. */
 class NoOpEventHandler implements EventHandler {
     @Override
     public void listStarted(NodeListKind kind) {}
@@ -15,39 +15,39 @@
     @Override
     public void nodeListed(
             NodeId node,
-            MachineTypeId kind,
+            MachineTypeId machineType,
             ZoneId zone,
             double weight,
             NodeState state,
-            long started) {}
+            long startedAt) {}
 
     @Override
     public void listCompleted() {}
 
     @Override
-    public void proxyJoined(ProxyId proxy, ZoneId zone, double rate) {}
+    public void proxyJoined(ProxyId proxy, ZoneId zone, double usualRate) {}
 
     @Override
     public void proxyLeft(ProxyId proxy) {}
 
     @Override
-    public void acknowledged(ProxyId proxy, int mark, long took) {}
+    public void acknowledged(ProxyId proxy, int token, long latencyNanos) {}
 
     @Override
     public void loadReported(
             NodeId node,
             ZoneId zone,
-            int tries,
-            int unanswered,
+            int attempts,
+            int failures,
             double latency,
-            long covers,
+            long coveredNanos,
             double utilization) {}
 
     @Override
-    public void demandReported(ProxyId proxy, MethodId method, int count, long covers) {}
+    public void demandReported(ProxyId proxy, MethodId method, int requests, long coveredNanos) {}
 
     @Override
-    public void healthChecked(NodeId node, HealthCheckResult verdict) {}
+    public void healthChecked(NodeId node, HealthCheckResult result) {}
 
     @Override
     public void timerFired() {}
--- a/src/test/java/rosespread/controller/ProxySessionTest.java
+++ b/src/test/java/rosespread/controller/ProxySessionTest.java
@@ -19,10 +19,10 @@
 import rosespread.discovery.ListedNode;
 import rosespread.settings.SettingsException;
 
-/** Sessions of proxies: handshake, keep-alive, acknowledgements, and what closes them. */
+/** Sessions of proxies: handshake, keep-alives, acknowledgements and closing. */
 class ProxySessionTest {
-    private static final ListedNode LISTED = ControllerFixture.singleNode(NodeState.READY, 0);
-    private static final NodeId NODE = LISTED.id();
+    private static final ListedNode LISTED_NODE = ControllerFixture.singleNode(NodeState.READY, 0);
+    private static final NodeId NODE = LISTED_NODE.id();
 
     private ControllerFixture fixture;
 
@@ -31,13 +31,13 @@
         fixture = ControllerFixture.startedAndRecording();
     }
 
-    private void keepAlive(ProxySession session) {
+    private void receiveKeepAlive(ProxySession session) {
         fixture.receive(session, new Frame.KeepAlive(1, true));
     }
 
     @Test
-    void acknowledgementsOfAnEarlierStreamAreDropped() {
-        fixture.list(List.of(LISTED));
+    void dropsAcknowledgementsOfEarlierStream() {
+        fixture.listNodes(List.of(LISTED_NODE));
         RecordingTransport first = new RecordingTransport();
         ProxySession session = fixture.join(first, "p");
         Consumer<PolicyActions> subscribe =
@@ -47,33 +47,33 @@
                             new ProxyId(0), List.of(new MethodId(0)), ControllerFixture.TABLE);
                     actions.requestAcknowledgement(9);
                 };
-        fixture.order(subscribe, 15);
-        fixture.pass(50);
+        fixture.runRound(subscribe, 15);
+        fixture.advanceMillis(50);
         long number = first.lastMark().number();
         fixture.state().sessionClosed(fixture.nowNanos(), session);
         RecordingTransport second = new RecordingTransport();
-        ProxySession again = fixture.join(second, "p");
-        fixture.receive(again, new Frame.Installed(number));
-        fixture.pass(20);
-        assertEquals(List.of(), fixture.recorder().events("installed"));
+        ProxySession secondSession = fixture.join(second, "p");
+        fixture.receive(secondSession, new Frame.Installed(number));
+        fixture.advanceMillis(20);
+        assertEquals(List.of(), fixture.recorder().events("acknowledged"));
         assertEquals(1, fixture.status().strayAnswers());
-        fixture.order(subscribe, 15);
-        fixture.pass(50);
-        fixture.receive(again, new Frame.Installed(second.lastMark().number()));
-        fixture.pass(20);
+        fixture.runRound(subscribe, 15);
+        fixture.advanceMillis(50);
+        fixture.receive(secondSession, new Frame.Installed(second.lastMark().number()));
+        fixture.advanceMillis(20);
         assertEquals(
                 1,
-                fixture.recorder().events("installed 9 by 0").size(),
+                fixture.recorder().events("acknowledged 9 by 0").size(),
                 fixture.recorder().events().toString());
     }
 
     @Test
-    void aNewerStreamOfAProxyReplacesTheOlderOne() {
+    void newerStreamOfProxyReplacesOlderStream() {
         RecordingTransport old = new RecordingTransport();
         fixture.join(old, "p");
-        fixture.pass(15);
+        fixture.advanceMillis(15);
         fixture.join(new RecordingTransport(), "p");
-        fixture.pass(15);
+        fixture.advanceMillis(15);
         assertTrue(old.closed().startsWith("REPLACED"), old.closed());
         assertEquals(
                 List.of("joined 0", "left 0", "joined 0"),
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aSilentSessionIsClosedAndOneThatDoesNotRead() {
+    void closesSilentSessionAndSessionThatDoesNotRead() {
         RecordingTransport silent = new RecordingTransport();
         RecordingTransport slow = new RecordingTransport();
         RecordingTransport good = new RecordingTransport();
@@ -89,10 +89,10 @@
         ProxySession slowSession = fixture.join(slow, "slow");
         ProxySession goodSession = fixture.join(good, "good");
         for (int i = 0; i < 30; i++) {
-            fixture.pass(100);
-            keepAlive(slowSession);
-            keepAlive(goodSession);
-            slow.fillWriteBuffer(i > 20 ? 5L << 20 : 0);
+            fixture.advanceMillis(100);
+            receiveKeepAlive(slowSession);
+            receiveKeepAlive(goodSession);
+            slow.setWriteBufferBytes(i > 20 ? 5L << 20 : 0);
         }
         assertTrue(silent.closed().startsWith("SILENT"), silent.closed());
         assertTrue(slow.closed().startsWith("SLOW"), slow.closed());
@@ -111,7 +111,7 @@
                 "method|BAD_FRAME",
                 "late|SILENT"
             })
-    void aSessionThatViolatesTheProtocolIsClosedAndNoOther(String fault, String reason) {
+    void closesOnlySessionThatViolatesProtocol(String fault, String reason) {
         RecordingTransport other = new RecordingTransport();
         ProxySession otherSession = fixture.join(other, "other");
         RecordingTransport transport = new RecordingTransport();
@@ -127,8 +127,8 @@
             case "order" -> fixture.receive(session, new Frame.Join("p", "a", 1));
             case "late" -> {
                 for (int i = 0; i < 60; i++) {
-                    fixture.pass(100);
-                    keepAlive(otherSession);
+                    fixture.advanceMillis(100);
+                    receiveKeepAlive(otherSession);
                 }
             }
             default -> {
--- a/src/test/java/rosespread/controller/RecordingEventHandler.java
+++ b/src/test/java/rosespread/controller/RecordingEventHandler.java
@@ -9,23 +9,23 @@
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
 
-/** Records the policy's events as texts, with the time of the fixture. */
+/** Records the policy's events as texts, with node uptimes by the fixture's clock. */
 final class RecordingEventHandler extends NoOpEventHandler {
     private final List<String> events = new ArrayList<>();
-    private final LongSupplier clock;
+    private final LongSupplier nanoClock;
 
     /**
-     * @param clock the time that ages are counted to, in nanoseconds
+     * @param nanoClock the clock in nanoseconds that node uptimes are computed from
      */
-    RecordingEventHandler(LongSupplier clock) {
-        this.clock = clock;
+    RecordingEventHandler(LongSupplier nanoClock) {
+        this.nanoClock = nanoClock;
     }
 
     List<String> events() {
         return events;
     }
 
-    /** Returns the events that begin with one of the texts. */
+    /** Returns the events that start with one of the prefixes. */
     List<String> events(String... prefixes) {
         return events.stream()
                 .filter(event -> List.of(prefixes).stream().anyMatch(event::startsWith))
@@ -40,17 +40,17 @@
     @Override
     public void nodeListed(
             NodeId node,
-            MachineTypeId kind,
+            MachineTypeId machineType,
             ZoneId zone,
             double weight,
             NodeState state,
-            long started) {
-        long upMillis = (clock.getAsLong() - started) / ControllerFixture.MILLI;
-        events.add("node " + state + (started == Long.MIN_VALUE ? "" : " up " + upMillis));
+            long startedAt) {
+        long upMillis = (nanoClock.getAsLong() - startedAt) / ControllerFixture.NANOS_PER_MILLI;
+        events.add("node " + state + (startedAt == Long.MIN_VALUE ? "" : " up " + upMillis));
     }
 
     @Override
-    public void proxyJoined(ProxyId proxy, ZoneId zone, double rate) {
+    public void proxyJoined(ProxyId proxy, ZoneId zone, double usualRate) {
         events.add("joined " + proxy.value());
     }
 
@@ -60,48 +60,48 @@
     }
 
     @Override
-    public void acknowledged(ProxyId proxy, int token, long latency) {
+    public void acknowledged(ProxyId proxy, int token, long latencyNanos) {
         events.add(
-                "installed "
+                "acknowledged "
                         + token
                         + " by "
                         + proxy.value()
                         + " in "
-                        + latency / ControllerFixture.MILLI);
+                        + latencyNanos / ControllerFixture.NANOS_PER_MILLI);
     }
 
     @Override
     public void loadReported(
             NodeId node,
             ZoneId zone,
-            int tries,
-            int unanswered,
+            int attempts,
+            int failures,
             double latency,
-            long covers,
+            long coveredNanos,
             double utilization) {
         events.add(
                 "sums "
-                        + tries
+                        + attempts
                         + "/"
-                        + unanswered
+                        + failures
                         + " over "
-                        + covers / ControllerFixture.MILLI
+                        + coveredNanos / ControllerFixture.NANOS_PER_MILLI
                         + " at "
                         + latency);
     }
 
     @Override
-    public void demandReported(ProxyId proxy, MethodId method, int count, long covers) {
-        events.add("offered " + method.value() + " " + count);
+    public void demandReported(ProxyId proxy, MethodId method, int requests, long coveredNanos) {
+        events.add("demand " + method.value() + " " + requests);
     }
 
     @Override
     public void healthChecked(NodeId node, HealthCheckResult result) {
-        events.add("probed " + result);
+        events.add("health check " + result);
     }
 
     @Override
     public void timerFired() {
-        events.add("woke");
+        events.add("timer fired");
     }
 }
--- a/src/test/java/rosespread/controller/RecordingTransport.java
+++ b/src/test/java/rosespread/controller/RecordingTransport.java
@@ -8,7 +8,7 @@
 import rosespread.channel.FrameException;
 import rosespread.channel.FrameReader;
 
-/** A stream in memory that keeps the frames written to it, and whose buffer a test can fill. */
+/** An in-memory stream that records written frames; tests set the bytes in its write buffer. */
 final class RecordingTransport implements ProxySession.Transport {
     private final List<Frame> frames = new ArrayList<>();
     private String closed;
@@ -30,8 +30,8 @@
         return writeBufferBytes;
     }
 
-    void fillWriteBuffer(long unread) {
-        writeBufferBytes = unread;
+    void setWriteBufferBytes(long pendingBytes) {
+        writeBufferBytes = pendingBytes;
     }
 
     @Override
@@ -48,7 +48,7 @@
         return frames;
     }
 
-    /** Returns the reason and text that it was closed with, null if it is open. */
+    /** Returns the reason and text that the stream was closed with, null if it is open. */
     String closed() {
         return closed;
     }
@@ -57,8 +57,8 @@
         return bytes;
     }
 
-    long count(Predicate<Frame> which) {
-        return frames.stream().filter(which).count();
+    long count(Predicate<Frame> predicate) {
+        return frames.stream().filter(predicate).count();
     }
 
     long count(Class<? extends Frame> type) {
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -22,11 +22,11 @@
 import rosespread.settings.SettingsTest;
 import rosespread.store.StoreSnapshot;
 
-/** Messages wait for the disk but not for long, and a restart goes on from what was persisted. */
+/** Messages wait for the disk up to a timeout, and a restart continues from the persisted state. */
 class RecoveryTest {
     private static final TableId TABLE = ControllerFixture.TABLE;
 
-    /** The settings' drain timeout is 2 s; messages wait a tenth of it for the disk. */
+    /** Messages wait for the disk at most a tenth of the drain timeout, which is 2 s here. */
     private static final long DURABILITY_TIMEOUT_MILLIS = 200;
 
     private final ControllerFixture fixture = ControllerFixture.withRunningWallClock();
@@ -38,16 +38,16 @@
 
     private void start(StoreSnapshot persisted, String settings) throws SettingsException {
         fixture.start(persisted, settings);
-        fixture.pass(20);
+        fixture.advanceMillis(20);
     }
 
-    /** The process ends outright; all that was not durable is lost. */
+    /** Restarts without a shutdown; entries that were not durable are lost. */
     private void restart(String settings) throws SettingsException {
         fixture.restart(settings);
-        fixture.pass(20);
+        fixture.advanceMillis(20);
     }
 
-    private MemoryLog disk() {
+    private MemoryLog log() {
         return fixture.log();
     }
 
@@ -55,20 +55,20 @@
         return ControllerFixture.id(node);
     }
 
-    private void list(int... ready) {
-        fixture.list(
+    private void listNodes(int... ready) {
+        fixture.listNodes(
                 Arrays.stream(ready)
                         .mapToObj(node -> ControllerFixture.node(node, NodeState.READY))
                         .toList());
-        fixture.pass(20);
+        fixture.advanceMillis(20);
     }
 
-    private void order(Consumer<PolicyActions> actions) {
-        fixture.order(actions, 20);
+    private void runRound(Consumer<PolicyActions> actions) {
+        fixture.runRound(actions, 20);
     }
 
-    private void weights(double... weights) {
-        order(
+    private void setWeights(double... weights) {
+        runRound(
                 actions -> {
                     for (int i = 0; i < weights.length; i++) {
                         actions.setWeight(TABLE, id(i), weights[i]);
@@ -76,16 +76,16 @@
                 });
     }
 
-    /** A proxy that has joined with these versions; all proxies are subscribed anew. */
-    private AcknowledgingProxy subscribed(String name, Frame.Holding... held) {
+    /** Joins a proxy that holds these versions, and subscribes all proxies again. */
+    private AcknowledgingProxy joinAndSubscribe(String name, Frame.Holding... held) {
         AcknowledgingProxy proxy = new AcknowledgingProxy(fixture, name, List.of(held));
-        order(
+        runRound(
                 actions -> {
                     for (int i = 0; i < fixture.status().proxies(); i++) {
                         actions.subscribe(new ProxyId(i), List.of(new MethodId(0)), TABLE);
                     }
                 });
-        fixture.pass(200);
+        fixture.advanceMillis(200);
         return proxy;
     }
 
@@ -94,91 +94,91 @@
     }
 
     @Test
-    void aMessageWaitsUntilWhatItTellsIsDurable() {
-        list(0, 1);
-        weights(1, 1);
-        AcknowledgingProxy proxy = subscribed("p");
-        long before = proxy.messages();
-        disk().stall();
-        weights(1, 0.7);
-        fixture.pass(DURABILITY_TIMEOUT_MILLIS - 100);
-        assertEquals(before, proxy.messages());
-        disk().makeDurable();
-        fixture.pass(5);
-        assertEquals(before + 1, proxy.messages());
+    void messageWaitsUntilItsLogEntriesAreDurable() {
+        listNodes(0, 1);
+        setWeights(1, 1);
+        AcknowledgingProxy proxy = joinAndSubscribe("p");
+        long before = proxy.messageCount();
+        log().stall();
+        setWeights(1, 0.7);
+        fixture.advanceMillis(DURABILITY_TIMEOUT_MILLIS - 100);
+        assertEquals(before, proxy.messageCount());
+        log().makeDurable();
+        fixture.advanceMillis(5);
+        assertEquals(before + 1, proxy.messageCount());
         assertEquals(0, fixture.status().storage().unkeptMessages());
     }
 
     @Test
-    void aSlowDiskDelaysMessagesOnceAndNotForLong() {
-        list(0, 1);
-        weights(1, 1);
-        AcknowledgingProxy proxy = subscribed("p");
-        long before = proxy.messages();
-        disk().stall();
-        weights(1, 0.7);
-        fixture.pass(DURABILITY_TIMEOUT_MILLIS + 20);
-        assertEquals(before + 1, proxy.messages());
+    void slowDiskDelaysMessagesOnceAndUpToTimeout() {
+        listNodes(0, 1);
+        setWeights(1, 1);
+        AcknowledgingProxy proxy = joinAndSubscribe("p");
+        long before = proxy.messageCount();
+        log().stall();
+        setWeights(1, 0.7);
+        fixture.advanceMillis(DURABILITY_TIMEOUT_MILLIS + 20);
+        assertEquals(before + 1, proxy.messageCount());
         assertTrue(fixture.status().storage().late());
-        weights(1, 0.8);
-        fixture.pass(40);
-        assertEquals(before + 2, proxy.messages(), "the next does not wait again");
-        disk().resume();
-        disk().makeDurable();
-        weights(1, 0.9);
-        fixture.pass(40);
+        setWeights(1, 0.8);
+        fixture.advanceMillis(40);
+        assertEquals(before + 2, proxy.messageCount(), "the next message must not wait again");
+        log().resume();
+        log().makeDurable();
+        setWeights(1, 0.9);
+        fixture.advanceMillis(40);
         assertTrue(!fixture.status().storage().late());
         assertEquals(2, fixture.status().storage().unkeptMessages());
     }
 
     @Test
-    void aBrokenDiskDelaysNothing() {
-        list(0, 1);
-        weights(1, 1);
-        AcknowledgingProxy proxy = subscribed("p");
-        long before = proxy.messages();
-        disk().fail("No space left on device");
-        weights(1, 0.7);
-        fixture.pass(40);
-        assertEquals(before + 1, proxy.messages());
+    void failedDiskDelaysNoMessage() {
+        listNodes(0, 1);
+        setWeights(1, 1);
+        AcknowledgingProxy proxy = joinAndSubscribe("p");
+        long before = proxy.messageCount();
+        log().fail("No space left on device");
+        setWeights(1, 0.7);
+        fixture.advanceMillis(40);
+        assertEquals(before + 1, proxy.messageCount());
         assertEquals("No space left on device", fixture.status().storage().trouble());
     }
 
     @Test
-    void aRestartGoesOnFromWhatWasPersisted() throws SettingsException {
-        list(0, 1, 2);
-        weights(1, 1, 1);
-        subscribed("p");
-        weights(1, 0.7, 1);
+    void restartContinuesFromPersistedState() throws SettingsException {
+        listNodes(0, 1, 2);
+        setWeights(1, 1, 1);
+        joinAndSubscribe("p");
+        setWeights(1, 0.7, 1);
         long version = table().version();
         long versions = table().versions().size();
         restart(SettingsTest.GOOD);
         assertEquals(version, table().version());
         assertEquals(versions, table().versions().size());
-        // Before the list is known nothing moves; then what is not listed any more goes.
-        fixture.pass(500);
+        // Weights do not change until the list is known; then nodes no longer listed are removed.
+        fixture.advanceMillis(500);
         assertEquals(3, table().lines().size());
-        list(0, 1);
-        fixture.pass(50);
+        listNodes(0, 1);
+        fixture.advanceMillis(50);
         assertEquals(2, table().lines().size());
-        weights(1, 0.7);
-        AcknowledgingProxy again = subscribed("p", new Frame.Holding(TABLE, version));
+        setWeights(1, 0.7);
+        AcknowledgingProxy again = joinAndSubscribe("p", new Frame.Holding(TABLE, version));
         assertTrue(again.version(TABLE) >= version);
         assertEquals("NONE", table().held());
     }
 
     /**
-     * What a slow link holds counts: the way back does not fill it up further, and goes on once it
-     * is empty.
+     * Entries that a slow stream has not acknowledged count against the channel capacity: the
+     * rollback sends no more until they are acknowledged, and then continues.
      */
     @Test
-    void aRollbackWaitsWhileMostAcknowledgementsAreOverdue() {
-        list(0, 1, 2);
-        weights(1, 1, 1);
-        AcknowledgingProxy proxy = subscribed("p");
+    void rollbackWaitsWhileMostAcknowledgementsAreOverdue() {
+        listNodes(0, 1, 2);
+        setWeights(1, 1, 1);
+        AcknowledgingProxy proxy = joinAndSubscribe("p");
         long first = table().version();
-        weights(0.5, 0.6, 0.7);
-        fixture.pass(100);
+        setWeights(0.5, 0.6, 0.7);
+        fixture.advanceMillis(100);
         proxy.stopAcknowledging();
         for (int i = 0; i < 90; i++) {
             proxy.session()
@@ -187,24 +187,29 @@
                                     1 + i, 1, -1, fixture.nowNanos(), 30, fixture.nowNanos()));
         }
         for (int i = 0; i < 8; i++) {
-            fixture.pass(100);
+            fixture.advanceMillis(100);
             fixture.receive(proxy.session(), new Frame.KeepAlive(1, true));
         }
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
-        fixture.pass(200);
+        fixture.advanceMillis(200);
         assertEquals(
-                0.5, fixture.status().tables().get(0).lines().get("n0"), "nothing of it left yet");
+                0.5,
+                fixture.status().tables().get(0).lines().get("n0"),
+                "rollback must not start yet");
         proxy.session().acknowledge(90);
         assertEquals(0, proxy.session().unacknowledgedMessages());
-        order(actions -> {});
-        fixture.pass(100);
+        runRound(actions -> {});
+        fixture.advanceMillis(100);
         assertEquals(1.0, fixture.status().tables().get(0).lines().get("n0"));
     }
 
-    /** A drain ends with its node; a list that has not told of the node yet ends nothing. */
+    /**
+     * A drain ends when its node leaves the list. A list that never contained the node does not end
+     * the drain.
+     */
     @Test
-    void aDrainEndsAsItsNodeIsNoLongerListed() {
-        list(0, 1);
+    void drainEndsWhenNodeIsNoLongerListed() {
+        listNodes(0, 1);
         assertEquals(
                 DrainResult.Kind.DONE,
                 fixture.state()
@@ -213,12 +218,12 @@
         fixture.state()
                 .mergeDrains(
                         fixture.nowNanos(), List.of(new Drain(id(2), "n2", true, 9, "p", "d", 0)));
-        list(0, 1);
-        assertEquals(List.of("n1", "n2"), drained());
-        list(0);
-        assertEquals(List.of("n2"), drained());
-        list(0, 1, 2);
-        assertEquals(List.of("n2"), drained());
+        listNodes(0, 1);
+        assertEquals(List.of("n1", "n2"), drainedNodes());
+        listNodes(0);
+        assertEquals(List.of("n2"), drainedNodes());
+        listNodes(0, 1, 2);
+        assertEquals(List.of("n2"), drainedNodes());
         assertEquals(
                 "DRAINING",
                 fixture.status().nodes().stream()
@@ -228,7 +233,7 @@
                         .state());
     }
 
-    private List<String> drained() {
+    private List<String> drainedNodes() {
         return fixture.state().drains().stream()
                 .filter(Drain::on)
                 .map(Drain::name)
@@ -237,102 +242,108 @@
     }
 
     @Test
-    void pinsOutliveTheProcess() throws SettingsException {
-        list(0, 1, 2);
-        weights(1, 1, 1);
-        subscribed("p");
+    void pinsSurviveRestart() throws SettingsException {
+        listNodes(0, 1, 2);
+        setWeights(1, 1, 1);
+        joinAndSubscribe("p");
         long first = table().version();
-        weights(1, 0.5, 0.5);
+        setWeights(1, 0.5, 0.5);
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
-        fixture.pass(100);
+        fixture.advanceMillis(100);
         restart(SettingsTest.GOOD);
-        list(0, 1, 2);
-        weights(0.2, 0.3, 1);
-        subscribed("p");
+        listNodes(0, 1, 2);
+        setWeights(0.2, 0.3, 1);
+        joinAndSubscribe("p");
         assertEquals("PINNED", table().held());
         assertEquals(1.0, table().lines().get("n0"));
         assertEquals(TableActResult.DONE, fixture.release(TABLE));
         restart(SettingsTest.GOOD);
         assertEquals("RELEASING", table().held());
-        list(0, 1, 2);
-        weights(0.2, 0.3, 1);
-        fixture.pass(9000);
+        listNodes(0, 1, 2);
+        setWeights(0.2, 0.3, 1);
+        fixture.advanceMillis(9000);
         assertEquals("NONE", table().held());
         assertEquals(0.3, table().lines().get("n1"));
     }
 
-    /** Killed after a rollback was ordered and before its lines could leave. */
+    /** The process is killed after a rollback was ordered and before its entries could be sent. */
     @Test
-    void aRollbackGoesOnAfterARestart() throws SettingsException {
-        list(0, 1, 2);
-        weights(1, 1, 1);
+    void rollbackContinuesAfterRestart() throws SettingsException {
+        listNodes(0, 1, 2);
+        setWeights(1, 1, 1);
         long first = table().version();
-        AcknowledgingProxy proxy = subscribed("p");
-        weights(0.5, 0.6, 0.7);
-        // So much was written lately that a message must wait.
+        AcknowledgingProxy proxy = joinAndSubscribe("p");
+        setWeights(0.5, 0.6, 0.7);
+        // 40 recent messages exceed the limit of 30 per proxy, so the next message must wait.
         for (int i = 0; i < 40; i++) {
             proxy.session().recordMessageQueued(fixture.nowNanos());
         }
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
         restart(SettingsTest.GOOD);
         assertEquals("PINNED", table().held());
-        list(0, 1, 2);
-        fixture.pass(50);
+        listNodes(0, 1, 2);
+        fixture.advanceMillis(50);
         assertEquals(new TreeMap<>(Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0)), table().lines());
     }
 
     @Test
-    void versionsGoOnBeyondThoseThatAProxyHoldsFromElsewhere() {
-        list(0, 1);
-        weights(1, 1);
-        AcknowledgingProxy first = subscribed("p");
+    void versionsContinueAboveThoseHeldFromOtherController() {
+        listNodes(0, 1);
+        setWeights(1, 1);
+        AcknowledgingProxy first = joinAndSubscribe("p");
         long low = first.version(TABLE);
         AcknowledgingProxy other =
-                subscribed(
+                joinAndSubscribe(
                         "q", new Frame.Holding(TABLE, 5000), new Frame.Holding(new TableId(77), 9));
         assertTrue(other.version(TABLE) > 5000, "version " + other.version(TABLE));
         assertEquals(other.version(TABLE), first.version(TABLE));
         assertTrue(first.version(TABLE) > low);
         long raised = other.version(TABLE);
-        AcknowledgingProxy third = subscribed("r", new Frame.Holding(TABLE, 5100));
-        assertEquals(raised, third.version(TABLE), "one jump is enough for proxies of one past");
-        subscribed("s", new Frame.Holding(TABLE, Long.MAX_VALUE));
+        AcknowledgingProxy third = joinAndSubscribe("r", new Frame.Holding(TABLE, 5100));
+        assertEquals(
+                raised,
+                third.version(TABLE),
+                "one jump must suffice for all proxies with the same past");
+        joinAndSubscribe("s", new Frame.Holding(TABLE, Long.MAX_VALUE));
         assertEquals(
-                raised, table().version(), "a number that none can have come to is passed over");
-        weights(1, 0.5);
-        fixture.pass(50);
+                raised,
+                table().version(),
+                "a version number above the possible maximum must be ignored");
+        setWeights(1, 0.5);
+        fixture.advanceMillis(50);
         assertEquals(raised + 1, first.version(TABLE));
         assertEquals(0, fixture.status().missedDeltas());
     }
 
     @Test
-    void versionsBeginBeyondThoseThatProxiesHoldIfNothingWasPersisted() throws SettingsException {
+    void versionsStartAboveThoseHeldByProxiesIfNothingWasPersisted() throws SettingsException {
         start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
-        list(0, 1);
+        listNodes(0, 1);
         AcknowledgingProxy proxy =
                 new AcknowledgingProxy(fixture, "p", List.of(new Frame.Holding(TABLE, 700)));
-        order(
+        runRound(
                 actions -> {
                     actions.setWeight(TABLE, id(0), 1);
                     actions.subscribe(new ProxyId(0), List.of(new MethodId(0)), TABLE);
                 });
-        fixture.pass(100);
+        fixture.advanceMillis(100);
         assertTrue(proxy.version(TABLE) > 700);
     }
 
     /**
-     * Other methods or zones make other tables: holds and old versions would mean something else.
+     * With other methods or zones a table number denotes another table, so that pins and old
+     * versions no longer apply.
      */
     @Test
-    void otherSettingsDropPinsButNotVersionNumbers() throws SettingsException {
-        list(0, 1);
-        weights(1, 1);
-        subscribed("p");
-        weights(1, 0.5);
+    void changedLayoutDropsPinsButKeepsVersionNumbers() throws SettingsException {
+        listNodes(0, 1);
+        setWeights(1, 1);
+        joinAndSubscribe("p");
+        setWeights(1, 0.5);
         fixture.pin(TABLE);
         long version = table().version();
         fixture.applySettings(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod"));
-        assertEquals("PINNED", table().held(), "the same settings change nothing");
+        assertEquals("PINNED", table().held(), "the same settings must not drop the pin");
         restart(SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
--- a/src/test/java/rosespread/controller/TableDeliveryTest.java
+++ b/src/test/java/rosespread/controller/TableDeliveryTest.java
@@ -17,7 +17,7 @@
 import rosespread.discovery.ListedNode;
 import rosespread.settings.SettingsException;
 
-/** How tables reach proxies: full and as deltas, compressed, at the pace and within the limits. */
+/** Delivery of tables to proxies: full tables and deltas, compression, pacing and limits. */
 class TableDeliveryTest {
     private static final TableId TABLE = ControllerFixture.TABLE;
     private static final List<MethodId> BOTH_METHODS = List.of(new MethodId(0), new MethodId(1));
@@ -30,8 +30,8 @@
         fixture = ControllerFixture.startedAndRecording();
     }
 
-    private void list(NodeState state) {
-        fixture.list(List.of(ControllerFixture.singleNode(state, 0)));
+    private void listNode(NodeState state) {
+        fixture.listNodes(List.of(ControllerFixture.singleNode(state, 0)));
     }
 
     private static List<ListedNode> readyNodes(int count) {
@@ -42,34 +42,34 @@
         return nodes;
     }
 
-    /** What a full table costs a proxy that decompresses, against one that does not. */
+    /** Compares the bytes of a full table with and without decompression by the proxy. */
     @Test
-    void largeFullTablesAreCompressedForProxiesThatDecompress() {
+    void compressesLargeFullTablesForProxiesThatDecompress() {
         List<ListedNode> nodes = readyNodes(300);
-        fixture.list(nodes);
+        fixture.listNodes(nodes);
         RecordingTransport compressed = new RecordingTransport();
         RecordingTransport plain = new RecordingTransport();
         fixture.join(compressed, new Frame.Join("p", "a", 5, true, List.of()));
         fixture.join(plain, "q");
-        fixture.order(
+        fixture.runRound(
                 actions -> {
                     nodes.forEach(node -> actions.setWeight(TABLE, node.id(), 1));
                     actions.subscribe(new ProxyId(0), BOTH_METHODS, TABLE);
                     actions.subscribe(new ProxyId(1), BOTH_METHODS, TABLE);
                 },
                 15);
-        fixture.pass(900);
+        fixture.advanceMillis(900);
         assertEquals(binds(plain), binds(compressed));
         assertEquals(300, compressed.count(Frame.Node.class));
         assertTrue(
                 compressed.bytes() * 1.5 < plain.bytes(),
                 compressed.bytes() + " of " + plain.bytes());
-        // A delta goes as it is, and its nodes are known.
+        // A delta is sent uncompressed, and the proxy knows its nodes already.
         int before = compressed.bytes();
-        fixture.order(actions -> actions.setWeight(TABLE, nodes.get(0).id(), 0.5), 15);
-        fixture.pass(100);
+        fixture.runRound(actions -> actions.setWeight(TABLE, nodes.get(0).id(), 0.5), 15);
+        fixture.advanceMillis(100);
         assertTrue(compressed.bytes() > before);
-        assertEquals(300, compressed.count(Frame.Node.class), "no node is introduced twice");
+        assertEquals(300, compressed.count(Frame.Node.class), "no node may be introduced twice");
     }
 
     private static List<Frame> binds(RecordingTransport transport) {
@@ -77,24 +77,26 @@
     }
 
     /**
-     * A policy that changes every weight of all tables again and again: each change is small,
-     * together they are not.
+     * The policy changes every weight of all tables again and again. Each change is small; together
+     * they exceed the queue limit.
      */
     @Test
-    void changesOfManyTablesTogetherKeepTheQueueShort() {
+    void boundsQueueWhenManyTablesChangeTogether() {
         List<ListedNode> nodes = readyNodes(30);
-        fixture.list(nodes);
+        fixture.listNodes(nodes);
         List<ProxySession> sessions = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             sessions.add(fixture.join(new RecordingTransport(), "p" + i));
             int proxy = i;
-            fixture.order(actions -> subscribeToTwoTables(actions, proxy, nodes), 15);
-            fixture.pass(150);
+            fixture.runRound(actions -> subscribeToTwoTables(actions, proxy, nodes), 15);
+            fixture.advanceMillis(150);
         }
         for (int round = 1; round <= 100; round++) {
             double weight = 1 + round / 1e5;
-            boolean acknowledged = round % 30 == 0;
-            fixture.order(actions -> changeAllTables(actions, nodes, weight, acknowledged), 15);
+            boolean requestsAcknowledgement = round % 30 == 0;
+            fixture.runRound(
+                    actions -> changeAllTables(actions, nodes, weight, requestsAcknowledgement),
+                    15);
             sessions.forEach(s -> fixture.receive(s, new Frame.KeepAlive(1, true)));
         }
         assertTrue(
@@ -103,9 +105,9 @@
         assertTrue(
                 fixture.status().tables().stream()
                         .anyMatch(table -> table.refused().containsKey("TOO_MANY_LINES")));
-        // A drain goes first, also now.
-        list(NodeState.DRAINING);
-        fixture.pass(1500);
+        // A drain is delivered first, also under this load.
+        listNode(NodeState.DRAINING);
+        fixture.advanceMillis(1500);
         assertTrue(
                 fixture.status().tables().stream()
                         .allMatch(t -> t.lines().keySet().stream().noneMatch("n"::equals)));
@@ -123,23 +125,26 @@
     }
 
     private static void changeAllTables(
-            PolicyActions actions, List<ListedNode> nodes, double weight, boolean acknowledged) {
+            PolicyActions actions,
+            List<ListedNode> nodes,
+            double weight,
+            boolean requestsAcknowledgement) {
         for (int table = 1; table <= 4; table++) {
             for (ListedNode node : nodes) {
                 actions.setWeight(new TableId(table), node.id(), weight);
             }
         }
-        if (acknowledged) {
+        if (requestsAcknowledgement) {
             actions.requestAcknowledgement(1);
         }
     }
 
     @Test
-    void aProxyGetsOneMessageARoundWithAFullTableFirstAndThenDeltas() {
+    void sendsOneMessagePerRoundWithFullTableThenDeltas() {
         RecordingTransport transport = new RecordingTransport();
-        list(NodeState.READY);
+        listNode(NodeState.READY);
         ProxySession session = fixture.join(transport, "p");
-        fixture.order(
+        fixture.runRound(
                 actions -> {
                     actions.setWeight(TABLE, NODE, 0.5);
                     actions.setAdmissionLimit(TABLE, new MethodId(0), 7);
@@ -147,7 +152,7 @@
                     actions.requestAcknowledgement(3);
                 },
                 15);
-        fixture.pass(50);
+        fixture.advanceMillis(50);
         assertEquals(
                 List.of("Hello", "Node", "Bind", "Mark"),
                 transport.frames().stream().map(f -> f.getClass().getSimpleName()).toList());
@@ -156,8 +161,8 @@
         assertEquals(Frame.Tries.AFTER_PROOF, bind.levels().get(0).tries());
         assertEquals(10 + 1 + 3, transport.lastMark().lines());
         fixture.receive(session, new Frame.Installed(transport.lastMark().number()));
-        list(NodeState.DRAINING);
-        fixture.order(
+        listNode(NodeState.DRAINING);
+        fixture.runRound(
                 actions -> {
                     actions.setWeight(TABLE, NODE, 0);
                     actions.requestAcknowledgement(4);
@@ -165,11 +170,12 @@
                 15);
         assertTrue(
                 fixture.recorder().events().stream()
-                        .anyMatch(t -> t.matches("installed 3 by 0 in [0-9]+")),
+                        .anyMatch(t -> t.matches("acknowledged 3 by 0 in [0-9]+")),
                 fixture.recorder().events().toString());
-        fixture.pass(50);
+        fixture.advanceMillis(50);
         assertEquals(1, transport.count(TableDeliveryTest::isDeltaThatRemovesNode));
-        assertEquals(1, transport.count(Frame.Node.class), "a node is introduced once a stream");
+        assertEquals(
+                1, transport.count(Frame.Node.class), "a node must be introduced once per stream");
     }
 
     private static boolean isDeltaThatRemovesNode(Frame frame) {
@@ -181,15 +187,15 @@
     }
 
     @Test
-    void messagesLeaveAtThePaceOfTheSettingsAndCountWhatIsQueued() {
+    void pacesMessagesAsConfiguredAndCountsQueuedEntries() {
         List<RecordingTransport> transports = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             transports.add(new RecordingTransport());
             fixture.join(transports.get(i), "p" + i);
         }
-        list(NodeState.READY);
-        fixture.pass(15);
-        fixture.order(
+        listNode(NodeState.READY);
+        fixture.advanceMillis(15);
+        fixture.runRound(
                 actions -> {
                     actions.setWeight(TABLE, NODE, 1);
                     for (int i = 0; i < 20; i++) {
@@ -198,12 +204,14 @@
                     actions.requestAcknowledgement(1);
                 },
                 15);
-        // 13 entries each at 1000 entries a second: 13 ms a message, in order.
-        fixture.pass(130);
-        long left = transports.stream().filter(t -> t.count(Frame.Mark.class) > 0).count();
-        assertTrue(left >= 9 && left <= 12, left + " of 20 have left after some 140 ms");
-        assertEquals((20 - left) * 13, fixture.status().linesWaiting());
-        fixture.pass(150);
+        // 13 entries per message at 1000 entries per second: 13 ms per message, in order.
+        fixture.advanceMillis(130);
+        long sent = transports.stream().filter(t -> t.count(Frame.Mark.class) > 0).count();
+        assertTrue(
+                sent >= 9 && sent <= 12,
+                sent + " of 20 messages sent after about 140 ms, expected 9 to 12");
+        assertEquals((20 - sent) * 13, fixture.status().linesWaiting());
+        fixture.advanceMillis(150);
         assertEquals(13, transports.get(19).lastMark().waiting());
         assertEquals(260, fixture.status().mostLinesWaiting());
         assertTrue(transports.get(19).lastMark().queuedMicros() >= 255_000);
--- a/src/test/java/rosespread/controller/TableReplicaProxy.java
+++ b/src/test/java/rosespread/controller/TableReplicaProxy.java
@@ -15,33 +15,34 @@
 import rosespread.table.TableDigest;
 
 /**
- * A proxy that follows one table to the letter of docs/channel.md, and loses deltas if a test says
- * so. It fails a test if versions go backwards or a weight comes that validation has to refuse.
+ * A proxy that applies the updates of one table exactly as docs/channel.md defines them, and loses
+ * deltas on request of a test. Fails the test if the version decreases or if a weight arrives that
+ * validation has to refuse.
  */
-final class FollowingProxy implements ProxySession.Transport {
+final class TableReplicaProxy implements ProxySession.Transport {
     private static final double MAX_VALID_WEIGHT = 50;
 
     private final ControllerFixture fixture;
     private final String name;
     private final Map<NodeId, Double> weights = new HashMap<>();
-    private final List<Frame> message = new ArrayList<>();
-    private final List<Frame> answers = new ArrayList<>();
+    private final List<Frame> messageFrames = new ArrayList<>();
+    private final List<Frame> pendingAnswers = new ArrayList<>();
     private ProxySession session;
     private long version;
     private boolean losesDeltas;
     private boolean open = true;
 
-    /** A proxy that has joined. */
-    FollowingProxy(ControllerFixture fixture, String name) {
+    /** Connects and joins. */
+    TableReplicaProxy(ControllerFixture fixture, String name) {
         this.fixture = fixture;
         this.name = name;
-        dial();
+        connect();
     }
 
-    /** Joins by a new stream, with the version that it holds. */
-    void dial() {
-        message.clear();
-        answers.clear();
+    /** Opens a new stream and joins with the version that this proxy holds. */
+    void connect() {
+        messageFrames.clear();
+        pendingAnswers.clear();
         open = true;
         List<Frame.Holding> held =
                 version == 0
@@ -50,10 +51,10 @@
         session = fixture.join(this, new Frame.Join(name, "a", 1, false, held));
     }
 
-    /** Its stream breaks, and it joins by a new one. */
-    void redial() {
+    /** Breaks the stream and joins on a new one. */
+    void reconnect() {
         fixture.state().sessionClosed(fixture.nowNanos(), session);
-        dial();
+        connect();
     }
 
     String name() {
@@ -75,23 +76,23 @@
     @Override
     public void write(byte[] bytes) {
         try {
-            List<Frame> read = new ArrayList<>();
-            new FrameReader(1 << 20, read::add).feed(ByteBuffer.wrap(bytes));
-            read.forEach(this::take);
+            List<Frame> frames = new ArrayList<>();
+            new FrameReader(1 << 20, frames::add).feed(ByteBuffer.wrap(bytes));
+            frames.forEach(this::handle);
         } catch (FrameException e) {
             throw new AssertionError(e);
         }
     }
 
-    private void take(Frame frame) {
+    private void handle(Frame frame) {
         if (frame instanceof Frame.KeepAlive) {
-            answers.add(new Frame.KeepAlive(0, true));
+            pendingAnswers.add(new Frame.KeepAlive(0, true));
         } else if (!(frame instanceof Frame.Mark mark)) {
-            message.add(frame);
+            messageFrames.add(frame);
         } else {
-            message.forEach(this::apply);
-            message.clear();
-            answers.add(new Frame.Installed(mark.number()));
+            messageFrames.forEach(this::apply);
+            messageFrames.clear();
+            pendingAnswers.add(new Frame.Installed(mark.number()));
         }
     }
 
@@ -103,11 +104,20 @@
         }
         weights.forEach(
                 (node, weight) ->
-                        assertTrue(weight < MAX_VALID_WEIGHT, "a refused line came: " + weight));
+                        assertTrue(
+                                weight < MAX_VALID_WEIGHT,
+                                "node "
+                                        + node
+                                        + ": weight "
+                                        + weight
+                                        + ", expected below "
+                                        + MAX_VALID_WEIGHT));
     }
 
     private void apply(Frame.Bind bind) {
-        assertTrue(bind.version() >= version, "versions only rise");
+        assertTrue(
+                bind.version() >= version,
+                "full table has version " + bind.version() + ", expected at least " + version);
         weights.clear();
         bind.lines().forEach(line -> weights.put(line.node(), line.weight()));
         version = bind.version();
@@ -126,17 +136,17 @@
         }
         version = follows ? delta.to() : version;
         if (!follows || TableDigest.of(weights) != delta.digest()) {
-            answers.add(new Frame.Missed(ControllerFixture.TABLE, version));
+            pendingAnswers.add(new Frame.Missed(ControllerFixture.TABLE, version));
         }
     }
 
-    /** Sends what it has to answer, if its stream is open. */
-    void answer() {
+    /** Sends the pending answers if the stream is open. */
+    void sendAnswers() {
         if (!open) {
             return;
         }
-        List<Frame> sent = List.copyOf(answers);
-        answers.clear();
+        List<Frame> sent = List.copyOf(pendingAnswers);
+        pendingAnswers.clear();
         sent.forEach(frame -> fixture.receive(session, frame));
     }
 
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -26,19 +26,20 @@
 import rosespread.store.StoreSnapshot;
 
 /**
- * Versions over streams in memory that lose deltas: what proxies hold in the end, and on the way.
+ * Table versions over in-memory streams that lose deltas: the entries that proxies hold in the end
+ * and on the way.
  */
 class VersionsTest {
     private static final TableId TABLE = ControllerFixture.TABLE;
-    private static final int NODES = 6;
-    private static final int STEPS = 25;
+    private static final int NODE_COUNT = 6;
+    private static final int STEP_COUNT = 25;
     private static final String SETTINGS =
             SettingsTest.GOOD
                     .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":100000")
                     .replace("\"messageLimit\":30", "\"messageLimit\":0");
 
-    private final NodeState[] states = new NodeState[NODES];
-    private final List<FollowingProxy> proxies = new ArrayList<>();
+    private final NodeState[] states = new NodeState[NODE_COUNT];
+    private final List<TableReplicaProxy> proxies = new ArrayList<>();
     private ControllerFixture fixture;
 
     @BeforeTry
@@ -47,29 +48,29 @@
         proxies.clear();
         Arrays.fill(states, NodeState.READY);
         fixture = ControllerFixture.withRunningWallClock();
-        fixture.afterEachStep(() -> proxies.forEach(FollowingProxy::answer));
+        fixture.afterEachStep(() -> proxies.forEach(TableReplicaProxy::sendAnswers));
         fixture.start(StoreSnapshot.EMPTY, SETTINGS);
-        list();
+        listNodes();
     }
 
-    private void list() {
+    private void listNodes() {
         List<ListedNode> nodes = new ArrayList<>();
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             if (states[i] != NodeState.GONE) {
                 nodes.add(ControllerFixture.node(i, states[i]));
             }
         }
-        fixture.list(nodes);
+        fixture.listNodes(nodes);
     }
 
     private static NodeId id(int node) {
         return ControllerFixture.id(node);
     }
 
-    private FollowingProxy join(String name) {
-        FollowingProxy proxy = new FollowingProxy(fixture, name);
+    private TableReplicaProxy join(String name) {
+        TableReplicaProxy proxy = new TableReplicaProxy(fixture, name);
         proxies.add(proxy);
-        fixture.order(this::subscribeAll, 20);
+        fixture.runRound(this::subscribeAll, 20);
         return proxy;
     }
 
@@ -80,8 +81,8 @@
         actions.requestAcknowledgement(1);
     }
 
-    private void weights(double... weights) {
-        fixture.order(
+    private void setWeights(double... weights) {
+        fixture.runRound(
                 actions -> {
                     for (int i = 0; i < weights.length; i++) {
                         actions.setWeight(TABLE, id(i), weights[i]);
@@ -97,7 +98,7 @@
 
     private static Map<String, Double> byName(Map<NodeId, Double> weights) {
         Map<String, Double> named = new TreeMap<>();
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             if (weights.containsKey(id(i))) {
                 named.put("n" + i, weights.get(id(i)));
             }
@@ -106,41 +107,43 @@
     }
 
     @Test
-    void aProxyThatMissedADeltaGetsTheFullTable() {
-        weights(1, 1, 1);
-        FollowingProxy proxy = join("p");
+    void sendsFullTableAfterMissedDelta() {
+        setWeights(1, 1, 1);
+        TableReplicaProxy proxy = join("p");
         proxy.loseDeltas(true);
-        weights(1, 0.9, 1);
+        setWeights(1, 0.9, 1);
         proxy.loseDeltas(false);
-        weights(1, 0.9, 0.8);
-        fixture.pass(100);
+        setWeights(1, 0.9, 0.8);
+        fixture.advanceMillis(100);
         assertEquals(Map.of("n0", 1.0, "n1", 0.9, "n2", 0.8), byName(proxy.weights()));
         assertEquals(1, fixture.status().missedDeltas());
     }
 
     @Test
-    void aRollbackPinsTheTableAndAReleaseGoesStepByStep() {
-        weights(1, 1, 1, 1);
-        FollowingProxy proxy = join("p");
+    void rollbackPinsTableAndReleaseMovesStepByStep() {
+        setWeights(1, 1, 1, 1);
+        TableReplicaProxy proxy = join("p");
         long good = table().version();
-        weights(0.4, 1, 1, 1, 1.5, 1.5);
+        setWeights(0.4, 1, 1, 1, 1.5, 1.5);
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, good));
-        fixture.pass(100);
+        fixture.advanceMillis(100);
         assertEquals(Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0, "n3", 1.0), byName(proxy.weights()));
         assertTrue(table().version() > good);
-        weights(0.4, 1, 1, 1, 1.5, 1.5);
+        setWeights(0.4, 1, 1, 1, 1.5, 1.5);
         states[1] = NodeState.DRAINING;
-        list();
-        fixture.pass(100);
+        listNodes();
+        fixture.advanceMillis(100);
         assertEquals(
                 Map.of("n0", 1.0, "n2", 1.0, "n3", 1.0),
                 byName(proxy.weights()),
-                "a held table keeps drains");
-        weights(0.4, 0, 1, 1, 1.5, 1.5);
+                "a pinned table must follow drains");
+        setWeights(0.4, 0, 1, 1, 1.5, 1.5);
         assertEquals(TableActResult.DONE, fixture.release(TABLE));
-        fixture.pass(300);
-        assertTrue(proxy.weights().get(id(0)) > 0.4, "not at once: " + proxy.weights());
-        fixture.pass(9000);
+        fixture.advanceMillis(300);
+        assertTrue(
+                proxy.weights().get(id(0)) > 0.4,
+                "weight of n0 must not return to 0.4 at once: " + proxy.weights());
+        fixture.advanceMillis(9000);
         assertEquals(
                 Map.of("n0", 0.4, "n2", 1.0, "n3", 1.0, "n4", 1.5, "n5", 1.5),
                 byName(proxy.weights()));
@@ -160,50 +163,50 @@
     }
 
     @Test
-    void aRollbackToAVersionWithoutListedNodesUsesAllThatCanServe() {
-        weights(1);
-        FollowingProxy proxy = join("p");
+    void rollbackToVersionWithoutListedNodesUsesAllReadyNodes() {
+        setWeights(1);
+        TableReplicaProxy proxy = join("p");
         long first = table().version();
-        weights(0, 1, 1);
+        setWeights(0, 1, 1);
         states[0] = NodeState.GONE;
-        list();
-        fixture.pass(20);
+        listNodes();
+        fixture.advanceMillis(20);
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
-        fixture.pass(100);
-        assertEquals(5, proxy.weights().size(), "all that can serve");
+        fixture.advanceMillis(100);
+        assertEquals(5, proxy.weights().size(), "all ready nodes");
     }
 
     @Test
-    void theLaterOfTwoRollbacksHolds() {
-        weights(1, 1, 1);
-        FollowingProxy proxy = join("p");
+    void laterOfTwoRollbacksApplies() {
+        setWeights(1, 1, 1);
+        TableReplicaProxy proxy = join("p");
         long one = table().version();
-        weights(1, 0.9, 1);
+        setWeights(1, 0.9, 1);
         long two = table().version();
-        weights(1, 0.9, 0.7);
+        setWeights(1, 0.9, 0.7);
         fixture.rollback(TABLE, one);
         fixture.rollback(TABLE, two);
-        fixture.pass(100);
+        fixture.advanceMillis(100);
         assertEquals(Map.of("n0", 1.0, "n1", 0.9, "n2", 1.0), byName(proxy.weights()));
         fixture.rollback(TABLE, one);
-        fixture.pass(100);
+        fixture.advanceMillis(100);
         assertEquals(Map.of("n0", 1.0, "n1", 1.0, "n2", 1.0), byName(proxy.weights()));
     }
 
     /**
-     * Restarts, full disks, commits, refused weights, losses, rejoins, drains, rollbacks and
+     * Restarts, full disks, commits, invalid weights, lost deltas, rejoins, drains, rollbacks and
      * releases in any order.
      */
     @Property(seed = "1", tries = 1000)
-    void everyProxyEndsWithTheCommittedLines(@ForAll long history) throws SettingsException {
-        Random random = new Random(history);
-        weights(1, 1, 1, 1, 1, 1);
-        for (int step = 0; step < STEPS; step++) {
+    void everyProxyEndsWithCommittedEntries(@ForAll long randomSeed) throws SettingsException {
+        Random random = new Random(randomSeed);
+        setWeights(1, 1, 1, 1, 1, 1);
+        for (int step = 0; step < STEP_COUNT; step++) {
             randomStep(random);
-            fixture.pass(random.nextInt(40));
+            fixture.advanceMillis(random.nextInt(40));
         }
         settle();
-        for (FollowingProxy proxy : proxies) {
+        for (TableReplicaProxy proxy : proxies) {
             assertEquals(table().lines(), byName(proxy.weights()), proxy.name());
             assertEquals(table().version(), proxy.version());
         }
@@ -217,43 +220,43 @@
             case 0 -> join("p" + proxies.size());
             case 1 -> proxies.forEach(proxy -> proxy.loseDeltas(random.nextBoolean()));
             case 2 -> {
-                states[random.nextInt(NODES - 1)] = NodeState.values()[random.nextInt(3)];
-                list();
+                states[random.nextInt(NODE_COUNT - 1)] = NodeState.values()[random.nextInt(3)];
+                listNodes();
             }
-            case 3 -> rollbackToAny(random);
+            case 3 -> rollbackToAnyVersion(random);
             case 4 -> fixture.release(TABLE);
-            case 5 -> refusedWeights(random);
-            case 6 -> redialAny(random);
+            case 5 -> setInvalidWeights(random);
+            case 6 -> reconnectAny(random);
             case 8 -> restart();
-            case 9 -> stallOrRepairDisk(random);
-            default -> randomWeights(random);
+            case 9 -> stallOrResumeLog(random);
+            default -> setRandomWeights(random);
         }
     }
 
-    private void rollbackToAny(Random random) {
+    private void rollbackToAnyVersion(Random random) {
         if (!fixture.status().tables().isEmpty()) {
             List<ControllerStatus.Version> retained = table().versions();
             fixture.rollback(TABLE, retained.get(random.nextInt(retained.size())).number());
         }
     }
 
-    private void refusedWeights(Random random) {
-        weights(1, 1, 1, 1, 1, random.nextBoolean() ? Double.NaN : Double.POSITIVE_INFINITY);
+    private void setInvalidWeights(Random random) {
+        setWeights(1, 1, 1, 1, 1, random.nextBoolean() ? Double.NaN : Double.POSITIVE_INFINITY);
     }
 
-    private void redialAny(Random random) {
+    private void reconnectAny(Random random) {
         if (!proxies.isEmpty()) {
-            proxies.get(random.nextInt(proxies.size())).redial();
+            proxies.get(random.nextInt(proxies.size())).reconnect();
         }
     }
 
     private void restart() throws SettingsException {
         fixture.restart(SETTINGS);
-        list();
-        proxies.forEach(FollowingProxy::dial);
+        listNodes();
+        proxies.forEach(TableReplicaProxy::connect);
     }
 
-    private void stallOrRepairDisk(Random random) {
+    private void stallOrResumeLog(Random random) {
         MemoryLog log = fixture.log();
         if (log.isStalled()) {
             log.resume();
@@ -265,23 +268,23 @@
         log.makeDurable();
     }
 
-    private void randomWeights(Random random) {
-        double[] some = new double[NODES];
-        for (int i = 0; i < NODES; i++) {
-            some[i] = states[i] == NodeState.READY ? 0.5 + random.nextDouble() : 0;
+    private void setRandomWeights(Random random) {
+        double[] weights = new double[NODE_COUNT];
+        for (int i = 0; i < NODE_COUNT; i++) {
+            weights[i] = states[i] == NodeState.READY ? 0.5 + random.nextDouble() : 0;
         }
-        weights(some);
+        setWeights(weights);
     }
 
-    /** Nothing is lost any more: all proxies are subscribed anew and time passes. */
+    /** Ends the loss of deltas, subscribes all proxies again and advances the clock by 9 s. */
     private void settle() {
         proxies.forEach(proxy -> proxy.loseDeltas(false));
-        double[] last = new double[NODES];
-        for (int i = 0; i < NODES; i++) {
+        double[] last = new double[NODE_COUNT];
+        for (int i = 0; i < NODE_COUNT; i++) {
             last[i] = states[i] == NodeState.READY ? 1 : 0;
         }
-        weights(last);
-        fixture.order(this::subscribeAll, 20);
-        fixture.pass(9000);
+        setWeights(last);
+        fixture.runRound(this::subscribeAll, 20);
+        fixture.advanceMillis(9000);
     }
 }
