--- a/src/main/java/rosespread/platform/UpdateEncoder.java
+++ b/src/main/java/rosespread/platform/UpdateEncoder.java
@@ -41,7 +41,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         for (int i = 0; i < parts.size(); i++) {
             boolean last = i == parts.size() - 1;
-            RespWriter.write(toWords(parts.get(i), last ? token : NO_TOKEN, !last), out);
+            RespWriter.write(toStrings(parts.get(i), last ? token : NO_TOKEN, !last), out);
         }
         return out.toByteArray();
     }
@@ -51,7 +51,7 @@
      *
      * @param more whether another part of the same message follows
      */
-    List<String> toWords(UpdatePart part, int token, boolean more) {
+    List<String> toStrings(UpdatePart part, int token, boolean more) {
         List<String> words = new ArrayList<>();
         words.add("assign");
         addMethods(words, part.methods());
--- a/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
+++ b/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
@@ -95,7 +95,7 @@
         for (int i = 0; i < parts.size(); i++) {
             boolean last = i == parts.size() - 1;
             int token = last ? mark : UpdateEncoder.NO_TOKEN;
-            texts.add(String.join(" ", encoder.toWords(parts.get(i), token, !last)));
+            texts.add(String.join(" ", encoder.toStrings(parts.get(i), token, !last)));
         }
         return String.join("; ", texts);
     }
