--- a/src/main/java/rosespread/platform/ConfigReloader.java
+++ b/src/main/java/rosespread/platform/ConfigReloader.java
@@ -6,9 +6,9 @@
 import rosespread.config.ConfigException;
 
 /**
- * Reads the configuration file again and applies what can change while running: the address of
- * discovery and the number of sockets. An invalid file changes nothing. State is guarded by the
- * monitor, as signal and timer threads meet here.
+ * Reloads the configuration file and applies the settings that can change at runtime: the discovery
+ * address and the number of sockets. An invalid file changes nothing. Signal and timer threads call
+ * it; its state is guarded by its monitor.
  */
 final class ConfigReloader {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigReloader.class);
@@ -21,10 +21,10 @@
     private long polledNanos;
 
     /**
-     * Takes over after the start.
+     * Creates a reloader for a running controller.
      *
      * @param config the configuration in use
-     * @param environment names the file
+     * @param environment the environment variables, which name the file
      */
     ConfigReloader(
             PlatformConfig config,
@@ -38,7 +38,7 @@
         this.polledNanos = System.nanoTime();
     }
 
-    /** Reads the file, as SIGHUP asks for. */
+    /** Reloads the file; called on SIGHUP. */
     synchronized void reload() {
         try {
             apply(PlatformConfig.read(environment));
@@ -50,9 +50,10 @@
     }
 
     /**
-     * Looks once a second whether the file names another address of discovery. SIGHUP may be lost:
-     * to a parent that ignores it, or to a file that was not complete yet. Guards against a node
-     * list that stays as it is for good because discovery has moved and no signal came through.
+     * Reloads the file, at most once a second, if it names another discovery address. A SIGHUP has
+     * no effect if the parent process set it to be ignored or if the file is still incomplete when
+     * it arrives. Without the poll, the node list would then never change again after discovery has
+     * moved.
      */
     synchronized void pollIfDue() {
         long now = System.nanoTime();
@@ -66,9 +67,7 @@
                 apply(next);
             }
         } catch (ConfigException | RuntimeException e) {
-            LOG.atDebug()
-                    .addKeyValue("reason", e.getMessage())
-                    .log("configuration can't be read now");
+            LOG.atDebug().addKeyValue("reason", e.getMessage()).log("configuration poll failed");
         }
     }
 
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -11,29 +11,30 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Follows discovery: the full list first, then a watch (a long poll for changes) that is renewed as
- * soon as it is answered, straight from the I/O thread. A poll that fails, times out or brings no
- * valid list is retried with backoff and jitter; whoever listens keeps the list meanwhile.
+ * Follows discovery's node list: requests the full list first, then a watch (a long poll for
+ * changes), which the I/O thread renews as soon as it is answered. A poll that fails, times out or
+ * returns an invalid list is retried with backoff and jitter; the listener keeps its list
+ * meanwhile.
  *
- * <p>State is guarded by the monitor, as I/O, timer and signal threads meet here.
+ * <p>I/O, timer and signal threads call it; its state is guarded by its monitor.
  */
 final class DiscoveryWatch implements AutoCloseable {
-    /** Takes what discovery brings, on I/O and timer threads; must not block. */
+    /** Receives the results of polls on I/O and timer threads; must not block. */
     interface Listener {
-        /** A full list, or the entries that changed since the list before. */
+        /** A full list, or the entries that changed since the previous list. */
         void listReceived(NodeList list);
 
-        /** A poll failed, for this reason; the next one follows by itself. */
+        /** A poll failed for this reason; the watch retries by itself. */
         void listUnavailable(String reason);
     }
 
     private static final String FULL_LIST_PATH = "/api/targets";
     private static final int OK = 200;
 
-    /** How long a watch may last there: short, so that a silent connection is noticed soon. */
+    /** Duration of a watch at discovery; short, so that a silent connection is noticed soon. */
     private static final long WATCH_MILLIS = 1_000;
 
-    /** How long an answer may take, beyond the watch's time. */
+    /** Timeout of an answer, in addition to the duration of the watch. */
     private static final long ANSWER_TIMEOUT_MILLIS = 700;
 
     private static final long MIN_BACKOFF_NANOS = 20_000_000L;
@@ -41,10 +42,10 @@
     private static final int MAX_DOUBLINGS = 4;
 
     /**
-     * For so long a list older than the last one is rejected; after that its source must have
-     * restarted.
+     * How long full lists older than the accepted one are rejected; if they still come after that,
+     * their source must have restarted.
      */
-    private static final long OLDER_REJECTED_NANOS = 1_000_000_000L;
+    private static final long OLDER_LIST_REJECTION_NANOS = 1_000_000_000L;
 
     private static final long NO_VERSION = -1;
 
@@ -54,13 +55,13 @@
     private final Listener listener;
     private InetSocketAddress address;
 
-    /** What the next watch asks for changes since; negative for the full list. */
+    /** Version since which the next watch asks for changes; negative for the full list. */
     private long watchedVersion = NO_VERSION;
 
-    /** The version of the list accepted last, whatever is asked for next. */
+    /** Version of the last accepted list; stays when the full list is requested again. */
     private long acceptedVersion = NO_VERSION;
 
-    /** Since when only older lists came. */
+    /** When the first older full list came since the last accepted list; empty if none came. */
     private OptionalLong olderSinceNanos = OptionalLong.empty();
 
     private int failures;
@@ -68,10 +69,10 @@
     private Poll current;
 
     /**
-     * Prepares a watch; it starts with {@link #follow}.
+     * Creates a watch; {@link #follow} starts it.
      *
      * @param timer runs retries
-     * @param random draws the jitter of retries
+     * @param random supplies the jitter of retries
      */
     DiscoveryWatch(
             HttpClient http,
@@ -84,7 +85,7 @@
         this.listener = listener;
     }
 
-    /** Follows discovery at this address from now on; a poll elsewhere is cancelled. */
+    /** Polls discovery at this address from now on; cancels the current poll. */
     synchronized void follow(InetSocketAddress next) {
         address = next;
         watchedVersion = NO_VERSION;
@@ -128,21 +129,21 @@
         return new HttpMessage.Request("GET", path, HttpHeaders.of("host", host), new byte[0]);
     }
 
-    /** One poll; its outcome counts only while it is the current one. */
+    /** One poll; its outcome is ignored unless it is the current poll. */
     private final class Poll implements HttpClient.ResponseHandler {
         private Runnable cancel = () -> {};
 
         @Override
         public void onResponse(HttpMessage.Response answer) {
             if (answer.status() != OK) {
-                failed("status " + answer.status());
+                failed("HTTP status " + answer.status() + ", expected " + OK);
                 return;
             }
             try {
                 accept(this, NodeList.parse(answer.body()));
             } catch (ConfigException | RuntimeException | StackOverflowError e) {
-                // Whatever an answer does to its parser, the next poll follows: else nobody would
-                // ever poll again.
+                // An answer that crashes the parser, even by a stack overflow, counts as a failed
+                // poll; otherwise no further poll would be scheduled.
                 failed(String.valueOf(e.getMessage()));
             }
         }
@@ -158,8 +159,9 @@
     }
 
     /**
-     * A list that is older than the accepted one would undo newer changes, as an agent that was
-     * moved to may be behind: it is rejected, and the full list asked for.
+     * Accepts a list. A list older than the accepted one is rejected and the full list requested:
+     * after a change of address, the new agent may lag behind, and its list would undo newer
+     * changes.
      */
     private synchronized void accept(Poll poll, NodeList list) {
         if (poll != current || closed) {
@@ -179,13 +181,13 @@
     }
 
     private String olderThanAccepted(long version) {
-        return "version " + version + " is older than the accepted " + acceptedVersion;
+        return "list version " + version + " is older than accepted version " + acceptedVersion;
     }
 
     private boolean sourceRestarted() {
         long now = System.nanoTime();
         olderSinceNanos = OptionalLong.of(olderSinceNanos.orElse(now));
-        return now - olderSinceNanos.getAsLong() > OLDER_REJECTED_NANOS;
+        return now - olderSinceNanos.getAsLong() > OLDER_LIST_REJECTION_NANOS;
     }
 
     private synchronized void failed(Poll poll, String reason) {
@@ -197,13 +199,15 @@
         long pause = Math.min(MAX_BACKOFF_NANOS, backoff);
         failures++;
         listener.listUnavailable(reason);
-        InetSocketAddress polled = address;
+        InetSocketAddress polledAddress = address;
         timer.schedule(
-                () -> retry(polled), pause / 2 + random.nextLong(pause), TimeUnit.NANOSECONDS);
+                () -> retry(polledAddress),
+                pause / 2 + random.nextLong(pause),
+                TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void retry(InetSocketAddress polled) {
-        if (current == null && polled.equals(address)) {
+    private synchronized void retry(InetSocketAddress polledAddress) {
+        if (current == null && polledAddress.equals(address)) {
             poll();
         }
     }
--- a/src/main/java/rosespread/platform/JsonReader.java
+++ b/src/main/java/rosespread/platform/JsonReader.java
@@ -8,7 +8,7 @@
 import rosespread.config.ConfigException;
 import rosespread.config.ConfigObject;
 
-/** Reads one JSON object from bytes, by the streaming parser alone, which loads quickly. */
+/** Reads one JSON object from bytes. Uses only the streaming parser, which loads quickly. */
 final class JsonReader {
     private static final JsonFactory FACTORY = new JsonFactory();
 
@@ -17,24 +17,25 @@
     /**
      * Reads the object.
      *
-     * @param what names the text in errors
-     * @throws ConfigException naming line and column, if the bytes are not one object
+     * @param document name of the document in errors
+     * @throws ConfigException if the bytes are not exactly one JSON object; names line and column
+     *     of a syntax error
      */
-    static ConfigObject object(String what, byte[] bytes) throws ConfigException {
+    static ConfigObject object(String document, byte[] bytes) throws ConfigException {
         try (JsonParser parser = FACTORY.createParser(bytes)) {
             Object value = parser.nextToken() == null ? null : ConfigObject.read(parser);
             if (parser.nextToken() != null) {
-                throw new ConfigException(what + " goes on after its end");
+                throw new ConfigException(document + " has data after its first JSON value");
             }
-            return ConfigObject.of(what, value);
+            return ConfigObject.of(document, value);
         } catch (JsonProcessingException e) {
-            throw new ConfigException(what + " is not JSON at " + place(e.getLocation()));
+            throw new ConfigException(document + " is not JSON at " + position(e.getLocation()));
         } catch (IOException e) {
-            throw new ConfigException(what + " can't be read: " + e.getMessage());
+            throw new ConfigException(document + " can't be read: " + e.getMessage());
         }
     }
 
-    private static String place(JsonLocation location) {
+    private static String position(JsonLocation location) {
         return "line " + location.getLineNr() + ", column " + location.getColumnNr();
     }
 }
--- a/src/main/java/rosespread/platform/NodeDirectory.java
+++ b/src/main/java/rosespread/platform/NodeDirectory.java
@@ -11,8 +11,8 @@
 import rosespread.api.NodeId;
 
 /**
- * The nodes that discovery lists now, and those that some controller may have excluded. Owned by
- * the event-loop thread.
+ * The nodes that discovery lists now, and the nodes that some controller may have excluded. Owned
+ * by the event-loop thread.
  */
 final class NodeDirectory {
     private final NodeNameRegistry names;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Applies a list: an incremental one changes single entries, any other replaces all.
+     * Applies a node list: an incremental list changes single entries, any other replaces them all.
      *
-     * @return the entries of the list by node, in the order of ids
+     * @return the list's entries by node, in the order of ids
      */
     Map<NodeId, NodeEntry> apply(NodeListKind kind, NodeList list) {
         Map<NodeId, NodeEntry> update = new TreeMap<>();
@@ -47,8 +47,8 @@
 
     /**
      * Whether some controller may have excluded the node: it is leaving, or has restarted since it
-     * was listed. That it is young is no sign: a rollout brings nodes under new names, and one more
-     * entry for each of them at each proxy would fill the channel for nothing.
+     * was listed. A recent start alone does not count: a rollout brings nodes under new names, and
+     * a needless readmission of each of them at each proxy would fill the channel.
      */
     private static boolean mayBeExcluded(NodeEntry entry, NodeEntry previous) {
         boolean leaving = entry.state() != NodeState.READY;
@@ -69,7 +69,7 @@
         }
     }
 
-    /** The entry of a node, null if it is not listed now. */
+    /** The entry of a node; null if the node is not listed now. */
     NodeEntry find(NodeId id) {
         return listed.get(id);
     }
@@ -97,7 +97,7 @@
                 .count();
     }
 
-    /** Whether a proxy may come with this node excluded by another controller. */
+    /** Whether a proxy may join with this node excluded by another controller. */
     boolean possiblyExcluded(NodeId id) {
         return possiblyExcluded.contains(id);
     }
--- a/src/main/java/rosespread/platform/NodeEntry.java
+++ b/src/main/java/rosespread/platform/NodeEntry.java
@@ -6,9 +6,9 @@
 /**
  * A node as discovery lists it.
  *
- * @param address where it takes requests; null if the node is gone and none is given
- * @param kind its machine type
- * @param startedMillis wall clock of its last start, 0 if long ago
+ * @param address where the node accepts requests; null if it is gone and the list gives none
+ * @param kind the node's machine type
+ * @param startedMillis wall-clock time of the node's last start, 0 if long ago
  */
 record NodeEntry(
         String name,
--- a/src/main/java/rosespread/platform/NodeList.java
+++ b/src/main/java/rosespread/platform/NodeList.java
@@ -9,10 +9,10 @@
 import rosespread.config.ConfigObject;
 
 /**
- * One answer of discovery.
+ * A node list from discovery.
  *
- * @param version grows with each change
- * @param full whether it names all nodes, or only those that changed since an earlier version
+ * @param version increases with each change
+ * @param full whether the list names all nodes, or only those changed since an earlier version
  */
 record NodeList(long version, boolean full, List<NodeEntry> nodes) {
     /** The list of a controller that knows no node yet. */
@@ -21,31 +21,32 @@
     private static final int MAX_ENTRIES = 100_000;
     private static final int MAX_NAME_LENGTH = 255;
 
-    /** Characters that can't stand in a name, as updates separate names by them. */
-    private static final Pattern SEPARATOR = Pattern.compile(".*[,:+\\s].*");
+    /** Matches texts that can't be a name, as they contain a separator of the update format. */
+    private static final Pattern CONTAINS_SEPARATOR = Pattern.compile(".*[,:+\\s].*");
 
-    /** The last wall time in milliseconds that nanoseconds can still express, in the year 2255. */
+    /** The latest wall-clock time, in the year 2255, whose nanoseconds fit a long. */
     private static final long MAX_STARTED_MILLIS = 9_000_000_000_000L;
 
     /**
-     * Parses an answer.
+     * Parses the body of an answer.
      *
-     * @throws ConfigException if it is not valid; names line and column, or entry and field
+     * @throws ConfigException if the body is invalid; names line and column, or entry and field
      */
     static NodeList parse(byte[] body) throws ConfigException {
-        return read(JsonReader.object("the answer", body));
+        return read(JsonReader.object("the discovery response", body));
     }
 
     /**
      * Reads a list from JSON.
      *
-     * @throws ConfigException if it is not valid; names entry and field
+     * @throws ConfigException if the list is invalid; names entry and field
      */
     static NodeList read(ConfigObject list) throws ConfigException {
         long version = list.longValue("version");
         List<ConfigObject> entries = list.requiredObjects("servers");
         if (entries.size() > MAX_ENTRIES) {
-            throw new ConfigException("servers has over " + MAX_ENTRIES + " entries");
+            throw new ConfigException(
+                    "servers has " + entries.size() + " entries, more than " + MAX_ENTRIES);
         }
         List<NodeEntry> nodes = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
@@ -67,7 +68,8 @@
                 || Double.isInfinite(weight)
                 || startedMillis < 0
                 || startedMillis > MAX_STARTED_MILLIS) {
-            throw new ConfigException("weight or started_ms is out of range");
+            throw new ConfigException(
+                    "weight " + weight + " or started_ms " + startedMillis + " is out of range");
         }
         return new NodeEntry(
                 name,
@@ -83,8 +85,13 @@
         String name = entry.text("id");
         if (name.isEmpty()
                 || name.length() > MAX_NAME_LENGTH
-                || SEPARATOR.matcher(name).matches()) {
-            throw new ConfigException("id \"" + name + "\" can't be written in an update");
+                || CONTAINS_SEPARATOR.matcher(name).matches()) {
+            throw new ConfigException(
+                    "id \""
+                            + name
+                            + "\" is not 1 to "
+                            + MAX_NAME_LENGTH
+                            + " characters without comma, colon, plus sign and white space");
         }
         return name;
     }
@@ -101,8 +108,8 @@
 
     private static InetSocketAddress address(ConfigObject entry, NodeState state)
             throws ConfigException {
-        boolean mayLack = state == NodeState.GONE;
-        return mayLack && !entry.has("addr")
+        boolean addressOptional = state == NodeState.GONE;
+        return addressOptional && !entry.has("addr")
                 ? null
                 : AddressParser.parse("addr", entry.text("addr"));
     }
--- a/src/main/java/rosespread/platform/NodeNameRegistry.java
+++ b/src/main/java/rosespread/platform/NodeNameRegistry.java
@@ -6,15 +6,15 @@
 import rosespread.api.NodeId;
 
 /**
- * Maps the platform's names of nodes to the policy's ids, numbered in the order in which they were
- * first listed. A name keeps its id for good. Owned by the event-loop thread.
+ * Maps the platform's node names to the policy's node ids, numbered in the order in which the names
+ * were first listed. A name never changes its id. Owned by the event-loop thread.
  */
 final class NodeNameRegistry {
     private final Map<String, NodeId> ids = new HashMap<>();
     private final Map<NodeId, String> names = new HashMap<>();
     private long lastId;
 
-    /** The id of a name; a new one if it was never listed. */
+    /** Returns the id of a name; assigns a new id if the name was never listed. */
     NodeId register(String name) {
         return ids.computeIfAbsent(name, this::assign);
     }
@@ -25,7 +25,7 @@
         return id;
     }
 
-    /** The id of a name, empty if it was never listed. */
+    /** The id of a name; empty if the name was never listed. */
     Optional<NodeId> find(String name) {
         return Optional.ofNullable(ids.get(name));
     }
@@ -33,12 +33,13 @@
     /**
      * The name of an id.
      *
-     * @throws IllegalStateException if it has none: an update that names it would cost the stream
+     * @throws IllegalStateException if no name has this id; an update that named such a node would
+     *     end the stream
      */
     String nameOf(NodeId id) {
         String name = names.get(id);
         if (name == null) {
-            throw new IllegalStateException("no node " + id.value() + " was ever listed");
+            throw new IllegalStateException("node id " + id.value() + " was never listed");
         }
         return name;
     }
--- a/src/main/java/rosespread/platform/NodeStatus.java
+++ b/src/main/java/rosespread/platform/NodeStatus.java
@@ -1,9 +1,9 @@
 package rosespread.platform;
 
 /**
- * A listed node as the status lines show it.
+ * A listed node as shown in the status lines.
  *
- * @param weight its weight in the first table that names it, 0 if none does
- * @param load what load reports said of it since the last totals
+ * @param weight the node's weight in the first table that contains it, 0 if none does
+ * @param load sums of the node's load reports since the last totals
  */
 record NodeStatus(NodeEntry entry, double weight, LoadReportStatistics.NodeTotals load) {}
--- a/src/main/java/rosespread/platform/PlatformConfig.java
+++ b/src/main/java/rosespread/platform/PlatformConfig.java
@@ -12,12 +12,13 @@
 import rosespread.config.PolicySettingsReader;
 
 /**
- * What the platform gives a controller at its start and, by the same file, while it runs.
+ * The configuration that the platform gives a controller at startup and, by the same file, at
+ * runtime.
  *
- * @param maxSockets how many descriptors the process may use for connections
- * @param knownNodes the list to start with, until discovery answers
+ * @param maxSockets the number of descriptors that the process may use for connections
+ * @param knownNodes the node list to start with, until discovery answers
  * @param names the settings' zones, methods and machine types
- * @param proxies how many proxies there are, numbered from 0
+ * @param proxies the number of proxies, which are numbered from 0
  */
 record PlatformConfig(
         String name,
@@ -38,10 +39,10 @@
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int HEXADECIMAL = 16;
 
-    /** Descriptors kept for discovery, health checks, files and selectors. */
+    /** Descriptors reserved for discovery, health checks, files and selectors. */
     private static final int RESERVED_DESCRIPTORS = 72;
 
-    /** How many incoming connections may be open at once. */
+    /** The maximum number of open incoming connections. */
     int maxConnections() {
         return Math.max(1, maxSockets - RESERVED_DESCRIPTORS);
     }
@@ -49,31 +50,37 @@
     /**
      * Reads the file that the environment names.
      *
-     * @throws ConfigException naming the variable or field at fault
+     * @throws ConfigException naming the invalid variable or field
      */
     static PlatformConfig read(Map<String, String> environment) throws ConfigException {
         String path = environment.get(FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
             throw new ConfigException(FILE_VARIABLE + " is not set");
         }
-        return read(JsonReader.object("the configuration", bytes(path)), environment);
+        return read(JsonReader.object("the configuration", readFile(path)), environment);
     }
 
-    private static byte[] bytes(String path) throws ConfigException {
+    private static byte[] readFile(String path) throws ConfigException {
         try {
             if (Files.size(Path.of(path)) > MAX_FILE_BYTES) {
-                throw new ConfigException(FILE_VARIABLE + " is over " + MAX_FILE_BYTES + " bytes");
+                throw new ConfigException(
+                        "file named by "
+                                + FILE_VARIABLE
+                                + " is larger than "
+                                + MAX_FILE_BYTES
+                                + " bytes");
             }
             return Files.readAllBytes(Path.of(path));
         } catch (IOException e) {
-            throw new ConfigException(FILE_VARIABLE + " can't be read: " + e);
+            throw new ConfigException("file named by " + FILE_VARIABLE + " can't be read: " + e);
         }
     }
 
     /**
-     * Reads the file's object; the environment stands in for fields that it lacks.
+     * Reads the file's JSON object. Environment variables supply the name and addresses that the
+     * object lacks.
      *
-     * @throws ConfigException naming the field at fault
+     * @throws ConfigException naming the invalid field
      */
     static PlatformConfig read(ConfigObject file, Map<String, String> environment)
             throws ConfigException {
@@ -97,7 +104,8 @@
     private static int proxies(ConfigObject settings) throws ConfigException {
         int proxies = settings.object("domain").integer("agents");
         if (proxies < 1 || proxies > MAX_PROXIES) {
-            throw new ConfigException("settings.domain.agents is not 1 to " + MAX_PROXIES);
+            throw new ConfigException(
+                    "settings.domain.agents is " + proxies + ", expected 1 to " + MAX_PROXIES);
         }
         return proxies;
     }
@@ -112,9 +120,9 @@
         return file.has("known") ? NodeList.read(file.object("known")) : NodeList.EMPTY;
     }
 
-    private static InetSocketAddress address(ConfigObject file, String field, String standIn)
+    private static InetSocketAddress address(ConfigObject file, String field, String fallback)
             throws ConfigException {
-        String text = standIn == null ? file.text(field) : file.text(field, standIn);
+        String text = fallback == null ? file.text(field) : file.text(field, fallback);
         return AddressParser.parse(field, text);
     }
 
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -88,7 +88,9 @@
             watch.follow(discovery.socketAddress());
             await().until(() -> received.contains("full 1"));
             assertEquals(List.of("full 9", "full 1"), lists());
-            assertEquals("unavailable: version 1 is older than the accepted 9", received.get(1));
+            assertEquals(
+                    "unavailable: list version 1 is older than accepted version 9",
+                    received.get(1));
         }
     }
 
--- a/src/test/java/rosespread/platform/PlatformConfigTest.java
+++ b/src/test/java/rosespread/platform/PlatformConfigTest.java
@@ -27,18 +27,18 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "\"agents\":20 | \"agents\":0 | settings.domain.agents is not 1 to 65536",
+                "\"agents\":20 | \"agents\":0 | settings.domain.agents is 0, expected 1 to 65536",
                 "\"profiles\" | \"others\" | settings lacks \"profiles\"",
                 "\"channelRate\":1200.0 | \"channelRate\":\"x\" | domain.channelRate is not a number",
-                "\"listen\":\"127.0.0.1:1\" | \"listen\":\"here:1\" | listen \"here:1\" is not like 10.0.0.4:3000",
+                "\"listen\":\"127.0.0.1:1\" | \"listen\":\"here:1\" | listen \"here:1\" is not an IPv4 address and port such as 10.0.0.4:3000",
                 "\"discovery\":\"127.0.0.1:2\" | \"at\":1 | lacks \"discovery\"",
                 "\"seed\":\"8c | \"seed\":\"zc | seed \"zc1f30d27a5be964\" is not up to 16 hexadecimal digits",
                 "\"sockets\":256 | \"sockets\":\"many\" | limits.sockets is not a number",
-                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" can't be written in an update",
+                "\"id\":\"s-1\" | \"id\":\"s,1\" | entry 0 of servers: id \"s,1\" is not 1 to 255 characters without comma, colon, plus sign and white space",
                 "\"state\":\"SERVING\" | \"state\":\"UP\" | entry 0 of servers: state \"UP\" is not known",
-                "\"127.0.0.1:9\" | \"999.0.0.1:9\" | addr \"999.0.0.1:9\" is not like 10.0.0.4:3000",
-                "\"started_ms\":0 | \"started_ms\":1e300 | entry 0 of servers: weight or started_ms is out of range",
-                "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight or started_ms is out of range",
+                "\"127.0.0.1:9\" | \"999.0.0.1:9\" | addr \"999.0.0.1:9\" is not an IPv4 address and port such as 10.0.0.4:3000",
+                "\"started_ms\":0 | \"started_ms\":1e300 | entry 0 of servers: weight 1.0 or started_ms 9223372036854775807 is out of range",
+                "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight -1.0 or started_ms 0 is out of range",
                 "\"limits\":{ | \"limits\":[ | is not JSON at line 2"
             })
     void invalidFieldIsNamed(String good, String bad, String expected) {
