--- a/src/main/java/rosespread/platform/BoundedAcceptor.java
+++ b/src/main/java/rosespread/platform/BoundedAcceptor.java
@@ -10,12 +10,13 @@
 import rosespread.platform.PlatformMetrics.ConnectionEvent;
 
 /**
- * Accepts no connection over the limit: it waits in the backlog until one that has not joined was
- * evicted. So descriptors never run out, and accepting neither fails nor spins.
+ * Accepts connections up to a limit. At the limit, a new connection waits in the listen backlog
+ * until a connection that has not joined is evicted. So the process does not run out of
+ * descriptors, and accepting neither fails nor busy-loops.
  */
 final class BoundedAcceptor extends NioSocketAcceptor {
     private static final int IO_THREADS = 1;
-    private static final long PAUSE_NANOS = 2_000_000L;
+    private static final long PAUSE_AFTER_EVICTION_NANOS = 2_000_000L;
 
     private final UnidentifiedConnections unidentified;
     private final PlatformMetrics metrics;
@@ -42,7 +43,7 @@
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
             throws Exception {
         if (isFull()) {
-            makeRoom();
+            evictOldestAndPause();
             if (isFull()) {
                 return null;
             }
@@ -59,14 +60,16 @@
         return open.get() >= maxConnections;
     }
 
-    private void makeRoom() {
+    private void evictOldestAndPause() {
         unidentified.evictOldest();
-        LockSupport.parkNanos(PAUSE_NANOS);
+        LockSupport.parkNanos(PAUSE_AFTER_EVICTION_NANOS);
     }
 
     /**
-     * MINA's acceptor sleeps for a second when accepting throws. Guards against one peer that is
-     * gone before it was accepted, or descriptors that lack for a moment, holding up all that join.
+     * Accepts a connection; if accepting fails, evicts the oldest unidentified connection instead.
+     * MINA's acceptor sleeps for one second when accepting throws. Without the catch, a peer that
+     * disconnects before it is accepted, or a brief shortage of descriptors, would delay all peers
+     * that join.
      */
     private NioSession acceptOrEvict(IoProcessor<NioSession> processor, ServerSocketChannel handle)
             throws Exception {
@@ -74,7 +77,7 @@
             return super.accept(processor, handle);
         } catch (IOException | RuntimeException e) {
             metrics.increment(ConnectionEvent.ACCEPT_FAILED);
-            makeRoom();
+            evictOldestAndPause();
             return null;
         }
     }
--- a/src/main/java/rosespread/platform/MalformedMessageException.java
+++ b/src/main/java/rosespread/platform/MalformedMessageException.java
@@ -3,17 +3,17 @@
 import java.util.Optional;
 
 /**
- * A message that was parsed but can't be used. Its message text goes to the peer in a rejection. It
- * has no stack trace, as peers can cause it at will.
+ * Signals a message that was parsed but can't be used. A rejection sends the exception's text to
+ * the peer. It has no stack trace, as a peer can cause any number of them.
  */
 final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Why; few enough to be counted each for itself. */
+    /** Why a message can't be used; few enough for a counter each. */
     enum Reason {
-        /** The kind of message is not known. */
+        /** The kind of message is unknown. */
         KIND,
-        /** Fields and values do not pair up, or a field is repeated. */
+        /** A field has no value, or a field is repeated. */
         PAIRS,
         /** A required field is missing. */
         MISSING,
@@ -21,21 +21,21 @@
         TYPE,
         /** A value is out of range. */
         RANGE,
-        /** It names a proxy, zone, method or node that is not known. */
+        /** The message names an unknown proxy, zone, method or node. */
         UNKNOWN,
-        /** The peer may not send such a message, or not now. */
+        /** The peer may not send this kind of message, or not at this time. */
         PLACE
     }
 
     private final Reason reason;
     private final String field;
 
-    /** The message as a whole is at fault. */
+    /** Creates an exception for a message that is invalid as a whole. */
     MalformedMessageException(Reason reason, String detail) {
         this(reason, null, detail);
     }
 
-    /** One field is at fault. */
+    /** Creates an exception for one invalid field. */
     MalformedMessageException(Reason reason, String field, String detail) {
         super(detail, null, false, false);
         this.reason = reason;
@@ -46,7 +46,7 @@
         return reason;
     }
 
-    /** The field at fault; empty if it is the message as a whole. */
+    /** The invalid field; empty if the message is invalid as a whole. */
     Optional<String> field() {
         return Optional.ofNullable(field);
     }
--- a/src/main/java/rosespread/platform/Message.java
+++ b/src/main/java/rosespread/platform/Message.java
@@ -4,9 +4,9 @@
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
 
-/** A message of a proxy or collector, complete and within its bounds. */
+/** A message from a proxy or collector, complete and validated. */
 sealed interface Message {
-    /** Asks for a sign of life. */
+    /** Asks for a heartbeat reply. */
     record Heartbeat() implements Message {}
 
     /** A collector of a zone's reports joins. */
@@ -15,8 +15,8 @@
     /**
      * A proxy joins.
      *
-     * @param requestsPerSecond its usual rate
-     * @param holdsNoTables whether it has none from an earlier stream
+     * @param requestsPerSecond the proxy's usual request rate
+     * @param holdsNoTables whether the proxy holds no tables from an earlier stream
      */
     record ProxyJoin(ProxyId proxy, ZoneId zone, double requestsPerSecond, boolean holdsNoTables)
             implements Message {}
@@ -24,18 +24,18 @@
     /**
      * A proxy has applied an update.
      *
-     * @param token what the update carried
-     * @param latencyNanos from the update's writing to its effect
+     * @param token the token of the update
+     * @param latencyNanos time from writing the update until it took effect
      */
     record Acknowledgement(ProxyId proxy, int token, long latencyNanos) implements Message {}
 
     /**
-     * What the proxies of a zone saw of a node.
+     * Results of the attempts that a zone's proxies made at a node.
      *
-     * @param node its name on the platform
-     * @param latencySeconds mean of the attempts that did not fail; NaN if not reported
-     * @param periodNanos what the report covers
-     * @param utilization busy share of the node's cores; NaN if not reported
+     * @param node the node's name on the platform
+     * @param latencySeconds mean over attempts that did not fail; NaN if not reported
+     * @param periodNanos length of the reported period
+     * @param utilization busy fraction of the node's cores; NaN if not reported
      */
     record LoadReport(
             String node,
@@ -48,9 +48,9 @@
             implements Message {}
 
     /**
-     * How many requests of a method came to a proxy.
+     * The number of requests for a method that a proxy received.
      *
-     * @param periodNanos what the report covers
+     * @param periodNanos length of the reported period
      */
     record DemandReport(ProxyId proxy, MethodId method, int requests, long periodNanos)
             implements Message {}
--- a/src/main/java/rosespread/platform/MessageFields.java
+++ b/src/main/java/rosespread/platform/MessageFields.java
@@ -11,18 +11,20 @@
 import rosespread.platform.MalformedMessageException.Reason;
 
 /**
- * The fields of one message, read as typed values within their bounds. Fields that nobody asks for
- * are ignored. Every getter throws {@link MalformedMessageException} that names the field at fault.
+ * The fields of one message, read as typed values and checked against their bounds. Fields that are
+ * not read are ignored. Every getter throws a {@link MalformedMessageException} that names the
+ * invalid field.
  */
 final class MessageFields {
-    /** Bounds that no true figure comes near. */
+    /** Upper bound of a time, far above any real value. */
     private static final double MAX_MILLIS = 600_000;
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int MAX_QUOTED_LENGTH = 20;
 
     /**
-     * Plain decimals only: what Java takes beyond them, such as NaN or 0x1p3, is no number here.
+     * Matches plain decimals. Other forms that Java would parse, such as NaN or 0x1p3, are
+     * rejected.
      */
     private static final Pattern DECIMAL =
             Pattern.compile(
@@ -35,29 +37,30 @@
     private final Map<String, String> values = new HashMap<>();
 
     /**
-     * Takes a message's words: its kind, then fields and values in turn.
+     * Reads the fields of a message.
      *
      * @param names the zones and methods of the settings
-     * @param proxies how many proxies there are
-     * @throws MalformedMessageException if they do not pair up
+     * @param proxies the number of proxies
+     * @param strings the message: its kind, then field names and values in turn
+     * @throws MalformedMessageException if a name has no value or a field is repeated
      */
-    MessageFields(NameRegistry names, int proxies, List<String> words)
+    MessageFields(NameRegistry names, int proxies, List<String> strings)
             throws MalformedMessageException {
         this.names = names;
         this.proxies = proxies;
-        if (words.size() % 2 == 0) {
+        if (strings.size() % 2 == 0) {
             throw new MalformedMessageException(Reason.PAIRS, "a name without a value");
         }
-        for (int i = 1; i < words.size(); i += 2) {
-            String field = words.get(i);
-            if (values.put(field, words.get(i + 1)) != null) {
+        for (int i = 1; i < strings.size(); i += 2) {
+            String field = strings.get(i);
+            if (values.put(field, strings.get(i + 1)) != null) {
                 throw new MalformedMessageException(
                         Reason.PAIRS, field, quotable(field) + " is told twice");
             }
         }
     }
 
-    /** The beginning of a peer's text, fit to be shown in a reply. */
+    /** The first characters of a peer's text, unprintable ones replaced, to quote in a reply. */
     static String quotable(String text) {
         String beginning = text.substring(0, Math.min(MAX_QUOTED_LENGTH, text.length()));
         return UNPRINTABLE.matcher(beginning).replaceAll("?");
@@ -67,7 +70,7 @@
         return values.containsKey(field);
     }
 
-    /** The text of a field that must be there. */
+    /** The text of a required field. */
     String text(String field) throws MalformedMessageException {
         String text = values.get(field);
         if (text == null) {
@@ -80,7 +83,7 @@
         return parse(field, text(field), min, max);
     }
 
-    /** Parses a number that stands within the field's value. */
+    /** Parses a number within the field's value. */
     static double parse(String field, String text, double min, double max)
             throws MalformedMessageException {
         if (!DECIMAL.matcher(text).matches()) {
@@ -113,12 +116,12 @@
         return number(field, 0, MAX_MILLIS);
     }
 
-    /** A time that the wire has in milliseconds, in nanoseconds. */
+    /** A time in nanoseconds, converted from the milliseconds on the wire. */
     long nanos(String field) throws MalformedMessageException {
         return Math.round(millis(field) * NANOS_PER_MILLI);
     }
 
-    /** What a report covers, in nanoseconds. */
+    /** The length of the reported period in nanoseconds. */
     long periodNanos() throws MalformedMessageException {
         double millis = millis("interval");
         if (millis == 0) {
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -9,17 +9,17 @@
 import rosespread.platform.MalformedMessageException.Reason;
 
 /**
- * Reads messages of proxies and collectors. Each is validated whole before anything of it is used.
- * Immutable; any thread may use it.
+ * Parses messages from proxies and collectors. Each message is validated completely before any of
+ * it is used. Immutable; any thread may use it.
  */
 final class MessageReader {
     /**
-     * What a load report calls the busy share of a node's cores: the platform's page writes it
-     * short, while its collectors were seen to send the names that the settings give their columns.
+     * Names of the metric for the busy fraction of a node's cores. The platform's page uses the
+     * short name, but its collectors also send the column names of the settings.
      */
     private static final Set<String> UTILIZATION_NAMES = Set.of("util", "utilization");
 
-    // Bounds that no true figure comes near.
+    // Upper bounds, far above any real value.
     private static final int MAX_COUNT = 10_000_000;
     private static final double MAX_REQUESTS_PER_SECOND = 1e7;
     private static final double MAX_UTILIZATION = 16;
@@ -32,10 +32,10 @@
     private final int proxies;
 
     /**
-     * Reads messages by these settings.
+     * Creates a reader for these settings.
      *
      * @param names the zones and methods
-     * @param proxies how many proxies there are
+     * @param proxies the number of proxies
      */
     MessageReader(NameRegistry names, int proxies) {
         this.names = names;
@@ -43,17 +43,17 @@
     }
 
     /**
-     * Reads one message.
+     * Parses one message.
      *
-     * @param words its kind, then fields and values in turn
+     * @param strings the message: its kind, then field names and values in turn
      * @throws MalformedMessageException if it can't be used
      */
-    Message read(List<String> words) throws MalformedMessageException {
-        String kind = words.get(0);
+    Message read(List<String> strings) throws MalformedMessageException {
+        String kind = strings.get(0);
         if (kind.equals("hb")) {
             return new Message.Heartbeat();
         }
-        MessageFields fields = new MessageFields(names, proxies, words);
+        MessageFields fields = new MessageFields(names, proxies, strings);
         return switch (kind) {
             case "telemetry" -> new Message.CollectorJoin(fields.zone());
             case "attach" -> proxyJoin(fields);
@@ -101,14 +101,17 @@
                 utilization(fields));
     }
 
-    /** The mean latency, NaN where no attempt succeeded; it may be left out only there. */
+    /**
+     * The mean latency; NaN if no attempt succeeded or the latency is 0. The field is required if
+     * an attempt succeeded.
+     */
     private static double latencySeconds(MessageFields fields, boolean succeeded)
             throws MalformedMessageException {
         double millis = fields.has("rtt") || succeeded ? fields.millis("rtt") : 0;
         return succeeded && millis > 0 ? millis / MILLIS_PER_SECOND : Double.NaN;
     }
 
-    /** The utilization among the metrics, which are pairs like {@code inflight:7}. */
+    /** The utilization among the metrics, pairs like {@code inflight:7}; NaN if not reported. */
     private static double utilization(MessageFields fields) throws MalformedMessageException {
         double utilization = Double.NaN;
         if (!fields.has("metrics")) {
--- a/src/main/java/rosespread/platform/PeerConnection.java
+++ b/src/main/java/rosespread/platform/PeerConnection.java
@@ -8,21 +8,21 @@
 import rosespread.resp.RespWriter;
 
 /**
- * One accepted connection and who is at its other end. Its I/O thread alone changes it; any thread
- * may write to it and close it.
+ * An accepted connection and the role of its peer. Only the connection's I/O thread changes its
+ * state; any thread may write to it and close it.
  */
 final class PeerConnection implements ProxyConnection {
-    /** Who is at the other end. */
+    /** The role of the peer. */
     enum Role {
-        /** It has not joined yet. */
+        /** The peer has not joined yet. */
         UNIDENTIFIED,
         COLLECTOR,
         PROXY,
-        /** It was sent a rejection; nothing that it sends counts. */
+        /** The peer was sent a rejection; its further messages are ignored. */
         REJECTED
     }
 
-    /** Bounds of a message before joining. */
+    /** Limits on a message before the peer has joined. */
     static final RespLimits UNIDENTIFIED_LIMITS = new RespLimits(4 << 10, 64);
 
     private static final RespLimits JOINED_LIMITS = new RespLimits(1 << 20, 256);
@@ -37,7 +37,7 @@
         this.openedNanos = openedNanos;
     }
 
-    /** When it was opened, in nanoseconds of {@link System#nanoTime()}. */
+    /** When the connection was opened, in nanoseconds of {@link System#nanoTime()}. */
     long openedNanos() {
         return openedNanos;
     }
@@ -46,12 +46,12 @@
         return role;
     }
 
-    /** The joined proxy; null if this is not one's connection. */
+    /** The joined proxy; null if no proxy joined on this connection. */
     ProxyId proxy() {
         return proxy;
     }
 
-    /** Whether it is the connection of this proxy. */
+    /** Whether this proxy joined on this connection. */
     boolean isOf(ProxyId other) {
         return other.equals(proxy);
     }
@@ -70,7 +70,10 @@
         RespCodec.setLimits(session, JOINED_LIMITS);
     }
 
-    /** Sends the reason, then closes; what still comes is not read, nor used if it came along. */
+    /**
+     * Sends the reason, then closes the connection. Further messages are not read, and messages
+     * read already are ignored.
+     */
     void reject(String reason) {
         role = Role.REJECTED;
         session.suspendRead();
--- a/src/main/java/rosespread/platform/PeerMessageHandler.java
+++ b/src/main/java/rosespread/platform/PeerMessageHandler.java
@@ -10,14 +10,17 @@
 import rosespread.resp.RespWriter;
 
 /**
- * Takes what connections bring: validates each message, answers heartbeats, and enqueues all else
- * for the event loop. Runs on I/O threads.
+ * Handles incoming messages: validates each one, answers heartbeats, and enqueues all others for
+ * the event loop. Runs on I/O threads.
  */
 final class PeerMessageHandler extends IoHandlerAdapter {
     private static final String CONNECTION = "connection";
     private static final byte[] HEARTBEAT_REPLY = RespWriter.encode(List.of("hb_ok"));
 
-    /** A peer that asks for heartbeats and reads no replies must not fill the memory. */
+    /**
+     * Limit on queued replies of a connection. Without the limit, a peer that sends heartbeats but
+     * reads no replies could exhaust the memory.
+     */
     private static final long MAX_UNREAD_REPLY_BYTES = 128L << 10;
 
     private final EventQueue events;
@@ -55,8 +58,8 @@
         }
         try {
             @SuppressWarnings("unchecked")
-            List<String> words = (List<String>) message;
-            handle(connection, reader.read(words));
+            List<String> strings = (List<String>) message;
+            handle(connection, reader.read(strings));
         } catch (MalformedMessageException e) {
             metrics.countDropped(e.reason());
             if (connection.role() == PeerConnection.Role.UNIDENTIFIED) {
@@ -78,13 +81,13 @@
         } else if (message instanceof Message.ProxyJoin join) {
             joinProxy(connection, join);
         } else if (message instanceof Message.Acknowledgement acknowledgement) {
-            require(connection.isOf(acknowledgement.proxy()));
+            requireAllowed(connection.isOf(acknowledgement.proxy()));
             events.put(now -> state.acknowledged(now, connection, acknowledgement));
         } else if (message instanceof Message.DemandReport report) {
-            require(isCollector(connection) || connection.isOf(report.proxy()));
+            requireAllowed(isCollector(connection) || connection.isOf(report.proxy()));
             events.putReport(now -> state.demandReported(now, report));
         } else if (message instanceof Message.LoadReport report) {
-            require(isCollector(connection));
+            requireAllowed(isCollector(connection));
             events.putReport(now -> state.loadReported(now, report));
         }
     }
@@ -98,14 +101,14 @@
     }
 
     private void joinCollector(PeerConnection connection) throws MalformedMessageException {
-        require(connection.role() == PeerConnection.Role.UNIDENTIFIED);
+        requireAllowed(connection.role() == PeerConnection.Role.UNIDENTIFIED);
         connection.joinAsCollector();
         unidentified.remove(connection);
     }
 
     private void joinProxy(PeerConnection connection, Message.ProxyJoin join)
             throws MalformedMessageException {
-        require(connection.role() == PeerConnection.Role.UNIDENTIFIED);
+        requireAllowed(connection.role() == PeerConnection.Role.UNIDENTIFIED);
         connection.joinAsProxy(join.proxy());
         unidentified.remove(connection);
         events.put(now -> state.proxyJoined(now, connection, join));
@@ -115,15 +118,15 @@
         return connection.role() == PeerConnection.Role.COLLECTOR;
     }
 
-    private static void require(boolean inPlace) throws MalformedMessageException {
-        if (!inPlace) {
+    private static void requireAllowed(boolean allowed) throws MalformedMessageException {
+        if (!allowed) {
             throw new MalformedMessageException(Reason.PLACE, "this has no place here");
         }
     }
 
     /**
-     * The connection stays among the unidentified: guards against one that never reads its
-     * rejection and would keep its descriptor for good.
+     * Rejects a connection, which stays among the unidentified ones so that the join timeout still
+     * applies. Otherwise a peer that never reads its rejection would keep its descriptor forever.
      */
     private void reject(PeerConnection connection, String reason) {
         metrics.increment(ConnectionEvent.REJECTED);
@@ -139,11 +142,11 @@
         }
     }
 
-    /** Bytes that can't be parsed, or a connection that broke: of no further use either way. */
+    /** Closes a connection that broke or whose bytes can't be parsed; counts the latter. */
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-        for (Throwable at = cause; at != null; at = at.getCause()) {
-            if (at instanceof RespException) {
+        for (Throwable current = cause; current != null; current = current.getCause()) {
+            if (current instanceof RespException) {
                 metrics.increment(ConnectionEvent.UNPARSABLE);
             }
         }
--- a/src/main/java/rosespread/platform/PendingAcknowledgements.java
+++ b/src/main/java/rosespread/platform/PendingAcknowledgements.java
@@ -5,15 +5,13 @@
 import java.util.OptionalInt;
 
 /**
- * The acknowledgements that one session still owes, by the token that went out with the update, the
- * oldest first. Bounded: the oldest is forgotten for a new one. Owned by the event-loop thread.
+ * The outstanding acknowledgements of one session, by the token sent with the update, the oldest
+ * first. Bounded: at the limit, a new one replaces the oldest. Owned by the event-loop thread.
  */
 final class PendingAcknowledgements {
     private static final int MAX_PENDING = 1024;
 
-    /**
-     * The policy's token that a token of the stream stands for, and when the update was written.
-     */
+    /** The policy's token for a token of the stream, and when the update was written. */
     private record Pending(int policyToken, long sentNanos) {}
 
     private final Map<Integer, Pending> byToken = new LinkedHashMap<>();
@@ -25,10 +23,10 @@
         byToken.put(token, new Pending(policyToken, now));
     }
 
-    /** Settles a token; empty if it is not pending here. */
-    OptionalInt settle(int token) {
-        Pending settled = byToken.remove(token);
-        return settled == null ? OptionalInt.empty() : OptionalInt.of(settled.policyToken());
+    /** Removes a token and returns the policy's token for it; empty if it is not pending. */
+    OptionalInt complete(int token) {
+        Pending completed = byToken.remove(token);
+        return completed == null ? OptionalInt.empty() : OptionalInt.of(completed.policyToken());
     }
 
     void clear() {
@@ -39,7 +37,7 @@
         return byToken.size();
     }
 
-    /** The longest time that one has been pending, in nanoseconds; 0 if none is. */
+    /** The age of the oldest pending acknowledgement in nanoseconds; 0 if none is pending. */
     long maxAgeNanos(long now) {
         return byToken.values().stream()
                 .mapToLong(pending -> now - pending.sentNanos())
--- a/src/main/java/rosespread/platform/PlatformMetrics.java
+++ b/src/main/java/rosespread/platform/PlatformMetrics.java
@@ -6,21 +6,21 @@
 import java.util.concurrent.atomic.LongAdder;
 import java.util.stream.Collectors;
 
-/** Counts of what happened at the sockets since the start. Any thread may write and read them. */
+/** Counts of connection events and dropped messages since startup. Thread-safe. */
 final class PlatformMetrics {
-    /** What is counted of connections, each under its key in the status line. */
+    /** A counted connection event, with its key in the status line. */
     enum ConnectionEvent {
         /** A connection was accepted. */
         OPENED("connectionsOpened"),
-        /** It was closed as it did not join in time. */
+        /** A connection was closed because it did not join in time. */
         JOIN_TIMEOUT("joinTimeouts"),
-        /** It was closed before it joined, to make room. */
+        /** A connection was closed before it joined, to make room for another. */
         EVICTED("connectionsEvicted"),
-        /** It was sent a rejection and closed. */
+        /** A connection was sent a rejection and closed. */
         REJECTED("connectionsRejected"),
-        /** It was closed as its bytes can't be parsed. */
+        /** A connection was closed because its bytes can't be parsed. */
         UNPARSABLE("connectionsUnparsable"),
-        /** Accepting failed. */
+        /** Accepting a connection failed. */
         ACCEPT_FAILED("acceptFailures");
 
         private final String logKey;
@@ -60,12 +60,12 @@
         return connections.get(event).sum();
     }
 
-    /** A message was dropped. */
+    /** Counts a dropped message. */
     void countDropped(MalformedMessageException.Reason reason) {
         dropped.get(reason).increment();
     }
 
-    /** Messages dropped, those reasons that occurred, such as {@code range:37,type:60}. */
+    /** Dropped messages for each reason that occurred, such as {@code range:37,type:60}. */
     String droppedByReason() {
         return dropped.entrySet().stream()
                 .filter(entry -> entry.getValue().sum() > 0)
--- a/src/main/java/rosespread/platform/ProxyConnection.java
+++ b/src/main/java/rosespread/platform/ProxyConnection.java
@@ -1,13 +1,13 @@
 package rosespread.platform;
 
-/** A proxy's connection as the event loop sees it; nothing here blocks. */
+/** A proxy's connection as the event loop uses it; no method blocks. */
 interface ProxyConnection {
     /** Queues a message; the array must not be changed afterwards. */
     void write(byte[] message);
 
-    /** Bytes queued that the peer has not taken yet. */
+    /** Bytes queued but not written to the socket yet. */
     long writeBufferBytes();
 
-    /** Closes it at once; what is queued is lost. */
+    /** Closes the connection at once; queued messages are lost. */
     void close();
 }
--- a/src/main/java/rosespread/platform/ProxySession.java
+++ b/src/main/java/rosespread/platform/ProxySession.java
@@ -1,8 +1,8 @@
 package rosespread.platform;
 
 /**
- * A joined proxy: its connection, what it said on joining, and the acknowledgements that it owes.
- * Owned by the event-loop thread.
+ * A joined proxy: its connection, its join message, and its outstanding acknowledgements. Owned by
+ * the event-loop thread.
  */
 final class ProxySession {
     private final ProxyConnection connection;
--- a/src/main/java/rosespread/platform/ProxySessions.java
+++ b/src/main/java/rosespread/platform/ProxySessions.java
@@ -8,19 +8,19 @@
 import rosespread.api.ProxyId;
 
 /**
- * The session registry: one session a joined proxy, in the order of proxies' numbers. A connection
- * counts only while it is the one of its proxy's session. Owned by the event-loop thread.
+ * The registry of sessions: one for each joined proxy, in the order of proxy ids. Events of a
+ * connection count only while it belongs to its proxy's session. Owned by the event-loop thread.
  */
 final class ProxySessions {
     private final Map<ProxyId, ProxySession> sessions = new TreeMap<>();
     private long unmatchedAcknowledgements;
 
-    /** Opens a proxy's session; returns the one that it replaces, whose connection still stands. */
+    /** Opens a session; returns the session that it replaces, whose connection is still open. */
     Optional<ProxySession> open(ProxyConnection connection, Message.ProxyJoin join) {
         return Optional.ofNullable(sessions.put(join.proxy(), new ProxySession(connection, join)));
     }
 
-    /** Ends the proxy's session if it is on this connection, and says whether it was. */
+    /** Closes the proxy's session if it is on this connection; returns whether it was. */
     boolean close(ProxyId proxy, ProxyConnection connection) {
         boolean current = isCurrent(sessions.get(proxy), connection);
         if (current) {
@@ -30,16 +30,16 @@
     }
 
     /**
-     * Settles an acknowledgement.
+     * Matches an acknowledgement with a pending update.
      *
-     * @return the policy's token; empty if the stream's token is not pending on this connection,
-     *     which is counted
+     * @return the policy's token; empty if the stream's token is not pending on this connection, in
+     *     which case the acknowledgement is counted as unmatched
      */
     OptionalInt acknowledge(ProxyConnection connection, Message.Acknowledgement acknowledgement) {
         ProxySession session = sessions.get(acknowledgement.proxy());
         OptionalInt policyToken =
                 isCurrent(session, connection)
-                        ? session.pending().settle(acknowledgement.token())
+                        ? session.pending().complete(acknowledgement.token())
                         : OptionalInt.empty();
         if (policyToken.isEmpty()) {
             unmatchedAcknowledgements++;
@@ -51,7 +51,7 @@
         return session != null && session.connection() == connection;
     }
 
-    /** Forgets what is pending on all sessions: no answer to an earlier update counts any more. */
+    /** Clears all pending acknowledgements; those of earlier updates no longer count. */
     void clearPending() {
         sessions.values().forEach(session -> session.pending().clear());
     }
@@ -73,7 +73,7 @@
         return sessions.values().stream().mapToLong(session -> session.pending().size()).sum();
     }
 
-    /** The longest time that an acknowledgement has been pending, in nanoseconds; 0 if none is. */
+    /** The age of the oldest pending acknowledgement in nanoseconds; 0 if none is pending. */
     long maxPendingNanos(long now) {
         return sessions.values().stream()
                 .mapToLong(session -> session.pending().maxAgeNanos(now))
@@ -81,7 +81,7 @@
                 .orElse(0);
     }
 
-    /** Acknowledgements so far that matched nothing pending on their connection. */
+    /** The number of acknowledgements that matched no pending update of their connection. */
     long unmatchedAcknowledgements() {
         return unmatchedAcknowledgements;
     }
--- a/src/main/java/rosespread/platform/StreamServer.java
+++ b/src/main/java/rosespread/platform/StreamServer.java
@@ -9,9 +9,10 @@
 import rosespread.resp.RespCodec;
 
 /**
- * Where proxies and collectors connect, and others too. A connection that has not joined may hold
- * little and not for long; near the limit of connections the oldest of these is evicted, so that a
- * proxy always finds room. Any thread may call it.
+ * Listens for connections of proxies and collectors; unknown peers may connect too. A connection
+ * that has not joined is limited in memory and time. Near the limit on connections, the oldest
+ * connection that has not joined is evicted, so that a proxy can always connect. Any thread may
+ * call it.
  */
 final class StreamServer implements AutoCloseable {
     private static final int BACKLOG = 1024;
@@ -22,9 +23,9 @@
     private final BoundedAcceptor acceptor;
 
     /**
-     * Prepares the server; it accepts nothing before {@link #listen}.
+     * Creates the server; it accepts no connection before {@link #listen}.
      *
-     * @param maxConnections how many connections may be open at once
+     * @param maxConnections the maximum number of open connections
      */
     StreamServer(
             EventQueue events,
@@ -53,7 +54,7 @@
     /**
      * Accepts connections from now on.
      *
-     * @return the address in use, with the port that was given where 0 was asked for
+     * @return the bound address, with the assigned port if port 0 was requested
      * @throws IOException if the address can't be bound
      */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
@@ -61,7 +62,7 @@
         return acceptor.getLocalAddress();
     }
 
-    /** Sets how many connections may be open at once; none is closed that is open now. */
+    /** Sets the maximum number of open connections; connections open now are not closed. */
     void setMaxConnections(int max) {
         acceptor.setMaxConnections(max);
     }
@@ -70,7 +71,7 @@
         return acceptor.openConnections();
     }
 
-    /** The most bytes that one peer has not read yet. */
+    /** The most bytes queued for one peer. */
     long maxWriteBufferBytes() {
         return acceptor.getManagedSessions().values().stream()
                 .mapToLong(IoSession::getScheduledWriteBytes)
@@ -78,7 +79,7 @@
                 .orElse(0);
     }
 
-    /** Closes connections that had their time to join. */
+    /** Closes connections that have not joined within the join timeout. */
     void closeOverdue(long now) {
         unidentified.closeOverdue(now);
     }
--- a/src/main/java/rosespread/platform/UnidentifiedConnections.java
+++ b/src/main/java/rosespread/platform/UnidentifiedConnections.java
@@ -8,11 +8,11 @@
 import rosespread.platform.PlatformMetrics.ConnectionEvent;
 
 /**
- * The connections that have not joined, the oldest first, those among them that were rejected and
- * have not gone yet. Guarded by its own monitor, as I/O, acceptor and timer threads meet here.
+ * The connections that have not joined, the oldest first, including rejected connections that are
+ * not closed yet. I/O, acceptor and timer threads call it; its state is guarded by its monitor.
  */
 final class UnidentifiedConnections {
-    /** How long a connection may take to join. */
+    /** The time within which a connection must join. */
     private static final long JOIN_TIMEOUT_NANOS = 1_000_000_000L;
 
     private final PlatformMetrics metrics;
@@ -30,7 +30,7 @@
         connections.remove(connection);
     }
 
-    /** Closes those that had their time to join. */
+    /** Closes connections that have not joined within the join timeout. */
     void closeOverdue(long now) {
         List<PeerConnection> overdue = takeOverdue(now);
         metrics.add(ConnectionEvent.JOIN_TIMEOUT, overdue.size());
@@ -51,7 +51,7 @@
         return overdue;
     }
 
-    /** Closes the oldest, if there is one, to make room. */
+    /** Closes the oldest connection, if there is one, to make room for another. */
     void evictOldest() {
         PeerConnection oldest = takeOldest();
         if (oldest != null) {
