--- a/src/main/java/rosespread/platform/ChannelCapacityCheck.java
+++ b/src/main/java/rosespread/platform/ChannelCapacityCheck.java
@@ -7,17 +7,20 @@
 import rosespread.api.PolicySettings;
 
 /**
- * Finds at the start where the settings leave no way to drain nodes in time, however well it is
- * decided: a channel too slow for the number of proxies, a queue too short for a message, or too
- * low a limit on messages.
+ * Checks at startup for settings that make it impossible to drain nodes in time, whatever the
+ * policy decides: a channel too slow for the number of proxies, a queue too short for one message,
+ * or a message limit that is too low.
  */
 final class ChannelCapacityCheck {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** What the shortest message that removes a node has besides its overhead: entry and token. */
-    private static final int ENTRIES_OF_REMOVAL = 2;
+    /**
+     * Entries, besides the overhead, of the shortest message that removes a node: a weight entry
+     * and an acknowledgement token.
+     */
+    private static final int REMOVAL_ENTRIES = 2;
 
-    /** What does not fit. */
+    /** The limit that is too low. */
     enum Shortage {
         CHANNEL_RATE,
         QUEUE_LIMIT,
@@ -25,15 +28,15 @@
     }
 
     /**
-     * One shortage.
+     * A shortage that the check found.
      *
-     * @param text a sentence for operators
+     * @param text log message for operators
      */
     record Warning(Shortage shortage, String text) {}
 
     private ChannelCapacityCheck() {}
 
-    /** One warning for each shortage while this many proxies are at one controller. */
+    /** Returns one warning for each shortage if all these proxies connect to one controller. */
     static List<Warning> warnings(PolicySettings settings, int proxies) {
         List<Warning> warnings = new ArrayList<>();
         channelRate(settings, proxies).ifPresent(warnings::add);
@@ -46,14 +49,14 @@
         return settings.drainTimeoutNanos() / NANOS_PER_SECOND;
     }
 
-    private static double entriesOfRemoval(PolicySettings settings) {
-        return settings.messageOverheadEntries() + ENTRIES_OF_REMOVAL;
+    private static double removalMessageEntries(PolicySettings settings) {
+        return settings.messageOverheadEntries() + REMOVAL_ENTRIES;
     }
 
     private static Optional<Warning> channelRate(PolicySettings settings, int proxies) {
         double timeout = drainTimeoutSeconds(settings);
         double seconds =
-                proxies * entriesOfRemoval(settings) / settings.entriesPerSecond()
+                proxies * removalMessageEntries(settings) / settings.entriesPerSecond()
                         + settings.maxPropagationDelayNanos() / NANOS_PER_SECOND;
         return seconds > timeout
                 ? warning(
@@ -68,7 +71,7 @@
     }
 
     private static Optional<Warning> queueLimit(PolicySettings settings) {
-        double removal = entriesOfRemoval(settings);
+        double removal = removalMessageEntries(settings);
         return settings.queueLimitEntries() < removal
                 ? warning(
                         Shortage.QUEUE_LIMIT,
--- a/src/main/java/rosespread/platform/ExclusionTracker.java
+++ b/src/main/java/rosespread/platform/ExclusionTracker.java
@@ -13,23 +13,23 @@
 import rosespread.api.TableId;
 
 /**
- * Decides which exclusions and readmissions of nodes each proxy needs. Owned by the event-loop
- * thread.
+ * Determines the exclusions and readmissions of nodes to send to each proxy. Owned by the
+ * event-loop thread.
  */
 final class ExclusionTracker {
     private final Predicate<NodeId> possiblyExcluded;
     private final Function<TableId, WeightTable> tables;
     private final Set<NodeId> excluded = new TreeSet<>();
 
-    /** The running round's exclusions (true) and readmissions (false), in the order made. */
+    /** The current round's exclusions (true) and readmissions (false), in the order made. */
     private final Map<NodeId, Boolean> changes = new LinkedHashMap<>();
 
     /**
-     * Starts with no exclusion.
+     * Creates a tracker without exclusions.
      *
      * @param possiblyExcluded whether a node ever left or restarted, so that another controller may
      *     have excluded it
-     * @param tables finds a table by its id
+     * @param tables looks up a table by its id
      */
     ExclusionTracker(Predicate<NodeId> possiblyExcluded, Function<TableId, WeightTable> tables) {
         this.possiblyExcluded = possiblyExcluded;
@@ -46,40 +46,45 @@
         }
     }
 
-    /** How many nodes are excluded now. */
+    /** The number of nodes excluded now. */
     int size() {
         return excluded.size();
     }
 
-    /** Ends the round. */
+    /** Ends the round: clears its changes. */
     void clearChanges() {
         changes.clear();
     }
 
-    /** What a proxy needs in this round, which is noted as sent; empty if nothing. */
+    /** Returns the part to send to a proxy in this round and records it as sent; empty if none. */
     Optional<UpdatePart> takeUpdate(ProxyView view) {
-        List<NodeId> out = new ArrayList<>();
-        List<NodeId> back = new ArrayList<>();
-        changes.forEach((node, exclude) -> addChange(view, node, exclude, out, back));
-        view.tables().forEach(table -> addReadmissions(view, table, back));
-        if (out.isEmpty() && back.isEmpty()) {
+        List<NodeId> toExclude = new ArrayList<>();
+        List<NodeId> toReadmit = new ArrayList<>();
+        changes.forEach((node, exclude) -> addChange(view, node, exclude, toExclude, toReadmit));
+        view.tables().forEach(table -> addReadmissions(view, table, toReadmit));
+        if (toExclude.isEmpty() && toReadmit.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(UpdatePart.ofExclusions(List.copyOf(out), List.copyOf(back)));
+        return Optional.of(UpdatePart.ofExclusions(List.copyOf(toExclude), List.copyOf(toReadmit)));
     }
 
     /**
-     * An exclusion concerns proxies whose tables name the node, and each that follows no table yet,
-     * as it may hold the node; a readmission concerns those that were sent the exclusion.
+     * Adds a change if the proxy needs it. An exclusion goes to proxies whose tables contain the
+     * node, and to proxies that follow no table yet, as they may hold the node. A readmission goes
+     * to proxies that were sent the exclusion.
      */
     private void addChange(
-            ProxyView view, NodeId node, boolean exclude, List<NodeId> out, List<NodeId> back) {
+            ProxyView view,
+            NodeId node,
+            boolean exclude,
+            List<NodeId> toExclude,
+            List<NodeId> toReadmit) {
         if (exclude) {
             if (mayHold(view, node) && view.exclude(node)) {
-                out.add(node);
+                toExclude.add(node);
             }
         } else if (view.hasExcluded(node)) {
-            back.add(node);
+            toReadmit.add(node);
             view.readmit(node);
         }
     }
@@ -90,17 +95,17 @@
     }
 
     /**
-     * A node that the update names is readmitted if the proxy may hold it as excluded: by us, or by
-     * another controller, which excludes only nodes that leave or restart.
+     * Readmits each node in the table's update that the proxy may hold as excluded, by this
+     * controller or by another one. Other controllers exclude only nodes that leave or restart.
      */
-    private void addReadmissions(ProxyView view, TableId id, List<NodeId> back) {
+    private void addReadmissions(ProxyView view, TableId id, List<NodeId> toReadmit) {
         WeightTable table = tables.apply(id);
         for (NodeId node : table.nodesOfUpdate(view.needsFull(id))) {
             boolean mayBeExcluded =
                     view.hasExcluded(node)
                             || possiblyExcluded.test(node) && !view.hasReadmitted(node);
             if (table.contains(node) && mayBeExcluded && !excluded.contains(node)) {
-                back.add(node);
+                toReadmit.add(node);
                 view.readmit(node);
             }
         }
--- a/src/main/java/rosespread/platform/LoadReportStatistics.java
+++ b/src/main/java/rosespread/platform/LoadReportStatistics.java
@@ -5,8 +5,8 @@
 import rosespread.api.NodeId;
 
 /**
- * Sums of load and demand reports as they came, before the policy makes anything of them, so that
- * its view can be compared with them. Owned by the event-loop thread.
+ * Sums of load and demand reports as received, before the policy evaluates them, so that the
+ * policy's view can be compared with the reports. Owned by the event-loop thread.
  */
 final class LoadReportStatistics {
     private static final double MILLIS_PER_SECOND = 1e3;
@@ -14,8 +14,8 @@
     /**
      * Sums over all nodes and proxies.
      *
-     * @param demand requests that came to proxies
-     * @param meanUtilization of the reports that carry one, NaN if none did
+     * @param demand requests that proxies received
+     * @param meanUtilization mean over the reports that carry a utilization, NaN if none did
      */
     record Totals(
             long reports, long attempts, long failures, long demand, double meanUtilization) {}
@@ -23,8 +23,8 @@
     /**
      * Sums over one node's reports.
      *
-     * @param meanLatencyMillis of attempts that did not fail, 0 if there was none
-     * @param utilization the latest reported, NaN if none was
+     * @param meanLatencyMillis mean over attempts that did not fail, 0 if there was none
+     * @param utilization last reported value, NaN if none was reported
      */
     record NodeTotals(long attempts, long failures, double meanLatencyMillis, double utilization) {}
 
@@ -78,12 +78,12 @@
         demand += report.requests();
     }
 
-    /** One node's sums since the last totals were taken. */
+    /** Returns one node's sums since the last {@link #takeTotals}. */
     NodeTotals of(NodeId node) {
         return nodes.getOrDefault(node, new NodeSums()).totals();
     }
 
-    /** The sums since the last call; starts from 0 again. */
+    /** Returns the sums since the last call and resets all sums, including those of nodes. */
     Totals takeTotals() {
         double mean = utilizationReports == 0 ? Double.NaN : utilization / utilizationReports;
         Totals totals = new Totals(reports, attempts, failures, demand, mean);
--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -20,15 +20,15 @@
 import rosespread.http.HttpLimits;
 
 /**
- * One controller on the platform, in the foreground: configured by the environment and a file,
- * stopped by SIGTERM, made to read the file again by SIGHUP. It writes nothing to disk. It puts the
- * parts together and starts their threads; all state is theirs.
+ * One controller on the platform, as a foreground process. Environment variables and a file
+ * configure it, SIGTERM stops it, SIGHUP makes it reload the file. It writes nothing to disk. This
+ * class creates the components and starts their threads; the components own all state.
  */
 public final class PlatformController {
     private static final Logger LOG = LoggerFactory.getLogger(PlatformController.class);
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    /** Unused connections are closed soon, as descriptors are few. */
+    /** Unused connections are closed soon, as descriptors are scarce. */
     private static final int IDLE_TIMEOUT_SECONDS = 1;
 
     private static final int HTTP_THREADS = 1;
@@ -37,7 +37,7 @@
     private static final long JOIN_TIMEOUT_CHECK_MILLIS = 50;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** EX_SOFTWARE of sysexits.h: an internal error was found. */
+    /** Exit status EX_SOFTWARE of sysexits.h: internal software error. */
     private static final int EXIT_INTERNAL_ERROR = 70;
 
     private final PlatformConfig config;
@@ -58,8 +58,9 @@
     private PlatformController(PlatformConfig config, Map<String, String> environment) {
         this.config = config;
         PlatformMetrics metrics = new PlatformMetrics();
-        long wallOffset = System.nanoTime() - System.currentTimeMillis() * NANOS_PER_MILLI;
-        state = new PlatformState(config, this::checkHealth, metrics, wallOffset);
+        long wallClockOffsetNanos =
+                System.nanoTime() - System.currentTimeMillis() * NANOS_PER_MILLI;
+        state = new PlatformState(config, this::checkHealth, metrics, wallClockOffsetNanos);
         MessageReader reader = new MessageReader(config.names(), config.proxies());
         server = new StreamServer(events, state, reader, metrics, config.maxConnections());
         reporter = new StatusReporter(state, metrics, this::processStatus);
@@ -76,17 +77,18 @@
     }
 
     /**
-     * Runs until the process is ended, or the calling thread interrupted.
+     * Runs until the process ends or the calling thread is interrupted.
      *
-     * @param environment what names the configuration file
-     * @throws ConfigException if the configuration is missing or invalid; it names the place
+     * @param environment the environment variables, which name the configuration file
+     * @throws ConfigException if the configuration is missing or invalid; names the variable or
+     *     field
      * @throws IOException if the address to listen on can't be bound
      */
     public static void serve(Map<String, String> environment) throws ConfigException, IOException {
         serve(environment, SignalHandlers::handle);
     }
 
-    /** As {@link #serve(Map)}, with signals that a test may raise. */
+    /** Runs as {@link #serve(Map)} does, with a signal registrar that a test can replace. */
     static void serve(Map<String, String> environment, SignalHandlers.Registrar signals)
             throws ConfigException, IOException {
         CompletableFuture<PlatformController> running = new CompletableFuture<>();
@@ -102,14 +104,18 @@
         }
     }
 
-    /** A SIGHUP during the start, such as right after the first heartbeat, waits for its end. */
+    /**
+     * Registers the signal handlers. A SIGHUP during startup, such as right after the first
+     * heartbeat, takes effect once startup is complete.
+     */
     private static void register(
             SignalHandlers.Registrar signals, CompletableFuture<PlatformController> running) {
         signals.handle("TERM", PlatformController::exit);
         if (!signals.handle("HUP", () -> running.join().reloader.reload())) {
             LOG.warn(
-                    "SIGHUP is ignored, as set by the parent process (nohup does so): the"
-                            + " configuration is polled only while discovery is unavailable");
+                    "SIGHUP is ignored, as set by the parent process (for example nohup): the"
+                            + " configuration file is read again only while discovery is"
+                            + " unavailable");
         }
     }
 
@@ -119,7 +125,8 @@
     }
 
     private void start() throws IOException {
-        EventLoop loop = new EventLoop(events, this::runDue, PlatformController::exitWithoutLoop);
+        EventLoop loop =
+                new EventLoop(events, this::runDue, PlatformController::haltAfterEventLoop);
         Thread thread = new Thread(loop, "event-loop");
         thread.setDaemon(true);
         thread.start();
@@ -148,27 +155,30 @@
                 .log("listening for proxies");
     }
 
-    /** One turn of the event loop; returns when the next is due. */
+    /** Runs one iteration of the event loop; returns when the next is due. */
     private long runDue(long now) {
         long nextReport = reporter.reportIfDue(now);
         return Math.min(state.runDue(now), nextReport);
     }
 
     /**
-     * Ends the process with its event loop: I/O threads would go on answering heartbeats, while the
-     * platform restarts a process that ended.
+     * Ends the process when its event loop has ended, so that the platform restarts it. Otherwise
+     * I/O threads would go on answering heartbeats while no event loop runs.
      */
-    private static void exitWithoutLoop() {
+    private static void haltAfterEventLoop() {
         LOG.error("event loop ended, exiting");
         Runtime.getRuntime().halt(EXIT_INTERNAL_ERROR);
     }
 
-    /** A timer's task that throws is never run again: connections would stay open for good. */
+    /**
+     * Closes connections past their join timeout. Logs any failure: the timer does not repeat a
+     * task that throws, and overdue connections would then stay open forever.
+     */
     private void closeOverdue() {
         try {
             server.closeOverdue(System.nanoTime());
         } catch (RuntimeException | LinkageError | VirtualMachineError e) {
-            LOG.error("connections that did not join could not be closed", e);
+            LOG.error("closing connections past their join timeout failed", e);
         }
     }
 
--- a/src/main/java/rosespread/platform/PlatformState.java
+++ b/src/main/java/rosespread/platform/PlatformState.java
@@ -21,9 +21,9 @@
 import rosespread.policy.RoutingPolicy;
 
 /**
- * The controller's state on the event loop: it takes the events of sessions and discovery, hands
- * them to the routing policy, and has the policy's actions written. Owned by the event-loop thread,
- * which alone may call it. Times are nanoseconds of {@link System#nanoTime()}.
+ * The controller's state on the event loop. Passes the events of sessions and discovery to the
+ * routing policy, and has the policy's actions written to the sessions. Owned by the event-loop
+ * thread, which alone may call it. Times are nanoseconds of {@link System#nanoTime()}.
  */
 final class PlatformState {
     /** Sends health checks; their results come back as {@link #healthChecked} events. */
@@ -38,7 +38,7 @@
     private final PlatformConfig config;
     private final HealthCheckSender healthChecks;
     private final PlatformMetrics metrics;
-    private final long wallOffset;
+    private final long wallClockOffsetNanos;
     private final RoundScheduler rounds = new RoundScheduler();
     private final RoundScheduler.RoundHandler roundHandler = new PolicyRounds();
     private final NodeNameRegistry nodeNames = new NodeNameRegistry();
@@ -54,27 +54,27 @@
     private long now;
 
     /**
-     * Starts with the nodes that the configuration knows and no proxy.
+     * Starts with the nodes that the configuration lists and without proxies.
      *
-     * @param wallOffset what is added to nanoseconds of the wall clock to have the policy's time;
-     *     fixed, so that a node's start always comes out the same
+     * @param wallClockOffsetNanos offset from wall-clock nanoseconds to the policy's time; fixed,
+     *     so that a node's start time always converts to the same value
      */
     PlatformState(
             PlatformConfig config,
             HealthCheckSender healthChecks,
             PlatformMetrics metrics,
-            long wallOffset) {
+            long wallClockOffsetNanos) {
         this.config = config;
         this.healthChecks = healthChecks;
         this.metrics = metrics;
-        this.wallOffset = wallOffset;
+        this.wallClockOffsetNanos = wallClockOffsetNanos;
         this.sender = new UpdateSender(sessions, new UpdateEncoder(config.names(), nodeNames));
         Map<NodeId, NodeEntry> known = directory.apply(NodeListKind.CACHED, config.knownNodes());
         logList(NodeListKind.CACHED, config.knownNodes(), known.size());
         startPolicy();
     }
 
-    /** Starts a new policy and replays what is known: the node list and who is joined. */
+    /** Starts a new policy and gives it the known state: the node list and the joined proxies. */
     private void startPolicy() {
         policy =
                 new RoutingPolicy(
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Takes a list of discovery. A full one that names no node while nodes are listed is rejected:
-     * it would remove every weight entry on the strength of one answer. What is listed stays, and
-     * changes since that version count.
+     * Applies a node list from discovery. An empty full list is rejected while nodes are listed,
+     * because a single wrong answer would otherwise remove every weight entry. The listed nodes
+     * then stay, and changes since the version of the rejected list still apply.
      */
     void nodeListReceived(long time, NodeList list) {
         now = time;
@@ -143,12 +143,17 @@
                                 started));
     }
 
-    /** Converts a wall time in milliseconds, 0 for long ago, to the policy's time. */
+    /** Converts wall-clock milliseconds, 0 for long ago, to the policy's time. */
     private long policyTime(long wallMillis) {
-        return wallMillis == 0 ? Long.MIN_VALUE : wallMillis * NANOS_PER_MILLI + wallOffset;
+        return wallMillis == 0
+                ? Long.MIN_VALUE
+                : wallMillis * NANOS_PER_MILLI + wallClockOffsetNanos;
     }
 
-    /** Discovery failed; the policy is notified only where the settings say that it polls. */
+    /**
+     * Handles a failed poll of discovery. The policy is notified only if the settings have it
+     * request node lists.
+     */
     void nodeListUnavailable() {
         if (config.settings().listOnDemand()) {
             rounds.add(handler -> handler.listStarted(NodeListKind.UNAVAILABLE));
@@ -156,12 +161,12 @@
         }
     }
 
-    /** A health check of a node is done. */
+    /** Handles the result of a health check of a node. */
     void healthChecked(NodeId node, EventHandler.HealthCheckResult result) {
         rounds.add(handler -> handler.healthChecked(node, result));
     }
 
-    /** A proxy joined; its new session replaces an older one, whose own end may come later. */
+    /** Handles a join. The new session replaces an older one, whose close event may come later. */
     void proxyJoined(long time, ProxyConnection connection, Message.ProxyJoin join) {
         now = time;
         Optional<ProxySession> replaced = sessions.open(connection, join);
@@ -182,7 +187,7 @@
                         handler.proxyJoined(join.proxy(), join.zone(), join.requestsPerSecond()));
     }
 
-    /** A connection closed; the late end of one that was replaced ends nothing. */
+    /** Handles a closed connection; ignores one whose session was replaced before. */
     void connectionClosed(long time, ProxyConnection connection, ProxyId proxy) {
         now = time;
         if (sessions.close(proxy, connection)) {
@@ -192,13 +197,13 @@
         }
     }
 
-    /** An acknowledgement counts only on the connection that carried its token. */
+    /** Handles an acknowledgement; it counts only on the connection that carried its token. */
     void acknowledged(
             long time, ProxyConnection connection, Message.Acknowledgement acknowledgement) {
         now = time;
-        OptionalInt settled = sessions.acknowledge(connection, acknowledgement);
-        if (settled.isPresent()) {
-            int policyToken = settled.getAsInt();
+        OptionalInt matchedToken = sessions.acknowledge(connection, acknowledgement);
+        if (matchedToken.isPresent()) {
+            int policyToken = matchedToken.getAsInt();
             rounds.add(
                     handler ->
                             handler.acknowledged(
@@ -208,7 +213,7 @@
         }
     }
 
-    /** A load report of a zone; one for a node that was never listed is dropped and counted. */
+    /** Handles a load report; one for a node that was never listed is dropped and counted. */
     void loadReported(long time, Message.LoadReport report) {
         now = time;
         NodeId node = nodeNames.find(report.node()).orElse(null);
@@ -230,7 +235,7 @@
                                 report.utilization()));
     }
 
-    /** A report of the demand that came to a proxy. */
+    /** Handles a report of the demand at a proxy. */
     void demandReported(long time, Message.DemandReport report) {
         now = time;
         statistics.add(report);
@@ -243,13 +248,13 @@
                                 report.periodNanos()));
     }
 
-    /** Runs a round if one is due; returns when to come back. */
+    /** Runs a round if one is due; returns when to call again. */
     long runDue(long time) {
         now = time;
         return rounds.runDue(now, roundHandler);
     }
 
-    /** The state's counts, as of the latest event. */
+    /** Returns the state's counts, as of the latest event. */
     PlatformStatus status() {
         return new PlatformStatus(
                 sessions.size(),
@@ -266,7 +271,7 @@
                 Map.copyOf(reportsByZone));
     }
 
-    /** Each listed node with its weight and what load reports said of it since the last totals. */
+    /** Returns each listed node with its weight and its load reports since the last totals. */
     List<NodeStatus> nodeStatuses() {
         List<NodeStatus> all = new ArrayList<>();
         directory.forEach(
@@ -275,13 +280,14 @@
         return all;
     }
 
-    /** Totals of all reports since the last call. */
+    /** Returns the totals of all reports since the last call, and resets them. */
     LoadReportStatistics.Totals takeReportTotals() {
         return statistics.takeTotals();
     }
 
     /**
-     * Plays rounds. A policy that throws has lost its place: a new one starts, as after a crash.
+     * Runs rounds. After a policy throws, its state can't be trusted: a new policy starts, as after
+     * a crash of the process.
      */
     private final class PolicyRounds implements RoundScheduler.RoundHandler {
         @Override
@@ -292,12 +298,12 @@
 
         @Override
         public void roundFailed(Throwable cause) {
-            LOG.error("policy failed and restarts", cause);
+            LOG.error("routing policy failed; restarting it", cause);
             startPolicy();
         }
     }
 
-    /** What the policy asks for besides updates. */
+    /** Carries out the policy's requests other than updates. */
     private final class Requests implements PlatformUpdateWriter.PolicyRequests {
         @Override
         public void checkHealth(NodeId node) {
@@ -307,7 +313,7 @@
             }
         }
 
-        /** Discovery is watched from the start on, so there is nothing to begin. */
+        /** Does nothing, as discovery is watched from startup on. */
         @Override
         public void watchNodes() {}
 
--- a/src/main/java/rosespread/platform/PlatformStatus.java
+++ b/src/main/java/rosespread/platform/PlatformStatus.java
@@ -4,16 +4,16 @@
 import rosespread.api.ZoneId;
 
 /**
- * The event loop's counts at one moment; rounds, messages, bytes and reports are since the start.
+ * The event loop's counts at one moment; rounds, messages, bytes and reports count since startup.
  *
  * @param joinedProxies proxies with a session
- * @param subscribedProxies those of them that follow a table
+ * @param subscribedProxies joined proxies that follow a table
  * @param excludedNodes nodes excluded from all proxies by the policy
  * @param maxRoundNanos the longest round so far
- * @param pendingAcknowledgements updates that are still to be acknowledged
- * @param maxPendingNanos how long the oldest of those has been waiting
- * @param unmatchedAcknowledgements acknowledgements that fitted no pending update of their session
- * @param reportsByZone load reports used, by the zone of their collector
+ * @param pendingAcknowledgements updates not acknowledged yet
+ * @param maxPendingNanos age of the oldest update not acknowledged yet
+ * @param unmatchedAcknowledgements acknowledgements that matched no pending update of their session
+ * @param reportsByZone load reports used, by their zone
  */
 record PlatformStatus(
         int joinedProxies,
--- a/src/main/java/rosespread/platform/PlatformUpdateWriter.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -14,12 +14,12 @@
 import rosespread.api.TableId;
 
 /**
- * Turns a round's actions into one update for each proxy concerned. It does no input or output. The
- * platform has no tables of ours: what a proxy holds is written to it for the methods concerned, as
- * changes to what was last written on its stream. Owned by the event-loop thread.
+ * Turns a round's actions into one update for each affected proxy. Performs no I/O. The platform's
+ * protocol has no tables: a table's entries are written to each proxy for the methods that follow
+ * the table, as changes to the entries last written on its stream. Owned by the event-loop thread.
  */
 final class PlatformUpdateWriter implements PolicyActions {
-    /** What the policy asks for besides updates. */
+    /** The policy's requests other than updates. */
     interface PolicyRequests {
         /** Checks a node's health. */
         void checkHealth(NodeId node);
@@ -27,26 +27,26 @@
         /** Watches the node list. */
         void watchNodes();
 
-        /** Wakes the policy after so many nanoseconds. */
+        /** Calls the policy again after this many nanoseconds. */
         void startTimer(long nanos);
 
         /** Reports a change of the policy's modes. */
         void report(PolicyEvent event);
     }
 
-    /** Takes the updates of a round. */
+    /** Receives the updates of a round. */
     @FunctionalInterface
     interface UpdateSink {
         /**
-         * Takes a proxy's update.
+         * Receives a proxy's update.
          *
-         * @param policyToken what the policy wants acknowledged, {@link #NO_POLICY_TOKEN} if
-         *     nothing
+         * @param policyToken the policy's token to be acknowledged, {@link #NO_POLICY_TOKEN} if
+         *     none
          */
         void send(ProxyId proxy, List<UpdatePart> parts, int policyToken);
     }
 
-    /** Stands for a round that asks for no acknowledgement. */
+    /** The token of a round that asks for no acknowledgement. */
     static final int NO_POLICY_TOKEN = -1;
 
     private final UpdatePartBuilder builder;
@@ -57,12 +57,12 @@
     private int policyToken = NO_POLICY_TOKEN;
 
     /**
-     * Starts with no table and no proxy.
+     * Starts without tables and proxies.
      *
-     * @param methods how many methods there are
+     * @param methods the number of methods
      * @param possiblyExcluded whether a node ever left or restarted, so that another controller may
      *     have excluded it
-     * @param requests takes what the policy asks for besides updates
+     * @param requests receives the policy's requests other than updates
      */
     PlatformUpdateWriter(int methods, Predicate<NodeId> possiblyExcluded, PolicyRequests requests) {
         this.builder = new UpdatePartBuilder(methods);
@@ -70,22 +70,22 @@
         this.requests = requests;
     }
 
-    /** A stream starts: whatever the proxy holds, it follows no table here. */
+    /** Starts a proxy's stream; the proxy follows no table on it yet, whatever it still holds. */
     void proxyJoined(ProxyId proxy) {
         proxies.put(proxy, new ProxyView());
     }
 
-    /** A stream ended; actions for its proxy do nothing. */
+    /** Ends a proxy's stream; further actions for the proxy do nothing. */
     void proxyLeft(ProxyId proxy) {
         proxies.remove(proxy);
     }
 
-    /** How many proxies follow a table. */
+    /** The number of proxies that follow a table. */
     int subscribedProxies() {
         return (int) proxies.values().stream().filter(ProxyView::isSubscribed).count();
     }
 
-    /** A node's weight in the first table that names it, 0 if none does. */
+    /** A node's weight in the first table that contains it, 0 if none does. */
     double weightOf(NodeId node) {
         return tables.values().stream()
                 .filter(table -> table.contains(node))
@@ -94,7 +94,7 @@
                 .orElse(0);
     }
 
-    /** How many nodes are excluded from all proxies. */
+    /** The number of nodes excluded from all proxies. */
     int excludedNodes() {
         return exclusions.size();
     }
@@ -113,13 +113,13 @@
     }
 
     @Override
-    public void setExcluded(NodeId node, boolean out) {
-        exclusions.set(node, out);
+    public void setExcluded(NodeId node, boolean excluded) {
+        exclusions.set(node, excluded);
     }
 
     @Override
-    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-        table(table).setAdmissionLimit(method, admitted);
+    public void setAdmissionLimit(TableId table, MethodId method, double limit) {
+        table(table).setAdmissionLimit(method, limit);
     }
 
     @Override
@@ -151,7 +151,7 @@
         return tables.computeIfAbsent(id, absent -> new WeightTable());
     }
 
-    /** Ends the round: hands out each proxy's update, and forgets what only the round concerned. */
+    /** Ends the round: passes each proxy's update to the sink and clears the round's changes. */
     void finishRound(UpdateSink sink) {
         DeltaCache deltas = new DeltaCache();
         proxies.forEach(
--- a/src/main/java/rosespread/platform/ProcessStatus.java
+++ b/src/main/java/rosespread/platform/ProcessStatus.java
@@ -7,12 +7,12 @@
 import java.nio.file.Path;
 
 /**
- * Figures of the sockets and the process at one moment.
+ * Socket and process metrics at one moment.
  *
- * @param openConnections connections open now
- * @param maxWriteBufferBytes the most that one peer has not read yet
- * @param residentKilobytes resident memory as the kernel has it, negative if unknown
- * @param fileDescriptors file descriptors open now, negative if unknown
+ * @param openConnections open connections
+ * @param maxWriteBufferBytes the most bytes queued for one peer
+ * @param residentKilobytes resident memory as reported by the kernel, negative if unknown
+ * @param fileDescriptors open file descriptors, negative if unknown
  */
 record ProcessStatus(
         int openConnections,
@@ -24,7 +24,7 @@
     private static final int RESIDENT_FIELD = 1;
     private static final int KILOBYTES_PER_PAGE = 4;
 
-    /** Reads the figures that the kernel keeps of this process. */
+    /** Reads the process metrics from the kernel; the caller supplies the socket metrics. */
     static ProcessStatus read(int openConnections, long maxWriteBufferBytes) {
         return new ProcessStatus(
                 openConnections, maxWriteBufferBytes, residentMemory(), openDescriptors());
--- a/src/main/java/rosespread/platform/ProxyView.java
+++ b/src/main/java/rosespread/platform/ProxyView.java
@@ -12,18 +12,18 @@
 import rosespread.api.TableId;
 
 /**
- * What was sent on one proxy's stream so far: the tables that it follows, those of which it needs a
- * full update, and which nodes were excluded on it. Owned by the event-loop thread.
+ * The state of one proxy's stream: the tables that the proxy follows, the tables of which it needs
+ * a full update, and the nodes excluded on the stream. Owned by the event-loop thread.
  */
 final class ProxyView {
     private final Map<TableId, List<MethodId>> subscriptions = new TreeMap<>();
     private final Set<TableId> pendingFull = new TreeSet<>();
     private final Set<NodeId> excluded = new TreeSet<>();
 
-    /** Nodes that surely are not excluded at the proxy, whoever excluded them before. */
+    /** Nodes known not to be excluded at the proxy, by this or any other controller. */
     private final Set<NodeId> readmitted = new TreeSet<>();
 
-    /** Subscribes the methods to a table, and no longer to any other; a full update is due. */
+    /** Subscribes the methods to a table instead of any other; a full update becomes due. */
     void subscribe(TableId table, Iterable<MethodId> methods) {
         List<MethodId> moved = new ArrayList<>();
         methods.forEach(moved::add);
@@ -41,7 +41,7 @@
         return !subscriptions.isEmpty();
     }
 
-    /** The tables that it follows, in the order of ids. */
+    /** The tables that the proxy follows, in the order of ids. */
     Set<TableId> tables() {
         return subscriptions.keySet();
     }
@@ -54,12 +54,12 @@
         return pendingFull.contains(table);
     }
 
-    /** Ends the round: what was due was written. */
+    /** Ends the round: all full updates that were due have been sent. */
     void clearPendingFull() {
         pendingFull.clear();
     }
 
-    /** Notes that a node is excluded; false if the exclusion was sent already. */
+    /** Records a node's exclusion; returns false if the exclusion was sent already. */
     boolean exclude(NodeId node) {
         boolean first = excluded.add(node);
         if (first) {
--- a/src/main/java/rosespread/platform/SignalHandlers.java
+++ b/src/main/java/rosespread/platform/SignalHandlers.java
@@ -5,25 +5,26 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles signals of the operating system. The JDK's only way is sun.misc.Signal, which the
- * compiler warns of wherever it is named; it is reached by reflection here, so that warnings stay
- * errors everywhere.
+ * Handles signals of the operating system. The JDK offers only sun.misc.Signal for that, and the
+ * compiler warns wherever the class is named. Reflection avoids these warnings, so that the build
+ * can treat all warnings as errors.
  */
 final class SignalHandlers {
     /** Registers handlers, as {@link SignalHandlers#handle} does. */
     @FunctionalInterface
     interface Registrar {
-        /** Registers what runs at a signal; false if the process ignores the signal. */
+        /** Registers an action for a signal; returns false if the process ignores the signal. */
         boolean handle(String signal, Runnable action);
     }
 
     private SignalHandlers() {}
 
     /**
-     * Runs the action on a thread of its own at each signal of this name, such as HUP.
+     * Runs the action on a separate thread at each signal of this name, such as HUP.
      *
-     * @return false if the signal was ignored as the process was started: the JVM keeps it so
-     * @throws IllegalStateException if this JVM does not hand the signal over
+     * @return false if the signal was ignored when the process was started: the JVM keeps ignoring
+     *     it
+     * @throws IllegalStateException if this JVM does not allow a handler for the signal
      */
     static boolean handle(String name, Runnable action) {
         try {
@@ -34,7 +35,7 @@
                     Proxy.newProxyInstance(
                             SignalHandlers.class.getClassLoader(),
                             new Class<?>[] {handlerType},
-                            invocations(name, action));
+                            signalHandler(name, action));
             Object previous =
                     signalType
                             .getMethod("handle", signalType, handlerType)
@@ -48,10 +49,11 @@
     }
 
     private static IllegalStateException unavailable(String name, Throwable cause) {
-        return new IllegalStateException("SIG" + name + " can't be taken: " + cause, cause);
+        return new IllegalStateException(
+                "handler for SIG" + name + " can't be registered: " + cause, cause);
     }
 
-    private static InvocationHandler invocations(String name, Runnable action) {
+    private static InvocationHandler signalHandler(String name, Runnable action) {
         return (self, method, arguments) ->
                 switch (method.getName()) {
                     case "handle" -> {
--- a/src/main/java/rosespread/platform/StatusReporter.java
+++ b/src/main/java/rosespread/platform/StatusReporter.java
@@ -11,8 +11,8 @@
 import rosespread.api.ZoneId;
 
 /**
- * Logs one status line a second, and at debug level one line a node besides. Runs on the event-loop
- * thread.
+ * Logs one status line per second and, at debug level, one line per listed node. Runs on the
+ * event-loop thread.
  */
 final class StatusReporter {
     private static final Logger LOG = LoggerFactory.getLogger(StatusReporter.class);
@@ -28,7 +28,7 @@
     /**
      * Reports on this state and these metrics.
      *
-     * @param process reads the figures of the process; called once a line
+     * @param process reads the process metrics; called once per status line
      */
     StatusReporter(PlatformState state, PlatformMetrics metrics, Supplier<ProcessStatus> process) {
         this.state = state;
@@ -36,7 +36,7 @@
         this.process = process;
     }
 
-    /** Logs if a second has passed; returns when the next line is due. */
+    /** Logs if a second has passed since the last line; returns when the next line is due. */
     long reportIfDue(long now) {
         if (now - reportedNanos >= INTERVAL_NANOS) {
             reportedNanos = now;
--- a/src/main/java/rosespread/platform/UpdateEncoder.java
+++ b/src/main/java/rosespread/platform/UpdateEncoder.java
@@ -11,33 +11,36 @@
 import rosespread.config.NameRegistry;
 import rosespread.resp.RespWriter;
 
-/** Encodes updates in the platform's words. Owned by the event-loop thread. */
+/** Encodes updates in the platform's protocol. Owned by the event-loop thread. */
 final class UpdateEncoder {
-    /** Stands for an update that asks for no acknowledgement. */
+    /** The token of an update that asks for no acknowledgement. */
     static final int NO_TOKEN = -1;
 
-    /** The platform takes at most so many parts a message. */
+    /** The platform accepts at most this many parts per message. */
     private static final int MAX_PARTS = 64;
 
     private static final int INITIAL_BYTES = 512;
     private static final MathContext SIX_DIGITS = new MathContext(6);
 
     private final NameRegistry names;
-    private final NodeNameRegistry nodes;
+    private final NodeNameRegistry nodeNames;
 
-    UpdateEncoder(NameRegistry names, NodeNameRegistry nodes) {
+    UpdateEncoder(NameRegistry names, NodeNameRegistry nodeNames) {
         this.names = names;
-        this.nodes = nodes;
+        this.nodeNames = nodeNames;
     }
 
     /**
-     * Encodes one message; the last part carries the token to be acknowledged, if there is one.
+     * Encodes one message; the last part carries the acknowledgement token, if there is one.
      *
      * @param token {@link #NO_TOKEN} for none
-     * @throws IllegalStateException if a proxy could not use it, as that would cost its stream
+     * @throws IllegalStateException if a proxy could not use the message, which would end its
+     *     stream
      */
     byte[] encode(List<UpdatePart> parts, int token) {
-        check(parts.size() <= MAX_PARTS && !parts.isEmpty(), parts.size() + " parts");
+        check(
+                parts.size() <= MAX_PARTS && !parts.isEmpty(),
+                parts.size() + " parts, expected 1 to " + MAX_PARTS);
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         for (int i = 0; i < parts.size(); i++) {
             boolean last = i == parts.size() - 1;
@@ -47,70 +50,73 @@
     }
 
     /**
-     * The words of one part.
+     * Returns the strings of one part.
      *
      * @param more whether another part of the same message follows
      */
     List<String> toStrings(UpdatePart part, int token, boolean more) {
-        List<String> words = new ArrayList<>();
-        words.add("assign");
-        addMethods(words, part.methods());
+        List<String> strings = new ArrayList<>();
+        strings.add("assign");
+        addMethods(strings, part.methods());
         if (part.full()) {
-            add(words, "whole", "1");
+            add(strings, "whole", "1");
         }
-        addWeights(words, part);
-        addLimit(words, part);
-        addNodes(words, "out", part.excluded());
-        addNodes(words, "back", part.readmitted());
+        addWeights(strings, part);
+        addLimit(strings, part);
+        addNodes(strings, "out", part.excluded());
+        addNodes(strings, "back", part.readmitted());
         if (token >= 0) {
-            add(words, "ticket", Integer.toString(token));
+            add(strings, "ticket", Integer.toString(token));
         }
         if (more) {
-            add(words, "more", "1");
+            add(strings, "more", "1");
         }
-        return words;
+        return strings;
     }
 
-    private static void add(List<String> words, String field, String value) {
-        words.add(field);
-        words.add(value);
+    private static void add(List<String> strings, String field, String value) {
+        strings.add(field);
+        strings.add(value);
     }
 
-    private void addMethods(List<String> words, List<MethodId> methods) {
+    private void addMethods(List<String> strings, List<MethodId> methods) {
         if (!methods.isEmpty()) {
             add(
-                    words,
+                    strings,
                     "classes",
                     methods.stream().map(this::nameOf).collect(Collectors.joining("+")));
         }
     }
 
-    private void addWeights(List<String> words, UpdatePart part) {
+    private void addWeights(List<String> strings, UpdatePart part) {
         if (!part.weights().isEmpty()) {
             String entries =
                     part.weights().entrySet().stream()
                             .map(
                                     entry ->
-                                            nodes.nameOf(entry.getKey())
+                                            nodeNames.nameOf(entry.getKey())
                                                     + ":"
-                                                    + figure(entry.getValue()))
+                                                    + formatNumber(entry.getValue()))
                             .collect(Collectors.joining(","));
-            add(words, "lines", entries);
+            add(strings, "lines", entries);
         }
     }
 
-    /** The protocol wants a limit and a retry allowance always together. */
-    private static void addLimit(List<String> words, UpdatePart part) {
+    /** Adds the admission limit and the retry rule, which the protocol requires together. */
+    private static void addLimit(List<String> strings, UpdatePart part) {
         if (part.setsLimit()) {
             double limit = Math.min(part.admissionLimit(), NameRegistry.UNBOUNDED_ADMISSION_LIMIT);
-            add(words, "level", figure(limit));
-            add(words, "retry", Integer.toString(NameRegistry.RETRY_ONLY_IF_NOT_EXECUTED));
+            add(strings, "level", formatNumber(limit));
+            add(strings, "retry", Integer.toString(NameRegistry.RETRY_ONLY_IF_NOT_EXECUTED));
         }
     }
 
-    private void addNodes(List<String> words, String field, List<NodeId> ids) {
+    private void addNodes(List<String> strings, String field, List<NodeId> ids) {
         if (!ids.isEmpty()) {
-            add(words, field, ids.stream().map(nodes::nameOf).collect(Collectors.joining(",")));
+            add(
+                    strings,
+                    field,
+                    ids.stream().map(nodeNames::nameOf).collect(Collectors.joining(",")));
         }
     }
 
@@ -118,14 +124,16 @@
         return names.methodNames().get(method.value());
     }
 
-    private static String figure(double value) {
-        check(value >= 0 && !Double.isInfinite(value), "a figure of " + value);
+    private static String formatNumber(double value) {
+        check(
+                value >= 0 && !Double.isInfinite(value),
+                "the value " + value + ", expected a finite number of 0 or more");
         return new BigDecimal(value).round(SIX_DIGITS).toPlainString();
     }
 
     private static void check(boolean holds, String problem) {
         if (!holds) {
-            throw new IllegalStateException("an update with " + problem);
+            throw new IllegalStateException("update has " + problem);
         }
     }
 }
--- a/src/main/java/rosespread/platform/UpdatePart.java
+++ b/src/main/java/rosespread/platform/UpdatePart.java
@@ -8,10 +8,10 @@
 /**
  * One part of an update to a proxy.
  *
- * @param methods those concerned; empty for all
- * @param full whether the weights are the whole table, which resets admission limits
+ * @param methods the methods that the part applies to; empty for all
+ * @param full whether the weights are the full table, which resets admission limits
  * @param weights weight entries; 0 removes one
- * @param admissionLimit how much of the methods' requests is admitted, infinite for all; {@link
+ * @param admissionLimit the methods' admission limit, infinite to admit all requests; {@link
  *     #NO_LIMIT} if the part sets none
  * @param excluded nodes that the proxy must not send to, whatever its tables say
  * @param readmitted nodes that are no longer excluded
@@ -23,10 +23,10 @@
         double admissionLimit,
         List<NodeId> excluded,
         List<NodeId> readmitted) {
-    /** Stands for no admission limit being set; test with {@link #setsLimit}. */
+    /** The value of a part that sets no admission limit; NaN, so test with {@link #setsLimit}. */
     static final double NO_LIMIT = Double.NaN;
 
-    /** A part that only excludes and readmits nodes, in everything that a proxy holds. */
+    /** A part that only excludes and readmits nodes, for all methods of a proxy. */
     static UpdatePart ofExclusions(List<NodeId> excluded, List<NodeId> readmitted) {
         return new UpdatePart(List.of(), false, Map.of(), NO_LIMIT, excluded, readmitted);
     }
--- a/src/main/java/rosespread/platform/UpdatePartBuilder.java
+++ b/src/main/java/rosespread/platform/UpdatePartBuilder.java
@@ -8,7 +8,7 @@
 import rosespread.api.MethodId;
 import rosespread.api.NodeId;
 
-/** Builds the parts of an update from a table. Holds no state but the number of methods. */
+/** Builds the parts of an update from a table. Immutable. */
 final class UpdatePartBuilder {
     private final int methodCount;
 
@@ -16,19 +16,19 @@
         this.methodCount = methodCount;
     }
 
-    /** The parts that bring the whole table to these methods. */
+    /** Returns the parts that carry the full table for these methods. */
     List<UpdatePart> full(WeightTable table, List<MethodId> methods) {
         return parts(true, table.weights(), table.admissionLimits(), methods);
     }
 
-    /** The parts that bring this round's changes of the table; none if nothing changed. */
+    /** Returns the parts that carry this round's changes of the table; none if nothing changed. */
     List<UpdatePart> delta(WeightTable table, List<MethodId> methods) {
         return parts(false, table.changedWeights(), table.changedLimits(), methods);
     }
 
     /**
-     * Weight entries come first, along with an admission limit that all methods share; other limits
-     * follow, as a full update resets limits.
+     * Returns the part with the weight entries first, along with an admission limit that all
+     * methods share. Parts with other limits follow, as a full update resets limits.
      */
     private List<UpdatePart> parts(
             boolean full,
@@ -42,7 +42,7 @@
             double limit = shared ? byLimit.keySet().iterator().next() : UpdatePart.NO_LIMIT;
             parts.add(
                     new UpdatePart(
-                            named(methods),
+                            methodsOnWire(methods),
                             full,
                             new TreeMap<>(weights),
                             limit,
@@ -50,12 +50,14 @@
                             List.of()));
         }
         if (!shared) {
-            byLimit.forEach((limit, some) -> parts.add(UpdatePart.ofLimit(named(some), limit)));
+            byLimit.forEach(
+                    (limit, limitedMethods) ->
+                            parts.add(UpdatePart.ofLimit(methodsOnWire(limitedMethods), limit)));
         }
         return parts;
     }
 
-    /** In a full update, a method without a limit needs none to be sent. */
+    /** Groups methods by limit. A full update resets limits, so infinite limits are left out. */
     private static Map<Double, List<MethodId>> methodsByLimit(
             boolean full, Map<MethodId, Double> limits, List<MethodId> methods) {
         Map<Double, List<MethodId>> byLimit = new LinkedHashMap<>();
@@ -72,8 +74,8 @@
         return byLimit.size() == 1 && byLimit.values().iterator().next().size() == methods;
     }
 
-    /** On the wire, naming no method stands for all of them. */
-    private List<MethodId> named(List<MethodId> methods) {
+    /** Returns the methods to name on the wire: none if the part applies to all methods. */
+    private List<MethodId> methodsOnWire(List<MethodId> methods) {
         return methods.size() == methodCount ? List.of() : List.copyOf(methods);
     }
 }
--- a/src/main/java/rosespread/platform/UpdateSender.java
+++ b/src/main/java/rosespread/platform/UpdateSender.java
@@ -8,17 +8,20 @@
 import rosespread.api.ProxyId;
 
 /**
- * Writes the updates of a round to the sessions. Proxies that get the same update share its bytes,
- * as all updates of a round carry the same token. Owned by the event-loop thread.
+ * Writes the updates of a round to the sessions. Proxies that get the same update share its encoded
+ * bytes, as all updates of a round carry the same token. Owned by the event-loop thread.
  */
 final class UpdateSender {
     private static final Logger LOG = LoggerFactory.getLogger(UpdateSender.class);
 
-    /** A proxy that leaves so much unread is of no use, and what waits for it must not grow. */
+    /**
+     * Limit on the bytes queued for a proxy. A proxy with more is disconnected, as it can't follow
+     * the updates and its queue would grow without bound.
+     */
     private static final long MAX_WRITE_BUFFER_BYTES = 512L << 10;
 
     /** The protocol's acknowledgement tokens are 16 bits wide. */
-    private static final int TOKENS = 1 << 16;
+    private static final int TOKEN_COUNT = 1 << 16;
 
     private final ProxySessions sessions;
     private final UpdateEncoder encoder;
@@ -32,12 +35,12 @@
     }
 
     /**
-     * Opens a round's sending. Each round takes a token of the controller's own count, as the
-     * policy counts its tokens from the beginning whenever it restarts: an answer to an earlier
-     * policy fits no token.
+     * Starts sending a round's updates. Each round uses a token from this sender's own counter,
+     * because the policy's tokens start over when the policy restarts. So an acknowledgement meant
+     * for an earlier policy matches no pending token.
      */
     PlatformUpdateWriter.UpdateSink startRound(long now) {
-        token = (token + 1) % TOKENS;
+        token = (token + 1) % TOKEN_COUNT;
         Map<List<UpdatePart>, byte[]> encoded = new HashMap<>();
         return (proxy, parts, policyToken) -> {
             byte[] message = encoded.computeIfAbsent(parts, same -> encode(same, policyToken));
@@ -68,12 +71,12 @@
         session.connection().write(message);
     }
 
-    /** Messages written so far. */
+    /** The number of messages written so far. */
     long messages() {
         return messages;
     }
 
-    /** Bytes written so far. */
+    /** The number of bytes written so far. */
     long bytes() {
         return bytes;
     }
--- a/src/main/java/rosespread/platform/WeightTable.java
+++ b/src/main/java/rosespread/platform/WeightTable.java
@@ -8,8 +8,8 @@
 import rosespread.api.NodeId;
 
 /**
- * A table as the policy set it: weight entries and admission limits, and which of them the running
- * round changed. Owned by the event-loop thread. Views are sorted maps, as those are copied
+ * A table as set by the policy: weight entries and admission limits, and those changed in the
+ * current round. Owned by the event-loop thread. Views are sorted maps, as those are copied
  * fastest.
  */
 final class WeightTable {
@@ -33,7 +33,7 @@
         changedLimits.put(method, limit);
     }
 
-    /** Ends the round: nothing is changed any more. */
+    /** Ends the round: clears its changes. */
     void clearChanges() {
         changedWeights.clear();
         changedLimits.clear();
@@ -43,7 +43,7 @@
         return weights.containsKey(node);
     }
 
-    /** All entries. */
+    /** All weight entries; a read-only view. */
     SortedMap<NodeId, Double> weights() {
         return Collections.unmodifiableSortedMap(weights);
     }
@@ -52,7 +52,7 @@
         return Collections.unmodifiableSortedMap(admissionLimits);
     }
 
-    /** What the running round set; weight 0 stands for a removed entry. */
+    /** The weights set in the current round; 0 stands for a removed entry. */
     SortedMap<NodeId, Double> changedWeights() {
         return Collections.unmodifiableSortedMap(changedWeights);
     }
@@ -61,7 +61,7 @@
         return Collections.unmodifiableSortedMap(changedLimits);
     }
 
-    /** The nodes that a full update names, or one with the changes only. */
+    /** The nodes in a full update, or in a delta with this round's changes. */
     Set<NodeId> nodesOfUpdate(boolean full) {
         return full ? weights.keySet() : changedWeights.keySet();
     }
