--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -178,7 +178,7 @@
         }
         long nextRound = policyRunner.runDue();
         TableLog log = registry.log();
-        if (log.wantsSnapshot()) {
+        if (log.needsSnapshot()) {
             log.writeSnapshot(registry.snapshot());
         }
         long nextMessage = policyRunner.channel().orElseThrow().sendDue(nowNanos);
--- a/src/main/java/rosespread/controller/DeltaSelector.java
+++ b/src/main/java/rosespread/controller/DeltaSelector.java
@@ -34,7 +34,7 @@
         if (subscribers.isEmpty() || delta.isEmpty()) {
             return delta;
         }
-        Map<NodeId, Double> committed = table.current().lines();
+        Map<NodeId, Double> committed = table.current().entries();
         boolean urgent =
                 delta.entrySet().stream().anyMatch(change -> isUrgent(change, committed, context));
         boolean writable =
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -117,7 +117,7 @@
         history.admissionLimits().clear();
         acceptedTotals.forget();
         refusals = List.of();
-        pin = pin.lasting();
+        pin = pin.persisted();
         awaitingPolicy = true;
     }
 
@@ -166,7 +166,7 @@
 
     /** Returns the committed weights as they will be once all pending changes are sent. */
     Map<NodeId, Double> weightsAfterPending() {
-        Map<NodeId, Double> weights = new TreeMap<>(current().lines());
+        Map<NodeId, Double> weights = new TreeMap<>(current().entries());
         pending.forEach(
                 (node, weight) -> {
                     if (weight > 0) {
@@ -191,7 +191,7 @@
      */
     boolean setPin(PinState next, long target, Map<NodeId, Double> changes) {
         boolean persistedStateChanged =
-                target > 0 || next.lasting() != pin.lasting() || target != rollbackTarget;
+                target > 0 || next.persisted() != pin.persisted() || target != rollbackTarget;
         pending.clear();
         pending.putAll(changes);
         pin = next;
--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -54,7 +54,7 @@
         Map<NodeId, Double> target =
                 stepDue && !table.isAwaitingPolicy()
                         ? validation.stepTowardsDesired(table, context)
-                        : validation.retain(current.lines(), context);
+                        : validation.retain(current.entries(), context);
         Map<NodeId, Double> delta =
                 selector.select(table, current.changesTo(target), context, time.nowNanos());
         if (stepDue) {
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -87,7 +87,7 @@
 
     private byte[] encodePlain(VersionHistory history, FullTableKey key) {
         TableVersion version = history.current();
-        TreeMap<NodeId, Double> weights = new TreeMap<>(version.lines());
+        TreeMap<NodeId, Double> weights = new TreeMap<>(version.entries());
         ByteArrayOutputStream frames = new ByteArrayOutputStream();
         if (key.introduced) {
             weights.keySet().stream()
--- a/src/main/java/rosespread/controller/RoundMessageWriter.java
+++ b/src/main/java/rosespread/controller/RoundMessageWriter.java
@@ -107,7 +107,7 @@
         for (TableId id : session.pendingFullUpdates()) {
             if (!session.isSubscribed(id) || tables.containsKey(id)) {
                 session.clearFullUpdate(id);
-            } else if (registry.table(id).current().lines().size()
+            } else if (registry.table(id).current().entries().size()
                     <= capacity.entriesThatFit(1, true)) {
                 session.clearFullUpdate(id);
                 tables.put(id, session.subscribedMethods(id));
@@ -148,7 +148,7 @@
 
     private boolean hasWeightFor(ProxySession session, NodeId node) {
         return session.subscribedTables().stream()
-                .anyMatch(table -> registry.table(table).current().lines().containsKey(node));
+                .anyMatch(table -> registry.table(table).current().entries().containsKey(node));
     }
 
     /** With a full table go the exclusions of its nodes, as a Bind clears those before it. */
@@ -156,7 +156,7 @@
             ProxyMessage message, TableId id, Set<MethodId> methods, RoundFrames frames) {
         ProxySession session = message.session();
         VersionHistory history = registry.table(id).history();
-        Set<NodeId> weighted = history.current().lines().keySet();
+        Set<NodeId> weighted = history.current().entries().keySet();
         boolean introduced = session.knowsNoneOf(weighted);
         if (introduced) {
             weighted.stream().filter(nodes::containsKey).forEach(session::introduce);
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -93,7 +93,7 @@
     private boolean followsFacts(ManagedTable table) {
         return facts.isListKnown()
                 && (table.pin() != PinState.NONE
-                        || table.isAwaitingPolicy() && !table.current().lines().isEmpty());
+                        || table.isAwaitingPolicy() && !table.current().entries().isEmpty());
     }
 
     private TableVersion commit(ManagedTable table, RoundActions actions, RoundTime time) {
@@ -150,7 +150,8 @@
     private TableVersion commitRetained(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
         TableVersion current = table.current();
-        Map<NodeId, Double> delta = current.changesTo(validation.retain(current.lines(), context));
+        Map<NodeId, Double> delta =
+                current.changesTo(validation.retain(current.entries(), context));
         return registry.commit(
                 table,
                 selector.select(table, delta, context, time.nowNanos()),
--- a/src/main/java/rosespread/controller/TableOperations.java
+++ b/src/main/java/rosespread/controller/TableOperations.java
@@ -50,8 +50,8 @@
     private void rollback(ManagedTable table, TableVersion target) {
         Map<NodeId, Double> weights =
                 facts.isListKnown()
-                        ? validation.retain(target.lines(), validation.context(table))
-                        : target.lines();
+                        ? validation.retain(target.entries(), validation.context(table))
+                        : target.entries();
         registry.setPin(
                 table, PinState.PINNED, target.number(), table.current().changesTo(weights));
         modes.report(
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -135,7 +135,7 @@
             lastSequence =
                     log.append(
                             new LogEntry.PinChanged(
-                                    table.id(), pin.lasting(), target, new TreeMap<>(pending)));
+                                    table.id(), pin.persisted(), target, new TreeMap<>(pending)));
         }
     }
 
--- a/src/main/java/rosespread/controller/TableStatusReader.java
+++ b/src/main/java/rosespread/controller/TableStatusReader.java
@@ -27,7 +27,7 @@
     /** Returns all tables with the weights that are committed. */
     List<ControllerStatus.Table> all() {
         List<ControllerStatus.Table> all = new ArrayList<>();
-        registry.tables().forEach(table -> all.add(status(table, table.current().lines())));
+        registry.tables().forEach(table -> all.add(status(table, table.current().entries())));
         return all;
     }
 
@@ -54,7 +54,7 @@
                 version.number(),
                 version.cause().name(),
                 version.atMillis(),
-                version.lines().size(),
+                version.entries().size(),
                 version.changes().size(),
                 Long.toHexString(version.digest()));
     }
@@ -79,7 +79,7 @@
         if (changes.isEmpty()) {
             return Optional.empty();
         }
-        Map<NodeId, Double> before = table.history().version(from).orElseThrow().lines();
+        Map<NodeId, Double> before = table.history().version(from).orElseThrow().entries();
         List<ControllerStatus.Changed> all = new ArrayList<>();
         changes.get()
                 .forEach(
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -169,7 +169,7 @@
         return registry.tables().stream()
                 .anyMatch(
                         table ->
-                                table.current().lines().containsKey(node)
+                                table.current().entries().containsKey(node)
                                         || table.desired().containsKey(node));
     }
 
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -48,7 +48,7 @@
 
     private Set<ZoneId> zonesOfEntries(ManagedTable table) {
         Set<ZoneId> zones = new TreeSet<>();
-        for (NodeId node : table.current().lines().keySet()) {
+        for (NodeId node : table.current().entries().keySet()) {
             ListedNode known = nodes.get(node);
             if (known != null) {
                 zones.add(facts.zone(known));
@@ -65,7 +65,7 @@
         TableChangeValidator.ValidationResult result =
                 validator.validate(
                         table.acceptedTotals(),
-                        table.current().lines(),
+                        table.current().entries(),
                         table.desired(),
                         changes,
                         context);
@@ -83,7 +83,7 @@
     /** Returns the weights one step from the committed ones towards the desired ones. */
     Map<NodeId, Double> stepTowardsDesired(
             ManagedTable table, TableChangeValidator.ValidationContext context) {
-        return validator.stepTowards(table.current().lines(), table.desired(), context);
+        return validator.stepTowards(table.current().entries(), table.desired(), context);
     }
 
     private void report(ManagedTable table, List<TableChangeValidator.Refusal> refusals) {
--- a/src/main/java/rosespread/store/LogEntry.java
+++ b/src/main/java/rosespread/store/LogEntry.java
@@ -19,7 +19,7 @@
     /**
      * A table was pinned, is rolled back or follows the routing policy again.
      *
-     * @param state what is persisted of the pin, see {@link PinState#lasting}
+     * @param state what is persisted of the pin, see {@link PinState#persisted}
      * @param rollbackTarget the version that the table goes back to, 0 if none
      * @param pending entries that it still has to change for that, weight 0 for one to remove
      */
--- a/src/main/java/rosespread/store/LogEntryReader.java
+++ b/src/main/java/rosespread/store/LogEntryReader.java
@@ -85,7 +85,7 @@
     private static TableVersion version(JsonNode version, List<TableVersion> before)
             throws StoreException {
         if (version.has("lines")) {
-            return TableVersion.whole(
+            return TableVersion.full(
                     tableId(version),
                     integer(version, "number"),
                     cause(version),
--- a/src/main/java/rosespread/store/LogEntryWriter.java
+++ b/src/main/java/rosespread/store/LogEntryWriter.java
@@ -112,7 +112,7 @@
         out.writeNumberField("at", version.atMillis());
         out.writeStringField("digest", Long.toHexString(version.digest()));
         if (full) {
-            writeWeights(out, "lines", version.lines());
+            writeWeights(out, "lines", version.entries());
         } else {
             writeWeights(out, "changes", version.changes());
         }
--- a/src/main/java/rosespread/store/NoTableLog.java
+++ b/src/main/java/rosespread/store/NoTableLog.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public boolean wantsSnapshot() {
+    public boolean needsSnapshot() {
         return false;
     }
 
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -20,7 +20,7 @@
     long durable();
 
     /** Whether a snapshot is needed: to begin a shorter file, or a new one after a fault. */
-    boolean wantsSnapshot();
+    boolean needsSnapshot();
 
     /** Takes a snapshot to be written; it holds every entry appended so far. */
     void writeSnapshot(StoreSnapshot snapshot);
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -76,7 +76,7 @@
     private long retryAtNanos;
 
     private volatile long durable;
-    private volatile boolean wantsSnapshot;
+    private volatile boolean needsSnapshot;
     private volatile String fault = "";
     private volatile boolean closing;
 
@@ -177,7 +177,7 @@
         if (!overflowed && !queue.offer(new WriteEntry(appended, entry))) {
             overflowed = true;
             fault = "the disk is " + MAX_QUEUED + " entries behind";
-            wantsSnapshot = true;
+            needsSnapshot = true;
         }
         return appended;
     }
@@ -210,17 +210,17 @@
     }
 
     @Override
-    public boolean wantsSnapshot() {
-        return wantsSnapshot;
+    public boolean needsSnapshot() {
+        return needsSnapshot;
     }
 
     @Override
     public void writeSnapshot(StoreSnapshot snapshot) {
-        wantsSnapshot = false;
+        needsSnapshot = false;
         if (queue.offer(new BeginFile(appended, snapshot))) {
             overflowed = false;
         } else {
-            wantsSnapshot = true;
+            needsSnapshot = true;
         }
     }
 
@@ -260,7 +260,7 @@
     private void askForSnapshot() {
         if (!fault.isEmpty() && System.nanoTime() - retryAtNanos >= 0) {
             retryAtNanos = System.nanoTime() + RETRY_NANOS;
-            wantsSnapshot = true;
+            needsSnapshot = true;
             signalProgress();
         }
     }
@@ -287,7 +287,7 @@
         }
         signalProgress();
         if (writer.hasGrown(grownBytes)) {
-            wantsSnapshot = true;
+            needsSnapshot = true;
         }
     }
 
--- a/src/main/java/rosespread/table/PinState.java
+++ b/src/main/java/rosespread/table/PinState.java
@@ -15,7 +15,7 @@
     RELEASING;
 
     /** What outlives the process: a refusal is validated again after a start. */
-    public PinState lasting() {
+    public PinState persisted() {
         return this == REFUSED ? NONE : this;
     }
 }
--- a/src/main/java/rosespread/table/TableSnapshot.java
+++ b/src/main/java/rosespread/table/TableSnapshot.java
@@ -10,7 +10,7 @@
  *
  * @param versions oldest first, at least one; the last is the current one
  * @param retained numbers of versions that stay in the history whatever their age
- * @param pinState what is persisted of the pin, see {@link PinState#lasting}
+ * @param pinState what is persisted of the pin, see {@link PinState#persisted}
  * @param rollbackTarget the version that a pinned table still goes back to, 0 if it has arrived
  * @param pending the entries that it still has to change for that, weight 0 for one to remove
  */
--- a/src/main/java/rosespread/table/TableVersion.java
+++ b/src/main/java/rosespread/table/TableVersion.java
@@ -20,7 +20,7 @@
  * @param cause who or what the version comes from
  * @param atMillis wall clock of the commit
  * @param parent the number of the version that it changed
- * @param lines all weight entries
+ * @param entries all weight entries
  * @param changes entries that differ from the parent's
  * @param digest see {@link TableDigest}
  */
@@ -30,7 +30,7 @@
         Cause cause,
         long atMillis,
         long parent,
-        PMap<NodeId, Double> lines,
+        PMap<NodeId, Double> entries,
         Map<NodeId, Double> changes,
         long digest) {
 
@@ -58,7 +58,7 @@
     }
 
     /** A version with these entries, of whose parent only the number is known. */
-    public static TableVersion whole(
+    public static TableVersion full(
             TableId table,
             long number,
             Cause cause,
@@ -67,7 +67,7 @@
             Map<NodeId, Double> entries) {
         TableVersion filled = empty(table, 0).with(entries, cause, atMillis);
         return new TableVersion(
-                table, number, cause, atMillis, parent, filled.lines, Map.of(), filled.digest);
+                table, number, cause, atMillis, parent, filled.entries, Map.of(), filled.digest);
     }
 
     /**
@@ -84,7 +84,7 @@
     /** A later version with a given number, also if nothing changes; see {@link #with}. */
     public TableVersion successor(
             long later, Map<NodeId, Double> wanted, Cause why, long nowMillis) {
-        PMap<NodeId, Double> next = lines;
+        PMap<NodeId, Double> next = entries;
         Map<NodeId, Double> effective = new TreeMap<>();
         long sum = digest;
         for (Map.Entry<NodeId, Double> change : wanted.entrySet()) {
@@ -107,7 +107,7 @@
     /** What has to change to come from this table's entries to other ones. */
     public Map<NodeId, Double> changesTo(Map<NodeId, Double> other) {
         Map<NodeId, Double> delta = new TreeMap<>();
-        lines.forEach(
+        entries.forEach(
                 (node, weight) -> {
                     if (!other.containsKey(node)) {
                         delta.put(node, 0.0);
@@ -115,7 +115,7 @@
                 });
         other.forEach(
                 (node, weight) -> {
-                    Double old = lines.get(node);
+                    Double old = entries.get(node);
                     if (old == null || !old.equals(weight)) {
                         delta.put(node, weight);
                     }
--- a/src/main/java/rosespread/table/VersionHistory.java
+++ b/src/main/java/rosespread/table/VersionHistory.java
@@ -112,7 +112,7 @@
                 new TableSnapshot(
                         versions(),
                         new TreeSet<>(retained),
-                        pinState.lasting(),
+                        pinState.persisted(),
                         rollbackTarget,
                         new TreeMap<>(pending)));
     }
@@ -133,7 +133,7 @@
         return Optional.of(
                 touchedBetween(Math.min(from, to), Math.max(from, to))
                         .map(touched -> changes(first, last, touched))
-                        .orElseGet(() -> first.changesTo(last.lines())));
+                        .orElseGet(() -> first.changesTo(last.entries())));
     }
 
     /** The nodes whose entries changed after one version up to another; empty if one is missing. */
@@ -151,8 +151,8 @@
             TableVersion first, TableVersion last, TreeSet<NodeId> touched) {
         Map<NodeId, Double> changes = new TreeMap<>();
         for (NodeId node : touched) {
-            Double before = first.lines().get(node);
-            Double after = last.lines().get(node);
+            Double before = first.entries().get(node);
+            Double after = last.entries().get(node);
             if (!Objects.equals(before, after)) {
                 changes.put(node, after == null ? 0.0 : after);
             }
--- a/src/test/java/rosespread/controller/MemoryLog.java
+++ b/src/test/java/rosespread/controller/MemoryLog.java
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public boolean wantsSnapshot() {
+    public boolean needsSnapshot() {
         return false;
     }
 
--- a/src/test/java/rosespread/controller/StoredFormatTest.java
+++ b/src/test/java/rosespread/controller/StoredFormatTest.java
@@ -67,7 +67,7 @@
     @Test
     void anImageHasTheFormThatItHad(@TempDir Path empty) throws IOException {
         TableVersion whole =
-                TableVersion.whole(
+                TableVersion.full(
                         new TableId(7),
                         5,
                         TableVersion.Cause.REJOIN,
--- a/src/test/java/rosespread/controller/StoredStateFixture.java
+++ b/src/test/java/rosespread/controller/StoredStateFixture.java
@@ -132,7 +132,7 @@
                         .append(' ')
                         .append(Long.toHexString(v.digest()))
                         .append(' ')
-                        .append(weights(v.lines()))
+                        .append(weights(v.entries()))
                         .append('\n');
             }
         }
--- a/src/test/java/rosespread/store/DiskFaultTest.java
+++ b/src/test/java/rosespread/store/DiskFaultTest.java
@@ -22,7 +22,7 @@
         assertTrue(store.durable() < fixture.lastSequence());
         fixture.append(history, 20);
         disk.free(10 << 20);
-        await().until(store::wantsSnapshot);
+        await().until(store::needsSnapshot);
         fixture.append(history, 5);
         store.writeSnapshot(history.snapshot());
         fixture.append(history, 5);
@@ -68,7 +68,7 @@
     }
 
     private static boolean recovered(TableStore store, AppendedHistory history) {
-        if (store.wantsSnapshot()) {
+        if (store.needsSnapshot()) {
             store.writeSnapshot(history.snapshot());
         }
         return store.fault().isEmpty();
--- a/src/test/java/rosespread/store/TableStoreTest.java
+++ b/src/test/java/rosespread/store/TableStoreTest.java
@@ -26,7 +26,7 @@
             long grownBytes = history.random().nextBoolean() ? 2000 : 1 << 20;
             assertSameSnapshot(history.snapshot(), restarted.open(LogOutput.DISK, grownBytes));
             restarted.append(history, history.random().nextInt(60));
-            if (restarted.store().wantsSnapshot()) {
+            if (restarted.store().needsSnapshot()) {
                 restarted.store().writeSnapshot(history.snapshot());
                 restarted.append(history, history.random().nextInt(10));
             }
@@ -48,7 +48,7 @@
         for (int batch = 0; batch < 20; batch++) {
             for (int i = 0; i < 100; i++) {
                 fixture.append(history, 1);
-                if (fixture.store().wantsSnapshot()) {
+                if (fixture.store().needsSnapshot()) {
                     fixture.store().writeSnapshot(history.snapshot());
                 }
             }
--- a/src/test/java/rosespread/table/TableVersionTest.java
+++ b/src/test/java/rosespread/table/TableVersionTest.java
@@ -36,7 +36,7 @@
         }
         for (int i = 0; i < versions.size(); i++) {
             TableVersion version = versions.get(i);
-            assertEquals(models.get(i), new TreeMap<>(version.lines()));
+            assertEquals(models.get(i), new TreeMap<>(version.entries()));
             assertEquals(TableDigest.of(models.get(i)), version.digest());
             assertChangesLeadTo(history.current(), version, history);
         }
@@ -44,12 +44,12 @@
 
     private static void assertChangesLeadTo(
             TableVersion last, TableVersion version, VersionHistory history) {
-        Map<NodeId, Double> changes = version.changesTo(last.lines());
+        Map<NodeId, Double> changes = version.changesTo(last.entries());
         if (version.number() > 0) {
             assertEquals(
                     changes, history.difference(version.number(), last.number()).orElseThrow());
         }
         TableVersion changed = version.with(changes, TableVersion.Cause.OPERATOR, 0);
-        assertEquals(new TreeMap<>(last.lines()), new TreeMap<>(changed.lines()));
+        assertEquals(new TreeMap<>(last.entries()), new TreeMap<>(changed.entries()));
     }
 }
--- a/src/test/java/rosespread/table/VersionHistoryTest.java
+++ b/src/test/java/rosespread/table/VersionHistoryTest.java
@@ -22,7 +22,7 @@
             history.retain(3);
         }
         assertEquals(256, history.versions().size());
-        assertEquals(3.0, history.version(3).orElseThrow().lines().get(new NodeId(1)));
+        assertEquals(3.0, history.version(3).orElseThrow().entries().get(new NodeId(1)));
         assertTrue(history.version(4).isEmpty());
         history.commit(Map.of(new NodeId(1), 7.0), TableVersion.Cause.MODULE, TWO_DAYS_MILLIS);
         assertEquals(
