--- a/src/main/java/rosespread/table/PinState.java
+++ b/src/main/java/rosespread/table/PinState.java
@@ -1,20 +1,23 @@
 package rosespread.table;
 
 /**
- * What a table follows: the routing policy, as its changes pass validation, or an operator's pin.
- * Names are stored and reported by the control API and must not change.
+ * Whether a table follows the routing policy or is pinned by an operator. Names are stored and
+ * reported by the control API and must not change.
  */
 public enum PinState {
-    /** The table follows the routing policy. */
+    /** The table follows the routing policy, whose changes pass validation. */
     NONE,
-    /** The last accepted entries stay until what the routing policy wants passes validation. */
+    /** The last accepted entries stay until the routing policy's weights pass validation. */
     REFUSED,
-    /** An operator pinned the table, or rolled it back. */
+    /** An operator pinned the table or rolled it back. */
     PINNED,
-    /** The table goes step by step from what was pinned to what the routing policy wants. */
+    /** The table changes in steps from the pinned weights to the routing policy's. */
     RELEASING;
 
-    /** What outlives the process: a refusal is validated again after a start. */
+    /**
+     * Returns the state to store: {@link #REFUSED} is stored as {@link #NONE}, as weights are
+     * validated again after a restart.
+     */
     public PinState persisted() {
         return this == REFUSED ? NONE : this;
     }
--- a/src/main/java/rosespread/table/TableDigest.java
+++ b/src/main/java/rosespread/table/TableDigest.java
@@ -7,15 +7,15 @@
 /**
  * A digest over a table's weight entries: the sum, modulo 2 to the 64, of each entry's XXH3 (64
  * bits, seed 0) over its node and the bits of its weight, 16 bytes little-endian. A sum does not
- * depend on order, so a changed entry costs two hashes whatever the table's size. It guards against
- * loss and mistakes, not against forgery.
+ * depend on order, so a changed entry costs two hashes regardless of the table's size. The digest
+ * detects lost and wrong entries, but not forged ones.
  *
  * <p>Digests are stored and sent to proxies. Stateless and therefore thread-safe.
  */
 public final class TableDigest {
     private TableDigest() {}
 
-    /** The digest of one entry. */
+    /** Returns the digest of one entry. */
     public static long of(NodeId node, double weight) {
         return Hashing.xxh3_64()
                 .hashStream()
@@ -24,7 +24,7 @@
                 .getAsLong();
     }
 
-    /** The digest of all entries of a table; 0 if there is none. */
+    /** Returns the digest of all entries of a table; 0 if there are none. */
     public static long of(Map<NodeId, Double> entries) {
         long sum = 0;
         for (Map.Entry<NodeId, Double> entry : entries.entrySet()) {
--- a/src/main/java/rosespread/table/TableSnapshot.java
+++ b/src/main/java/rosespread/table/TableSnapshot.java
@@ -6,13 +6,13 @@
 import rosespread.api.NodeId;
 
 /**
- * A table at one moment, as it is stored.
+ * The stored state of a table at one moment.
  *
  * @param versions oldest first, at least one; the last is the current one
- * @param retained numbers of versions that stay in the history whatever their age
- * @param pinState what is persisted of the pin, see {@link PinState#persisted}
- * @param rollbackTarget the version that a pinned table still goes back to, 0 if it has arrived
- * @param pending the entries that it still has to change for that, weight 0 for one to remove
+ * @param retained numbers of versions that stay in the history regardless of their age
+ * @param pinState the pin state as stored, see {@link PinState#persisted}
+ * @param rollbackTarget the target version of a rollback in progress, 0 if none is in progress
+ * @param pending the entries still to change for the rollback, weight 0 for an entry to remove
  */
 public record TableSnapshot(
         List<TableVersion> versions,
@@ -21,17 +21,18 @@
         long rollbackTarget,
         Map<NodeId, Double> pending) {
     /**
-     * A snapshot of a table that was committed at least once.
+     * Creates a snapshot of a table that was committed at least once.
      *
      * @throws IllegalArgumentException if there is no version
      */
     public TableSnapshot {
         if (versions.isEmpty()) {
-            throw new IllegalArgumentException("no version");
+            throw new IllegalArgumentException(
+                    "table snapshot without versions; expected at least one");
         }
     }
 
-    /** The newest version. */
+    /** Returns the newest version. */
     public TableVersion current() {
         return versions.get(versions.size() - 1);
     }
--- a/src/main/java/rosespread/table/TableVersion.java
+++ b/src/main/java/rosespread/table/TableVersion.java
@@ -8,20 +8,20 @@
 import rosespread.api.TableId;
 
 /**
- * A table as it was committed once. It shares all unchanged entries with the version before it, and
- * holds what it changed, so that a delta from its parent needs no comparison. Immutable as long as
- * nobody changes the maps that it was made of.
+ * One committed version of a table. It shares all unchanged entries with the previous version, and
+ * holds the changed ones, so that a delta from its parent needs no comparison. Immutable as long as
+ * the maps passed to it are not changed.
  *
- * <p>A weight entry gives a node its weight in the table. In changes, weight 0 stands for an entry
- * that is removed; the entries of a version are always positive.
+ * <p>A weight entry holds a node's weight in the table. In changes, weight 0 means that the entry
+ * is removed; the weights in a version are always positive.
  *
- * @param number rises by one with each commit, by more where a proxy was met that holds a higher
- *     one; 0 is the empty table before the first
- * @param cause who or what the version comes from
- * @param atMillis wall clock of the commit
- * @param parent the number of the version that it changed
+ * @param number rises by one with each commit, and by more after a proxy reported a higher number;
+ *     0 is the empty table before the first commit
+ * @param cause the origin of the version
+ * @param atMillis the wall clock of the commit
+ * @param parent the number of the version that this one changed
  * @param entries all weight entries
- * @param changes entries that differ from the parent's
+ * @param changes the entries that differ from the parent's
  * @param digest see {@link TableDigest}
  */
 public record TableVersion(
@@ -35,29 +35,29 @@
         long digest) {
 
     /**
-     * Who or what a version comes from. Names are stored and reported by the control API and must
-     * not change.
+     * The origin of a version. Names are stored and reported by the control API and must not
+     * change.
      */
     public enum Cause {
-        /** The routing policy ordered it. */
+        /** The routing policy. */
         MODULE,
-        /** An operator ordered it, for example by releasing a pin. */
+        /** An operator's request, for example the release of a pin. */
         OPERATOR,
-        /** A part of a rollback. */
+        /** A step of a rollback. */
         ROLLBACK,
-        /** Validation put it in place of what was refused. */
+        /** Validation, which replaced changes that it refused. */
         GUARD,
-        /** A proxy was met that holds a higher number: the same entries, renumbered. */
+        /** A proxy that holds a higher number: the entries are the same under a new number. */
         REJOIN
     }
 
-    /** A version without entries. */
+    /** Returns a version without entries. */
     public static TableVersion empty(TableId table, long number) {
         return new TableVersion(
                 table, number, Cause.MODULE, 0, 0, HashTreePMap.empty(), Map.of(), 0);
     }
 
-    /** A version with these entries, of whose parent only the number is known. */
+    /** Returns a version with these entries, if only the number of its parent is known. */
     public static TableVersion full(
             TableId table,
             long number,
@@ -71,23 +71,24 @@
     }
 
     /**
-     * The next version.
+     * Returns the next version.
      *
-     * @param wanted new weights; those that are set already are left out of the changes
+     * @param weights new weights, 0 for an entry to remove; unchanged ones are left out of the
+     *     changes
      * @return this version if nothing changes
      */
-    public TableVersion with(Map<NodeId, Double> wanted, Cause why, long nowMillis) {
-        TableVersion next = successor(number + 1, wanted, why, nowMillis);
+    public TableVersion with(Map<NodeId, Double> weights, Cause newCause, long nowMillis) {
+        TableVersion next = successor(number + 1, weights, newCause, nowMillis);
         return next.changes.isEmpty() ? this : next;
     }
 
-    /** A later version with a given number, also if nothing changes; see {@link #with}. */
+    /** Returns a version with a higher number, even if nothing changes; see {@link #with}. */
     public TableVersion successor(
-            long later, Map<NodeId, Double> wanted, Cause why, long nowMillis) {
+            long newNumber, Map<NodeId, Double> weights, Cause newCause, long nowMillis) {
         PMap<NodeId, Double> next = entries;
         Map<NodeId, Double> effective = new TreeMap<>();
         long sum = digest;
-        for (Map.Entry<NodeId, Double> change : wanted.entrySet()) {
+        for (Map.Entry<NodeId, Double> change : weights.entrySet()) {
             NodeId node = change.getKey();
             double weight = change.getValue();
             Double old = next.get(node);
@@ -101,10 +102,11 @@
                 effective.put(node, 0.0);
             }
         }
-        return new TableVersion(table, later, why, nowMillis, number, next, effective, sum);
+        return new TableVersion(
+                table, newNumber, newCause, nowMillis, number, next, effective, sum);
     }
 
-    /** What has to change to come from this table's entries to other ones. */
+    /** Returns the changes that lead from this version's entries to the given ones. */
     public Map<NodeId, Double> changesTo(Map<NodeId, Double> other) {
         Map<NodeId, Double> delta = new TreeMap<>();
         entries.forEach(
--- a/src/main/java/rosespread/table/VersionHistory.java
+++ b/src/main/java/rosespread/table/VersionHistory.java
@@ -13,9 +13,9 @@
 import rosespread.api.TableId;
 
 /**
- * A table's versions, bounded by count and age; the current one and those that are retained by
- * number stay. Numbers only rise. Reads no clock: the moment of a commit is passed in, as wall
- * clock in milliseconds.
+ * The versions of a table, limited in count and age, except for the current version and those
+ * retained by number. Numbers only rise. Reads no clock: the time of a commit is a parameter, as
+ * wall clock in milliseconds.
  *
  * <p>Not thread-safe: owned by the controller's event loop.
  */
@@ -29,34 +29,34 @@
     private TableVersion current;
 
     /**
-     * The history of a table that was never committed.
+     * Creates the history of a table that was never committed.
      *
-     * @param floor the number after which numbers begin
+     * @param floor the number above which version numbers start
      */
     public VersionHistory(TableId table, long floor) {
         current = TableVersion.empty(table, floor);
     }
 
-    /** A history as it was stored. */
+    /** Restores a history from a snapshot. */
     public VersionHistory(TableSnapshot snapshot) {
         snapshot.versions().forEach(version -> versions.put(version.number(), version));
         retained.addAll(snapshot.retained());
         current = snapshot.current();
     }
 
-    /** Whether nothing was ever committed. */
+    /** Returns whether nothing was ever committed. */
     public boolean isEmpty() {
         return versions.isEmpty();
     }
 
-    /** The newest version; an empty one before the first commit. */
+    /** Returns the newest version; an empty one before the first commit. */
     public TableVersion current() {
         return current;
     }
 
     /**
-     * The admission limits that go with the table, by method: a live map that the caller changes.
-     * They are no part of a version and are not stored.
+     * Returns the table's admission limits by method, as a live map that the caller may change.
+     * They belong to no version and are not stored.
      */
     public NavigableMap<MethodId, Double> admissionLimits() {
         return admissionLimits;
@@ -66,7 +66,7 @@
      * Commits changes.
      *
      * @param changes new weights, 0 for an entry to remove
-     * @return the current version, which is the one before if nothing changes
+     * @return the current version, which is the previous one if nothing changes
      */
     public TableVersion commit(
             Map<NodeId, Double> changes, TableVersion.Cause cause, long nowMillis) {
@@ -77,30 +77,33 @@
         return current;
     }
 
-    /** Commits the same entries under a later number: a proxy was met that holds a higher one. */
+    /** Commits the same entries under a higher number, after a proxy reported a higher one. */
     public TableVersion renumber(long number, long nowMillis) {
         add(current.successor(number, Map.of(), TableVersion.Cause.REJOIN, nowMillis));
         return current;
     }
 
-    /** Makes a version the current one; its number must be higher than all before. */
+    /** Makes a version the current one; its number must be higher than all previous ones. */
     public void add(TableVersion next) {
         current = next;
         versions.put(next.number(), next);
         trim(next.atMillis());
     }
 
-    /** Drops all versions but the current one: their entries no longer mean the same. */
+    /**
+     * Drops all versions but the current one, as their entries no longer have the same meaning in a
+     * new table layout.
+     */
     public void dropAllButCurrent() {
         retained.clear();
         versions.keySet().removeIf(number -> number != current.number());
     }
 
     /**
-     * What is to be stored of the table.
+     * Returns the state of the table to store.
      *
-     * @param rollbackTarget the version that it still goes back to, 0 if none
-     * @param pending the entries that it still has to change for that
+     * @param rollbackTarget the target version of a rollback in progress, 0 if none is in progress
+     * @param pending the entries still to change for the rollback
      * @return empty before the first commit
      */
     public Optional<TableSnapshot> snapshot(
@@ -118,9 +121,9 @@
     }
 
     /**
-     * What changes from one version to another, weight 0 for an entry that is removed. Follows the
-     * changes from version to version where all between are there, so that its cost does not grow
-     * with the table.
+     * Returns the changes from one version to another, weight 0 for a removed entry. Combines the
+     * changes of the versions in between if all of them are in the history, so that its cost does
+     * not grow with the table.
      *
      * @return empty if either version is not in the history
      */
@@ -131,26 +134,26 @@
             return Optional.empty();
         }
         return Optional.of(
-                touchedBetween(Math.min(from, to), Math.max(from, to))
-                        .map(touched -> changes(first, last, touched))
+                changedNodesBetween(Math.min(from, to), Math.max(from, to))
+                        .map(changedNodes -> changes(first, last, changedNodes))
                         .orElseGet(() -> first.changesTo(last.entries())));
     }
 
-    /** The nodes whose entries changed after one version up to another; empty if one is missing. */
-    private Optional<TreeSet<NodeId>> touchedBetween(long low, long high) {
-        TreeSet<NodeId> touched = new TreeSet<>();
-        TableVersion at = versions.get(high);
-        while (at.number() > low && versions.containsKey(at.parent())) {
-            touched.addAll(at.changes().keySet());
-            at = versions.get(at.parent());
+    /** Returns the nodes whose entries changed between two versions; empty if one is missing. */
+    private Optional<TreeSet<NodeId>> changedNodesBetween(long low, long high) {
+        TreeSet<NodeId> changedNodes = new TreeSet<>();
+        TableVersion version = versions.get(high);
+        while (version.number() > low && versions.containsKey(version.parent())) {
+            changedNodes.addAll(version.changes().keySet());
+            version = versions.get(version.parent());
         }
-        return at.number() == low ? Optional.of(touched) : Optional.empty();
+        return version.number() == low ? Optional.of(changedNodes) : Optional.empty();
     }
 
     private static Map<NodeId, Double> changes(
-            TableVersion first, TableVersion last, TreeSet<NodeId> touched) {
+            TableVersion first, TableVersion last, TreeSet<NodeId> changedNodes) {
         Map<NodeId, Double> changes = new TreeMap<>();
-        for (NodeId node : touched) {
+        for (NodeId node : changedNodes) {
             Double before = first.entries().get(node);
             Double after = last.entries().get(node);
             if (!Objects.equals(before, after)) {
@@ -160,7 +163,9 @@
         return changes;
     }
 
-    /** The clock may be set back: age counts from the newest version as well. */
+    /**
+     * Drops surplus and old versions. Age counts from the newest version if the clock is set back.
+     */
     private void trim(long nowMillis) {
         long newest = Math.max(nowMillis, current.atMillis());
         List<Long> dropped = new ArrayList<>();
@@ -179,17 +184,17 @@
         return version != current && !retained.contains(version.number());
     }
 
-    /** A version by its number; empty if it was dropped or never there. */
+    /** Returns a version by its number; empty if it was dropped or never existed. */
     public Optional<TableVersion> version(long number) {
         return Optional.ofNullable(versions.get(number));
     }
 
-    /** All versions, the oldest first. */
+    /** Returns all versions, oldest first. */
     public List<TableVersion> versions() {
         return List.copyOf(versions.values());
     }
 
-    /** Retains a version whatever its age; a number that is not in the history is not retained. */
+    /** Retains a version regardless of its age; a number not in the history is not retained. */
     public void retain(long number) {
         if (versions.containsKey(number)) {
             retained.add(number);
--- a/src/test/java/rosespread/table/TableVersionTest.java
+++ b/src/test/java/rosespread/table/TableVersionTest.java
@@ -13,10 +13,10 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 
-/** Versions over any history of commits. */
+/** Entries, changes and digests of versions over random histories of commits. */
 class TableVersionTest {
     @Property(seed = "1")
-    void versionsNeverChangeDigestsFitAndChangesLeadFromOneToAnother(
+    void keepsEntriesDigestsAndChangesOfVersionsConsistent(
             @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 59) Integer> steps) {
         VersionHistory history = new VersionHistory(new TableId(1), 0);
         TreeMap<NodeId, Double> model = new TreeMap<>();
@@ -29,8 +29,8 @@
             TableVersion after =
                     history.commit(Map.of(node, weight), TableVersion.Cause.MODULE, step);
             Double old = weight > 0 ? model.put(node, weight) : model.remove(node);
-            boolean same = old == null ? weight == 0 : old == weight;
-            assertEquals(same ? before.number() : before.number() + 1, after.number());
+            boolean unchanged = old == null ? weight == 0 : old == weight;
+            assertEquals(unchanged ? before.number() : before.number() + 1, after.number());
             models.add(new TreeMap<>(model));
             versions.add(after);
         }
--- a/src/test/java/rosespread/table/VersionHistoryTest.java
+++ b/src/test/java/rosespread/table/VersionHistoryTest.java
@@ -10,12 +10,12 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 
-/** Which versions a history keeps. */
+/** The versions that a history keeps and drops. */
 class VersionHistoryTest {
     private static final long TWO_DAYS_MILLIS = 2L * 24 * 3600 * 1000;
 
     @Test
-    void countAndAgeAreLimitedButForRetainedAndCurrentVersions() {
+    void limitsCountAndAgeExceptForRetainedAndCurrentVersions() {
         VersionHistory history = new VersionHistory(new TableId(1), 0);
         for (int i = 1; i <= 1000; i++) {
             history.commit(Map.of(new NodeId(1), (double) i), TableVersion.Cause.MODULE, i);
@@ -28,7 +28,7 @@
         assertEquals(
                 List.of(3L, 1001L), history.versions().stream().map(TableVersion::number).toList());
         history.commit(Map.of(new NodeId(1), 8.0), TableVersion.Cause.MODULE, 5);
-        assertEquals(1002, history.current().number(), "a clock set back loses nothing");
+        assertEquals(1002, history.current().number(), "a clock set back drops no version");
         assertSame(
                 history.current(),
                 history.commit(Map.of(new NodeId(2), 0.0), TableVersion.Cause.MODULE, 6));
