--- a/src/main/java/rosespread/audit/AuditChain.java
+++ b/src/main/java/rosespread/audit/AuditChain.java
@@ -16,62 +16,64 @@
 import rosespread.audit.AuditLog.Verification;
 
 /**
- * The chain of hashes through the lines of an audit log, and its verification. One instance follows
- * one file from its beginning, on one thread.
+ * The hash chain over the lines of an audit log, and its verification. One instance verifies one
+ * file from its first line, on one thread.
  */
 final class AuditChain {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MAX_LINE_CHARS = 1 << 20;
 
-    private String chain = AuditLog.BEGIN;
+    private String chain = AuditLog.INITIAL_CHAIN;
     private long lines;
 
     private AuditChain() {}
 
     /**
-     * The chain after a line: the SHA-256, in hexadecimal, of the chain before and of the line's
-     * JSON without its own chain.
+     * Returns the chain after a line: the SHA-256, in hexadecimal, of the previous line's chain
+     * followed by this line's JSON without the field {@code chain}.
      */
-    static String next(String before, ObjectNode line) {
+    static String next(String previous, ObjectNode line) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            digest.update(before.getBytes(StandardCharsets.US_ASCII));
+            digest.update(previous.getBytes(StandardCharsets.US_ASCII));
             digest.update(line.toString().getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 
     /**
-     * Verifies the lines that begin within a number of bytes; stops at the first one at fault.
+     * Verifies the lines that start within the first bytes of a file; stops at the first line with
+     * a fault.
      *
+     * @param bytes the number of bytes
      * @throws IOException if the file cannot be read
      */
     static Verification verify(Path path, long bytes) throws IOException {
-        AuditChain verified = new AuditChain();
+        AuditChain verifier = new AuditChain();
         long position = 0;
         try (BufferedReader in = Files.newBufferedReader(path, StandardCharsets.UTF_8)) {
             String text = in.readLine();
             while (text != null && position < bytes) {
-                Optional<String> fault = verified.append(text);
+                Optional<String> fault = verifier.verifyNext(text);
                 if (fault.isPresent()) {
-                    String place = "line " + (verified.lines + 1) + ", byte " + position + ": ";
-                    return verified.result(place + fault.get());
+                    String place = "line " + (verifier.lines + 1) + ", byte " + position + ": ";
+                    return verifier.result(place + fault.get());
                 }
                 position += text.getBytes(StandardCharsets.UTF_8).length + 1;
                 text = in.readLine();
             }
         }
-        return verified.result("");
+        return verifier.result("");
     }
 
     private Verification result(String fault) {
         return new Verification(lines, chain, fault);
     }
 
-    /** Takes the next line; returns what is wrong with it, in which case it is not taken. */
-    private Optional<String> append(String text) {
+    /** Verifies the next line; returns its fault, in which case the chain does not advance. */
+    private Optional<String> verifyNext(String text) {
         JsonNode line;
         try {
             line = text.length() > MAX_LINE_CHARS ? null : JSON.readTree(text);
@@ -81,14 +83,15 @@
         if (!(line instanceof ObjectNode object) || !object.path("chain").isTextual()) {
             return Optional.of("not a line of an audit log");
         }
-        String written = object.remove("chain").asText();
+        String storedChain = object.remove("chain").asText();
         if (object.path("n").asLong() != lines + 1) {
-            return Optional.of("its number is " + object.path("n"));
+            return Optional.of("field n is " + object.path("n") + ", expected " + (lines + 1));
         }
-        if (!next(chain, object).equals(written)) {
-            return Optional.of("its chain does not follow from the line before");
+        if (!next(chain, object).equals(storedChain)) {
+            return Optional.of(
+                    "field chain does not match the hash of this line and the chain before it");
         }
-        chain = written;
+        chain = storedChain;
         lines++;
         return Optional.empty();
     }
--- a/src/main/java/rosespread/audit/AuditLog.java
+++ b/src/main/java/rosespread/audit/AuditLog.java
@@ -16,46 +16,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who did what: one line of JSON for each act, forced to the disk. Each line's {@code chain} is the
- * SHA-256 of the chain of the line before and of this line without it, so that {@link #verify}
- * finds a line that was changed, removed or inserted later. An end that was cut off only shows
- * against a chain noted elsewhere.
+ * A file of operators' acts: one line of JSON for each act, forced to the disk. Each line's {@code
+ * chain} is the SHA-256 of the previous line's chain and of this line without its chain, so that
+ * {@link #verify} finds a line that was changed, removed or inserted later. Lines removed from the
+ * end are only detected by comparison with a chain recorded elsewhere.
  *
  * <p>Thread-safe. Field names and order are stored data and must not change.
  */
 public final class AuditLog implements AutoCloseable {
     /** The chain before the first line. */
-    public static final String BEGIN = "0".repeat(64);
+    public static final String INITIAL_CHAIN = "0".repeat(64);
 
     private static final Logger LOG = LoggerFactory.getLogger(AuditLog.class);
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MAX_RECENT = 256;
 
     /**
-     * What somebody did or tried. Reported by the control API under these names.
+     * A request of an operator that changes something, or its outcome. The control API reports the
+     * components under these names.
      *
      * @param who the operator
      * @param from the address of the caller
      * @param what the request
      * @param call the idempotency key of the request
-     * @param outcome "asked" before it was tried, then what came of it
+     * @param outcome "asked" before the request is performed, then its outcome
      */
     public record Act(String who, String from, String what, String call, String outcome) {}
 
     /**
-     * What a verification found.
+     * The result of a verification.
      *
-     * @param lines lines whose chain holds, before the first one at fault
-     * @param chain the chain after them
-     * @param fault what is wrong, with line and byte offset; empty if the chain holds
+     * @param lines the number of valid lines before the first line with a fault
+     * @param chain the chain after these lines
+     * @param fault the fault, with line and byte offset; empty if the chain is valid
      */
     public record Verification(long lines, String chain, String fault) {}
 
     /**
-     * An act as it was written. Reported by the control API under these names.
+     * An act as it was written. The control API reports the components under these names.
      *
-     * @param number of its line, from 1
-     * @param atMillis wall clock
+     * @param number the line number, from 1
+     * @param atMillis the wall clock when the act was written
      */
     public record Entry(long number, long atMillis, Act act) {}
 
@@ -63,23 +64,23 @@
     private final ArrayDeque<Entry> recent = new ArrayDeque<>();
     private final FileChannel file;
     private long number;
-    private String chain = BEGIN;
+    private String chain = INITIAL_CHAIN;
     private String fault = "";
 
     /**
-     * Opens a file or begins it. A last line that is not whole is cut.
+     * Opens a file, or creates it. An incomplete last line is truncated.
      *
      * @param wallMillis the wall clock
-     * @throws IOException if the file cannot be read or written, or its chain does not hold; then
-     *     the message names the line
+     * @throws IOException if the file cannot be read or written, or its chain is not valid; in the
+     *     latter case the message names the line
      */
     public AuditLog(Path path, LongSupplier wallMillis) throws IOException {
         this.wallMillis = wallMillis;
         Files.createDirectories(path.toAbsolutePath().getParent());
-        long whole = 0;
+        long completeBytes = 0;
         if (Files.exists(path)) {
-            whole = wholeLines(path);
-            Verification verification = AuditChain.verify(path, whole);
+            completeBytes = completeBytes(path);
+            Verification verification = AuditChain.verify(path, completeBytes);
             if (!verification.fault().isEmpty()) {
                 throw new IOException(path + ": " + verification.fault());
             }
@@ -87,18 +88,18 @@
             chain = verification.chain();
         }
         file = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        if (file.size() > whole) {
+        if (file.size() > completeBytes) {
             LOG.atWarn()
                     .addKeyValue("file", path.toString())
-                    .addKeyValue("bytes", file.size() - whole)
-                    .log("last line of the audit log was not whole and is cut");
-            file.truncate(whole);
+                    .addKeyValue("bytes", file.size() - completeBytes)
+                    .log("incomplete last line of the audit log truncated");
+            file.truncate(completeBytes);
         }
-        file.position(whole);
+        file.position(completeBytes);
     }
 
-    /** The length of a file up to the end of its last whole line, in bytes. */
-    private static long wholeLines(Path path) throws IOException {
+    /** Returns the length of a file up to the end of its last complete line, in bytes. */
+    private static long completeBytes(Path path) throws IOException {
         try (FileChannel in = FileChannel.open(path, StandardOpenOption.READ)) {
             ByteBuffer one = ByteBuffer.allocate(1);
             for (long end = in.size(); end > 0; end--) {
@@ -113,8 +114,9 @@
     }
 
     /**
-     * Writes one line and forces it to the disk. A failure is logged once and reported by {@link
-     * #fault} until a line is written again; nothing of the failed line stays in the file.
+     * Writes one line and forces it to the disk. Of consecutive failures the first is logged, and
+     * {@link #fault} reports the last until a line is written again. No bytes of a failed line stay
+     * in the file.
      *
      * @return whether the act is on the disk
      */
@@ -127,7 +129,9 @@
             append((line + "\n").getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             if (fault.isEmpty()) {
-                LOG.atError().addKeyValue("reason", e.toString()).log("acts are not audited");
+                LOG.atError()
+                        .addKeyValue("reason", e.toString())
+                        .log("audit log write failed; operators' acts are not recorded");
             }
             fault = String.valueOf(e.getMessage());
             return false;
@@ -162,24 +166,24 @@
             }
             file.force(false);
         } catch (IOException e) {
-            // What was written of the line must not stand before the next one.
+            // Removes an incomplete line, to which the next line would otherwise be appended.
             file.truncate(begin);
             throw e;
         }
     }
 
-    /** The last acts of this process, at most 256, the oldest first. */
+    /** Returns the last acts of this process, at most 256, oldest first. */
     public synchronized List<Entry> recent() {
         return List.copyOf(recent);
     }
 
-    /** Why nothing is written at the moment; empty if all is well. */
+    /** Returns why the last write failed; empty if it succeeded or there was none. */
     public synchronized String fault() {
         return fault;
     }
 
     /**
-     * Verifies a file's chain from its beginning; stops at the first line at fault.
+     * Verifies a file's chain from its first line; stops at the first line with a fault.
      *
      * @throws IOException if the file cannot be read
      */
--- a/src/main/java/rosespread/store/FileLogOutput.java
+++ b/src/main/java/rosespread/store/FileLogOutput.java
@@ -6,7 +6,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A file on the disk. */
+/** Writes a log to a file on the disk. */
 final class FileLogOutput implements LogOutput {
     private final FileChannel file;
 
--- a/src/main/java/rosespread/store/LogEntryReader.java
+++ b/src/main/java/rosespread/store/LogEntryReader.java
@@ -20,9 +20,9 @@
 import rosespread.table.TableVersion;
 
 /**
- * Decodes the JSON of a table file's lines, the counterpart of {@link LogEntryWriter}. A value that
- * cannot be meant is a {@link StoreException} or an {@link IllegalArgumentException} whose message
- * says what is wrong, without the place. Stateless.
+ * Decodes the JSON of a table file's lines, the counterpart of {@link LogEntryWriter}. Throws a
+ * {@link StoreException} or an {@link IllegalArgumentException} for an invalid value; the message
+ * names the fault but not the file and byte. Stateless.
  */
 final class LogEntryReader {
     private static final ObjectMapper JSON =
@@ -30,20 +30,20 @@
 
     private LogEntryReader() {}
 
-    /** The object of JSON in a range of bytes. */
+    /** Parses the JSON object in a range of bytes. */
     static JsonNode parse(byte[] bytes, int from, int length) throws IOException {
         try {
             JsonNode line = JSON.readTree(bytes, from, length);
             if (line != null && line.isObject()) {
                 return line;
             }
-            throw new StoreException("not an object");
+            throw new StoreException("line is not a JSON object");
         } catch (JsonProcessingException e) {
             throw new StoreException(e.getOriginalMessage(), e);
         }
     }
 
-    /** A version by what it changed of its parent. */
+    /** Decodes a version as the changes from its parent. */
     static VersionDelta versionDelta(JsonNode version) throws StoreException {
         return new VersionDelta(
                 tableId(version),
@@ -55,7 +55,7 @@
                 hex(version.path("digest")));
     }
 
-    /** A change of a table's pin. */
+    /** Decodes a change of a table's pin. */
     static LogEntry.PinChanged pinChanged(JsonNode pin) throws StoreException {
         return new LogEntry.PinChanged(
                 tableId(pin),
@@ -64,7 +64,7 @@
                 weights(pin.path("pending")));
     }
 
-    /** A table of a snapshot; the digest of each version is held against its entries. */
+    /** Decodes a table of a snapshot; checks the digest of each version against its entries. */
     static TableSnapshot table(JsonNode table) throws StoreException {
         List<TableVersion> versions = new ArrayList<>();
         for (JsonNode json : table.path("versions")) {
@@ -82,7 +82,7 @@
                 weights(table.path("pending")));
     }
 
-    private static TableVersion version(JsonNode version, List<TableVersion> before)
+    private static TableVersion version(JsonNode version, List<TableVersion> previous)
             throws StoreException {
         if (version.has("lines")) {
             return TableVersion.full(
@@ -93,10 +93,10 @@
                     integer(version, "parent"),
                     weights(version.path("lines")));
         }
-        if (before.isEmpty()) {
-            throw new StoreException("the first version has no lines");
+        if (previous.isEmpty()) {
+            throw new StoreException("first version of the table has no field lines");
         }
-        return before.get(before.size() - 1)
+        return previous.get(previous.size() - 1)
                 .successor(
                         integer(version, "number"),
                         weights(version.path("changes")),
@@ -104,13 +104,13 @@
                         integer(version, "at"));
     }
 
-    private static void checkDigest(TableVersion version, JsonNode written) throws StoreException {
-        if (version.digest() != hex(written)) {
-            throw StoreException.wrongDigest(version, written.toString());
+    private static void checkDigest(TableVersion version, JsonNode stored) throws StoreException {
+        if (version.digest() != hex(stored)) {
+            throw StoreException.digestMismatch(version, stored.toString());
         }
     }
 
-    /** An operator's drain or its end. */
+    /** Decodes an operator's drain or its end. */
     static Drain drain(JsonNode drain) throws StoreException {
         return new Drain(
                 new NodeId(hex(drain.path("node"))),
@@ -133,12 +133,12 @@
     private static long integer(JsonNode parent, String field) throws StoreException {
         if (!parent.path(field).isIntegralNumber()) {
             throw new StoreException(
-                    "field " + field + " is " + parent.path(field) + ", not a whole number");
+                    "field " + field + " is " + parent.path(field) + ", not an integer");
         }
         return parent.path(field).asLong();
     }
 
-    /** An unsigned hexadecimal number in a string. */
+    /** Parses an unsigned hexadecimal number in a string. */
     static long hex(JsonNode text) {
         return Long.parseUnsignedLong(text.asText(), 16);
     }
@@ -148,7 +148,11 @@
         for (Map.Entry<String, JsonNode> entry : entries.properties()) {
             if (!entry.getValue().isNumber()) {
                 throw new StoreException(
-                        "line " + entry.getKey() + " has weight " + entry.getValue());
+                        "weight of node "
+                                + entry.getKey()
+                                + " is "
+                                + entry.getValue()
+                                + ", not a number");
             }
             weights.put(
                     new NodeId(Long.parseUnsignedLong(entry.getKey(), 16)),
--- a/src/main/java/rosespread/store/LogEntryWriter.java
+++ b/src/main/java/rosespread/store/LogEntryWriter.java
@@ -13,17 +13,17 @@
 import rosespread.table.TableVersion;
 
 /**
- * Encodes what a table file holds as lines ({@link LogLine}); docs/versions.md gives their JSON,
- * {@link LogEntryReader} decodes them. Field names and order are stored data and must not change.
- * Node ids, digests and layouts are unsigned hexadecimal. Stateless.
+ * Encodes the content of a table file as lines ({@link LogLine}); docs/versions.md specifies their
+ * JSON, {@link LogEntryReader} decodes them. Field names and order are stored data and must not
+ * change. Node ids, digests and layouts are unsigned hexadecimal. Stateless.
  */
 final class LogEntryWriter {
-    /** The version of the format, in the first line of a file. */
+    /** Version of the file format, stored in the first line of a file. */
     static final int FORMAT = 1;
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Writes the fields of one line after its sequence. */
+    /** Writes the fields of one line that follow its sequence. */
     @FunctionalInterface
     private interface Fields {
         void writeTo(JsonGenerator out) throws IOException;
@@ -31,8 +31,8 @@
 
     private LogEntryWriter() {}
 
-    /** The first line of a file. */
-    static byte[] head(long sequence, long layout) {
+    /** Encodes the first line of a file. */
+    static byte[] header(long sequence, long layout) {
         return line(
                 sequence,
                 out -> {
@@ -41,12 +41,12 @@
                 });
     }
 
-    /** The last line of a file's snapshot: from here on entries follow. */
+    /** Encodes the last line of a file's snapshot; entries follow it. */
     static byte[] snapshotEnd(long sequence, int tables) {
         return line(sequence, out -> out.writeNumberField("tables", tables));
     }
 
-    /** An entry after the snapshot. */
+    /** Encodes an entry after the snapshot. */
     static byte[] entry(long sequence, LogEntry entry) {
         return line(
                 sequence,
@@ -64,14 +64,14 @@
                 });
     }
 
-    /** A drain, in a snapshot. */
+    /** Encodes a drain in a snapshot. */
     static byte[] drain(long sequence, Drain drain) {
         return line(sequence, out -> writeDrain(out, drain));
     }
 
     /**
-     * A table, in a snapshot. A version whose parent stands right before it is written as what it
-     * changed, any other one with all its entries.
+     * Encodes a table in a snapshot. A version directly after its parent is written as its changes,
+     * any other version with all its entries.
      */
     static byte[] table(long sequence, TableSnapshot table) {
         return line(
@@ -93,11 +93,11 @@
 
     private static void writeVersions(JsonGenerator out, TableSnapshot table) throws IOException {
         out.writeArrayFieldStart("versions");
-        TableVersion before = null;
+        TableVersion previous = null;
         for (TableVersion version : table.versions()) {
-            boolean full = before == null || before.number() != version.parent();
+            boolean full = previous == null || previous.number() != version.parent();
             writeVersion(out, version, full);
-            before = version;
+            previous = version;
         }
         out.writeEndArray();
     }
--- a/src/main/java/rosespread/store/LogFileWriter.java
+++ b/src/main/java/rosespread/store/LogFileWriter.java
@@ -12,25 +12,25 @@
 import rosespread.table.TableSnapshot;
 
 /**
- * Writes the current table file, and begins the next one. A new file is written beside, forced and
- * moved into place, and only then the one before is deleted, so that a whole one is there at every
- * moment. Owned by the store's thread, but for {@link #bytes}.
+ * Writes the current table file, and begins the next one. A new file is written under a temporary
+ * name, forced and renamed before the previous one is deleted, so that there is a complete file at
+ * every moment. Owned by the store's thread, except for {@link #bytes}.
  */
 final class LogFileWriter implements Closeable {
     private final StoreFolder folder;
     private final LogOutput.Factory outputs;
 
-    /** The number of the current file; of the last one found before the first was begun. */
+    /** Number of the current file; until the first is begun, the highest number in the folder. */
     private long number;
 
-    /** Null until the first file was begun. */
+    /** Null until the first file is begun. */
     private LogOutput output;
 
     private long snapshotBytes;
     private volatile long bytes;
 
     /**
-     * A writer without a current file.
+     * Creates a writer without a current file.
      *
      * @param lastNumber the highest number of a file in the folder, 0 if there is none
      */
@@ -43,12 +43,12 @@
     /**
      * Begins the next file with a snapshot.
      *
-     * @param sequence of the last entry that the snapshot holds
-     * @throws IOException if it could not be written and moved into place; the current file stays
+     * @param sequence the sequence of the last entry in the snapshot
+     * @throws IOException if the file could not be written and renamed; the current file stays
      */
     void begin(StoreSnapshot snapshot, long sequence) throws IOException {
-        Path unfinished = folder.unfinished(number + 1);
-        LogOutput next = outputs.create(unfinished);
+        Path temporary = folder.temporaryFile(number + 1);
+        LogOutput next = outputs.create(temporary);
         long length = 0;
         try {
             for (byte[] line : lines(snapshot, sequence)) {
@@ -56,11 +56,11 @@
                 length += line.length;
             }
             next.force();
-            Files.move(unfinished, folder.file(number + 1), StandardCopyOption.ATOMIC_MOVE);
+            Files.move(temporary, folder.file(number + 1), StandardCopyOption.ATOMIC_MOVE);
             folder.force();
         } catch (IOException e) {
             next.close();
-            Files.deleteIfExists(unfinished);
+            Files.deleteIfExists(temporary);
             throw e;
         }
         if (output != null) {
@@ -75,7 +75,7 @@
 
     private static List<byte[]> lines(StoreSnapshot snapshot, long sequence) {
         List<byte[]> lines = new ArrayList<>();
-        lines.add(LogEntryWriter.head(sequence, snapshot.layout()));
+        lines.add(LogEntryWriter.header(sequence, snapshot.layout()));
         for (TableSnapshot table : snapshot.tables()) {
             lines.add(LogEntryWriter.table(sequence, table));
         }
@@ -86,28 +86,28 @@
         return lines;
     }
 
-    /** Writes a line; it is durable after {@link #force}. */
+    /** Writes a line, which is durable after {@link #force}. */
     void append(byte[] line) throws IOException {
         output.write(ByteBuffer.wrap(line));
         bytes += line.length;
     }
 
-    /** Returns once all lines would outlive the machine. */
+    /** Forces all lines to the disk; they survive a machine crash once this returns. */
     void force() throws IOException {
         output.force();
     }
 
-    /** Whether the file is larger than a limit in bytes and than twice its snapshot. */
-    boolean hasGrown(long limit) {
+    /** Returns whether the file is larger than a limit in bytes and than twice its snapshot. */
+    boolean needsCompaction(long limit) {
         return bytes > limit && bytes > 2 * snapshotBytes;
     }
 
-    /** The current file. */
+    /** Returns the current file. */
     Path file() {
         return folder.file(number);
     }
 
-    /** The size of the current file in bytes; may be called on any thread. */
+    /** Returns the size of the current file in bytes; may be called on any thread. */
     long bytes() {
         return bytes;
     }
--- a/src/main/java/rosespread/store/LogLine.java
+++ b/src/main/java/rosespread/store/LogLine.java
@@ -5,18 +5,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * The frame of one line of a table file: a CRC32C in eight hexadecimal digits, a space, an object
- * of JSON and a newline; no newline occurs within. The checksum covers the JSON alone. Stateless.
+ * The frame of one line of a table file: a CRC32C in eight hexadecimal digits, a space, a JSON
+ * object without newlines, and a newline. The checksum covers only the JSON. Stateless.
  */
 final class LogLine {
     private static final int CRC_DIGITS = 8;
 
-    /** Bytes before the JSON. */
+    /** Number of bytes before the JSON. */
     private static final int JSON_OFFSET = CRC_DIGITS + 1;
 
     private LogLine() {}
 
-    /** The line for an object of JSON, newline included. */
+    /** Encodes a JSON object as a line, newline included. */
     static byte[] encode(byte[] json) {
         byte[] line = new byte[JSON_OFFSET + json.length + 1];
         byte[] crc = crc(json, 0, json.length).getBytes(StandardCharsets.US_ASCII);
@@ -27,7 +27,7 @@
         return line;
     }
 
-    /** The index of the newline that ends the line at {@code from}, or the length without one. */
+    /** Returns the index of the first newline at or after {@code from}, or the length if none. */
     static int end(byte[] bytes, int from) {
         int end = from;
         while (end < bytes.length && bytes[end] != '\n') {
@@ -36,27 +36,28 @@
         return end;
     }
 
-    /** The index of the first byte of JSON in the line at {@code from}. */
-    static int json(int from) {
+    /** Returns the index of the first byte of JSON in the line at {@code from}. */
+    static int jsonStart(int from) {
         return from + JSON_OFFSET;
     }
 
     /**
-     * What is wrong with the frame of the line from {@code from} to {@code end}; empty if whole.
+     * Returns the fault in the frame of the line from {@code from} to {@code end}; empty if valid.
      */
     static Optional<String> fault(byte[] bytes, int from, int end) {
-        int json = json(from);
+        int json = jsonStart(from);
         if (end >= bytes.length) {
-            return Optional.of("a line without its end");
+            return Optional.of("line does not end with a newline");
         }
         if (json > end || bytes[json - 1] != ' ') {
-            return Optional.of("a line without a checksum");
+            return Optional.of("line does not start with a checksum and a space");
         }
-        String written = new String(bytes, from, CRC_DIGITS, StandardCharsets.ISO_8859_1);
+        String stored = new String(bytes, from, CRC_DIGITS, StandardCharsets.ISO_8859_1);
         String actual = crc(bytes, json, end - json);
-        return written.equals(actual)
+        return stored.equals(actual)
                 ? Optional.empty()
-                : Optional.of("the checksum is " + actual + ", written was " + printable(written));
+                : Optional.of(
+                        "computed checksum is " + actual + ", stored is " + printable(stored));
     }
 
     private static String crc(byte[] bytes, int from, int length) {
--- a/src/main/java/rosespread/store/LogOutput.java
+++ b/src/main/java/rosespread/store/LogOutput.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 
 /**
- * Where the bytes of one table file go: the disk, or in tests one that fills up, stalls or breaks.
- * Used by one thread at a time.
+ * The output for one table file: the disk, or in tests a disk that fills up, stalls or fails. Used
+ * by one thread at a time.
  */
 public interface LogOutput extends Closeable {
     /** Files on the disk. */
@@ -16,14 +16,14 @@
     /**
      * Writes all remaining bytes.
      *
-     * @throws IOException if not all could be written; a part may have been
+     * @throws IOException if not all bytes could be written; some may have been written
      */
     void write(ByteBuffer bytes) throws IOException;
 
     /**
-     * Returns once all that was written would outlive the machine.
+     * Forces all written bytes to the disk; they survive a machine crash once this returns.
      *
-     * @throws IOException if that cannot be said
+     * @throws IOException if the bytes may not be on the disk
      */
     void force() throws IOException;
 
@@ -31,9 +31,9 @@
     @FunctionalInterface
     interface Factory {
         /**
-         * A new, empty file; one that is there is emptied.
+         * Creates an empty file; an existing file is truncated.
          *
-         * @throws IOException if it cannot be created
+         * @throws IOException if the file cannot be created
          */
         LogOutput create(Path path) throws IOException;
     }
--- a/src/main/java/rosespread/store/LogReplay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -13,11 +13,11 @@
 import rosespread.table.VersionHistory;
 
 /**
- * Brings a snapshot up to date with the log entries after it, and checks that each entry follows
- * from those before. Not thread-safe.
+ * Applies the log entries after a snapshot to it, and checks that each entry is consistent with the
+ * previous ones. Not thread-safe.
  */
 public final class LogReplay {
-    /** One table as it stands after the entries applied so far. */
+    /** The state of one table after the entries applied so far. */
     private static final class ReplayedTable {
         private final VersionHistory history;
         private final TreeMap<NodeId, Double> pending = new TreeMap<>();
@@ -40,7 +40,7 @@
     private final DrainRegistry drains = new DrainRegistry();
     private long layout;
 
-    /** Begins with a snapshot. */
+    /** Starts from a snapshot. */
     public LogReplay(StoreSnapshot snapshot) {
         layout = snapshot.layout();
         snapshot.tables().forEach(this::restore);
@@ -56,7 +56,8 @@
     /**
      * Applies an entry.
      *
-     * @throws StoreException if it does not follow from those before; the message says why
+     * @throws StoreException if the entry is not consistent with the previous ones; the message
+     *     says why
      */
     public void apply(LogEntry entry) throws StoreException {
         if (entry instanceof LogEntry.VersionCommitted committed) {
@@ -70,28 +71,28 @@
         }
     }
 
-    /** Applies a version by what it changed; see {@link #apply(LogEntry)}. */
+    /** Applies the changes of a version; see {@link #apply(LogEntry)}. */
     void apply(VersionDelta delta) throws StoreException {
         ReplayedTable table =
                 tables.computeIfAbsent(
                         delta.table(),
                         id -> new ReplayedTable(new VersionHistory(id, delta.parent())));
-        TableVersion before = table.history.current();
-        if (before.number() != delta.parent() || delta.number() <= delta.parent()) {
+        TableVersion current = table.history.current();
+        if (current.number() != delta.parent() || delta.number() <= delta.parent()) {
             throw new StoreException(
                     "table "
                             + delta.table().value()
                             + ": version "
                             + delta.number()
-                            + " after "
+                            + " with parent "
                             + delta.parent()
-                            + " does not follow version "
-                            + before.number());
+                            + " does not follow current version "
+                            + current.number());
         }
         TableVersion next =
-                before.successor(delta.number(), delta.changes(), delta.cause(), delta.atMillis());
+                current.successor(delta.number(), delta.changes(), delta.cause(), delta.atMillis());
         if (next.digest() != delta.digest()) {
-            throw StoreException.wrongDigest(next, Long.toHexString(delta.digest()));
+            throw StoreException.digestMismatch(next, Long.toHexString(delta.digest()));
         }
         table.history.add(next);
         if (delta.cause() == TableVersion.Cause.ROLLBACK) {
@@ -103,7 +104,7 @@
         ReplayedTable table = tables.get(pin.table());
         if (table == null) {
             throw new StoreException(
-                    "table " + pin.table().value() + " is held but has no version");
+                    "table " + pin.table().value() + " has a pin change but no version");
         }
         table.pin(pin.state(), pin.rollbackTarget(), pin.pending());
         if (pin.rollbackTarget() > 0) {
@@ -119,7 +120,7 @@
         }
     }
 
-    /** The snapshot with all entries applied so far; later entries leave it as it is. */
+    /** Returns the snapshot with all entries applied so far; later entries do not change it. */
     public StoreSnapshot snapshot() {
         List<TableSnapshot> snapshots = new ArrayList<>();
         for (ReplayedTable table : tables.values()) {
--- a/src/main/java/rosespread/store/NoTableLog.java
+++ b/src/main/java/rosespread/store/NoTableLog.java
@@ -1,6 +1,6 @@
 package rosespread.store;
 
-/** A log that persists nothing: every entry counts as durable at once. */
+/** A log that persists nothing: every entry counts as durable immediately. */
 final class NoTableLog implements TableLog {
     @Override
     public long append(LogEntry entry) {
--- a/src/main/java/rosespread/store/StoreException.java
+++ b/src/main/java/rosespread/store/StoreException.java
@@ -4,24 +4,25 @@
 import rosespread.table.TableVersion;
 
 /**
- * What is on disk is not what was written, or an entry does not follow from those before. Thrown to
- * callers outside the package the message names file and byte offset if it comes from a file.
+ * Thrown if stored data is not as it was written, or if an entry is not consistent with the
+ * previous ones. For callers outside the package, the message names file and byte offset if the
+ * data comes from a file.
  */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1;
 
-    /** An exception with what was found. */
+    /** Creates an exception that describes the fault. */
     public StoreException(String message) {
         super(message);
     }
 
-    /** An exception with what was found and its cause. */
+    /** Creates an exception that describes the fault, with its cause. */
     public StoreException(String message, Throwable cause) {
         super(message, cause);
     }
 
-    /** The digest of a version's entries is not the one that was written. */
-    static StoreException wrongDigest(TableVersion version, String written) {
+    /** Reports that the digest of a version's entries is not the stored one. */
+    static StoreException digestMismatch(TableVersion version, String stored) {
         return new StoreException(
                 "table "
                         + version.table().value()
@@ -29,7 +30,7 @@
                         + version.number()
                         + " has digest "
                         + Long.toHexString(version.digest())
-                        + ", written was "
-                        + written);
+                        + ", stored is "
+                        + stored);
     }
 }
--- a/src/main/java/rosespread/store/StoreFolder.java
+++ b/src/main/java/rosespread/store/StoreFolder.java
@@ -16,12 +16,12 @@
 import java.util.stream.Stream;
 
 /**
- * The folder of a table store: the lock that keeps other processes out, and the names of its files,
- * {@code tables-N.log}, of which the highest number holds. Holds the lock until it is closed.
+ * The folder of a table store: its lock against use by other processes, and its files, {@code
+ * tables-N.log}, of which the one with the highest number is valid. Holds the lock until closed.
  */
 final class StoreFolder implements Closeable {
     private static final Pattern FILE_NAME = Pattern.compile("tables-([0-9]{1,18})\\.log");
-    private static final String UNFINISHED = ".next";
+    private static final String TEMPORARY_SUFFIX = ".next";
 
     private final Path folder;
     private final FileChannel lockFile;
@@ -34,9 +34,10 @@
     }
 
     /**
-     * Creates the folder if need be and locks it.
+     * Creates the folder if it does not exist, and locks it.
      *
-     * @throws IOException if that cannot be done or another store holds the lock
+     * @throws IOException if the folder cannot be created or locked, or another store holds the
+     *     lock
      */
     static StoreFolder open(Path folder) throws IOException {
         Files.createDirectories(folder);
@@ -49,12 +50,12 @@
         if (lock == null) {
             lockFile.close();
             throw new IOException(
-                    folder + " is in use by another conductor; give each its own --state");
+                    folder + " is in use by another controller; give each its own --state");
         }
         return new StoreFolder(folder, lockFile, lock);
     }
 
-    /** Null if this or another process holds the lock. */
+    /** Returns null if this or another process holds the lock. */
     private static FileLock tryLock(FileChannel file) throws IOException {
         try {
             return file.tryLock();
@@ -63,12 +64,12 @@
         }
     }
 
-    /** All finished files, the lowest number first; files that were never finished are deleted. */
+    /** Returns all complete files by ascending number, and deletes temporary files. */
     List<Path> files() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             List<Path> found = new ArrayList<>(all.toList());
             for (Path path : found) {
-                if (path.getFileName().toString().endsWith(".log" + UNFINISHED)) {
+                if (path.getFileName().toString().endsWith(".log" + TEMPORARY_SUFFIX)) {
                     Files.delete(path);
                 }
             }
@@ -78,27 +79,27 @@
         }
     }
 
-    /** The number in a file's name, 0 if it has none. */
+    /** Returns the number in a file's name, 0 if there is none. */
     static long number(Path file) {
         Matcher name = FILE_NAME.matcher(file.getFileName().toString());
         return name.matches() ? Long.parseLong(name.group(1)) : 0;
     }
 
-    /** The file of a number. */
+    /** Returns the path of the file with a number. */
     Path file(long number) {
         return folder.resolve(String.format("tables-%06d.log", number));
     }
 
-    /** Where the file of a number is written until it is finished. */
-    Path unfinished(long number) {
+    /** Returns the path under which the file with a number is written until it is complete. */
+    Path temporaryFile(long number) {
         Path file = file(number);
-        return file.resolveSibling(file.getFileName() + UNFINISHED);
+        return file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX);
     }
 
-    /** Returns once the names of files would outlive the machine. */
+    /** Forces the file names to the disk; they survive a machine crash once this returns. */
     void force() throws IOException {
-        try (FileChannel open = FileChannel.open(folder, StandardOpenOption.READ)) {
-            open.force(true);
+        try (FileChannel directory = FileChannel.open(folder, StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/src/main/java/rosespread/store/TableFileReader.java
+++ b/src/main/java/rosespread/store/TableFileReader.java
@@ -11,30 +11,35 @@
 import rosespread.table.TableSnapshot;
 
 /**
- * Reads one table file: a snapshot, then entries. What a crash can leave, a last part that is not
- * whole, is cut; what it cannot leave, damage with a whole line after it or within the snapshot, is
- * refused with file and offset. One instance reads one file, on one thread.
+ * Reads one table file: a snapshot, then entries. An incomplete end after the snapshot, as a crash
+ * can leave it, is discarded. Damage within the snapshot or before a valid line cannot come from a
+ * crash; the file is then rejected with path and offset. One instance reads one file, on one
+ * thread.
  */
 final class TableFileReader {
-    /** A file is rewritten long before it is so large. */
+    /** Limit on a file's size; a new file is begun long before a file reaches it. */
     private static final long MAX_BYTES = 1L << 30;
 
     /**
-     * What a file holds.
+     * The content of a file.
      *
-     * @param snapshot with all entries applied
-     * @param sequence of the last entry
-     * @param entries that follow the file's own snapshot
-     * @param cutBytes bytes at the end that were not whole
-     * @param cutFrom the offset where they begin
+     * @param snapshot the snapshot with all entries applied
+     * @param sequence the sequence of the last entry
+     * @param entries the number of entries after the file's own snapshot
+     * @param discardedBytes the number of bytes in the incomplete end, 0 if there is none
+     * @param discardedFrom the offset where the incomplete end begins
      */
     record Content(
-            StoreSnapshot snapshot, long sequence, long entries, long cutBytes, long cutFrom) {}
+            StoreSnapshot snapshot,
+            long sequence,
+            long entries,
+            long discardedBytes,
+            long discardedFrom) {}
 
     private final Path path;
     private final byte[] bytes;
 
-    /** The offset of the line that is read. */
+    /** Offset of the current line. */
     private int position;
 
     private long sequence;
@@ -54,40 +59,43 @@
     /**
      * Reads a file.
      *
-     * @throws StoreException if it is damaged or too large; the message names file and offset
-     * @throws IOException if it cannot be read
+     * @throws StoreException if the file is damaged, or too large; the message names the file, and
+     *     the offset of the damage
+     * @throws IOException if the file cannot be read
      */
     static Content read(Path path) throws IOException {
         long size = Files.size(path);
         if (size > MAX_BYTES) {
-            throw new StoreException(path + ": " + size + " bytes; at most " + MAX_BYTES);
+            throw new StoreException(
+                    path + ": size is " + size + " bytes; allowed: at most " + MAX_BYTES);
         }
         return new TableFileReader(path, Files.readAllBytes(path)).read();
     }
 
     private Content read() throws IOException {
-        int cutFrom = bytes.length;
+        int discardedFrom = bytes.length;
         while (position < bytes.length) {
             int end = LogLine.end(bytes, position);
             Optional<String> fault = LogLine.fault(bytes, position, end);
             if (fault.isPresent()) {
-                // A snapshot is moved into place whole, so what a crash cuts short lies after it.
-                if (replay == null || wholeLineAfter(end)) {
+                // A file is renamed with its snapshot complete: a crash only truncates entries.
+                if (replay == null || hasValidLineAfter(end)) {
                     throw damaged(fault.get(), null);
                 }
-                cutFrom = position;
+                discardedFrom = position;
                 break;
             }
             readLine(end);
             position = end + 1;
         }
         if (replay == null) {
-            throw damaged("the file ends within its image", null);
+            throw damaged("file ends within its snapshot", null);
         }
-        return new Content(replay.snapshot(), sequence, entries, bytes.length - cutFrom, cutFrom);
+        return new Content(
+                replay.snapshot(), sequence, entries, bytes.length - discardedFrom, discardedFrom);
     }
 
-    private boolean wholeLineAfter(int end) {
+    private boolean hasValidLineAfter(int end) {
         int from = end + 1;
         while (from < bytes.length) {
             int next = LogLine.end(bytes, from);
@@ -100,7 +108,7 @@
     }
 
     private void readLine(int end) throws IOException {
-        int json = LogLine.json(position);
+        int json = LogLine.jsonStart(position);
         try {
             JsonNode line = LogEntryReader.parse(bytes, json, end - json);
             readSequence(line);
@@ -117,17 +125,18 @@
     private void readSequence(JsonNode line) throws StoreException {
         long next = line.path("n").asLong(-1);
         boolean first = position == 0;
-        // The lines of a snapshot share a sequence: that of the last entry it holds.
+        // All lines of a snapshot have the sequence of the last entry in it.
         boolean follows = replay == null ? first || next == sequence : next == sequence + 1;
         if (next < 0 || !follows) {
-            throw new StoreException("sequence " + line.path("n") + " after " + sequence);
+            throw new StoreException(
+                    "sequence " + line.path("n") + " does not follow sequence " + sequence);
         }
         sequence = next;
     }
 
     private void readSnapshotLine(JsonNode line) throws StoreException {
         if (line.has("format")) {
-            readHead(line);
+            readHeader(line);
         } else if (line.has("table")) {
             tables.add(LogEntryReader.table(line.path("table")));
         } else if (line.has("drain")) {
@@ -136,11 +145,11 @@
             replay = new LogReplay(new StoreSnapshot(layout, tables, drains));
         } else {
             throw new StoreException(
-                    "the image ends after " + tables.size() + " tables with " + line);
+                    "unexpected line after " + tables.size() + " tables of the snapshot: " + line);
         }
     }
 
-    private void readHead(JsonNode line) throws StoreException {
+    private void readHeader(JsonNode line) throws StoreException {
         JsonNode format = line.path("format");
         if (format.asInt() != LogEntryWriter.FORMAT) {
             throw new StoreException(
@@ -160,13 +169,13 @@
         } else if (line.has("laidOut")) {
             replay.apply(new LogEntry.LayoutChanged(LogEntryReader.hex(line.path("laidOut"))));
         } else {
-            throw new StoreException("an entry of no known kind");
+            throw new StoreException("unknown entry type");
         }
     }
 
-    private StoreException damaged(String what, Exception cause) {
+    private StoreException damaged(String fault, Exception cause) {
         return new StoreException(
-                path + ": damaged at byte " + position + " of " + bytes.length + ": " + what,
+                path + ": damaged at byte " + position + " of " + bytes.length + ": " + fault,
                 cause);
     }
 }
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -1,33 +1,35 @@
 package rosespread.store;
 
 /**
- * Where versions, pins and drains are persisted before a proxy can learn of them. {@link #append}
- * and {@link #writeSnapshot} are called on the event loop alone and never block; all other methods
- * may be called on any thread.
+ * Persists versions, pins and drains before a proxy can receive them. {@link #append} and {@link
+ * #writeSnapshot} are called only on the event loop and never block; all other methods may be
+ * called on any thread.
  */
 public interface TableLog {
-    /** Persists nothing, and so keeps nothing waiting. */
+    /** A log that persists nothing and delays nothing. */
     TableLog NONE = new NoTableLog();
 
     /**
-     * Takes an entry to be written.
+     * Queues an entry to be written.
      *
-     * @return its sequence, one more than that of the entry before
+     * @return the entry's sequence, one more than that of the previous entry
      */
     long append(LogEntry entry);
 
-    /** The sequence up to which all entries would outlive the process and the machine. */
+    /**
+     * Returns the sequence up to which all entries survive a crash of the process or the machine.
+     */
     long durable();
 
-    /** Whether a snapshot is needed: to begin a shorter file, or a new one after a fault. */
+    /** Returns whether a snapshot is needed, to begin a shorter file or a new one after a fault. */
     boolean needsSnapshot();
 
-    /** Takes a snapshot to be written; it holds every entry appended so far. */
+    /** Queues a snapshot to be written, which must hold every entry appended so far. */
     void writeSnapshot(StoreSnapshot snapshot);
 
-    /** Why nothing is persisted at the moment, for operators; empty if all is well. */
+    /** Returns why nothing is persisted now, for operators; empty without a fault. */
     String fault();
 
-    /** The size of the current file in bytes. */
+    /** Returns the size of the current file in bytes. */
     long bytes();
 }
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -13,44 +13,44 @@
 
 /**
  * Persists versions, pins and drains in one append-only file: a snapshot of all tables, then
- * entries. A thread of the store's own writes what has gathered and forces it to the disk at once,
- * so that one force serves all that waits. A file that has grown is followed by a shorter one with
- * a higher number, moved into place whole.
+ * entries. The store's own thread writes all queued entries and then forces them to the disk, so
+ * that one force serves all of them. A file that has grown is replaced by a shorter one with a
+ * higher number, which gets its final name once it is complete.
  *
- * <p>After a fault nothing is appended to that file any more: a new one is begun with a snapshot,
- * which is asked for once a second until it is written. Meanwhile {@link #fault} says what is
- * wrong. An entry that finds the queue full is in the next snapshot, and so is every one after it:
- * a file has no gaps.
+ * <p>After a fault nothing more is appended to the current file: a new one is begun with a
+ * snapshot, which is requested once a second until it is written. Meanwhile {@link #fault} names
+ * the reason. An entry that does not fit into the queue is persisted with the next snapshot, and so
+ * are all later ones, so that no sequence is missing from a file.
  *
- * <p>{@link #append} and {@link #writeSnapshot} belong to one thread, the event loop; the other
- * methods may be called on any.
+ * <p>{@link #append} and {@link #writeSnapshot} may be called on only one thread, the event loop;
+ * the other methods may be called on any thread.
  */
 public final class TableStore implements TableLog, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TableStore.class);
     private static final int MAX_QUEUED = 1 << 13;
     private static final int MAX_BATCH = 1 << 12;
-    private static final long GROWN_BYTES = 4L << 20;
+    private static final long COMPACTION_BYTES = 4L << 20;
     private static final long POLL_MILLIS = 100;
     private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long CLOSE_MILLIS = 2000;
 
-    /** What the store's thread is to do. */
+    /** A command for the store's thread. */
     private sealed interface Command {}
 
-    /** Write an entry. */
+    /** Writes an entry. */
     private record WriteEntry(long sequence, LogEntry entry) implements Command {}
 
-    /** Begin a new file with a snapshot that holds all entries up to a sequence. */
+    /** Begins a new file with a snapshot that holds all entries up to a sequence. */
     private record BeginFile(long sequence, StoreSnapshot snapshot) implements Command {}
 
-    /** Look whether the store is closed. */
+    /** Wakes the thread, so that it notices that the store is closed. */
     private record Wake() implements Command {}
 
     private final Path path;
     private final LogOutput.Factory outputs;
     private final LongSupplier wallMillis;
     private final Runnable onProgress;
-    private final long grownBytes;
+    private final long compactionBytes;
     private final LinkedBlockingQueue<Command> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final Thread thread = new Thread(this::run, "table-store");
 
@@ -60,19 +60,19 @@
     private StoreFolder folder;
     private LogFileWriter writer;
 
-    /** Sequence of the last entry taken; of the thread that appends. */
+    /** Sequence of the last entry appended; used by the appending thread. */
     private long appended;
 
-    /** Whether an entry found the queue full since the last snapshot; of the same thread. */
+    /** Whether the queue was full for an entry since the last snapshot; used by the same thread. */
     private boolean overflowed;
 
-    /** Sequence of the last entry written; of the store's thread. */
+    /** Sequence of the last entry written; used by the store's thread. */
     private long written;
 
-    /** Whether the current file must not be appended to; of the store's thread. */
+    /** Whether the current file must not be appended to; used by the store's thread. */
     private boolean broken;
 
-    /** When a snapshot is asked for again, by {@link System#nanoTime}; of the store's thread. */
+    /** Next request for a snapshot, by {@link System#nanoTime}; used by the store's thread. */
     private long retryAtNanos;
 
     private volatile long durable;
@@ -81,29 +81,29 @@
     private volatile boolean closing;
 
     /**
-     * A store that is still to be opened.
+     * Creates a store that is not opened yet.
      *
-     * @param wallMillis the wall clock, for the names of damaged files
+     * @param wallMillis the wall clock, for the new names of damaged files
      * @param onProgress called on the store's thread after {@link #durable} has risen or a fault
      *     began
      */
     public TableStore(
             Path folder, LogOutput.Factory outputs, LongSupplier wallMillis, Runnable onProgress) {
-        this(folder, outputs, wallMillis, onProgress, GROWN_BYTES);
+        this(folder, outputs, wallMillis, onProgress, COMPACTION_BYTES);
     }
 
     /**
-     * A store with another limit on the size of a file.
+     * Creates a store with another limit on the size of a file.
      *
-     * @param grownBytes the size from which on a file is followed by a shorter one
+     * @param compactionBytes the size in bytes above which a file is replaced by a shorter one
      */
     TableStore(
             Path folder,
             LogOutput.Factory outputs,
             LongSupplier wallMillis,
             Runnable onProgress,
-            long grownBytes) {
-        this.grownBytes = grownBytes;
+            long compactionBytes) {
+        this.compactionBytes = compactionBytes;
         this.path = folder;
         this.outputs = outputs;
         this.wallMillis = wallMillis;
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Restores what was stored and begins to write. A damaged file is set aside and nothing is
-     * taken from it; the log names file and offset.
+     * Restores the stored state and begins a new file. A damaged file is set aside and nothing is
+     * restored from it; the log names file and offset.
      *
      * @throws IOException if the folder cannot be read or is in use by another process
      */
@@ -125,7 +125,7 @@
         if (!files.isEmpty()) {
             Path last = files.get(files.size() - 1);
             lastNumber = StoreFolder.number(last);
-            // The last file was moved into place whole, so those before it are done with.
+            // The last file was complete when it was renamed, so earlier ones are obsolete.
             for (Path old : files.subList(0, files.size() - 1)) {
                 Files.delete(old);
             }
@@ -136,7 +136,7 @@
         try {
             begin(restored, appended);
         } catch (IOException e) {
-            fail("cannot begin a file", e);
+            fail("cannot begin a new file", e);
         }
         thread.start();
         return restored;
@@ -145,12 +145,12 @@
     private StoreSnapshot restore(Path file) throws IOException {
         try {
             TableFileReader.Content content = TableFileReader.read(file);
-            if (content.cutBytes() > 0) {
+            if (content.discardedBytes() > 0) {
                 LOG.warn(
-                        "{}: the last {} bytes, from byte {} on, were not whole and are cut",
+                        "{}: discarded the incomplete last {} bytes, from byte {} on",
                         file,
-                        content.cutBytes(),
-                        content.cutFrom());
+                        content.discardedBytes(),
+                        content.discardedFrom());
             }
             appended = content.sequence();
             LOG.atInfo()
@@ -164,7 +164,8 @@
                     file.resolveSibling(file.getFileName() + ".damaged-" + wallMillis.getAsLong());
             Files.move(file, aside);
             LOG.error(
-                    "{}; set aside as {}; tables begin from the list and from what proxies hold",
+                    "{}; set aside as {}; tables start from the node list, "
+                            + "version numbers continue from those that proxies hold",
                     e.getMessage(),
                     aside);
             return StoreSnapshot.EMPTY;
@@ -188,18 +189,18 @@
     }
 
     /**
-     * Waits for a sequence to be durable, as long as there is no fault. An interrupt ends the wait
-     * and stays set.
+     * Waits until a sequence is durable or there is a fault. An interrupt ends the wait, and the
+     * thread's interrupt status stays set.
      *
-     * @param timeoutNanos the longest wait
+     * @param timeoutNanos the time limit for the wait
      * @return whether the sequence is durable
      */
     public boolean await(long sequence, long timeoutNanos) {
-        long until = System.nanoTime() + timeoutNanos;
+        long deadlineNanos = System.nanoTime() + timeoutNanos;
         synchronized (progress) {
-            while (durable < sequence && fault.isEmpty() && until - System.nanoTime() > 0) {
+            while (durable < sequence && fault.isEmpty() && deadlineNanos - System.nanoTime() > 0) {
                 try {
-                    TimeUnit.NANOSECONDS.timedWait(progress, until - System.nanoTime());
+                    TimeUnit.NANOSECONDS.timedWait(progress, deadlineNanos - System.nanoTime());
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                     break;
@@ -234,7 +235,7 @@
         return writer == null ? 0 : writer.bytes();
     }
 
-    /** The store's thread. */
+    /** Runs the store's thread. */
     private void run() {
         List<Command> batch = new ArrayList<>();
         while (!closing || !queue.isEmpty()) {
@@ -246,18 +247,18 @@
                     write(batch);
                 }
             } catch (IOException | RuntimeException e) {
-                fail("cannot write", e);
+                fail("cannot write entries", e);
             } catch (InterruptedException e) {
-                // This thread is the store's own: an interrupt ends it once the queue is empty.
+                // An interrupt of the store's own thread ends it once the queue is empty.
                 closing = true;
             }
             batch.clear();
-            askForSnapshot();
+            requestSnapshotDuringFault();
         }
     }
 
-    /** During a fault, asks for a snapshot once a second. */
-    private void askForSnapshot() {
+    /** Requests a snapshot once a second during a fault. */
+    private void requestSnapshotDuringFault() {
         if (!fault.isEmpty() && System.nanoTime() - retryAtNanos >= 0) {
             retryAtNanos = System.nanoTime() + RETRY_NANOS;
             needsSnapshot = true;
@@ -270,7 +271,7 @@
         for (Command command : batch) {
             if (command instanceof BeginFile next) {
                 begin(next.snapshot(), next.sequence());
-                recovered();
+                clearFault();
                 durable = written;
                 unforced = false;
             } else if (command instanceof WriteEntry entry
@@ -286,7 +287,7 @@
             durable = written;
         }
         signalProgress();
-        if (writer.hasGrown(grownBytes)) {
+        if (writer.needsCompaction(compactionBytes)) {
             needsSnapshot = true;
         }
     }
@@ -296,7 +297,7 @@
         written = sequence;
     }
 
-    private void recovered() {
+    private void clearFault() {
         if (!fault.isEmpty()) {
             LOG.atInfo()
                     .addKeyValue("file", writer.file().toString())
@@ -306,12 +307,12 @@
         broken = false;
     }
 
-    private void fail(String what, Exception e) {
+    private void fail(String failure, Exception e) {
         if (fault.isEmpty()) {
-            LOG.atError().addKeyValue("reason", what + ": " + e).log("tables are not persisted");
+            LOG.atError().addKeyValue("reason", failure + ": " + e).log("tables are not persisted");
         }
         broken = true;
-        fault = what + ": " + (e.getMessage() == null ? e.toString() : e.getMessage());
+        fault = failure + ": " + (e.getMessage() == null ? e.toString() : e.getMessage());
         retryAtNanos = System.nanoTime() + RETRY_NANOS;
         signalProgress();
     }
@@ -323,7 +324,7 @@
         onProgress.run();
     }
 
-    /** Writes what waits, for two seconds at most, and releases the folder. */
+    /** Writes all queued entries, for at most two seconds, and releases the folder. */
     @Override
     public void close() throws IOException {
         if (closing) {
--- a/src/main/java/rosespread/store/VersionDelta.java
+++ b/src/main/java/rosespread/store/VersionDelta.java
@@ -6,14 +6,14 @@
 import rosespread.table.TableVersion;
 
 /**
- * A version as it stands in the log: by what it changed of its parent. {@link LogReplay} makes the
- * whole version of it.
+ * A version as stored in the log: its changes from its parent. {@link LogReplay} applies them to
+ * the parent's entries.
  *
- * @param number of the version; greater than {@code parent}
- * @param parent the number of the version that it changed
- * @param atMillis wall clock of the commit
+ * @param number the version's number; greater than {@code parent}
+ * @param parent the number of the version that this one changed
+ * @param atMillis the wall clock of the commit
  * @param changes new weights, 0 for a removed entry
- * @param digest of all entries after the change
+ * @param digest the digest of all entries after the change
  */
 record VersionDelta(
         TableId table,
@@ -24,7 +24,7 @@
         Map<NodeId, Double> changes,
         long digest) {
 
-    /** The delta from a version's parent to it. */
+    /** Returns the delta from a version's parent to the version. */
     static VersionDelta of(TableVersion version) {
         return new VersionDelta(
                 version.table(),
--- a/src/test/java/rosespread/audit/AuditLogTest.java
+++ b/src/test/java/rosespread/audit/AuditLogTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Audit files that are continued, changed or cut. */
+/** Audit logs that are reopened, changed or truncated. */
 class AuditLogTest {
     @TempDir private Path folder;
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void anOpenedFileGoesOnWithItsChain() throws IOException {
+    void continuesChainOfReopenedFile() throws IOException {
         log(3);
         Path path = log(2);
         AuditLog.Verification verification = AuditLog.verify(path);
@@ -40,27 +40,27 @@
         assertEquals(5, verification.lines());
     }
 
-    /** Every way to change a file later but for cutting its end off. */
+    /** Every kind of later change to a file, except for removing lines from its end. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "CHANGED|line 3, byte |its chain",
-                "TAKEN_OUT|line 3, byte |its number",
-                "SWAPPED|line 3, byte |its number",
-                "PUT_IN|line 3, byte |its number",
-                "RENUMBERED|line 3, byte |its chain",
-                "RUBBISH|line 3, byte |not JSON"
+                "CHANGED|line 3, byte |field chain does not match",
+                "REMOVED|line 3, byte |field n is",
+                "SWAPPED|line 3, byte |field n is",
+                "INSERTED|line 3, byte |field n is",
+                "RENUMBERED|line 3, byte |field chain does not match",
+                "GARBAGE|line 3, byte |not JSON"
             })
-    void aLineThatWasChangedLaterIsFoundAndTheFileRefused(String change, String place, String fault)
+    void findsChangedLineAndRejectsFile(String change, String place, String fault)
             throws IOException {
         Path path = log(6);
         List<String> lines = new ArrayList<>(Files.readAllLines(path));
         switch (change) {
             case "CHANGED" -> lines.set(2, lines.get(2).replace("drain n2", "drain n3"));
-            case "TAKEN_OUT" -> lines.remove(2);
+            case "REMOVED" -> lines.remove(2);
             case "SWAPPED" -> lines.add(2, lines.remove(3));
-            case "PUT_IN" -> lines.add(2, lines.get(1));
+            case "INSERTED" -> lines.add(2, lines.get(1));
             case "RENUMBERED" -> {
                 lines.remove(2);
                 lines.set(2, lines.get(2).replace("\"n\":4", "\"n\":3"));
@@ -72,12 +72,12 @@
         assertTrue(
                 verification.fault().startsWith(place) && verification.fault().contains(fault),
                 verification.fault());
-        IOException refused = assertThrows(IOException.class, () -> new AuditLog(path, () -> 7));
-        assertTrue(refused.getMessage().contains(place), refused.getMessage());
+        IOException rejection = assertThrows(IOException.class, () -> new AuditLog(path, () -> 7));
+        assertTrue(rejection.getMessage().contains(place), rejection.getMessage());
     }
 
     @Test
-    void aLastLineThatIsNotWholeIsCut() throws IOException {
+    void truncatesIncompleteLastLine() throws IOException {
         Path path = log(2);
         Files.writeString(path, Files.readString(path) + "{\"n\":3,\"who\":");
         log(1);
--- a/src/test/java/rosespread/controller/StoredStateDamageTest.java
+++ b/src/test/java/rosespread/controller/StoredStateDamageTest.java
@@ -56,11 +56,11 @@
                 List.of(
                         "WARN "
                                 + file(TABLES)
-                                + ": the last "
+                                + ": discarded the incomplete last "
                                 + left
                                 + " bytes, from byte "
                                 + (TABLES_BYTES - LAST_ENTRY)
-                                + " on, were not whole and are cut"),
+                                + " on"),
                 warned());
     }
 
@@ -75,9 +75,9 @@
                 List.of(
                         "WARN "
                                 + file(TABLES)
-                                + ": the last "
+                                + ": discarded the incomplete last "
                                 + garbage.length()
-                                + " bytes, from byte 4699 on, were not whole and are cut"),
+                                + " bytes, from byte 4699 on"),
                 warned());
     }
 
@@ -87,8 +87,8 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "{\"n\":21,|{\"n\":22,|2817 of 4699: the checksum is 5b49e547, written was \"74b825a6\"",
-                "\"hold\":\"PINNED\"|\"hold\":\"PINNEX\"|57 of 4699: the checksum is 849ba982, written was "
+                "{\"n\":21,|{\"n\":22,|2817 of 4699: computed checksum is 5b49e547, stored is \"74b825a6\"",
+                "\"hold\":\"PINNED\"|\"hold\":\"PINNEX\"|57 of 4699: computed checksum is 849ba982, stored is "
                         + "\"d24b5ece\""
             })
     void damageWithinATablesFileIsRefused(String from, String to, String fault) throws IOException {
@@ -104,7 +104,8 @@
                                 + fault
                                 + "; set aside as "
                                 + file(TABLES + ".damaged-" + WALL)
-                                + "; tables begin from the list and from what proxies hold"),
+                                + "; tables start from the node list, version numbers continue from"
+                                + " those that proxies hold"),
                 warned());
     }
 
@@ -114,20 +115,20 @@
             delimiter = '|',
             quoteCharacter = '`',
             value = {
-                "{\"n\":34,\"laidOut\":\"1\"}|sequence 34 after 32",
-                "{\"n\":33,\"laid\":\"1\"}|an entry of no known kind",
+                "{\"n\":34,\"laidOut\":\"1\"}|sequence 34 does not follow sequence 32",
+                "{\"n\":33,\"laid\":\"1\"}|unknown entry type",
                 "{\"n\":33,\"hold\":{\"table\":9,\"state\":\"NONE\",\"to\":0,\"pending\":{}}}|"
-                        + "table 9 is held but has no version",
+                        + "table 9 has a pin change but no version",
                 "{\"n\":33,\"version\":{\"table\":1,\"number\":7,"
                         + "\"parent\":6,"
                         + "\"cause\":\"MODULE\",\"at\":1,"
                         + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 7 has digest "
-                        + "7aef3e81f7c40890, written was 0",
+                        + "7aef3e81f7c40890, stored is 0",
                 "{\"n\":33,\"version\":{\"table\":1,\"number\":9,"
                         + "\"parent\":8,"
                         + "\"cause\":\"MODULE\",\"at\":1,"
-                        + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 9 after 8 does not "
-                        + "follow version 6"
+                        + "\"digest\":\"0\",\"changes\":{}}}|table 1: version 9 with parent 8 does not "
+                        + "follow current version 6"
             })
     void anEntryThatDoesNotFollowIsRefused(String json, String fault) throws IOException {
         refuses(json, fault);
@@ -155,7 +156,8 @@
                                 + fault
                                 + "; set aside as "
                                 + file(TABLES + ".damaged-" + WALL)
-                                + "; tables begin from the list and from what proxies hold"),
+                                + "; tables start from the node list, version numbers continue from"
+                                + " those that proxies hold"),
                 warned());
     }
 
@@ -187,8 +189,8 @@
             value = {
                 "garbage|line 29, byte 6018: not JSON",
                 "{}|line 29, byte 6018: not a line of an audit log",
-                "{\"n\":30,\"chain\":\"0\"}|line 29, byte 6018: its number is 30",
-                "{\"n\":29,\"chain\":\"0\"}|line 29, byte 6018: its chain does not follow from the line before"
+                "{\"n\":30,\"chain\":\"0\"}|line 29, byte 6018: field n is 30, expected 29",
+                "{\"n\":29,\"chain\":\"0\"}|line 29, byte 6018: field chain does not match the hash of this line and the chain before it"
             })
     void aWholeLineOfGarbageAfterAnAuditLogIsRefused(String garbage, String fault)
             throws IOException {
@@ -205,7 +207,7 @@
         AuditLog.Verification verdict = AuditLog.verify(file(AUDIT));
         assertEquals(12, verdict.lines());
         assertEquals(
-                "line 13, byte 2542: its chain does not follow from the line before",
+                "line 13, byte 2542: field chain does not match the hash of this line and the chain before it",
                 verdict.fault());
     }
 
--- a/src/test/java/rosespread/store/AppendedHistory.java
+++ b/src/test/java/rosespread/store/AppendedHistory.java
@@ -10,7 +10,7 @@
 import rosespread.table.TableVersion;
 import rosespread.table.VersionHistory;
 
-/** A random history of entries, as a controller would append them, and the snapshot after it. */
+/** A random history of entries, as a controller appends them, and the snapshot after them. */
 final class AppendedHistory {
     private static final int TABLES = 3;
 
@@ -27,19 +27,19 @@
         return random;
     }
 
-    /** What a store must restore of all entries so far. */
+    /** Returns the snapshot that a store must restore after all entries so far. */
     StoreSnapshot snapshot() {
         return model.snapshot();
     }
 
-    /** The next entry, at a moment of the wall clock. */
+    /** Returns the next entry, as of a wall-clock time. */
     LogEntry next(long wallMillis) throws StoreException {
-        LogEntry entry = draw(wallMillis);
+        LogEntry entry = randomEntry(wallMillis);
         model.apply(entry);
         return entry;
     }
 
-    private LogEntry draw(long wallMillis) {
+    private LogEntry randomEntry(long wallMillis) {
         TableId table = new TableId(1 + random.nextInt(TABLES));
         VersionHistory history = histories.computeIfAbsent(table, id -> new VersionHistory(id, 0));
         int kind = random.nextInt(12);
--- a/src/test/java/rosespread/store/DiskFaultTest.java
+++ b/src/test/java/rosespread/store/DiskFaultTest.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What a store does when the disk is full or stalls. */
+/** Behavior of a store when the disk is full or stalls. */
 class DiskFaultTest extends StoreTestSupport {
     @Test
-    void aFullDiskIsReportedAndASnapshotMakesUpForIt() throws IOException {
+    void reportsFullDiskAndRecoversWithSnapshot() throws IOException {
         FullDisk disk = new FullDisk(5000);
         fixture.open(disk, 1 << 20);
         TableStore store = fixture.store();
@@ -21,7 +21,7 @@
         await().until(() -> store.fault().contains("No space left on device"));
         assertTrue(store.durable() < fixture.lastSequence());
         fixture.append(history, 20);
-        disk.free(10 << 20);
+        disk.setFreeBytes(10 << 20);
         await().until(store::needsSnapshot);
         fixture.append(history, 5);
         store.writeSnapshot(history.snapshot());
@@ -32,9 +32,9 @@
         assertSameSnapshot(history.snapshot(), fixture.open());
     }
 
-    /** What was durable before comes back, the torn end is cut. */
+    /** Durable entries are restored, and the incomplete end of the file is discarded. */
     @Test
-    void whatWasDurableIsRestoredAfterAnEndWithAFullDisk() throws IOException {
+    void restoresDurableEntriesAfterCloseWithFullDisk() throws IOException {
         fixture.open(new FullDisk(5000), 1 << 20);
         TableStore store = fixture.store();
         fixture.append(new AppendedHistory(new Random(4)), 100);
@@ -47,9 +47,9 @@
         assertEquals("", fixture.store().fault());
     }
 
-    /** Whoever appends is never held up, however much waits. */
+    /** Appending never blocks, even while the queue is full. */
     @Test
-    void aStalledDiskIsReportedOnceTheQueueIsFull() throws IOException {
+    void reportsStalledDiskOnceQueueIsFull() throws IOException {
         StallingDisk disk = new StallingDisk();
         fixture.open(disk, 64 << 20);
         disk.stall();
@@ -60,14 +60,14 @@
         }
         assertTrue(store.fault().contains("behind"), store::fault);
         disk.resume();
-        await().until(() -> recovered(store, history));
+        await().until(() -> isRecovered(store, history));
         fixture.append(history, 3);
         fixture.awaitDurable();
         fixture.close();
         assertSameSnapshot(history.snapshot(), fixture.open());
     }
 
-    private static boolean recovered(TableStore store, AppendedHistory history) {
+    private static boolean isRecovered(TableStore store, AppendedHistory history) {
         if (store.needsSnapshot()) {
             store.writeSnapshot(history.snapshot());
         }
--- a/src/test/java/rosespread/store/FullDisk.java
+++ b/src/test/java/rosespread/store/FullDisk.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A disk that takes a number of bytes and then breaks in the middle of a write. */
+/** A disk that accepts a number of bytes and then fails in the middle of a write. */
 final class FullDisk implements LogOutput.Factory {
     private final AtomicLong freeBytes;
 
@@ -13,7 +13,7 @@
         this.freeBytes = new AtomicLong(freeBytes);
     }
 
-    void free(long bytes) {
+    void setFreeBytes(long bytes) {
         freeBytes.set(bytes);
     }
 
@@ -23,11 +23,11 @@
         return new LogOutput() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
-                int fits = (int) Math.min(bytes.remaining(), Math.max(0, freeBytes.get()));
-                freeBytes.addAndGet(-fits);
-                boolean all = fits == bytes.remaining();
-                file.write(bytes.slice().limit(fits));
-                if (!all) {
+                int writable = (int) Math.min(bytes.remaining(), Math.max(0, freeBytes.get()));
+                freeBytes.addAndGet(-writable);
+                boolean complete = writable == bytes.remaining();
+                file.write(bytes.slice().limit(writable));
+                if (!complete) {
                     throw new IOException("No space left on device");
                 }
             }
--- a/src/test/java/rosespread/store/StallingDisk.java
+++ b/src/test/java/rosespread/store/StallingDisk.java
@@ -8,10 +8,10 @@
 /** A disk whose {@code force} does not return from {@link #stall} to {@link #resume}. */
 final class StallingDisk implements LogOutput.Factory {
     private final CountDownLatch resumed = new CountDownLatch(1);
-    private volatile boolean stalls;
+    private volatile boolean stalled;
 
     void stall() {
-        stalls = true;
+        stalled = true;
     }
 
     void resume() {
@@ -29,7 +29,7 @@
 
             @Override
             public void force() throws IOException {
-                if (stalls) {
+                if (stalled) {
                     awaitResumed();
                 }
                 file.force();
--- a/src/test/java/rosespread/store/StoreFixture.java
+++ b/src/test/java/rosespread/store/StoreFixture.java
@@ -11,9 +11,9 @@
 import rosespread.table.TableSnapshot;
 import rosespread.table.TableVersion;
 
-/** A store in a folder that can be closed and opened again, with a clock that a test drives. */
+/** A store in a folder that can be closed and reopened, with a clock that rises on each reading. */
 final class StoreFixture implements AutoCloseable {
-    private static final long GROWN_BYTES = 1 << 20;
+    private static final long COMPACTION_BYTES = 1 << 20;
 
     final Path folder;
     private TableStore store;
@@ -29,11 +29,11 @@
     }
 
     StoreSnapshot open() throws IOException {
-        return open(LogOutput.DISK, GROWN_BYTES);
+        return open(LogOutput.DISK, COMPACTION_BYTES);
     }
 
-    StoreSnapshot open(LogOutput.Factory outputs, long grownBytes) throws IOException {
-        store = new TableStore(folder, outputs, () -> wallMillis++, () -> {}, grownBytes);
+    StoreSnapshot open(LogOutput.Factory outputs, long compactionBytes) throws IOException {
+        store = new TableStore(folder, outputs, () -> wallMillis++, () -> {}, compactionBytes);
         return store.open();
     }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /** The sequence of the last entry appended. */
+    /** Returns the sequence of the last entry appended. */
     long lastSequence() {
         return lastSequence;
     }
@@ -52,7 +52,7 @@
         await().until(() -> store.durable() >= lastSequence);
     }
 
-    /** The only table file. */
+    /** Returns the only table file. */
     Path file() throws IOException {
         try (Stream<Path> all = Files.list(folder)) {
             return all.filter(p -> p.toString().endsWith(".log")).findFirst().orElseThrow();
@@ -76,7 +76,7 @@
         assertEquals(text(expected), text(actual));
     }
 
-    /** All but the entries of each version, which its digest stands for. */
+    /** Returns all state as text, with the digest of each version in place of its entries. */
     private static String text(StoreSnapshot snapshot) {
         StringBuilder text = new StringBuilder();
         text.append(snapshot.layout()).append(snapshot.drains());
--- a/src/test/java/rosespread/store/TableFileReaderTest.java
+++ b/src/test/java/rosespread/store/TableFileReaderTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Files that a store wrote, cut short or damaged since. */
+/** Reading files of a store that were truncated or damaged later. */
 class TableFileReaderTest extends StoreTestSupport {
-    /** Lines of the snapshot in the first file of a folder. */
+    /** Number of lines in the snapshot of a new store's first file. */
     private static final int SNAPSHOT_LINES = 2;
 
     @Test
-    void cutsATornTailAtAnyByte() throws IOException {
+    void discardsIncompleteTailOfAnyLength() throws IOException {
         fixture.open();
         AppendedHistory history = new AppendedHistory(new Random(1));
         List<StoreSnapshot> after = new ArrayList<>(List.of(history.snapshot()));
@@ -33,20 +33,20 @@
         fixture.awaitDurable();
         fixture.close();
         Path file = fixture.file();
-        byte[] whole = Files.readAllBytes(file);
-        List<Integer> ends = lineEnds(whole);
-        for (int length = ends.get(SNAPSHOT_LINES - 1); length <= whole.length; length += 7) {
-            int wholeLines = linesWithin(ends, length);
-            int wholeEntries = wholeLines - SNAPSHOT_LINES;
-            Files.write(file, Arrays.copyOf(whole, length));
+        byte[] original = Files.readAllBytes(file);
+        List<Integer> ends = lineEnds(original);
+        for (int length = ends.get(SNAPSHOT_LINES - 1); length <= original.length; length += 7) {
+            int completeLines = linesWithin(ends, length);
+            int completeEntries = completeLines - SNAPSHOT_LINES;
+            Files.write(file, Arrays.copyOf(original, length));
             TableFileReader.Content content = TableFileReader.read(file);
-            assertSameSnapshot(after.get(wholeEntries), content.snapshot());
-            assertEquals(length - ends.get(wholeLines - 1), content.cutBytes());
-            Files.write(file, withZeros(Arrays.copyOf(whole, length)));
+            assertSameSnapshot(after.get(completeEntries), content.snapshot());
+            assertEquals(length - ends.get(completeLines - 1), content.discardedBytes());
+            Files.write(file, withZeros(Arrays.copyOf(original, length)));
             assertEquals(
-                    wholeEntries,
+                    completeEntries,
                     TableFileReader.read(file).entries(),
-                    "zeros that a crash left are cut too");
+                    "zeros that a crash left are discarded too");
         }
     }
 
@@ -70,20 +70,20 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {0.0, 0.1, 0.3, 0.5, 0.7, 0.85})
-    void damageBeforeAWholeLineIsRefusedAndSetAside(double share) throws IOException {
+    void rejectsAndSetsAsideFileDamagedBeforeValidLine(double fraction) throws IOException {
         fixture.open();
         fixture.append(new AppendedHistory(new Random(2)), 40);
         fixture.awaitDurable();
         fixture.close();
         Path file = fixture.file();
         byte[] bytes = Files.readAllBytes(file);
-        int damagedAt = (int) (share * bytes.length);
+        int damagedAt = (int) (fraction * bytes.length);
         bytes[damagedAt] ^= 0x10;
         Files.write(file, bytes);
-        StoreException refused =
+        StoreException rejection =
                 assertThrows(StoreException.class, () -> TableFileReader.read(file));
         String place = file + ": damaged at byte " + lineStart(bytes, damagedAt) + " of ";
-        assertTrue(refused.getMessage().startsWith(place), refused::getMessage);
+        assertTrue(rejection.getMessage().startsWith(place), rejection::getMessage);
         assertSameSnapshot(StoreSnapshot.EMPTY, fixture.open());
         List<String> names = fixture.fileNames();
         assertTrue(names.stream().anyMatch(name -> name.contains("damaged")), names::toString);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aSnapshotThatIsNotWholeIsDamage() throws IOException {
+    void rejectsFileWithIncompleteSnapshot() throws IOException {
         fixture.open();
         fixture.append(new AppendedHistory(new Random(2)), 40);
         fixture.close();
--- a/src/test/java/rosespread/store/TableStoreTest.java
+++ b/src/test/java/rosespread/store/TableStoreTest.java
@@ -14,17 +14,17 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** What a store restores after it ended in any way, on a disk that does its part. */
+/** State that a store restores after it was closed or crashed, on a disk without faults. */
 class TableStoreTest extends StoreTestSupport {
     private static final int FILE_AND_LOCK = 2;
 
     @Property(tries = 60, seed = "1")
-    void restoresWhatWasAppendedOverRestarts(@ForAll long seed) throws IOException {
+    void restoresAppendedEntriesAcrossRestarts(@ForAll long seed) throws IOException {
         StoreFixture restarted = new StoreFixture(Files.createTempDirectory("rosespread-store"));
         AppendedHistory history = new AppendedHistory(new Random(seed));
         for (int start = 0; start < 3; start++) {
-            long grownBytes = history.random().nextBoolean() ? 2000 : 1 << 20;
-            assertSameSnapshot(history.snapshot(), restarted.open(LogOutput.DISK, grownBytes));
+            long compactionBytes = history.random().nextBoolean() ? 2000 : 1 << 20;
+            assertSameSnapshot(history.snapshot(), restarted.open(LogOutput.DISK, compactionBytes));
             restarted.append(history, history.random().nextInt(60));
             if (restarted.store().needsSnapshot()) {
                 restarted.store().writeSnapshot(history.snapshot());
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aFileThatHasGrownIsFollowedByAShorterOne() throws IOException {
+    void replacesGrownFileByShorterOne() throws IOException {
         fixture.open(LogOutput.DISK, 20_000);
         AppendedHistory history = new AppendedHistory(new Random(5));
         for (int batch = 0; batch < 20; batch++) {
@@ -52,7 +52,7 @@
                     fixture.store().writeSnapshot(history.snapshot());
                 }
             }
-            // Else all could be appended before a slow disk lets the store see the growth.
+            // Otherwise all entries might be queued before a slow disk lets the file grow.
             fixture.awaitDurable();
         }
         assertEquals(FILE_AND_LOCK, fixture.fileNames().size(), fixture.fileNames()::toString);
@@ -62,9 +62,9 @@
         assertSameSnapshot(history.snapshot(), fixture.open());
     }
 
-    /** The two moments at which a store can end between one file and the next. */
+    /** A crash while a new file is begun leaves either of these files. */
     @Test
-    void anUnfinishedAndAnOutdatedFileAreDeletedAtAStart() throws IOException {
+    void deletesTemporaryAndObsoleteFilesAtStart() throws IOException {
         fixture.open();
         AppendedHistory history = new AppendedHistory(new Random(6));
         fixture.append(history, 30);
@@ -78,13 +78,13 @@
     }
 
     @Test
-    void aFolderInUseCannotBeOpenedUntilItIsReleased() throws IOException {
+    void rejectsFolderInUseUntilItIsReleased() throws IOException {
         fixture.open();
         try (StoreFixture other = new StoreFixture(fixture.folder)) {
-            IOException refused = assertThrows(IOException.class, other::open);
+            IOException rejection = assertThrows(IOException.class, other::open);
             assertTrue(
-                    refused.getMessage().contains("in use by another conductor"),
-                    refused::getMessage);
+                    rejection.getMessage().contains("in use by another controller"),
+                    rejection::getMessage);
         }
         fixture.close();
         fixture.open();
