--- a/src/main/java/rosespread/controller/RoundMessageWriter.java
+++ b/src/main/java/rosespread/controller/RoundMessageWriter.java
@@ -110,7 +110,7 @@
         for (TableId id : session.pendingFullUpdates()) {
             if (!session.isSubscribed(id) || tables.containsKey(id)) {
                 session.clearFullUpdate(id);
-            } else if (registry.table(id).current().lines().size()
+            } else if (registry.table(id).current().entries().size()
                     <= capacity.availableEntries(1, true)) {
                 session.clearFullUpdate(id);
                 tables.put(id, session.subscribedMethods(id));
@@ -152,7 +152,7 @@
 
     private boolean hasWeightFor(ProxySession session, NodeId node) {
         return session.subscribedTables().stream()
-                .anyMatch(table -> registry.table(table).current().lines().containsKey(node));
+                .anyMatch(table -> registry.table(table).current().entries().containsKey(node));
     }
 
     /**
@@ -163,7 +163,7 @@
             ProxyMessage message, TableId id, Set<MethodId> methods, RoundFrames frames) {
         ProxySession session = message.session();
         VersionHistory history = registry.table(id).history();
-        Set<NodeId> tableNodes = history.current().lines().keySet();
+        Set<NodeId> tableNodes = history.current().entries().keySet();
         boolean withAddresses = session.lacksAllAddresses(tableNodes);
         if (withAddresses) {
             tableNodes.stream().filter(nodes::containsKey).forEach(session::recordAddressSent);
--- a/src/main/java/rosespread/controller/TableStatusReader.java
+++ b/src/main/java/rosespread/controller/TableStatusReader.java
@@ -28,7 +28,7 @@
     /** Returns all tables with their committed weights. */
     List<ControllerStatus.Table> readAll() {
         List<ControllerStatus.Table> tables = new ArrayList<>();
-        registry.tables().forEach(table -> tables.add(status(table, table.current().lines())));
+        registry.tables().forEach(table -> tables.add(status(table, table.current().entries())));
         return tables;
     }
 
@@ -60,7 +60,7 @@
                 version.number(),
                 version.cause().name(),
                 version.atMillis(),
-                version.lines().size(),
+                version.entries().size(),
                 version.changes().size(),
                 Long.toHexString(version.digest()));
     }
@@ -85,7 +85,7 @@
         if (changes.isEmpty()) {
             return Optional.empty();
         }
-        Map<NodeId, Double> before = table.history().version(from).orElseThrow().lines();
+        Map<NodeId, Double> before = table.history().version(from).orElseThrow().entries();
         List<ControllerStatus.Changed> changedEntries = new ArrayList<>();
         changes.get()
                 .forEach(
--- a/src/test/java/rosespread/controller/StoredFormatTest.java
+++ b/src/test/java/rosespread/controller/StoredFormatTest.java
@@ -71,7 +71,7 @@
     @Test
     void snapshotKeepsRecordedFormat(@TempDir Path empty) throws IOException {
         TableVersion full =
-                TableVersion.whole(
+                TableVersion.full(
                         new TableId(7),
                         5,
                         TableVersion.Cause.REJOIN,
--- a/src/test/java/rosespread/controller/StoredStateFixture.java
+++ b/src/test/java/rosespread/controller/StoredStateFixture.java
@@ -134,7 +134,7 @@
                         .append(' ')
                         .append(Long.toHexString(v.digest()))
                         .append(' ')
-                        .append(weightsByHexId(v.lines()))
+                        .append(weightsByHexId(v.entries()))
                         .append('\n');
             }
         }
