--- a/src/main/java/rosespread/channel/ChannelCodec.java
+++ b/src/main/java/rosespread/channel/ChannelCodec.java
@@ -6,17 +6,18 @@
 import rosespread.codec.StreamCodecFactory;
 
 /**
- * The MINA codec of the channel: {@link FrameReader} in, {@link FrameWriter} out. A session takes a
- * {@link Frame}, or a {@code byte[]} of frames that are already encoded, which lets several
- * sessions share one encoding.
+ * The MINA codec of the channel: decodes with {@link FrameReader} and encodes with {@link
+ * FrameWriter}. A message written to a session is a {@link Frame}, or a {@code byte[]} of encoded
+ * frames, so that several sessions can share one encoding.
  */
 public final class ChannelCodec extends StreamCodecFactory<Frame> {
     private final int maxFrameBytes;
     private final int maxUnpackedBytes;
 
     /**
-     * @param maxFrameBytes largest length field that is accepted
-     * @param maxUnpackedBytes largest size of a packed frame's content; 0 to refuse packed frames
+     * @param maxFrameBytes longest frame that is accepted, in bytes without the length field
+     * @param maxUnpackedBytes largest content of a packed frame, in bytes; 0 to reject packed
+     *     frames
      */
     public ChannelCodec(int maxFrameBytes, int maxUnpackedBytes) {
         this.maxFrameBytes = maxFrameBytes;
--- a/src/main/java/rosespread/channel/FieldReader.java
+++ b/src/main/java/rosespread/channel/FieldReader.java
@@ -8,8 +8,8 @@
 import rosespread.api.TableId;
 
 /**
- * Reads the fields of one frame after another, each checked against the protocol. Errors name the
- * field and the position in the stream. Reused for all frames of a stream; not thread-safe.
+ * Reads the fields of a frame and checks each against the protocol. Errors name the field and its
+ * byte offset in the stream. One reader serves all frames of a stream; not thread-safe.
  */
 final class FieldReader {
     private static final int MICROS_TO_NANOS = 1000;
@@ -18,35 +18,35 @@
     private long frameOffset;
 
     /**
-     * Starts to read a frame.
+     * Starts reading a frame.
      *
-     * @param frame the frame without its length field, from the type on
-     * @param offset bytes of the stream before it
+     * @param frame the frame from its type byte on, without the length field
+     * @param offset the stream offset of the type byte
      */
     void start(ByteBuffer frame, long offset) {
         this.frame = frame;
         this.frameOffset = offset;
     }
 
-    /** Bytes of the current frame that have been read. */
+    /** The number of bytes read from the current frame. */
     int position() {
         return frame.position();
     }
 
-    /** Bytes of the current frame that have not been read. */
+    /** The number of bytes left to read in the current frame. */
     int remaining() {
         return frame.remaining();
     }
 
-    /** An error at the current position. */
+    /** Creates an error at the current position; does not throw it. */
     FrameException error(String message) {
         return new FrameException(frameOffset + frame.position(), message);
     }
 
-    /** Fails unless so many bytes of the frame remain. */
-    void require(int bytes, String what) throws FrameException {
+    /** Fails unless at least {@code bytes} bytes of the frame remain. */
+    void require(int bytes, String fieldName) throws FrameException {
         if (frame.remaining() < bytes) {
-            throw error(what + " is cut short by the frame's end");
+            throw error(fieldName + " is cut short by the frame's end");
         }
     }
 
@@ -60,9 +60,9 @@
         return Short.toUnsignedInt(frame.getShort());
     }
 
-    /** 32 bits as they are. */
-    int bits32(String what) throws FrameException {
-        require(Integer.BYTES, what);
+    /** Reads 32 bits without a check of their value. */
+    int bits32(String fieldName) throws FrameException {
+        require(Integer.BYTES, fieldName);
         return frame.getInt();
     }
 
@@ -71,84 +71,84 @@
         return frame.getLong();
     }
 
-    /** The rest of the frame. */
+    /** Reads all bytes that are left in the frame. */
     byte[] rest() {
         byte[] bytes = new byte[frame.remaining()];
         frame.get(bytes);
         return bytes;
     }
 
-    /** An unsigned number of 32 bits; those beyond {@link Integer#MAX_VALUE} are refused. */
-    int count(String what) throws FrameException {
-        int value = bits32(what);
+    /** Reads an unsigned 32-bit number; fails if it exceeds {@link Integer#MAX_VALUE}. */
+    int count(String fieldName) throws FrameException {
+        int value = bits32(fieldName);
         if (value < 0) {
-            throw error(what + " " + value + " is negative");
+            throw error(fieldName + " " + value + " is negative");
         }
         return value;
     }
 
-    /** Checks the number of entries of an array before any memory is taken for them. */
-    int entryCount(int count, int bytesEach, String what) throws FrameException {
+    /** Checks the number of entries of an array before memory is allocated for them. */
+    int entryCount(int count, int bytesEach, String fieldName) throws FrameException {
         if (count < 0 || count > FrameLimits.MAX_ENTRIES) {
-            throw error(count + " " + what + "; at most " + FrameLimits.MAX_ENTRIES);
+            throw error(count + " " + fieldName + "; at most " + FrameLimits.MAX_ENTRIES);
         }
-        require(count * bytesEach, what);
+        require(count * bytesEach, fieldName);
         return count;
     }
 
-    /** A span of time in microseconds that also fits into nanoseconds. */
-    long micros(String what) throws FrameException {
+    /** Reads a duration in microseconds; fails if it is negative or overflows in nanoseconds. */
+    long micros(String fieldName) throws FrameException {
         long micros = i64();
         if (micros < 0 || micros > Long.MAX_VALUE / MICROS_TO_NANOS) {
-            throw error(what + " of " + micros + " us is out of bounds");
+            throw error(fieldName + " of " + micros + " us is out of bounds");
         }
         return micros;
     }
 
-    boolean flag(String what) throws FrameException {
+    boolean flag(String fieldName) throws FrameException {
         int value = u8();
         if (value > 1) {
-            throw error(what + " is " + value + ", not 0 or 1");
+            throw error(fieldName + " is " + value + ", not 0 or 1");
         }
         return value == 1;
     }
 
-    /** A number that is not negative; infinity is allowed, NaN is not. */
-    double measure(String what) throws FrameException {
-        return measure(what, false);
+    /** Reads a number of at least 0; infinity is allowed, NaN is not. */
+    double nonNegative(String fieldName) throws FrameException {
+        return nonNegative(fieldName, false);
     }
 
-    /** A number that is not negative, or NaN if it was not measured. */
-    double measureOrNaN(String what) throws FrameException {
-        return measure(what, true);
+    /** Reads a number of at least 0, or NaN, which means not measured. */
+    double nonNegativeOrNaN(String fieldName) throws FrameException {
+        return nonNegative(fieldName, true);
     }
 
-    private double measure(String what, boolean allowsNaN) throws FrameException {
-        require(Double.BYTES, what);
+    private double nonNegative(String fieldName, boolean allowsNaN) throws FrameException {
+        require(Double.BYTES, fieldName);
         double value = frame.getDouble();
         boolean isMissing = allowsNaN && Double.isNaN(value);
         if (!(value >= 0) && !isMissing) {
-            throw error(what + " is " + value);
+            throw error(fieldName + " is " + value);
         }
         return value;
     }
 
-    String text(String what) throws FrameException {
+    String text(String fieldName) throws FrameException {
         int length = u8();
-        require(length, what);
+        require(length, fieldName);
         ByteBuffer bytes = frame.slice().limit(length);
         frame.position(frame.position() + length);
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(bytes).toString();
         } catch (CharacterCodingException e) {
-            throw error(what + " is not UTF-8");
+            throw error(fieldName + " is not UTF-8");
         }
     }
 
-    String nonEmptyText(String what) throws FrameException {
-        String text = text(what);
+    String nonEmptyText(String fieldName) throws FrameException {
+        String text = text(fieldName);
         if (text.isEmpty()) {
-            throw error(what + " is empty");
+            throw error(fieldName + " is empty");
         }
         return text;
     }
--- a/src/main/java/rosespread/channel/Frame.java
+++ b/src/main/java/rosespread/channel/Frame.java
@@ -6,14 +6,14 @@
 import rosespread.api.TableId;
 
 /**
- * The frames of the channel; docs/channel.md gives their bytes. All that a controller sends to a
- * proxy in one round is one message: any number of frames closed by a {@link Mark}, which the proxy
- * applies together.
+ * A frame of the channel; docs/channel.md specifies the bytes. Everything a controller sends to a
+ * proxy in one round is one message: any number of frames followed by a {@link Mark}. The proxy
+ * applies the frames of a message together.
  *
- * <p>Frames are immutable as long as their lists are; the lists are not copied.
+ * <p>Lists are not copied, so a frame is immutable only if its lists are.
  */
 public sealed interface Frame {
-    /** The version of the protocol that this program speaks. */
+    /** The protocol version that this program implements. */
     int VERSION = 2;
 
     /**
@@ -21,20 +21,21 @@
      *
      * @param version the sender's {@link #VERSION}
      * @param name the sender's name
-     * @param methods the controller's methods, in the order of their ids; a proxy names none
+     * @param methods the controller's methods, in the order of their ids; empty from a proxy
      */
     record Hello(int version, String name, List<String> methods) implements Frame {}
 
-    /** A version of a table that a proxy holds, whichever controller sent it. */
+    /** The version of a table that a proxy holds, from whichever controller. */
     record Holding(TableId table, long version) {}
 
     /**
      * A proxy's registration.
      *
-     * @param proxy its name, which is its identity: a later stream of the same name replaces this
-     * @param rate its usual load in RPCs a second
-     * @param unpacks whether it accepts packed frames
-     * @param held the highest version of each table that it ever received
+     * @param proxy the proxy's name, which identifies it: a later stream of that name replaces this
+     *     one
+     * @param rate the proxy's usual load, in RPCs per second
+     * @param unpacks whether the proxy accepts packed frames
+     * @param held the highest version of each table that the proxy has ever received
      */
     record Join(String proxy, String zone, double rate, boolean unpacks, List<Holding> held)
             implements Frame {
@@ -44,7 +45,7 @@
         }
     }
 
-    /** The address of a node; sent once a stream, before another frame names the node. */
+    /** The address of a node; sent once per stream, before any other frame names the node. */
     record Node(NodeId node, String host, int port, String zone) implements Frame {}
 
     /** A weight entry; in a delta, weight 0 removes the node. */
@@ -53,14 +54,15 @@
     /**
      * A method's admission limit and retry policy.
      *
-     * @param admitted a share or RPCs a second, as the settings say; infinite admits all
+     * @param admitted the limit as a fraction or in RPCs per second, as the settings say; infinity
+     *     admits all
      */
     record Level(MethodId method, double admitted, Tries tries) {}
 
     /**
-     * A full table and the methods that follow it, in place of all that the proxy held for them.
+     * A full table and the methods that use it; replaces everything the proxy held for them.
      *
-     * @param digest over the lines, as docs/channel.md defines it
+     * @param digest the digest of the lines, as docs/channel.md defines it
      */
     record Bind(
             TableId table,
@@ -74,16 +76,16 @@
     /**
      * A delta from one version of a table to a later one.
      *
-     * @param digest over all lines of the table after the change
+     * @param digest the digest of all lines of the table after the delta
      */
     record Lines(TableId table, long from, long to, long digest, List<Line> lines)
             implements Frame {}
 
     /**
-     * A proxy's request for a full table: a delta did not follow what it holds, or led to another
-     * digest.
+     * A proxy's request for a full table, because a delta started from another version than the one
+     * held, or because the digest after a delta did not match.
      *
-     * @param held the version that it holds
+     * @param held the version that the proxy holds
      */
     record Missed(TableId table, long held) implements Frame {}
 
@@ -96,11 +98,11 @@
     /**
      * Closes a message.
      *
-     * @param number identifies the message; numbers rise over streams and restarts
-     * @param round the round that ordered it
-     * @param lines the entries that the message counts, with its overhead
-     * @param waiting the entries queued in the channel when it left, its own included
-     * @param queuedMicros how long it was queued, in microseconds
+     * @param number identifies the message; numbers increase across streams and restarts
+     * @param round the controller's round that ordered the message
+     * @param lines the entries that the message counts as, its overhead included
+     * @param waiting the entries queued in the channel when the message was sent, its own included
+     * @param queuedMicros how long the message was queued, in microseconds
      */
     record Mark(long number, long round, int lines, int waiting, long queuedMicros)
             implements Frame {}
@@ -109,10 +111,10 @@
     record Installed(long number) implements Frame {}
 
     /**
-     * What a proxy measured at one node.
+     * A proxy's measurements of one node.
      *
      * @param tries attempts that ended
-     * @param unanswered those of them without a response
+     * @param unanswered attempts that ended without a response
      * @param latency in seconds; NaN if not measured
      * @param utilization as the node reported it; NaN if not measured
      */
@@ -121,27 +123,27 @@
     /**
      * A proxy's load report.
      *
-     * @param coversMicros the time it covers, in microseconds
+     * @param coversMicros the time that the report covers, in microseconds
      */
     record Sums(long coversMicros, List<Sum> sums) implements Frame {}
 
-    /** How many RPCs of a method arrived at a proxy. */
+    /** The number of RPCs of a method that arrived at a proxy. */
     record Count(MethodId method, int came) {}
 
     /**
      * A proxy's demand report.
      *
-     * @param coversMicros the time it covers, in microseconds
+     * @param coversMicros the time that the report covers, in microseconds
      */
     record Offered(long coversMicros, List<Count> counts) implements Frame {}
 
-    /** A heartbeat; one with {@code answer} false is to be returned with the same number. */
+    /** A heartbeat; the receiver returns one with {@code answer} false under the same number. */
     record KeepAlive(long number, boolean answer) implements Frame {}
 
     /**
      * The last frame of a stream.
      *
-     * @param text details for the other side's log
+     * @param text details for the receiver's log
      */
     record Close(Reason reason, String text) implements Frame {}
 
@@ -153,7 +155,7 @@
     enum Tries {
         /** Never. */
         NONE,
-        /** Once, if the first attempt provably never ran. */
+        /** Once, if it is certain that the first attempt never ran. */
         AFTER_PROOF,
         /** Once, after any failure. */
         AFTER_ANY_FAILURE
@@ -163,15 +165,15 @@
     enum Reason {
         /** The sender is stopping. */
         STOPPING,
-        /** The other side broke the protocol. */
+        /** The receiver violated the protocol. */
         BAD_FRAME,
-        /** The versions of the protocol differ. */
+        /** The protocol versions differ. */
         BAD_VERSION,
         /** The controller has no settings yet. */
         NO_SETTINGS,
         /** The registration was not acceptable. */
         BAD_JOIN,
-        /** Nothing came for too long, or no registration came in time. */
+        /** Nothing was received for too long, or no registration in time. */
         SILENT,
         /** The receiver did not read fast enough. */
         SLOW,
--- a/src/main/java/rosespread/channel/FrameBodyReader.java
+++ b/src/main/java/rosespread/channel/FrameBodyReader.java
@@ -26,8 +26,9 @@
     /**
      * Reads a frame whose type and flags have been read.
      *
-     * @param type any but {@link FrameType#PACKED}, which is no frame of its own
-     * @throws FrameException if a field is malformed, or the body is longer or shorter than it
+     * @param type any type but {@link FrameType#PACKED}, whose body is other frames
+     * @throws FrameException if a field is malformed, or the body is longer or shorter than its
+     *     fields
      */
     Frame read(FrameType type) throws FrameException {
         Frame frame =
@@ -62,7 +63,7 @@
         return new Frame.Join(
                 fields.nonEmptyText("proxy"),
                 fields.nonEmptyText("zone"),
-                fields.measure("rate"),
+                fields.nonNegative("rate"),
                 fields.flag("unpacks"),
                 holdings());
     }
@@ -118,7 +119,7 @@
         int count = fields.entryCount(fields.count("lines"), LINE_BYTES, "lines");
         List<Frame.Line> lines = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            lines.add(new Frame.Line(fields.node(), fields.measure("weight")));
+            lines.add(new Frame.Line(fields.node(), fields.nonNegative("weight")));
         }
         return lines;
     }
@@ -134,7 +135,7 @@
 
     private Frame.Level level() throws FrameException {
         MethodId method = fields.method();
-        double admitted = fields.measure("level");
+        double admitted = fields.nonNegative("level");
         int tries = fields.u8();
         if (tries >= TRIES.length) {
             throw fields.error("tries " + tries + " are unknown");
@@ -172,8 +173,8 @@
         if (unanswered > tries) {
             throw fields.error(unanswered + " of " + tries + " tries unanswered");
         }
-        double latencySeconds = fields.measureOrNaN("latency");
-        double utilization = fields.measureOrNaN("utilization");
+        double latencySeconds = fields.nonNegativeOrNaN("latency");
+        double utilization = fields.nonNegativeOrNaN("utilization");
         return new Frame.Sum(node, tries, unanswered, latencySeconds, utilization);
     }
 
--- a/src/main/java/rosespread/channel/FrameBodyWriter.java
+++ b/src/main/java/rosespread/channel/FrameBodyWriter.java
@@ -135,7 +135,9 @@
         }
     }
 
-    /** Cuts a text that is too long at a whole character; only free text can be. */
+    /**
+     * Writes a text, truncated after a whole character if too long; only free text can be too long.
+     */
     private static void text(DataOutputStream out, String text) throws IOException {
         String fitting = text;
         byte[] bytes = fitting.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/rosespread/channel/FrameCompression.java
+++ b/src/main/java/rosespread/channel/FrameCompression.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Zstandard compression of packed frames. The library is native: where it cannot be loaded, a
- * warning is logged once and no frame is packed. Thread-safe.
+ * Zstandard compression of packed frames. If the native library cannot be loaded, a warning is
+ * logged once and no frame is packed. Thread-safe.
  */
 public final class FrameCompression {
     private static final Logger LOG = LoggerFactory.getLogger(FrameCompression.class);
@@ -21,7 +21,9 @@
         try {
             return Zstd.compressBound(1) > 0;
         } catch (UnsatisfiedLinkError | ExceptionInInitializerError | NoClassDefFoundError e) {
-            LOG.atWarn().addKeyValue("reason", e.toString()).log("compression is unavailable");
+            LOG.atWarn()
+                    .addKeyValue("reason", e.toString())
+                    .log("native Zstandard library cannot be loaded; frames are not packed");
             return false;
         }
     }
@@ -31,16 +33,17 @@
         return AVAILABLE;
     }
 
-    /** Compresses all of the bytes; the library must be available. */
+    /** Compresses the bytes; the library must be available. */
     static byte[] compress(byte[] bytes) {
         return Zstd.compress(bytes, COMPRESSION_LEVEL);
     }
 
     /**
-     * Decompresses bytes that must come to exactly the announced length.
+     * Decompresses bytes whose decompressed length is announced.
      *
-     * @param length expected size in bytes; the caller has bounded it
-     * @return empty if the bytes are no such data, or the library is unavailable
+     * @param length the announced length in bytes, which the caller has limited
+     * @return empty if the bytes are not Zstandard data of exactly this length, or the library is
+     *     unavailable
      */
     static Optional<byte[]> decompress(byte[] compressed, int length) {
         if (!AVAILABLE) {
--- a/src/main/java/rosespread/channel/FrameException.java
+++ b/src/main/java/rosespread/channel/FrameException.java
@@ -2,7 +2,7 @@
 
 import rosespread.codec.MalformedStreamException;
 
-/** Thrown when incoming bytes break the channel's protocol (docs/channel.md). */
+/** Thrown when received bytes violate the channel protocol (docs/channel.md). */
 public final class FrameException extends MalformedStreamException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -6,9 +6,9 @@
 import rosespread.codec.MessageParser;
 
 /**
- * Reads a stream of frames that may be cut at every byte. It holds one frame at most, in a buffer
- * that grows with the bytes that came and not with the length that was announced. Malformed bytes
- * cause a {@link FrameException} and nothing else.
+ * Reads frames from a byte stream that may be split between any two bytes. The reader holds at most
+ * one frame, in a buffer that grows with the bytes received and not with the announced length.
+ * Malformed bytes cause a {@link FrameException} and no other exception.
  *
  * <p>Not thread-safe: a reader belongs to the I/O thread of its session.
  */
@@ -28,18 +28,18 @@
     private final int maxUnpackedBytes;
     private final Consumer<Frame> out;
     private final FieldReader fields = new FieldReader();
-    private final FrameBodyReader bodies = new FrameBodyReader(fields);
+    private final FrameBodyReader bodyReader = new FrameBodyReader(fields);
 
-    /** The bytes so far of the length field or, once that is known, of the frame after it. */
+    /** The bytes received of the length field or, once the length is known, of the frame. */
     private ByteBuffer buffer = ByteBuffer.allocate(INITIAL_CAPACITY);
 
     /** The current frame's length in bytes, or {@link #LENGTH_UNKNOWN}. */
     private int length = LENGTH_UNKNOWN;
 
-    /** Bytes of the stream up to the end of the last complete length field or frame. */
+    /** The stream offset of the end of the last complete length field or frame. */
     private long offset;
 
-    /** Creates a reader that refuses packed frames. */
+    /** Creates a reader that rejects packed frames. */
     public FrameReader(int maxFrameBytes, Consumer<Frame> out) {
         this(maxFrameBytes, 0, out);
     }
@@ -47,9 +47,10 @@
     /**
      * Creates a reader.
      *
-     * @param maxFrameBytes longest frame without its length field
-     * @param maxUnpackedBytes largest content of a packed frame; 0 to refuse packed frames
-     * @param out takes each frame, on the thread that feeds
+     * @param maxFrameBytes longest frame, in bytes without the length field
+     * @param maxUnpackedBytes largest content of a packed frame, in bytes; 0 to reject packed
+     *     frames
+     * @param out receives each frame, on the thread that calls {@link #feed}
      */
     public FrameReader(int maxFrameBytes, int maxUnpackedBytes, Consumer<Frame> out) {
         this.maxFrameBytes = maxFrameBytes;
@@ -65,13 +66,13 @@
     /**
      * {@inheritDoc}
      *
-     * @throws FrameException if the bytes break the protocol
+     * @throws FrameException if the bytes violate the protocol
      */
     @Override
     public void feed(ByteBuffer in) throws FrameException {
         while (in.hasRemaining()) {
             int expected = length == LENGTH_UNKNOWN ? LENGTH_BYTES : length;
-            move(in, Math.min(expected - buffer.position(), in.remaining()));
+            copyToBuffer(in, Math.min(expected - buffer.position(), in.remaining()));
             if (buffer.position() < expected) {
                 return;
             }
@@ -83,7 +84,7 @@
         }
     }
 
-    private void move(ByteBuffer in, int count) {
+    private void copyToBuffer(ByteBuffer in, int count) {
         if (buffer.remaining() < count) {
             int doubled = Math.min(length, buffer.capacity() * 2);
             int capacity = Math.max(buffer.position() + count, doubled);
@@ -96,7 +97,7 @@
     private void readLength() throws FrameException {
         length = buffer.getInt(0);
         if (length < MIN_FRAME_BYTES || length > maxFrameBytes) {
-            // What was read of the frame before counts too: the text goes into Close as it is.
+            // Bytes read of the previous frame are counted too: Close carries this text unchanged.
             throw new FrameException(
                     offset + fields.position(),
                     "a frame of "
@@ -131,11 +132,14 @@
         } else if (type == FrameType.PACKED) {
             unpack();
         } else {
-            out.accept(bodies.read(type));
+            out.accept(bodyReader.read(type));
         }
     }
 
-    /** The announced length is believed up to the bound only, and must then be exact. */
+    /**
+     * Reads the frames in a packed frame. Fails if the announced length exceeds the limit, before
+     * memory is allocated, or if it differs from the length of the content.
+     */
     private void unpack() throws FrameException {
         int unpackedBytes = fields.count("unpacked bytes");
         if (unpackedBytes > maxUnpackedBytes) {
--- a/src/main/java/rosespread/channel/FrameType.java
+++ b/src/main/java/rosespread/channel/FrameType.java
@@ -18,7 +18,7 @@
     MISSED(14),
     PACKED(15);
 
-    /** The flag of a frame that a receiver skips if it does not know the type. */
+    /** The flag of a frame that the receiver skips if the type is unknown to it. */
     static final int OPTIONAL_FLAG = 1;
 
     private static final FrameType[] BY_CODE = new FrameType[256];
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The type of a byte on the wire; null, which spares an allocation a frame, if this version
-     * does not know it.
+     * The type of a byte on the wire; null if this version does not know the byte. Null instead of
+     * an Optional saves one allocation per frame.
      *
      * @param code 0 to 255
      */
--- a/src/main/java/rosespread/channel/FrameWriter.java
+++ b/src/main/java/rosespread/channel/FrameWriter.java
@@ -7,8 +7,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Encodes frames. A frame for several proxies is encoded once and its bytes are shared, so they
- * must not be modified. Stateless and thread-safe.
+ * Encodes frames. A frame for several proxies is encoded once and the proxies share the bytes, so
+ * the bytes must not be modified. Stateless and thread-safe.
  */
 public final class FrameWriter {
     private static final int INITIAL_CAPACITY = 64;
@@ -24,7 +24,7 @@
 
     /**
      * Encodes a frame with its length field. A text over {@value FrameLimits#MAX_TEXT_BYTES} bytes
-     * of UTF-8 is cut at a whole character.
+     * of UTF-8 is truncated after a whole character.
      */
     public static byte[] bytes(Frame frame) {
         if (frame instanceof Frame.Hello hello) {
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Compresses whole frames, one after another, into one packed frame. The library must be
+     * Compresses concatenated whole frames into one packed frame. The Zstandard library must be
      * {@linkplain FrameCompression#isAvailable available}.
      */
     public static byte[] packed(byte[] frames) {
@@ -76,7 +76,7 @@
     private static byte[] encode(FrameType type, Body body) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_CAPACITY);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            out.writeInt(0); // The length, once it is known.
+            out.writeInt(0); // Placeholder for the length.
             out.writeByte(type.code());
             out.writeByte(NO_FLAGS);
             body.writeTo(out);
--- a/src/test/java/rosespread/channel/FrameArbitraries.java
+++ b/src/test/java/rosespread/channel/FrameArbitraries.java
@@ -8,7 +8,7 @@
 import rosespread.api.NodeId;
 import rosespread.api.TableId;
 
-/** Any frames that keep the protocol's bounds, of all types but the packed one. */
+/** Generates frames within the protocol's limits, of all types but the packed one. */
 final class FrameArbitraries {
     private FrameArbitraries() {}
 
@@ -40,7 +40,8 @@
         Arbitrary<Frame.Holding> holding =
                 Combinators.combine(tableId(), Arbitraries.longs().greaterOrEqual(0))
                         .as(Frame.Holding::new);
-        return Combinators.combine(name(), name(), measure(), flag(), holding.list().ofMaxSize(40))
+        return Combinators.combine(
+                        name(), name(), nonNegative(), flag(), holding.list().ofMaxSize(40))
                 .as(Frame.Join::new);
     }
 
@@ -79,7 +80,7 @@
 
     private static Arbitrary<Frame.Sums> sums() {
         Arbitrary<Frame.Sum> sum =
-                Combinators.combine(nodeId(), count(), measure())
+                Combinators.combine(nodeId(), count(), nonNegative())
                         .as(
                                 (node, tries, latency) ->
                                         new Frame.Sum(node, tries, tries / 2, latency, Double.NaN));
@@ -93,11 +94,14 @@
     }
 
     private static Arbitrary<List<Frame.Line>> lineList() {
-        return Combinators.combine(nodeId(), measure()).as(Frame.Line::new).list().ofMaxSize(30);
+        return Combinators.combine(nodeId(), nonNegative())
+                .as(Frame.Line::new)
+                .list()
+                .ofMaxSize(30);
     }
 
     private static Arbitrary<List<Frame.Level>> levelList() {
-        return Combinators.combine(methodId(), measure(), Arbitraries.of(Frame.Tries.class))
+        return Combinators.combine(methodId(), nonNegative(), Arbitraries.of(Frame.Tries.class))
                 .as(Frame.Level::new)
                 .list()
                 .ofMaxSize(8);
@@ -131,7 +135,7 @@
         return Arbitraries.integers().between(0, Integer.MAX_VALUE);
     }
 
-    private static Arbitrary<Double> measure() {
+    private static Arbitrary<Double> nonNegative() {
         return Arbitraries.doubles().greaterOrEqual(0);
     }
 
--- a/src/test/java/rosespread/channel/FrameBytesTest.java
+++ b/src/test/java/rosespread/channel/FrameBytesTest.java
@@ -12,8 +12,8 @@
 import rosespread.api.TableId;
 
 /**
- * Pins the bytes of one frame of each kind in hexadecimal digits. The packed frame also pins what
- * this version of the Zstandard library makes of it.
+ * Compares the bytes of one frame of each type with recorded hexadecimal digits. The bytes of the
+ * packed frame also depend on the version of the Zstandard library.
  */
 class FrameBytesTest {
     private static final NodeId NODE = new NodeId(0x0102030405060708L);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void oneFrameOfEachKind() {
+    void encodesOneFrameOfEachType() {
         StringBuilder all = new StringBuilder();
         frames().forEach(
                         (name, frame) ->
@@ -114,14 +114,14 @@
     }
 
     @Test
-    void longTextIsCut() {
+    void truncatesLongText() {
         String hex =
                 hex(FrameWriter.bytes(new Frame.Close(Frame.Reason.FULL, "\u00e9".repeat(200))));
         assertEquals("000001020d0008fe" + "c3a9".repeat(127), hex);
     }
 
     @Test
-    void packedFrames() {
+    void encodesPackedFrame() {
         byte[] frames = FrameWriter.bytes(new Frame.Hello(1, "abcd".repeat(40), List.of()));
         assertEquals(
                 "000000240f00000000aa28b52ffd20aaad000070"
--- a/src/test/java/rosespread/channel/FrameReaderTest.java
+++ b/src/test/java/rosespread/channel/FrameReaderTest.java
@@ -38,17 +38,17 @@
     }
 
     @Property(seed = "1")
-    void readsTheSameFramesHoweverTheStreamIsCut(
+    void readsFramesFromStreamSplitAnywhere(
             @ForAll("frames") Frame first,
             @ForAll("frames") Frame second,
             @ForAll("frames") Frame third,
-            @ForAll long cuts)
+            @ForAll long splitSeed)
             throws FrameException {
         List<Frame> frames = List.of(first, second, third);
         byte[] stream = bytes(frames);
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(MAX_FRAME_BYTES, read::add);
-        Random random = new Random(cuts);
+        Random random = new Random(splitSeed);
         for (int at = 0; at < stream.length; ) {
             int part =
                     Math.min(
@@ -60,14 +60,14 @@
     }
 
     /**
-     * Noise, or good frames with a flipped byte: its own error or frames, and never more held than
-     * allowed.
+     * Feeds random bytes, and valid frames with one flipped bit. The reader throws no other
+     * exception and its buffer stays within the limit.
      */
     @Property(seed = "2", tries = 2000)
-    void throwsNothingButItsOwnError(
-            @ForAll("frames") Frame frame, @ForAll byte[] noise, @ForAll long where) {
+    void throwsOnlyFrameException(
+            @ForAll("frames") Frame frame, @ForAll byte[] noise, @ForAll long flipSeed) {
         byte[] stream = bytes(List.of(frame, frame));
-        Random random = new Random(where);
+        Random random = new Random(flipSeed);
         stream[random.nextInt(stream.length)] ^= (byte) (1 << random.nextInt(8));
         for (byte[] input : List.of(noise, stream)) {
             FrameReader reader = new FrameReader(MAX_FRAME_BYTES, f -> {});
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void readsACutAtEveryByte() throws FrameException {
+    void readsFrameSplitAtEveryByte() throws FrameException {
         Frame frame =
                 new Frame.Bind(
                         new TableId(7),
@@ -111,20 +111,20 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "an unknown kind|00000002 6300|frame kind 99 is unknown and not optional (byte 6)",
+                "an unknown type|00000002 6300|frame kind 99 is unknown and not optional (byte 6)",
                 "an empty frame|00000000|a frame of 0 bytes; 2 to 65536 are allowed (byte 0)",
                 "a frame too long|00010001|a frame of 65537 bytes; 2 to 65536 are allowed (byte 0)",
                 "a length below zero|ffffffff|a frame of 4294967295 bytes; 2 to 65536 are allowed (byte 0)",
                 "a cut number|00000004 0900 0000|a number is cut short by the frame's end (byte 6)",
                 "bytes too many|0000000b 0900 0000000000000001 ff|INSTALLED frame has 1 bytes too many (byte 14)",
                 "a level below zero|0000000e 0700 0001 01 00 bff0000000000000 00|level is -1.0 (byte 18)",
-                "lines not there|00000020 0500 0001 $V 00007fff|lines is cut short by the frame's end (byte 36)",
+                "missing lines|00000020 0500 0001 $V 00007fff|lines is cut short by the frame's end (byte 36)",
                 "too many lines|00000020 0500 0001 $V 00010000|65536 lines; at most 32768 (byte 36)",
                 "a name not in UTF-8|00000005 0d00 00 01 ff|text is not UTF-8 (byte 9)",
                 "an unknown reason|00000004 0d00 ff 00|reason 255 is unknown (byte 7)",
                 "a flag of two|0000000b 0600 0000000000000001 02|out is 2, not 0 or 1 (byte 15)"
             })
-    void namesWhatIsWrongAndWhere(String what, String hex, String message) {
+    void reportsErrorAndByteOffset(String description, String hex, String message) {
         FrameReader reader = new FrameReader(MAX_FRAME_BYTES, f -> {});
         FrameException e =
                 assertThrows(
@@ -136,13 +136,13 @@
                                                         .parseHex(
                                                                 hex.replace("$V", VERSIONS)
                                                                         .replace(" ", "")))),
-                        what);
+                        description);
         assertEquals(message, e.getMessage());
     }
 
     @Property(seed = "3", tries = 300)
-    void readsPackedFramesAsIfTheyWereNot(
-            @ForAll("frames") Frame first, @ForAll("frames") Frame second) throws FrameException {
+    void readsFramesOfPackedFrame(@ForAll("frames") Frame first, @ForAll("frames") Frame second)
+            throws FrameException {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(MAX_FRAME_BYTES, MAX_FRAME_BYTES, read::add);
         reader.feed(ByteBuffer.wrap(FrameWriter.packed(bytes(List.of(first, second)))));
@@ -150,53 +150,57 @@
         assertEquals(List.of(first, second, first), read);
     }
 
-    /** A packed frame whose announced length, bytes or inner frames are not what they should be. */
+    /** Packed frames with a wrong announced length, malformed content or invalid inner frames. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "a reader that takes none|NOT_TAKEN|a packed frame is not taken here (byte 10)",
-                "a megabyte of zeros in few bytes|BOMB|a packed frame of 1048576 bytes; at most 65536 (byte 10)",
-                "more than is announced|LIES_SMALL|a packed frame does not unpack to 10 bytes",
-                "less than is announced|LIES_LARGE|a packed frame does not unpack to 5000 bytes",
+                "a reader that accepts none|NOT_TAKEN|a packed frame is not taken here (byte 10)",
+                "a megabyte of zeros in few bytes|OVERSIZED|a packed frame of 1048576 bytes; at most 65536 (byte 10)",
+                "more bytes than announced|LENGTH_TOO_SMALL|a packed frame does not unpack to 10 bytes",
+                "fewer bytes than announced|LENGTH_TOO_LARGE|a packed frame does not unpack to 5000 bytes",
                 "noise|NOISE|a packed frame does not unpack to 100 bytes",
                 "a packed frame within|NESTED|in a packed frame: a packed frame is not taken here (byte 10)",
-                "half a frame within|HALF|a packed frame ends within a frame",
-                "a bad frame within|BAD|in a packed frame: frame kind 99 is unknown"
+                "a truncated frame within|TRUNCATED|a packed frame ends within a frame",
+                "an unknown type within|UNKNOWN_TYPE|in a packed frame: frame kind 99 is unknown"
             })
-    void refusesPackedFramesThatAreNotWhatTheySay(String what, String fault, String message) {
+    void rejectsMalformedPackedFrames(String description, String fault, String message) {
         byte[] good = FrameWriter.bytes(new Frame.Close(Frame.Reason.SLOW, "x".repeat(200)));
         byte[] packed = FrameWriter.packed(good);
         byte[] frame =
                 switch (fault) {
-                    case "BOMB" -> FrameWriter.packed(new byte[1 << 20]);
-                    case "LIES_SMALL" -> announcing(packed, 10);
-                    case "LIES_LARGE" -> announcing(packed, 5000);
+                    case "OVERSIZED" -> FrameWriter.packed(new byte[1 << 20]);
+                    case "LENGTH_TOO_SMALL" -> withAnnouncedLength(packed, 10);
+                    case "LENGTH_TOO_LARGE" -> withAnnouncedLength(packed, 5000);
                     case "NOISE" ->
-                            announcing(
+                            withAnnouncedLength(
                                     HexFormat.of().parseHex("0000000a0f0000000000" + "01020304"),
                                     100);
                     case "NESTED" -> FrameWriter.packed(packed);
-                    case "HALF" -> FrameWriter.packed(Arrays.copyOf(good, 50));
-                    case "BAD" -> FrameWriter.packed(HexFormat.of().parseHex("000000026300"));
+                    case "TRUNCATED" -> FrameWriter.packed(Arrays.copyOf(good, 50));
+                    case "UNKNOWN_TYPE" ->
+                            FrameWriter.packed(HexFormat.of().parseHex("000000026300"));
                     default -> packed;
                 };
         FrameReader reader =
                 new FrameReader(
                         MAX_FRAME_BYTES, fault.equals("NOT_TAKEN") ? 0 : MAX_FRAME_BYTES, f -> {});
         FrameException e =
-                assertThrows(FrameException.class, () -> reader.feed(ByteBuffer.wrap(frame)), what);
+                assertThrows(
+                        FrameException.class,
+                        () -> reader.feed(ByteBuffer.wrap(frame)),
+                        description);
         assertTrue(e.getMessage().startsWith(message), e.getMessage());
     }
 
-    private static byte[] announcing(byte[] packed, int length) {
+    private static byte[] withAnnouncedLength(byte[] packed, int length) {
         byte[] changed = packed.clone();
         ByteBuffer.wrap(changed).putInt(6, length);
         return changed;
     }
 
     @Test
-    void passesOverAnUnknownKindThatIsOptional() throws FrameException {
+    void skipsUnknownOptionalFrame() throws FrameException {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(MAX_FRAME_BYTES, read::add);
         reader.feed(ByteBuffer.wrap(HexFormat.of().parseHex("00000005" + "6301" + "abcdef")));
