--- a/src/main/java/rosespread/codec/MalformedStreamException.java
+++ b/src/main/java/rosespread/codec/MalformedStreamException.java
@@ -1,8 +1,8 @@
 package rosespread.codec;
 
 /**
- * Thrown by a {@link MessageParser} when the bytes of a stream break its protocol. The message ends
- * with the offset of the offending byte, counted from the start of the stream.
+ * Thrown by a {@link MessageParser} when the bytes of a stream violate its protocol. The message
+ * ends with the offset of the offending byte, counted from the start of the stream.
  */
 public abstract class MalformedStreamException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -10,7 +10,7 @@
     private final long byteOffset;
 
     /**
-     * @param offset bytes of the stream before the violation
+     * @param offset the number of bytes of the stream before the violation
      * @param message what is wrong, without the offset
      */
     protected MalformedStreamException(long offset, String message) {
@@ -18,7 +18,7 @@
         byteOffset = offset;
     }
 
-    /** The offset of the byte at fault from the start of the stream. */
+    /** The offset of the offending byte, counted from the start of the stream. */
     public final long byteOffset() {
         return byteOffset;
     }
--- a/src/main/java/rosespread/codec/StreamCodecFactory.java
+++ b/src/main/java/rosespread/codec/StreamCodecFactory.java
@@ -17,10 +17,10 @@
 /**
  * A MINA codec built from a {@link MessageParser} and a function that encodes a message.
  *
- * <p>MINA asks for the decoder at every read, so each session keeps its own together with the
- * parser's position. After a {@link MalformedStreamException} the decoder discards whatever else
- * arrives; messages completed before the violation are still delivered. A session carries at most
- * one such codec.
+ * <p>MINA requests the decoder at every read, so each session stores its own decoder, which keeps
+ * the state of the parser. After a {@link MalformedStreamException} the decoder discards all
+ * further bytes; messages completed before the violation are still delivered. A session can have
+ * only one such codec.
  *
  * @param <M> the messages that the parser produces
  */
@@ -34,7 +34,7 @@
      * Creates the parser of a session at its first read.
      *
      * @param session the session; a subclass may keep the parser in one of its attributes
-     * @param out takes each complete message
+     * @param out receives each complete message
      */
     protected abstract MessageParser newParser(IoSession session, Consumer<M> out);
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /** The state of one session's incoming stream; used by its I/O thread alone. */
+    /** Decodes the incoming stream of one session; used by the session's I/O thread alone. */
     private static final class MessageDecoder<M> extends ProtocolDecoderAdapter {
         private final MessageParser parser;
         private final Queue<M> parsed;
--- a/src/test/java/rosespread/codec/StreamCodecFactoryTest.java
+++ b/src/test/java/rosespread/codec/StreamCodecFactoryTest.java
@@ -22,7 +22,7 @@
 
 class StreamCodecFactoryTest {
     /** A protocol of words that end with a full stop; an exclamation mark is malformed. */
-    private static final class Words extends StreamCodecFactory<String> {
+    private static final class WordCodec extends StreamCodecFactory<String> {
         @Override
         protected MessageParser newParser(IoSession session, Consumer<String> out) {
             return new WordParser(out);
@@ -74,7 +74,7 @@
         }
     }
 
-    private final Words codec = new Words();
+    private final WordCodec codec = new WordCodec();
     private final IoSession session = new DummySession();
     private final List<Object> decoded = new ArrayList<>();
     private final ProtocolDecoderOutput output =
@@ -94,14 +94,14 @@
     }
 
     @Test
-    void aSessionKeepsItsDecoderAndAnotherHasItsOwn() throws Exception {
+    void keepsOneDecoderPerSession() throws Exception {
         ProtocolDecoder decoder = codec.getDecoder(session);
         assertSame(decoder, codec.getDecoder(session));
         assertNotSame(decoder, codec.getDecoder(new DummySession()));
     }
 
     @Test
-    void messagesCutBetweenReadsAreDeliveredOnceComplete() throws Exception {
+    void deliversMessagesSplitAcrossReadsOnceComplete() throws Exception {
         decode("one.t");
         assertEquals(List.of("one"), decoded);
         decode("wo.");
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void messagesBeforeAMalformedByteAreDeliveredAndNothingAfterIt() throws Exception {
+    void deliversOnlyMessagesBeforeMalformedByte() throws Exception {
         MalformedWord error = assertThrows(MalformedWord.class, () -> decode("one.t!"));
         assertEquals("no word (byte 5)", error.getMessage());
         IoBuffer later = IoBuffer.wrap("two.".getBytes(StandardCharsets.US_ASCII));
@@ -120,14 +120,14 @@
     }
 
     @Test
-    void theParserLearnsOfTheEndOfTheStream() throws Exception {
+    void notifiesParserOfStreamEnd() throws Exception {
         decode("on");
         codec.getDecoder(session).finishDecode(session, output);
         assertEquals(List.of("end after on"), decoded);
     }
 
     @Test
-    void aWrittenMessageIsEncodedWhole() throws Exception {
+    void encodesWrittenMessage() throws Exception {
         List<Object> encoded = new ArrayList<>();
         codec.getEncoder(session).encode(session, "one", encoded::add);
         byte[] bytes = ((IoBuffer) encoded.get(0)).array();
