--- a/src/main/java/rosespread/channel/Frame.java
+++ b/src/main/java/rosespread/channel/Frame.java
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The address of a node; sent once per stream, before any other frame names the node. */
+    /** The address of a node; sent once per stream, before any other frame that names the node. */
     record Node(NodeId node, String host, int port, String zone) implements Frame {}
 
     /** A weight entry; in a delta, weight 0 removes the node. */
@@ -137,7 +137,10 @@
      */
     record Offered(long coversMicros, List<Count> counts) implements Frame {}
 
-    /** A heartbeat; the receiver returns one with {@code answer} false under the same number. */
+    /**
+     * A heartbeat. If {@code answer} is false, the receiver sends a heartbeat with the same number
+     * and {@code answer} true.
+     */
     record KeepAlive(long number, boolean answer) implements Frame {}
 
     /**
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -97,7 +97,8 @@
     private void readLength() throws FrameException {
         length = buffer.getInt(0);
         if (length < MIN_FRAME_BYTES || length > maxFrameBytes) {
-            // Bytes read of the previous frame are counted too: Close carries this text unchanged.
+            // The offset also counts the bytes read of the previous frame. Close carries this text
+            // unchanged.
             throw new FrameException(
                     offset + fields.position(),
                     "a frame of "
--- a/src/main/java/rosespread/http/BodyFraming.java
+++ b/src/main/java/rosespread/http/BodyFraming.java
@@ -2,25 +2,25 @@
 
 import java.util.List;
 
-/** How the end of a body is found (RFC 9112, 6). */
+/** The way in which the end of a message body is determined (RFC 9112, section 6). */
 sealed interface BodyFraming {
     /** The message ends with its headers. */
     record NoBody() implements BodyFraming {}
 
-    /** The body has this many bytes, possibly 0. */
+    /** The body has {@code bytes} bytes, possibly 0. */
     record FixedLength(int bytes) implements BodyFraming {}
 
     /** The body is a sequence of chunks. */
     record Chunked() implements BodyFraming {}
 
-    /** The body ends with the connection. */
+    /** The body ends when the connection closes. */
     record UntilClose() implements BodyFraming {}
 
     /**
-     * Decides the framing from a complete head.
+     * Determines the framing from a start line and complete headers.
      *
      * @throws HttpViolation if the headers are ambiguous, ask for an unsupported transfer coding or
-     *     announce a body beyond the limit
+     *     announce a body over the limit
      */
     static BodyFraming of(StartLine start, HttpHeaders headers, HttpLimits limits)
             throws HttpViolation {
@@ -47,7 +47,7 @@
             return;
         }
         if (conflicting) {
-            throw new HttpViolation(400, "a transfer coding beside a length or in HTTP/1.0");
+            throw new HttpViolation(400, "transfer-encoding with content-length or in HTTP/1.0");
         }
         if (codings.size() != 1 || !codings.get(0).equalsIgnoreCase("chunked")) {
             throw new HttpViolation(
@@ -65,14 +65,14 @@
                     400,
                     "content-length "
                             + HttpViolation.quote(String.join(", ", lengths))
-                            + " is not one number");
+                            + " is not a single number");
         }
         if (Long.parseLong(lengths.get(0)) > maxBytes) {
             throw bodyTooLarge(maxBytes);
         }
     }
 
-    /** The violation of a body over the limit, announced or received. */
+    /** Creates the violation for a body over the limit, announced or received. */
     static HttpViolation bodyTooLarge(int maxBytes) {
         return new HttpViolation(413, "body over " + maxBytes + " bytes");
     }
--- a/src/main/java/rosespread/http/ClientExchange.java
+++ b/src/main/java/rosespread/http/ClientExchange.java
@@ -9,45 +9,45 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One request of the client and its single outcome, whichever of response, failure, timeout and
- * cancellation comes first. Thread-safe: these come from I/O threads, the timer and the caller.
+ * One request of the client and its single outcome: the first of response, failure, timeout and
+ * cancellation. Thread-safe: outcomes come from I/O threads, the timer and the caller.
  */
 final class ClientExchange {
-    /** Methods that have no effect on the server (RFC 9110, 9.2.1), so may be sent again. */
+    /** Methods without effect on the server (RFC 9110, 9.2.1); their requests may be resent. */
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD");
 
     private static final AttributeKey EXCHANGE = new AttributeKey(ClientExchange.class, "exchange");
 
     private final InetSocketAddress address;
     private final HttpMessage.Request request;
-    private final HttpClient.ResponseHandler taker;
+    private final HttpClient.ResponseHandler handler;
     private final IdleConnections idleConnections;
     private final Consumer<ClientExchange> connector;
     private final AtomicBoolean completed = new AtomicBoolean();
     private volatile IoSession session;
     private volatile Future<?> timeout;
 
-    /** Whether the request is sent once more if its reused connection breaks. */
+    /** Whether the request is resent if its reused connection breaks. */
     private volatile boolean retryable;
 
     /**
-     * @param idleConnections takes the connection after a response
+     * @param idleConnections receives the connection after a response
      * @param connector opens a new connection and calls {@link #send} or {@link #fail}
      */
     ClientExchange(
             InetSocketAddress address,
             HttpMessage.Request request,
-            HttpClient.ResponseHandler taker,
+            HttpClient.ResponseHandler handler,
             IdleConnections idleConnections,
             Consumer<ClientExchange> connector) {
         this.address = address;
         this.request = request;
-        this.taker = taker;
+        this.handler = handler;
         this.idleConnections = idleConnections;
         this.connector = connector;
     }
 
-    /** The exchange that a connection carries now; null if it is idle. */
+    /** The current exchange of a connection; null if the connection is idle. */
     static ClientExchange of(IoSession session) {
         return (ClientExchange) session.getAttribute(EXCHANGE);
     }
@@ -56,12 +56,12 @@
         return address;
     }
 
-    /** Sets the timer to cancel once there is an outcome. */
+    /** Sets the timer task that is cancelled once there is an outcome. */
     void timeout(Future<?> timer) {
         timeout = timer;
     }
 
-    /** Sends the request on a connection that has carried others: it may be about to close. */
+    /** Sends the request on a reused connection, which the server may be about to close. */
     void sendOnReused(IoSession reused) {
         retryable = SAFE_METHODS.contains(request.method());
         send(reused);
@@ -77,12 +77,13 @@
         }
         connection.write(request);
         if (connection.isClosing()) {
-            connectionLost(connection, "the connection closed as the call was written");
+            connectionLost(connection, "the connection closed while the request was written");
         }
     }
 
     /**
-     * Retries or fails; ignored unless it is the current connection, so a repetition is harmless.
+     * Retries or fails. Ignored unless {@code connection} is the current connection, so a repeated
+     * call has no effect.
      */
     void connectionLost(IoSession connection, String detail) {
         if (!connection.equals(session)) {
@@ -115,7 +116,7 @@
         } else {
             session.closeNow();
         }
-        taker.onResponse(response);
+        handler.onResponse(response);
     }
 
     /** Completes with a failure and closes the connection, so that the server can stop its work. */
@@ -131,6 +132,6 @@
         if (connection != null) {
             connection.closeNow();
         }
-        taker.onFailure(failure, detail);
+        handler.onFailure(failure, detail);
     }
 }
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -12,31 +12,31 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 
 /**
- * An HTTP/1.1 client over persistent connections, one request at a time on each. Every call ends in
- * exactly one outcome.
+ * An HTTP/1.1 client with persistent connections that carry one request at a time. Every call ends
+ * in exactly one outcome.
  *
- * <p>A server may close an idle connection just as a request is written on it. A request with a
- * safe method (GET, HEAD) is then sent once more, on a new connection and within the same timeout,
- * as RFC 9110, 9.2.2 allows; any other fails with {@link Failure#BROKEN}.
+ * <p>A server may close an idle connection while a request is being written on it. A request with a
+ * safe method (GET, HEAD) is then resent once, on a new connection and within the same timeout, as
+ * RFC 9110, 9.2.2 allows; any other request fails with {@link Failure#BROKEN}.
  *
  * <p>Thread-safe.
  */
 public final class HttpClient implements AutoCloseable {
-    /** Why there is no response. */
+    /** The reason why a call has no response. */
     public enum Failure {
-        /** No connection was made, so not a byte was written: proof that the call never ran. */
+        /** No connection was made and no byte was written, so the call certainly never ran. */
         NOT_CONNECTED,
         /** The connection broke after the request may have been written. */
         BROKEN,
         /** The timeout passed, or the caller cancelled. */
         TIMED_OUT,
-        /** What came back is not acceptable HTTP/1.1. */
+        /** The response is not acceptable HTTP/1.1. */
         MALFORMED
     }
 
     /**
      * Receives the outcome of a call: exactly one method is called, once, on an I/O thread, the
-     * timer's or the caller's. It must not block.
+     * timer's thread or the caller's. The method must not block.
      */
     public interface ResponseHandler {
         /** Called with the complete response, whatever its status. */
@@ -58,9 +58,9 @@
      * Starts a client.
      *
      * @param threads I/O threads
-     * @param limits bounds on each response
-     * @param connectMillis how long a connection attempt may take
-     * @param idleSeconds how long an unused connection is kept
+     * @param limits limits on each response
+     * @param connectMillis timeout of a connection attempt, in milliseconds
+     * @param idleSeconds how long an unused connection is kept, in seconds
      */
     public HttpClient(int threads, HttpLimits limits, int connectMillis, int idleSeconds) {
         connector = new NioSocketConnector(threads);
@@ -69,7 +69,7 @@
         connector.getSessionConfig().setIdleTime(IdleStatus.BOTH_IDLE, idleSeconds);
         HttpCodec codec = new HttpCodec(HttpParser.Mode.RESPONSES, limits);
         connector.getFilterChain().addLast("http", new ProtocolCodecFilter(codec));
-        connector.setHandler(new Sessions());
+        connector.setHandler(new ConnectionEvents());
         timer = new ScheduledThreadPoolExecutor(1, HttpClient::timerThread);
         timer.setRemoveOnCancelPolicy(true);
     }
@@ -82,19 +82,21 @@
 
     /**
      * Makes a call. A call that times out or is cancelled closes its connection, so that the server
-     * can stop.
+     * can stop working on the request.
      *
-     * @param timeoutNanos time until the response must be complete, connection attempt included
-     * @return cancels the call, with {@link Failure#TIMED_OUT}; does nothing after an outcome
+     * @param timeoutNanos time until the response must be complete, in nanoseconds, connection
+     *     attempt included
+     * @return an action that cancels the call with {@link Failure#TIMED_OUT}; no effect after an
+     *     outcome
      * @throws java.util.concurrent.RejectedExecutionException if the client is closed
      */
     public Runnable call(
             InetSocketAddress address,
             HttpMessage.Request request,
             long timeoutNanos,
-            ResponseHandler taker) {
+            ResponseHandler handler) {
         ClientExchange exchange =
-                new ClientExchange(address, request, taker, idleConnections, this::connect);
+                new ClientExchange(address, request, handler, idleConnections, this::connect);
         exchange.timeout(
                 timer.schedule(
                         () -> timeOut(exchange, timeoutNanos), timeoutNanos, TimeUnit.NANOSECONDS));
@@ -133,7 +135,7 @@
         return idleConnections.addressCount();
     }
 
-    /** Closes all connections and stops the threads. Calls without an outcome may get none. */
+    /** Closes all connections and stops the threads. Calls still pending may get no outcome. */
     @Override
     public void close() {
         timer.shutdownNow();
@@ -141,8 +143,8 @@
         connector.dispose();
     }
 
-    /** Passes the events of a connection to its exchange; runs on the I/O threads. */
-    private final class Sessions extends IoHandlerAdapter {
+    /** Passes connection events to the connection's exchange; runs on the I/O threads. */
+    private final class ConnectionEvents extends IoHandlerAdapter {
         @Override
         public void messageReceived(IoSession session, Object message) {
             ClientExchange exchange = ClientExchange.of(session);
@@ -165,7 +167,7 @@
             idleConnections.remove(session);
             ClientExchange exchange = ClientExchange.of(session);
             if (exchange != null) {
-                exchange.connectionLost(session, "the connection closed before the answer");
+                exchange.connectionLost(session, "the connection closed before the response");
             }
         }
 
--- a/src/main/java/rosespread/http/HttpCodec.java
+++ b/src/main/java/rosespread/http/HttpCodec.java
@@ -5,14 +5,14 @@
 import rosespread.codec.MessageParser;
 import rosespread.codec.StreamCodecFactory;
 
-/** The MINA codec of HTTP/1.1: {@link HttpParser} in, {@link HttpWriter} out. */
+/** The MINA codec of HTTP/1.1: decodes with {@link HttpParser}, encodes with {@link HttpWriter}. */
 final class HttpCodec extends StreamCodecFactory<HttpMessage> {
     private final HttpParser.Mode mode;
     private final HttpLimits limits;
 
     /**
-     * @param mode what the other end sends
-     * @param limits bounds on each incoming message
+     * @param mode the kind of message that the peer sends
+     * @param limits limits on each incoming message
      */
     HttpCodec(HttpParser.Mode mode, HttpLimits limits) {
         this.mode = mode;
--- a/src/main/java/rosespread/http/HttpException.java
+++ b/src/main/java/rosespread/http/HttpException.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import rosespread.codec.MalformedStreamException;
 
-/** Thrown when incoming bytes are not HTTP/1.1, or not the part of it that this package accepts. */
+/** Thrown when received bytes are not HTTP/1.1, or use a feature this package does not accept. */
 public final class HttpException extends MalformedStreamException {
     private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
         return status;
     }
 
-    /** Finds the HTTP error within what MINA reports, which wraps it. */
+    /** Finds the HTTP error in the cause chain of an exception; MINA wraps it in its own. */
     static Optional<HttpException> findIn(Throwable thrown) {
         for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
             if (cause instanceof HttpException found) {
--- a/src/main/java/rosespread/http/HttpHeaders.java
+++ b/src/main/java/rosespread/http/HttpHeaders.java
@@ -8,7 +8,7 @@
 
 /**
  * The header fields of a message, in order; a name may occur several times. Names are stored in
- * lower case, and look-ups take them so. Not thread-safe while fields are added.
+ * lower case, and look-ups expect lower-case names. Not thread-safe while fields are added.
  */
 public final class HttpHeaders {
     private final List<String> names = new ArrayList<>();
@@ -34,13 +34,13 @@
         return this;
     }
 
-    /** The value of the first field of this lower-case name. */
+    /** The value of the first field with a lower-case name; empty if there is none. */
     public Optional<String> first(String name) {
         int index = names.indexOf(name);
         return index < 0 ? Optional.empty() : Optional.of(values.get(index));
     }
 
-    /** The values of all fields of this lower-case name, in order; empty if there is none. */
+    /** The values of all fields with a lower-case name, in order; empty if there is none. */
     public List<String> all(String name) {
         List<String> found = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
@@ -56,7 +56,7 @@
         return names.size();
     }
 
-    /** Passes each name and value, in order. */
+    /** Calls the action with each name and value, in order. */
     public void forEach(BiConsumer<String, String> action) {
         for (int i = 0; i < names.size(); i++) {
             action.accept(names.get(i), values.get(i));
@@ -69,8 +69,8 @@
      */
     public boolean containsToken(String name, String token) {
         for (String value : all(name)) {
-            for (String part : value.split(",")) {
-                if (part.trim().equalsIgnoreCase(token)) {
+            for (String element : value.split(",")) {
+                if (element.trim().equalsIgnoreCase(token)) {
                     return true;
                 }
             }
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -2,9 +2,11 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** A complete HTTP/1.1 message. The body array is shared, never copied: do not modify it. */
+/** A complete HTTP/1.1 message. The body array is not copied and must not be modified. */
 public sealed interface HttpMessage {
-    /** The header fields, without the length, which {@link HttpWriter} adds. */
+    /**
+     * The header fields; an outgoing message omits content-length, which {@link HttpWriter} adds.
+     */
     HttpHeaders headers();
 
     /** The body; empty, not null, if there is none. */
@@ -23,8 +25,8 @@
     /**
      * A request.
      *
-     * @param verb the method, in upper case by convention
-     * @param target path and query as they stand in the request line
+     * @param method the method, in upper case by convention
+     * @param target the path and query, exactly as in the request line
      */
     record Request(String method, String target, HttpHeaders headers, byte[] body)
             implements HttpMessage {
@@ -41,7 +43,7 @@
      * @param status the status code, 100 to 999
      */
     record Response(int status, HttpHeaders headers, byte[] body) implements HttpMessage {
-        /** A response with a body of text in UTF-8 and its content type. */
+        /** A response with a text body in UTF-8. */
         public static Response of(int status, String contentType, String text) {
             return new Response(
                     status,
--- a/src/main/java/rosespread/http/HttpParser.java
+++ b/src/main/java/rosespread/http/HttpParser.java
@@ -7,16 +7,16 @@
 import rosespread.codec.MessageParser;
 
 /**
- * Parses a stream of HTTP/1.1 messages (RFC 9112) that may be cut at every byte; bytes after a
- * message begin the next one. Framing that two recipients could read differently is refused, never
- * guessed: several or conflicting lengths, a length beside a transfer coding, a bare CR, space
- * before a colon, folded lines.
+ * Parses a stream of HTTP/1.1 messages (RFC 9112) that may be split between any two bytes; bytes
+ * after a message begin the next one. Framing that two recipients could interpret differently is
+ * rejected: several or conflicting lengths, a length together with a transfer coding, a bare CR,
+ * space before a colon, folded lines.
  *
  * <p>Memory is bounded by {@link HttpLimits}. Not thread-safe: a parser belongs to the I/O thread
  * of its connection.
  */
 public final class HttpParser implements MessageParser {
-    /** What the stream carries. */
+    /** The kind of messages in the stream. */
     public enum Mode {
         /** Requests, as a server receives them. */
         REQUESTS,
@@ -36,7 +36,7 @@
     }
 
     private static final Pattern FIELD_NAME = Pattern.compile("[!#$%&'*+.^_`|~0-9A-Za-z-]+");
-    private static final Pattern CHUNK_SIZE_FORM = Pattern.compile("[0-9A-Fa-f]{1,8}");
+    private static final Pattern CHUNK_SIZE_PATTERN = Pattern.compile("[0-9A-Fa-f]{1,8}");
 
     private final Mode mode;
     private final HttpLimits limits;
@@ -44,7 +44,7 @@
     private final LineBuffer line = new LineBuffer();
     private State state = State.START_LINE;
 
-    /** Bytes of the stream that have been consumed. */
+    /** The number of bytes of the stream that have been consumed. */
     private long offset;
 
     private StartLine startLine;
@@ -52,12 +52,12 @@
     private int headerBytes;
     private ByteArrayOutputStream body;
 
-    /** Bytes that the fixed body or the current chunk still lacks. */
+    /** The number of bytes missing from the fixed-length body or the current chunk. */
     private int missingBytes;
 
     /**
-     * @param limits bounds on each message
-     * @param out takes each complete message, on the thread that feeds
+     * @param limits limits on each message
+     * @param out receives each complete message, on the thread that calls {@link #feed}
      */
     public HttpParser(Mode mode, HttpLimits limits, Consumer<HttpMessage> out) {
         this.mode = mode;
@@ -102,10 +102,10 @@
         boolean untilClose = state == State.BODY_UNTIL_CLOSE;
         int count = untilClose ? in.remaining() : Math.min(missingBytes, in.remaining());
         requireBodyWithinLimit(count);
-        byte[] part = new byte[count];
-        in.get(part);
+        byte[] bytes = new byte[count];
+        in.get(bytes);
         offset += count;
-        body.writeBytes(part);
+        body.writeBytes(bytes);
         if (untilClose) {
             return;
         }
@@ -142,7 +142,7 @@
         }
     }
 
-    /** Empty lines before a message are skipped (RFC 9112, 2.2). */
+    /** Skips empty lines before a message (RFC 9112, 2.2). */
     private void readStartLine(String text) throws HttpViolation {
         if (text.isEmpty()) {
             return;
@@ -165,7 +165,7 @@
         headers.add(text.substring(0, colon), text.substring(colon + 1).trim());
     }
 
-    /** Trailer fields are checked and dropped. */
+    /** Checks trailer fields and discards them. */
     private void readTrailerLine(String text) throws HttpViolation {
         if (text.isEmpty()) {
             completeMessage();
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Returns the index of the colon of an acceptable field. */
+    /** Checks a header or trailer line and returns the index of its colon. */
     private int checkField(String text) throws HttpViolation {
         int colon = text.indexOf(':');
         headerBytes += text.length();
@@ -208,11 +208,11 @@
         }
     }
 
-    /** Chunk extensions are ignored. */
+    /** Reads a chunk size line; chunk extensions are ignored. */
     private void readChunkSize(String text) throws HttpViolation {
         int extension = text.indexOf(';');
         String size = (extension < 0 ? text : text.substring(0, extension)).trim();
-        if (!CHUNK_SIZE_FORM.matcher(size).matches()) {
+        if (!CHUNK_SIZE_PATTERN.matcher(size).matches()) {
             throw new HttpViolation(400, "not a chunk size: " + HttpViolation.quote(text));
         }
         long bytes = Long.parseLong(size, 16);
@@ -223,7 +223,8 @@
 
     private void readChunkEnd(String text) throws HttpViolation {
         if (!text.isEmpty()) {
-            throw new HttpViolation(400, "no line end after a chunk");
+            throw new HttpViolation(
+                    400, "expected CRLF after a chunk, found " + HttpViolation.quote(text));
         }
         state = State.CHUNK_SIZE;
     }
@@ -244,8 +245,8 @@
     }
 
     /**
-     * HTTP/1.0 closes the connection unless told otherwise; this is added as a field, so that no
-     * one has to know the version.
+     * Adds {@code connection: close} to a message of HTTP/1.0 without keep-alive, which closes the
+     * connection by default, so that callers need not know the version.
      */
     private HttpHeaders effectiveHeaders() {
         return startLine.isHttp10() && !headers.containsToken("connection", "keep-alive")
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -13,10 +13,10 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * An HTTP/1.1 server on any number of addresses. The requests of a connection are handed out one
- * after another, so that responses keep their order; see {@link RequestPipeline} for how many may
- * wait. A request that is not acceptable HTTP is answered with the status of its {@link
- * HttpException}, and its connection is closed.
+ * An HTTP/1.1 server on any number of addresses. The requests of a connection are handled one after
+ * another, so that responses keep their order; {@link RequestPipeline} limits how many may wait. A
+ * request that is not acceptable HTTP is answered with the status of its {@link HttpException}, and
+ * its connection is closed.
  *
  * <p>Thread-safe.
  */
@@ -25,26 +25,28 @@
     @FunctionalInterface
     public interface Handler {
         /**
-         * Takes a request. Called on an I/O thread, or on the thread that answered the connection's
-         * previous request; must not block. The response may be given later, from any thread.
+         * Handles a request. Called on an I/O thread, or on the thread that answered the
+         * connection's previous request; must not block. The response may be given later, from any
+         * thread.
          */
         void handle(HttpMessage.Request request, Exchange exchange);
     }
 
     /** A request that awaits its response. Thread-safe. */
     public interface Exchange {
-        /** The local port that the request came to. */
+        /** The local port on which the request arrived. */
         int port();
 
-        /** Sends the response; ignored after the first time and once the client is gone. */
+        /** Sends the response; ignored after the first call and once the connection is closed. */
         void respond(HttpMessage.Response response);
 
         /** Closes the connection without a response. */
         void abort();
 
         /**
-         * Sets what runs, once, if the connection closes before the response; runs it at once if
-         * the connection is already closed. It runs on an I/O thread or the caller's.
+         * Sets an action that runs once if the connection closes before the response; runs the
+         * action at once if the connection is already closed. The action runs on an I/O thread or
+         * the caller's.
          */
         void onClosed(Runnable action);
     }
@@ -57,10 +59,10 @@
     private final Handler handler;
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server that does not yet listen on any address.
      *
      * @param threads I/O threads besides the one that accepts
-     * @param limits bounds on each request
+     * @param limits limits on each request
      */
     public HttpServer(int threads, HttpLimits limits, Handler handler) {
         this.handler = handler;
@@ -72,11 +74,11 @@
         acceptor.getSessionConfig().setIdleTime(IdleStatus.READER_IDLE, IDLE_SECONDS);
         HttpCodec codec = new HttpCodec(HttpParser.Mode.REQUESTS, limits);
         acceptor.getFilterChain().addLast("http", new ProtocolCodecFilter(codec));
-        acceptor.setHandler(new Sessions());
+        acceptor.setHandler(new ConnectionEvents());
     }
 
     /**
-     * Starts to listen on one more address; port 0 takes a free port.
+     * Starts listening on one more address; port 0 selects a free port.
      *
      * @return the address with the port in use
      * @throws IOException if the address cannot be bound
@@ -114,8 +116,8 @@
         return Optional.ofNullable((RequestPipeline) session.getAttribute(PIPELINE));
     }
 
-    /** Passes the events of a connection to its pipeline; runs on the I/O threads. */
-    private final class Sessions extends IoHandlerAdapter {
+    /** Passes connection events to the connection's pipeline; runs on the I/O threads. */
+    private final class ConnectionEvents extends IoHandlerAdapter {
         @Override
         public void sessionOpened(IoSession session) {
             session.setAttribute(PIPELINE, new RequestPipeline(session, handler));
--- a/src/main/java/rosespread/http/HttpViolation.java
+++ b/src/main/java/rosespread/http/HttpViolation.java
@@ -1,8 +1,8 @@
 package rosespread.http;
 
 /**
- * A broken rule, found by a part of the parser that does not know the position in the stream.
- * {@link HttpParser} turns it into an {@link HttpException}; it never leaves the package.
+ * Thrown for a violation of HTTP/1.1 by code that does not know the position in the stream. {@link
+ * HttpParser} converts it to an {@link HttpException}; a violation never leaves the package.
  */
 final class HttpViolation extends Exception {
     private static final long serialVersionUID = 1L;
@@ -20,7 +20,7 @@
         return status;
     }
 
-    /** Untrusted text as a message may show it: shortened, and printable ASCII only. */
+    /** Quotes untrusted text for an error message: shortened, with printable ASCII only. */
     static String quote(String text) {
         String cut =
                 text.length() > MAX_QUOTED_CHARS
--- a/src/main/java/rosespread/http/HttpWriter.java
+++ b/src/main/java/rosespread/http/HttpWriter.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Encodes messages. Every message carries a {@code content-length}; line breaks and NUL in a header
- * value become spaces, so a value cannot inject a header.
+ * Encodes HTTP messages. Every message has a {@code content-length}; line breaks and NUL in a
+ * header value become spaces, so that a value cannot inject a header.
  */
 final class HttpWriter {
     private static final int INITIAL_HEAD_CHARS = 128;
--- a/src/main/java/rosespread/http/IdleConnections.java
+++ b/src/main/java/rosespread/http/IdleConnections.java
@@ -12,10 +12,10 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * Open client connections that carry no request, by address. Nothing is held of a closed connection
- * nor of an address without connections, since servers come and go all day.
+ * Open client connections without a current request, by address. Closed connections and addresses
+ * without connections are removed, so that they do not accumulate as servers start and stop.
  *
- * <p>Thread-safe: an address's deque is touched only within the map's atomic updates.
+ * <p>Thread-safe: an address's deque is accessed only within the map's atomic updates.
  */
 final class IdleConnections {
     private static final int MAX_PER_ADDRESS = 64;
@@ -23,7 +23,7 @@
 
     private final Map<InetSocketAddress, Deque<IoSession>> byAddress = new ConcurrentHashMap<>();
 
-    /** Removes and returns the connection that became idle last and is still open. */
+    /** Removes and returns the open connection that became idle most recently; empty if none. */
     Optional<IoSession> take(InetSocketAddress address) {
         AtomicReference<IoSession> taken = new AtomicReference<>();
         byAddress.computeIfPresent(
@@ -45,7 +45,7 @@
         return null;
     }
 
-    /** Keeps a connection for later, or closes it if its address has enough. */
+    /** Keeps a connection for reuse, or closes it if its address has the maximum number. */
     void put(InetSocketAddress address, IoSession session) {
         session.setAttribute(ADDRESS, address);
         AtomicBoolean added = new AtomicBoolean();
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Forgets a connection that has closed; does nothing if it was never idle. */
+    /** Removes a closed connection; no effect if the connection was never idle. */
     void remove(IoSession session) {
         InetSocketAddress address = (InetSocketAddress) session.getAttribute(ADDRESS);
         if (address != null) {
--- a/src/main/java/rosespread/http/LineBuffer.java
+++ b/src/main/java/rosespread/http/LineBuffer.java
@@ -3,14 +3,14 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Collects a line that ends with CRLF, byte by byte. A bare CR, a bare LF and a NUL are errors. */
+/** Collects a line that ends with CRLF, byte by byte. Rejects a bare CR, a bare LF and a NUL. */
 final class LineBuffer {
     private static final int INITIAL_BYTES = 128;
 
     private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BYTES);
     private boolean sawCarriageReturn;
 
-    /** Takes the next byte; returns whether it completed the line. */
+    /** Appends the next byte; returns whether the line is complete. */
     boolean append(byte next) throws HttpViolation {
         if (sawCarriageReturn) {
             if (next != '\n') {
@@ -23,7 +23,7 @@
             throw new HttpViolation(400, "a LF without CR");
         }
         if (next == 0) {
-            throw new HttpViolation(400, "a NUL in the head");
+            throw new HttpViolation(400, "a NUL in a line");
         }
         if (next == '\r') {
             sawCarriageReturn = true;
@@ -33,12 +33,12 @@
         return false;
     }
 
-    /** Bytes of the line so far, without CR and LF. */
+    /** The length of the line so far, in bytes without CR and LF. */
     int length() {
         return bytes.size();
     }
 
-    /** Whether nothing of the next line has been taken. */
+    /** Whether no byte of the next line has been appended. */
     boolean isEmpty() {
         return bytes.size() == 0 && !sawCarriageReturn;
     }
--- a/src/main/java/rosespread/http/RequestPipeline.java
+++ b/src/main/java/rosespread/http/RequestPipeline.java
@@ -6,12 +6,12 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * The requests of one server connection, handed to the handler one at a time so that responses keep
- * their order (RFC 9112, 9.3.2). At most {@value #MAX_WAITING} more may wait behind the current
- * one; a client that pipelines more is disconnected.
+ * The requests of one server connection, passed to the handler one at a time so that responses keep
+ * their order (RFC 9112, 9.3.2). At most {@value #MAX_WAITING} more requests may wait behind the
+ * current one; a client that pipelines more is disconnected.
  *
  * <p>Thread-safe: requests arrive on the connection's I/O thread, responses from any thread. The
- * handler is always called without the lock.
+ * handler is never called with the lock held.
  */
 final class RequestPipeline {
     static final int MAX_WAITING = 64;
@@ -20,7 +20,7 @@
     private final HttpServer.Handler handler;
     private final Deque<HttpMessage.Request> waiting = new ArrayDeque<>();
 
-    /** The exchange that the handler has; null if there is none. Guarded by this. */
+    /** The exchange that the handler is processing; null if none. Guarded by this. */
     private PendingExchange current;
 
     RequestPipeline(IoSession session, HttpServer.Handler handler) {
@@ -28,7 +28,7 @@
         this.handler = handler;
     }
 
-    /** Hands the request out, or queues it behind the current one. */
+    /** Passes the request to the handler, or queues it behind the current request. */
     void receive(HttpMessage.Request request) {
         PendingExchange exchange;
         synchronized (this) {
@@ -49,7 +49,7 @@
         return current == null;
     }
 
-    /** Tells the current exchange that its client is gone. */
+    /** Notifies the current exchange that the connection has closed. */
     void connectionClosed() {
         PendingExchange exchange;
         synchronized (this) {
@@ -60,7 +60,7 @@
         }
     }
 
-    private void handOutNext(PendingExchange answered) {
+    private void dispatchNext(PendingExchange answered) {
         HttpMessage.Request next;
         PendingExchange exchange;
         synchronized (this) {
@@ -77,12 +77,13 @@
     }
 
     /**
-     * A request that was handed out. Its own lock guards its state; no call is made with it held.
+     * A request that was passed to the handler. The exchange's own lock guards its state; no call
+     * is made with that lock held.
      */
     private final class PendingExchange implements HttpServer.Exchange {
         private final boolean requestKeepsAlive;
 
-        /** Whether a response was given, or none can be any more. */
+        /** Whether a response was given, or can no longer be given. */
         private boolean completed;
 
         private boolean closed;
@@ -107,7 +108,7 @@
             }
             session.write(response);
             if (requestKeepsAlive && response.keepsAlive()) {
-                handOutNext(this);
+                dispatchNext(this);
             } else {
                 session.closeOnFlush();
             }
--- a/src/test/java/rosespread/http/HttpClientTest.java
+++ b/src/test/java/rosespread/http/HttpClientTest.java
@@ -25,18 +25,18 @@
         http.close();
     }
 
-    private void call(InetSocketAddress to, String verb) {
+    private void call(InetSocketAddress address, String method) {
         int before = outcomes.size();
-        HttpMessage.Request call =
-                new HttpMessage.Request(verb, "/", HttpHeaders.of("host", "x"), new byte[0]);
+        HttpMessage.Request request =
+                new HttpMessage.Request(method, "/", HttpHeaders.of("host", "x"), new byte[0]);
         http.call(
-                to,
-                call,
+                address,
+                request,
                 TIMEOUT_NANOS,
                 new HttpClient.ResponseHandler() {
                     @Override
-                    public void onResponse(HttpMessage.Response answer) {
-                        outcomes.add(new String(answer.body(), StandardCharsets.US_ASCII));
+                    public void onResponse(HttpMessage.Response response) {
+                        outcomes.add(new String(response.body(), StandardCharsets.US_ASCII));
                     }
 
                     @Override
@@ -47,21 +47,21 @@
         await().until(() -> outcomes.size() > before);
     }
 
-    /** The end of the kept connection always crosses the second call. */
+    /** The server always resets the reused connection while the second request is in transit. */
     @ParameterizedTest
     @CsvSource({"GET, two, 1", "POST, BROKEN, 1"})
-    void onlyWhatChangesNothingIsMadeOnceMoreOnAFreshConnection(
-            String verb, String second, int crossed) throws IOException {
+    void resendsOnlySafeMethodOnNewConnection(String method, String secondOutcome, int crossed)
+            throws IOException {
         try (CrossingServer server = new CrossingServer("one", "two")) {
             call(server.at(), "GET");
-            call(server.at(), verb);
-            assertEquals(List.of("one", second), outcomes);
+            call(server.at(), method);
+            assertEquals(List.of("one", secondOutcome), outcomes);
             await().until(() -> server.crossed() == crossed);
         }
     }
 
     @Test
-    void nothingIsHeldOfAddressesThatAreGone() throws IOException {
+    void removesAddressesOfClosedServers() throws IOException {
         InetAddress local = InetAddress.getByName("127.0.0.1");
         List<HttpServer> servers = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -69,7 +69,7 @@
                     new HttpServer(
                             1,
                             HttpLimits.DEFAULT,
-                            (call, exchange) ->
+                            (request, exchange) ->
                                     exchange.respond(HttpMessage.Response.json(200, "{}")));
             servers.add(server);
             call(server.listen(new InetSocketAddress(local, 0)), "GET");
--- a/src/test/java/rosespread/http/RecordingServer.java
+++ b/src/test/java/rosespread/http/RecordingServer.java
@@ -13,22 +13,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A plain socket server that records the text of each request, with its own port written as PORT,
- * and gives one prepared answer to each. A request beyond the prepared answers is recorded and left
- * unanswered.
+ * A socket server that records the text of each request, with the server's port replaced by PORT,
+ * and sends one prepared response for each. Requests beyond the prepared responses are recorded but
+ * not answered.
  */
 public final class RecordingServer implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
     private final List<String> requests = new CopyOnWriteArrayList<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private final List<String> answers;
+    private final List<String> responses;
 
-    public RecordingServer(String... answers) throws IOException {
-        this.answers = List.of(answers);
+    public RecordingServer(String... responses) throws IOException {
+        this.responses = List.of(responses);
         start(this::accept);
     }
 
-    /** An answer with status 200, one extra header line (which may be empty) and a JSON body. */
+    /** A response with status 200, an extra header line (which may be empty) and a JSON body. */
     public static String json(String header, String body) {
         return "HTTP/1.1 200 OK\r\n"
                 + header
@@ -73,7 +73,7 @@
             for (int next = in.read(); next >= 0; next = in.read()) {
                 text.append((char) next);
                 if (text.indexOf("\r\n\r\n") >= 0) {
-                    answer(socket, text.toString());
+                    respond(socket, text.toString());
                     text.setLength(0);
                 }
             }
@@ -84,11 +84,14 @@
         }
     }
 
-    private synchronized void answer(Socket socket, String request) throws IOException {
+    private synchronized void respond(Socket socket, String request) throws IOException {
         requests.add(request.replace(":" + server.getLocalPort(), ":PORT"));
-        if (requests.size() <= answers.size()) {
+        if (requests.size() <= responses.size()) {
             socket.getOutputStream()
-                    .write(answers.get(requests.size() - 1).getBytes(StandardCharsets.ISO_8859_1));
+                    .write(
+                            responses
+                                    .get(requests.size() - 1)
+                                    .getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
