--- a/src/test/java/rosespread/http/HttpClientTest.java
+++ b/src/test/java/rosespread/http/HttpClientTest.java
@@ -50,13 +50,13 @@
     /** The server always resets the reused connection while the second request is in transit. */
     @ParameterizedTest
     @CsvSource({"GET, two, 1", "POST, BROKEN, 1"})
-    void resendsOnlySafeMethodOnNewConnection(String method, String secondOutcome, int crossed)
+    void resendsOnlySafeMethodOnNewConnection(String method, String secondOutcome, int resetCount)
             throws IOException {
-        try (CrossingServer server = new CrossingServer("one", "two")) {
-            call(server.at(), "GET");
-            call(server.at(), method);
+        try (ConnectionResetServer server = new ConnectionResetServer("one", "two")) {
+            call(server.address(), "GET");
+            call(server.address(), method);
             assertEquals(List.of("one", secondOutcome), outcomes);
-            await().until(() -> server.crossed() == crossed);
+            await().until(() -> server.resetCount() == resetCount);
         }
     }
 
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rosespread.http.CrossingServer;
+import rosespread.http.ConnectionResetServer;
 import rosespread.http.HttpClient;
 import rosespread.http.HttpLimits;
 
@@ -120,11 +120,11 @@
      */
     @Test
     void connectionThatEndsAsTheNextRequestIsWrittenCausesNoFailure() throws IOException {
-        try (CrossingServer discovery =
-                new CrossingServer(
+        try (ConnectionResetServer discovery =
+                new ConnectionResetServer(
                         "{\"version\":1,\"full\":true,\"servers\":[]}",
                         "{\"version\":1,\"full\":false,\"servers\":[]}")) {
-            watch.follow(discovery.at());
+            watch.follow(discovery.address());
             await().until(() -> received.size() >= 2);
             // The watch goes on meanwhile: only a copy stays as it is while it is
             // compared.
