--- a/src/main/java/rosespread/channel/FieldReader.java
+++ b/src/main/java/rosespread/channel/FieldReader.java
@@ -8,7 +8,7 @@
 import rosespread.api.TableId;
 
 /**
- * Reads the fields of a frame and checks each against the protocol. Errors name the field and its
+ * Reads the fields of a frame and checks each against the protocol. Errors name the field and the
  * byte offset in the stream. One reader serves all frames of a stream; not thread-safe.
  */
 final class FieldReader {
--- a/src/main/java/rosespread/http/HttpClient.java
+++ b/src/main/java/rosespread/http/HttpClient.java
@@ -58,7 +58,7 @@
      * Starts a client.
      *
      * @param threads I/O threads
-     * @param limits limits on each response
+     * @param limits the limits on each response
      * @param connectMillis timeout of a connection attempt, in milliseconds
      * @param idleSeconds how long an unused connection is kept, in seconds
      */
--- a/src/main/java/rosespread/http/HttpCodec.java
+++ b/src/main/java/rosespread/http/HttpCodec.java
@@ -12,7 +12,7 @@
 
     /**
      * @param mode the kind of message that the peer sends
-     * @param limits limits on each incoming message
+     * @param limits the limits on each incoming message
      */
     HttpCodec(HttpParser.Mode mode, HttpLimits limits) {
         this.mode = mode;
--- a/src/main/java/rosespread/http/HttpHeaders.java
+++ b/src/main/java/rosespread/http/HttpHeaders.java
@@ -34,13 +34,15 @@
         return this;
     }
 
-    /** The value of the first field with a lower-case name; empty if there is none. */
+    /** The value of the first field with the given lower-case name; empty if there is none. */
     public Optional<String> first(String name) {
         int index = names.indexOf(name);
         return index < 0 ? Optional.empty() : Optional.of(values.get(index));
     }
 
-    /** The values of all fields with a lower-case name, in order; empty if there is none. */
+    /**
+     * The values of all fields with the given lower-case name, in order; empty if there is none.
+     */
     public List<String> all(String name) {
         List<String> found = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
--- a/src/main/java/rosespread/http/HttpParser.java
+++ b/src/main/java/rosespread/http/HttpParser.java
@@ -56,7 +56,7 @@
     private int missingBytes;
 
     /**
-     * @param limits limits on each message
+     * @param limits the limits on each message
      * @param out receives each complete message, on the thread that calls {@link #feed}
      */
     public HttpParser(Mode mode, HttpLimits limits, Consumer<HttpMessage> out) {
--- a/src/main/java/rosespread/http/HttpServer.java
+++ b/src/main/java/rosespread/http/HttpServer.java
@@ -62,7 +62,7 @@
      * Creates a server that does not yet listen on any address.
      *
      * @param threads I/O threads besides the one that accepts
-     * @param limits limits on each request
+     * @param limits the limits on each request
      */
     public HttpServer(int threads, HttpLimits limits, Handler handler) {
         this.handler = handler;
--- a/src/test/java/rosespread/http/ConnectionResetServer.java
+++ b/src/test/java/rosespread/http/ConnectionResetServer.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Answers one call on each connection, keeps it open, and resets it once the next call has come on
- * it, so that the end and the call always cross.
+ * A server that answers one request on each connection, keeps the connection open, and resets it
+ * once the next request has arrived, so that the client always loses that request.
  */
 public final class ConnectionResetServer implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
@@ -18,10 +18,10 @@
     private final AtomicInteger resetCount = new AtomicInteger();
 
     /**
-     * @param bodies of the answers in turn; the last again and again
+     * @param bodies the bodies of the responses in turn; the last one is repeated
      */
     public ConnectionResetServer(String... bodies) throws IOException {
-        Thread thread = new Thread(() -> serve(bodies), "crossing");
+        Thread thread = new Thread(() -> serve(bodies), "connection-reset-server");
         thread.setDaemon(true);
         thread.start();
     }
@@ -43,7 +43,7 @@
                 peer.setSoLinger(true, 0);
                 resetCount.incrementAndGet();
             } catch (IOException e) {
-                // The peer is gone, or the test is over: the next one, or none.
+                // The peer closed the connection, or the test closed the server.
             }
         }
     }
@@ -71,7 +71,7 @@
         return responseCount.get();
     }
 
-    /** How many calls came on a connection that was then reset without an answer. */
+    /** The number of requests whose connection was reset without a response. */
     public int resetCount() {
         return resetCount.get();
     }
