--- a/src/main/java/rosespread/admin/AdminRequest.java
+++ b/src/main/java/rosespread/admin/AdminRequest.java
@@ -3,22 +3,22 @@
 import rosespread.http.HttpMessage;
 
 /**
- * A request to the API.
+ * A request to the admin API.
  *
- * @param http the request as it came
- * @param context what its headers say of operator, idempotency and revision
+ * @param http the HTTP request as received
+ * @param context operator, idempotency key and expected revision, from the headers
  */
 record AdminRequest(HttpMessage.Request http, RequestContext context) {
     boolean hasMethod(String method) {
         return http.method().equals(method);
     }
 
-    /** The target without its query. */
+    /** The request target without its query. */
     String path() {
         return http.path();
     }
 
-    /** Path and query as they came. */
+    /** The request target: path and query as received. */
     String target() {
         return http.target();
     }
--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -19,12 +19,12 @@
 import rosespread.http.HttpServer;
 
 /**
- * The operators' HTTP API of a controller; docs/daemon.md lists its requests. Changes name their
- * operator, may name the revision that they are made against and a key under which they take effect
- * once, and are audited.
+ * The operators' HTTP API of a controller; docs/daemon.md lists its requests. A change names its
+ * operator, may name the revision that it is based on and an idempotency key, under which it takes
+ * effect once, and is written to the audit log.
  *
  * <p>I/O threads queue the requests and one worker thread answers them in order, since a change
- * waits for the disk. The controller is used and not closed.
+ * waits for the disk. The caller closes the controller.
  */
 public final class AdminServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(AdminServer.class);
@@ -39,13 +39,16 @@
                     0,
                     TimeUnit.SECONDS,
                     new LinkedBlockingQueue<>(MAX_QUEUED_REQUESTS),
-                    AdminServer::workerThread);
+                    AdminServer::newWorkerThread);
 
-    /** Generated idempotency keys differ between processes and within one. */
+    /**
+     * Prefix of generated idempotency keys. It distinguishes the keys of different processes; a
+     * number distinguishes the keys of one process.
+     */
     private final String generatedKeyPrefix = "own-" + System.currentTimeMillis() + "-";
 
-    /** Owned by the worker thread. */
-    private long generatedKeys;
+    /** Number of idempotency keys generated so far. Owned by the worker thread. */
+    private long generatedKeyCount;
 
     /** Creates a server without an audit log. */
     public AdminServer(Controller controller) {
@@ -55,7 +58,7 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param auditLog records changes; null for none. The caller closes it.
+     * @param auditLog the log that records changes; null for no log. The caller closes it.
      */
     public AdminServer(Controller controller, AuditLog auditLog) {
         AuditTrail audit = new AuditTrail(Optional.ofNullable(auditLog));
@@ -82,14 +85,14 @@
                         "/v1/acts", new ReadOnlyResource(() -> JsonResponses.ok(audit.recent()))));
     }
 
-    private static Thread workerThread(Runnable task) {
+    private static Thread newWorkerThread(Runnable task) {
         Thread thread = new Thread(task, "admin");
         thread.setDaemon(true);
         return thread;
     }
 
     /**
-     * Starts to listen; port 0 takes a free port.
+     * Starts to listen; port 0 selects a free port.
      *
      * @return the address with the port in use
      * @throws IOException if the address cannot be bound
@@ -117,7 +120,7 @@
 
     private HttpMessage.Response respond(HttpMessage.Request request) {
         try {
-            String generatedKey = generatedKeyPrefix + generatedKeys++;
+            String generatedKey = generatedKeyPrefix + generatedKeyCount++;
             RequestContext context = RequestContext.of(request.headers(), generatedKey);
             return router.handle(new AdminRequest(request, context));
         } catch (IllegalArgumentException e) {
--- a/src/main/java/rosespread/admin/AuditTrail.java
+++ b/src/main/java/rosespread/admin/AuditTrail.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Performs a change between two lines of the log: that it was requested, and its outcome. A log
-     * that cannot be written does not prevent the change; see {@link #fault}.
+     * Writes the request to the audit log, performs the change and writes its outcome. A log that
+     * cannot be written does not prevent the change; {@link #fault} then reports the reason.
      */
     HttpMessage.Response record(AdminRequest request, Change change) throws IOException {
         if (log.isEmpty()) {
@@ -52,12 +52,12 @@
                 outcome);
     }
 
-    /** The last entries that this process wrote, oldest first; empty without a log. */
+    /** The most recent entries that this process wrote, oldest first; empty without a log. */
     List<AuditLog.Entry> recent() {
         return log.map(AuditLog::recent).orElse(List.of());
     }
 
-    /** Why the log cannot be written now; empty if it can, or if there is none. */
+    /** The reason why the log cannot be written now; empty if it is writable, or without a log. */
     String fault() {
         return log.map(AuditLog::fault).orElse("");
     }
--- a/src/main/java/rosespread/admin/Daemon.java
+++ b/src/main/java/rosespread/admin/Daemon.java
@@ -19,14 +19,14 @@
     private Daemon() {}
 
     /**
-     * Runs a controller until the process is asked to end; a shutdown hook then closes the API and
-     * the controller, which tells its proxies. Never returns normally.
+     * Runs a controller until the process is told to terminate; a shutdown hook then closes the API
+     * and the controller, which notifies its proxies. Never returns normally.
      *
      * @param name the controller's name
-     * @param stateFolder where settings, tables and the audit log are stored
-     * @param channelAddress where proxies connect
-     * @param adminAddress where operators connect
-     * @param policyFactory makes the policy
+     * @param stateFolder the folder that stores settings, tables and the audit log
+     * @param channelAddress the address that proxies connect to
+     * @param adminAddress the address that operators connect to
+     * @param policyFactory creates the policy
      * @param validator checks table changes before they are rolled out
      * @throws IOException if an address cannot be bound or the audit log cannot be opened
      * @throws InterruptedException if the calling thread is interrupted
@@ -46,8 +46,8 @@
                 .addShutdownHook(new Thread(() -> shutDown(admin, controller), "shutdown"));
         controller.start(channelAddress);
         admin.listen(adminAddress);
-        CountDownLatch never = new CountDownLatch(1);
-        never.await();
+        CountDownLatch neverReleased = new CountDownLatch(1);
+        neverReleased.await();
     }
 
     private static void shutDown(AdminServer admin, Controller controller) {
@@ -55,16 +55,20 @@
         controller.close();
     }
 
-    /** Opens the log; one whose chain is broken is moved aside as evidence and a new one begun. */
+    /**
+     * Opens the audit log. A log whose hash chain is broken is renamed, to keep it as evidence, and
+     * a new log is started.
+     */
     private static AuditLog openAuditLog(Path path) throws IOException {
         try {
             return new AuditLog(path, System::currentTimeMillis);
         } catch (IOException e) {
-            Path aside = path.resolveSibling(AUDIT_LOG + ".damaged-" + System.currentTimeMillis());
-            Files.move(path, aside);
+            Path damagedLog =
+                    path.resolveSibling(AUDIT_LOG + ".damaged-" + System.currentTimeMillis());
+            Files.move(path, damagedLog);
             LOG.atError()
                     .addKeyValue("reason", e.getMessage())
-                    .addKeyValue("file", aside)
+                    .addKeyValue("file", damagedLog)
                     .log("audit log is damaged and was set aside");
             return new AuditLog(path, System::currentTimeMillis);
         }
--- a/src/main/java/rosespread/admin/JsonResponses.java
+++ b/src/main/java/rosespread/admin/JsonResponses.java
@@ -9,14 +9,14 @@
 import java.io.IOException;
 import rosespread.http.HttpMessage;
 
-/** Responses with a JSON body, indented, that ends with a line break. */
+/** Builds responses with an indented JSON body that ends with a line break. */
 final class JsonResponses {
     private static final ObjectMapper JSON =
             JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
 
     private JsonResponses() {}
 
-    /** A response of status 200 whose body is the value as Jackson maps it. */
+    /** Builds a response of status 200 whose body is the value as Jackson maps it. */
     static HttpMessage.Response ok(Object body) throws JsonProcessingException {
         return of(200, body);
     }
@@ -25,12 +25,12 @@
         return HttpMessage.Response.json(status, JSON.writeValueAsString(body) + "\n");
     }
 
-    /** An empty object to fill. */
+    /** Creates an empty object for the caller to fill. */
     static ObjectNode object() {
         return JSON.createObjectNode();
     }
 
-    /** The body of a response that has one of JSON. */
+    /** Parses the body of a response, which must be JSON. */
     static JsonNode body(HttpMessage.Response response) throws IOException {
         return JSON.readTree(response.body());
     }
--- a/src/main/java/rosespread/admin/NodesResource.java
+++ b/src/main/java/rosespread/admin/NodesResource.java
@@ -12,7 +12,7 @@
 
 /**
  * {@code /v1/nodes}: GET lists the nodes; POST to {@code /v1/nodes/NAME/drain} and {@code
- * .../undrain} begins and ends a drain, with {@code ?force=true} past the guard.
+ * .../undrain} begins and ends a drain; {@code ?force=true} bypasses the drain guard.
  */
 final class NodesResource implements Resource {
     private static final String PATH = "/v1/nodes";
@@ -52,7 +52,7 @@
     }
 
     private static DrainRequest drainRequest(Matcher action, RequestContext context) {
-        // A plus stands for itself in a path; the decoder would take it for a space.
+        // A plus sign in a path is literal, but URLDecoder would decode it to a space.
         String encoded = action.group("node").replace("+", "%2B");
         return new DrainRequest(
                 URLDecoder.decode(encoded, StandardCharsets.UTF_8),
--- a/src/main/java/rosespread/admin/ProblemDetails.java
+++ b/src/main/java/rosespread/admin/ProblemDetails.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import rosespread.http.HttpMessage;
 
-/** Error responses in the form of problem details (RFC 9457). */
+/** Builds error responses in the problem details format (RFC 9457). */
 final class ProblemDetails {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private ProblemDetails() {}
 
-    /** A problem whose title follows from its status. */
+    /** Builds a response whose title is derived from its status. */
     static HttpMessage.Response of(int status, String detail) {
         return of(status, title(status), detail);
     }
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Status 405.
+     * Builds a response of status 405.
      *
-     * @param allowed the methods that the path has, in words
+     * @param allowed the methods that the path supports, as text
      */
     static HttpMessage.Response methodNotAllowed(String allowed, AdminRequest request) {
         return of(405, "only " + allowed + " " + request.path());
@@ -41,7 +41,7 @@
     }
 
     /**
-     * A problem with its reasons one by one.
+     * Builds a response that also lists each reason.
      *
      * @param revision the revision in force
      */
@@ -53,7 +53,7 @@
         return response(members);
     }
 
-    /** The standard members, to which others may be added. */
+    /** Creates the standard members; the caller may add others. */
     static ObjectNode members(int status, String title, String detail) {
         return JSON.createObjectNode()
                 .put("type", "about:blank")
@@ -62,7 +62,7 @@
                 .put("detail", detail);
     }
 
-    /** The response of these members; its status is the member's. */
+    /** Builds a response from the members, which include its status. */
     static HttpMessage.Response response(ObjectNode members) {
         return HttpMessage.Response.of(
                 members.path("status").asInt(),
--- a/src/main/java/rosespread/admin/ReadOnlyResource.java
+++ b/src/main/java/rosespread/admin/ReadOnlyResource.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import rosespread.http.HttpMessage;
 
-/** A resource that can be read and nothing else; a query is ignored. */
+/** A resource that supports only GET; a query is ignored. */
 final class ReadOnlyResource implements Resource {
     /** Builds the response to a GET. */
     @FunctionalInterface
--- a/src/main/java/rosespread/admin/RequestContext.java
+++ b/src/main/java/rosespread/admin/RequestContext.java
@@ -5,11 +5,11 @@
 import rosespread.http.HttpHeaders;
 
 /**
- * Who makes a request, and under which conditions it has an effect.
+ * The operator of a request and the conditions under which the request takes effect.
  *
  * @param operator from {@code x-operator}, "unnamed" without it; not authenticated
- * @param idempotencyKey from {@code idempotency-key}, generated without it; requests of one key
- *     have one effect
+ * @param idempotencyKey from {@code idempotency-key}, generated without it; requests with the same
+ *     key take effect once
  * @param expectedRevision from {@code if-match}, the revision that must still be in force; {@link
  *     #ANY_REVISION} without it or with {@code *}
  */
@@ -23,7 +23,7 @@
     /**
      * Reads the headers of a request.
      *
-     * @param generatedKey the idempotency key if the request brings none
+     * @param generatedKey the idempotency key of a request without that header
      * @throws IllegalArgumentException if a header is malformed; the message names it
      */
     static RequestContext of(HttpHeaders headers, String generatedKey) {
--- a/src/main/java/rosespread/admin/Resource.java
+++ b/src/main/java/rosespread/admin/Resource.java
@@ -3,7 +3,10 @@
 import java.io.IOException;
 import rosespread.http.HttpMessage;
 
-/** Answers the requests of one path, or of a path and all below it. Called by the worker thread. */
+/**
+ * Answers the requests for one path, or for a path and all paths below it. Called by the worker
+ * thread.
+ */
 @FunctionalInterface
 interface Resource {
     /**
--- a/src/main/java/rosespread/admin/Router.java
+++ b/src/main/java/rosespread/admin/Router.java
@@ -5,12 +5,12 @@
 import java.util.stream.Collectors;
 import rosespread.http.HttpMessage;
 
-/** The routing table: finds the resource of a path. Immutable. */
+/** The routing table, which maps a request's path to a resource. Immutable. */
 final class Router implements Resource {
     /**
      * A path and its resource.
      *
-     * @param coversSubpaths whether the resource also takes every path that begins with this one
+     * @param coversSubpaths whether the resource also answers every path that starts with this one
      */
     record Route(String path, boolean coversSubpaths, Resource resource) {
         static Route exact(String path, Resource resource) {
@@ -21,15 +21,15 @@
             return new Route(path, true, resource);
         }
 
-        boolean matches(String requested) {
-            return coversSubpaths ? requested.startsWith(path) : requested.equals(path);
+        boolean matches(String requestedPath) {
+            return coversSubpaths ? requestedPath.startsWith(path) : requestedPath.equals(path);
         }
     }
 
     private final List<Route> routes;
 
     /**
-     * @param routes the first that matches is taken
+     * @param routes the routes; the first match is used
      */
     Router(List<Route> routes) {
         this.routes = List.copyOf(routes);
@@ -42,7 +42,7 @@
                 return route.resource().handle(request);
             }
         }
-        String known = routes.stream().map(Route::path).collect(Collectors.joining(", "));
-        return ProblemDetails.of(404, "no " + request.path() + "; there are " + known);
+        String knownPaths = routes.stream().map(Route::path).collect(Collectors.joining(", "));
+        return ProblemDetails.of(404, "no " + request.path() + "; there are " + knownPaths);
     }
 }
--- a/src/main/java/rosespread/admin/SettingsResource.java
+++ b/src/main/java/rosespread/admin/SettingsResource.java
@@ -52,9 +52,9 @@
     private HttpMessage.Response get() {
         Optional<SettingsFile.Saved> inForce = controller.settings();
         if (inForce.isEmpty()) {
-            String trouble = controller.settingsFault();
+            String fault = controller.settingsFault();
             return ProblemDetails.of(
-                    404, "no settings yet" + (trouble.isEmpty() ? "" : "; " + trouble));
+                    404, "no settings yet" + (fault.isEmpty() ? "" : "; " + fault));
         }
         SettingsFile.Saved settings = inForce.get();
         HttpHeaders headers =
@@ -69,7 +69,7 @@
         try {
             SettingsReader.read(settings);
         } catch (SettingsException e) {
-            return faults(e);
+            return invalidSettings(e);
         }
         return JsonResponses.ok(JsonResponses.object().put("applied", false).put("good", true));
     }
@@ -90,7 +90,7 @@
                                     .put("revision", revision(applied)))
                     : changedSince(applied);
         } catch (SettingsException e) {
-            return faults(e);
+            return invalidSettings(e);
         } catch (IOException e) {
             return ProblemDetails.of(
                     503, "settings not applied, the snapshot cannot be written: " + e.getMessage());
@@ -116,7 +116,7 @@
                 + Instant.ofEpochMilli(settings.savedAtMillis());
     }
 
-    private static HttpMessage.Response faults(SettingsException e) {
+    private static HttpMessage.Response invalidSettings(SettingsException e) {
         ObjectNode problem = ProblemDetails.members(422, "Settings not applied", e.getMessage());
         ArrayNode faults = problem.putArray("faults");
         e.invalidFields()
--- a/src/main/java/rosespread/admin/StatusReport.java
+++ b/src/main/java/rosespread/admin/StatusReport.java
@@ -9,7 +9,8 @@
 import rosespread.http.HttpMessage;
 
 /**
- * The answers of {@code /v1/status} and {@code /v1/health}: summaries of the controller's state.
+ * Builds the responses of {@code /v1/status} and {@code /v1/health}, which summarize the
+ * controller's state.
  */
 final class StatusReport {
     private static final String SERVING = "serving";
@@ -22,7 +23,10 @@
         this.audit = audit;
     }
 
-    /** Status 200 while serving, else 503. Trouble with storage or audit alone is no 503. */
+    /**
+     * Returns status 200 while the controller serves, else 503. A fault of the storage or the audit
+     * log alone does not cause a 503.
+     */
     HttpMessage.Response health() throws IOException {
         ControllerStatus state = controller.status();
         return JsonResponses.of(
@@ -34,7 +38,10 @@
                         .put("audit", audit.fault()));
     }
 
-    /** One screen's worth: counts, versions and troubles, without entries, nodes and proxies. */
+    /**
+     * Summarizes the state so that it fits on one screen: counts, versions and faults, without
+     * individual weight entries, nodes and proxies.
+     */
     HttpMessage.Response summary() throws IOException {
         ControllerStatus state = controller.status();
         ObjectNode summary =
@@ -65,14 +72,14 @@
                                         .put("settingsBy", settings.operator()));
     }
 
-    /** How many nodes are in each state. */
+    /** Adds the number of nodes in each state. */
     private static void addNodeCounts(ObjectNode counts, List<ControllerStatus.Node> nodes) {
         for (ControllerStatus.Node node : nodes) {
             counts.put(node.state(), counts.path(node.state()).asInt() + 1);
         }
     }
 
-    /** Which operator drains which node. */
+    /** Adds the operator of each drained node. */
     private static void addDrained(ObjectNode drained, List<ControllerStatus.Node> nodes) {
         for (ControllerStatus.Node node : nodes) {
             if (!node.drainedBy().isEmpty()) {
--- a/src/main/java/rosespread/admin/TablesResource.java
+++ b/src/main/java/rosespread/admin/TablesResource.java
@@ -12,20 +12,20 @@
 /**
  * {@code /v1/tables}: GET lists the tables; GET of {@code /v1/tables/N} and {@code
  * /v1/tables/N/diff?from=V&to=V} reads one and compares its versions; POST to {@code
- * /v1/tables/N/rollback?version=V}, {@code .../pin} and {@code .../release} changes what it
- * follows.
+ * /v1/tables/N/rollback?version=V}, {@code .../pin} and {@code .../release} rolls the table back,
+ * pins it or releases it.
  */
 final class TablesResource implements Resource {
     private static final String PATH = "/v1/tables";
-    private static final String ONE = PATH + "/(?<table>[0-9]{1,5})";
+    private static final String TABLE_PATH = PATH + "/(?<table>[0-9]{1,5})";
     private static final String VERSION = "[0-9]{1,18}";
-    private static final Pattern TABLE = Pattern.compile(ONE);
+    private static final Pattern TABLE = Pattern.compile(TABLE_PATH);
     private static final Pattern DIFFERENCE =
             Pattern.compile(
-                    ONE + "/diff\\?from=(?<from>" + VERSION + ")&to=(?<to>" + VERSION + ")");
+                    TABLE_PATH + "/diff\\?from=(?<from>" + VERSION + ")&to=(?<to>" + VERSION + ")");
     private static final Pattern ACTION =
             Pattern.compile(
-                    ONE
+                    TABLE_PATH
                             + "/(?<action>rollback|pin|release)(?:\\?version=(?<version>"
                             + VERSION
                             + "))?");
