--- a/src/main/java/rosespread/cli/AdapterCommand.java
+++ b/src/main/java/rosespread/cli/AdapterCommand.java
@@ -10,7 +10,8 @@
 @Command(
         name = "adapter",
         mixinStandardHelpOptions = true,
-        description = "Decides on the simulator's wire, from standard input to standard output.",
+        description =
+                "Runs the routing policy for the simulator, on standard input and standard output.",
         footer = {"", "Example: rosespread adapter < batches > replies"})
 final class AdapterCommand implements Callable<Integer> {
     @Override
@@ -19,8 +20,8 @@
     }
 
     /**
-     * Serves the simulator until it closes standard input. Needs no picocli, as {@link Main} calls
-     * it directly.
+     * Serves the simulator until it closes standard input. Does not use picocli, since {@link Main}
+     * calls it directly.
      *
      * @return one of {@link ExitCodes}
      */
--- a/src/main/java/rosespread/cli/AuditCommand.java
+++ b/src/main/java/rosespread/cli/AuditCommand.java
@@ -12,11 +12,11 @@
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
-        description = "Checks that no line of an audit log was changed, taken out or put in later.",
+        description = "Checks that no line of an audit log was changed, removed or inserted later.",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
-            "0:the chain holds",
-            "1:it does not, or the file cannot be read",
+            "0:the hash chain is intact",
+            "1:the hash chain is broken, or the file cannot be read",
             "2:bad input"
         },
         footer = {"", "Example: rosespread audit ./state/audit.log"})
@@ -29,12 +29,12 @@
         if (!Files.isRegularFile(file)) {
             throw new ParameterException(spec().commandLine(), file + " is not a file");
         }
-        AuditLog.Verification verdict = AuditLog.verify(file);
-        if (!verdict.fault().isEmpty()) {
-            err().println(file + ": " + verdict.fault());
+        AuditLog.Verification verification = AuditLog.verify(file);
+        if (!verification.fault().isEmpty()) {
+            err().println(file + ": " + verification.fault());
             return ExitCodes.FAILED;
         }
-        out().println(verdict.lines() + " lines, chain " + verdict.chain());
+        out().println(verification.lines() + " lines, chain " + verification.chain());
         return ExitCodes.DONE;
     }
 }
--- a/src/main/java/rosespread/cli/CommandGroup.java
+++ b/src/main/java/rosespread/cli/CommandGroup.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** A command that only has subcommands: on its own it prints its usage and fails. */
+/** A command that only has subcommands; without one it prints its usage and fails. */
 abstract class CommandGroup implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
--- a/src/main/java/rosespread/cli/ControlOptions.java
+++ b/src/main/java/rosespread/cli/ControlOptions.java
@@ -8,7 +8,7 @@
 import rosespread.fleet.Fleet;
 import rosespread.fleet.FleetResponse;
 
-/** Options of every command on one controller: which one, and how to print. */
+/** Options of every command on one controller: its address and the output format. */
 final class ControlOptions {
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
@@ -19,20 +19,20 @@
             description = "The controller's admin address (${DEFAULT-VALUE}).")
     private InetSocketAddress control;
 
-    @Option(names = "--json", description = "Prints the answer as JSON.")
+    @Option(names = "--json", description = "Prints the response as JSON.")
     private boolean json;
 
     /**
      * Sends a request without a body to the controller, on a connection of its own.
      *
-     * @param verb the HTTP method
-     * @param path path and query
+     * @param method the HTTP method
+     * @param path the path with its query
      * @throws IOException if no response arrives in time
      */
-    FleetResponse send(String verb, String path) throws IOException {
+    FleetResponse send(String method, String path) throws IOException {
         String operator = System.getProperty("user.name");
         try (Fleet fleet = new Fleet(List.of(control), operator, TIMEOUT.toNanos())) {
-            FleetResponse response = fleet.ask(control, verb, path, "");
+            FleetResponse response = fleet.ask(control, method, path, "");
             if (!response.isReceived()) {
                 throw new IOException(response.address() + ": " + response.detail());
             }
--- a/src/main/java/rosespread/cli/FleetCommand.java
+++ b/src/main/java/rosespread/cli/FleetCommand.java
@@ -2,12 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** Groups the subcommands that work on several controllers at once. */
+/** Groups the subcommands that act on several controllers at once. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "SUBCOMMAND",
-        description = "Shows several controllers, drains nodes and applies settings across them.",
+        description =
+                "Shows several controllers, drains nodes and applies settings at all of them.",
         subcommands = {
             FleetStatusCommand.class,
             FleetNodesCommand.class,
@@ -19,9 +20,9 @@
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
             "0:done at all controllers",
-            "1:done at none",
+            "1:done at no controller",
             "2:bad input",
-            "4:done at some; the same command can be repeated"
+            "4:done at some controllers; the same command can be repeated"
         },
         footer = {
             "",
--- a/src/main/java/rosespread/cli/FleetDrainCommand.java
+++ b/src/main/java/rosespread/cli/FleetDrainCommand.java
@@ -12,19 +12,23 @@
 @Command(
         name = "drain",
         mixinStandardHelpOptions = true,
-        description = "Takes a node out of all tables until it is undrained or gone from the list.",
+        description =
+                "Removes a node from all tables until it is undrained or leaves the endpoint list.",
         footer = {"", "Example: rosespread fleet drain node-3 --fleet 127.0.0.1:7401 --wait 10"})
 final class FleetDrainCommand extends FleetNodeCommand {
     private static final Duration QUIET_PERIOD = Duration.ofSeconds(2);
     private static final long POLL_MILLIS = 200;
 
-    @Option(names = "--force", description = "Passes over the guard against draining too much.")
+    @Option(
+            names = "--force",
+            description = "Bypasses the guard against draining too much capacity.")
     private boolean force;
 
     @Option(
             names = "--wait",
             paramLabel = "SECONDS",
-            description = "Waits until no controller has had a report of an attempt there.")
+            description =
+                    "How long to wait until no controller gets reports of attempts at the node.")
     private Double waitSeconds;
 
     @Override
--- a/src/main/java/rosespread/cli/FleetJson.java
+++ b/src/main/java/rosespread/cli/FleetJson.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import rosespread.fleet.FleetResponse;
 
-/** The JSON form of a fleet's responses: one object with a field for each control address. */
+/** Formats a fleet's responses as one JSON object with a field for each control address. */
 final class FleetJson {
     private FleetJson() {}
 
--- a/src/main/java/rosespread/cli/FleetLogCommand.java
+++ b/src/main/java/rosespread/cli/FleetLogCommand.java
@@ -5,11 +5,11 @@
 import rosespread.fleet.AuditEntry;
 import rosespread.fleet.FleetResponse;
 
-/** Prints the audit logs of all controllers as one, sorted by time. */
+/** Prints the audit logs of all controllers, merged and sorted by time. */
 @Command(
         name = "log",
         mixinStandardHelpOptions = true,
-        description = "Acts at all controllers, by time.")
+        description = "Prints the operators' actions at all controllers, sorted by time.")
 final class FleetLogCommand extends FleetQueryCommand {
     FleetLogCommand() {
         super("/v1/acts");
@@ -27,7 +27,7 @@
                 .forEach(out()::println);
     }
 
-    /** Begins with the time, so that sorting rows sorts by time. */
+    /** Formats a row that starts with the time, so that sorting the rows sorts them by time. */
     private static String row(String address, AuditEntry entry) {
         return String.format(
                 "%s  %-22s %-12s %-50s %s",
--- a/src/main/java/rosespread/cli/FleetNodeCommand.java
+++ b/src/main/java/rosespread/cli/FleetNodeCommand.java
@@ -13,7 +13,7 @@
 abstract class FleetNodeCommand extends FleetSubcommand {
     @Parameters(
             paramLabel = "NODE",
-            description = "A name, or name@host:port where several have it.")
+            description = "The node's name, or name@host:port where several nodes have this name.")
     private String node;
 
     final String node() {
@@ -23,14 +23,15 @@
     /**
      * Sends the action to all controllers and prints each response.
      *
-     * @param action the last part of the resource's path
+     * @param action the last segment of the resource's path
      * @param query the query with its question mark, or empty
      * @return one of {@link ExitCodes}
      */
     final int change(Fleet fleet, String action, String query) {
         String encodedNode = URLEncoder.encode(node, StandardCharsets.UTF_8);
         String path = "/v1/nodes/" + encodedNode + "/" + action + query;
-        // The same key at all controllers: an action that one learned from another is not repeated.
+        // All controllers get the same key, so that a controller does not repeat an action that it
+        // has learned of from another one.
         String idempotencyKey = UUID.randomUUID().toString();
         List<FleetResponse> responses =
                 fleet.ask("POST", path, "", "idempotency-key", idempotencyKey);
@@ -51,7 +52,7 @@
             return;
         }
         boolean unknown = !response.isReceived() && response.mayHaveRun();
-        String prefix = unknown ? "may be done: " : "";
+        String prefix = unknown ? "may have taken effect: " : "";
         err().println(response.address() + ": " + prefix + response.detail());
     }
 }
--- a/src/main/java/rosespread/cli/FleetNodesCommand.java
+++ b/src/main/java/rosespread/cli/FleetNodesCommand.java
@@ -9,12 +9,11 @@
 import rosespread.fleet.FleetResponse;
 import rosespread.fleet.NodeSummary;
 
-/** Prints a line for each node; several where controllers disagree about it. */
+/** Prints a line for each node, or several lines where controllers differ about the node. */
 @Command(
         name = "nodes",
         mixinStandardHelpOptions = true,
-        description =
-                "Nodes as the controllers list them; one line a node, with where they differ.")
+        description = "Prints one line per node, or several lines where controllers differ.")
 final class FleetNodesCommand extends FleetQueryCommand {
     FleetNodesCommand() {
         super("/v1/nodes");
@@ -28,7 +27,7 @@
                 .forEach((node, addressesByRow) -> printNode(node, addressesByRow, answered));
     }
 
-    /** The control addresses whose controllers report each row, by the node's name and the row. */
+    /** Returns the control addresses of the controllers that report each row, by node and row. */
     private static SortedMap<String, SortedMap<String, List<String>>> addressesByNodeAndRow(
             List<FleetResponse> responses) {
         SortedMap<String, SortedMap<String, List<String>>> byNode = new TreeMap<>();
--- a/src/main/java/rosespread/cli/FleetOptions.java
+++ b/src/main/java/rosespread/cli/FleetOptions.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Spec;
 import rosespread.fleet.Fleet;
 
-/** Options of every command on a fleet: which controllers, who acts, how long, how to print. */
+/** Options of every command on a fleet: controllers, operator, time-out and output format. */
 final class FleetOptions {
     private static final int MAX_TIMEOUT_SECONDS = 600;
 
@@ -18,24 +18,24 @@
             converter = AddressConverter.class,
             paramLabel = "ADDRESS",
             required = true,
-            description = "The controllers' admin addresses, by commas.")
+            description = "The controllers' admin addresses, separated by commas.")
     private List<InetSocketAddress> addresses;
 
     @Option(
             names = "--as",
             defaultValue = "${sys:user.name}",
             paramLabel = "NAME",
-            description = "Who acts, for the audit log (${DEFAULT-VALUE}).")
+            description = "Operator's name in the audit log (${DEFAULT-VALUE}).")
     private String operator;
 
     @Option(
             names = "--timeout",
             defaultValue = "3",
             paramLabel = "SECONDS",
-            description = "How long one call may take (${DEFAULT-VALUE}).")
+            description = "Time-out of one request (${DEFAULT-VALUE}).")
     private double timeoutSeconds;
 
-    @Option(names = "--json", description = "Prints answers as JSON.")
+    @Option(names = "--json", description = "Prints the responses as JSON.")
     private boolean json;
 
     @Spec(Spec.Target.MIXEE)
--- a/src/main/java/rosespread/cli/FleetQueryCommand.java
+++ b/src/main/java/rosespread/cli/FleetQueryCommand.java
@@ -5,7 +5,7 @@
 import rosespread.fleet.Fleet;
 import rosespread.fleet.FleetResponse;
 
-/** A command that reads one resource from all controllers and prints it as a text or as JSON. */
+/** A command that reads one resource from all controllers and prints it as text or JSON. */
 abstract class FleetQueryCommand extends FleetSubcommand {
     private final String path;
 
@@ -18,7 +18,7 @@
         this.path = path;
     }
 
-    /** Prints the responses for a reader, failures included. */
+    /** Prints the responses as text, failures included. */
     abstract void print(List<FleetResponse> responses);
 
     @Override
--- a/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
@@ -17,21 +17,21 @@
         name = "apply",
         mixinStandardHelpOptions = true,
         description =
-                "Applies standard input, one controller after the other, and stops where one fails.",
+                "Applies the settings on standard input to one controller after the other, and"
+                        + " stops at the first failure.",
         footer = {
             "",
             "Example: rosespread fleet settings apply --fleet 127.0.0.1:7401 < fleet.json"
         })
 final class FleetSettingsApplyCommand extends FleetSubcommand {
-    @Option(names = "--dry-run", description = "Only checks them at every controller.")
+    @Option(names = "--dry-run", description = "Only checks the settings, at every controller.")
     private boolean dryRun;
 
     @Option(
             names = "--patience",
             defaultValue = "15",
             paramLabel = "SECONDS",
-            description =
-                    "How long a controller may take to have its proxies back (${DEFAULT-VALUE}).")
+            description = "Time for a controller's proxies to subscribe again (${DEFAULT-VALUE}).")
     private double resubscribeTimeoutSeconds;
 
     @Override
@@ -53,7 +53,7 @@
         return rollout.run(settings, UUID.randomUUID().toString());
     }
 
-    /** Prints at once, as the next controller may take its time. */
+    /** Prints the event at once, since the next controller may take long. */
     private void print(RolloutEvent event) {
         out().println(event.describe());
         out().flush();
--- a/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
@@ -13,11 +13,13 @@
 import rosespread.fleet.FleetResponse;
 import rosespread.fleet.JsonDiff;
 
-/** Prints what the settings on standard input would change at each controller. */
+/** Prints the fields that the settings on standard input would change at each controller. */
 @Command(
         name = "diff",
         mixinStandardHelpOptions = true,
-        description = "What standard input would change at each controller, field by field.")
+        description =
+                "Prints the fields that the settings on standard input would change at each"
+                        + " controller.")
 final class FleetSettingsDiffCommand extends FleetSubcommand {
     @Override
     int run(Fleet fleet) throws IOException {
@@ -38,7 +40,7 @@
             printFailure(response);
             return;
         }
-        // A controller without settings answers "not found": then every field is a new one.
+        // A controller without settings responds "not found"; every field then counts as new.
         JsonNode current = response.isOk() ? response.body() : MissingNode.getInstance();
         List<FieldChange> changes = JsonDiff.between(current, desired);
         out().println(response.address() + ": " + changes.size() + " fields change");
--- a/src/main/java/rosespread/cli/FleetSettingsShowCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsShowCommand.java
@@ -4,11 +4,11 @@
 import picocli.CommandLine.Command;
 import rosespread.fleet.FleetResponse;
 
-/** Prints the settings of each controller, as JSON in any case. */
+/** Prints the settings of each controller, always as JSON. */
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = "The settings of each controller.")
+        description = "Prints the settings of each controller, always as JSON.")
 final class FleetSettingsShowCommand extends FleetQueryCommand {
     FleetSettingsShowCommand() {
         super("/v1/settings");
--- a/src/main/java/rosespread/cli/FleetStatusCommand.java
+++ b/src/main/java/rosespread/cli/FleetStatusCommand.java
@@ -9,11 +9,11 @@
 import rosespread.fleet.FleetDifferences;
 import rosespread.fleet.FleetResponse;
 
-/** Prints a line for each controller, and how the controllers differ. */
+/** Prints a line for each controller, and the differences between the controllers. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "One line a controller, and what differs among them.")
+        description = "Prints one line per controller and the differences between them.")
 final class FleetStatusCommand extends FleetQueryCommand {
     private static final String HEADER = "%-22s %-10s %-22s %9s %-26s %8s %8s %-8s  %s%n";
     private static final String ROW = "%-22s %-10s %-22s %4d/%-4d %-26s %8d %8s %-8s  %s%n";
--- a/src/main/java/rosespread/cli/FleetSubcommand.java
+++ b/src/main/java/rosespread/cli/FleetSubcommand.java
@@ -5,12 +5,12 @@
 import rosespread.fleet.Fleet;
 import rosespread.fleet.FleetResponse;
 
-/** A command on several controllers; holds the connections for the time of the call. */
+/** A command on several controllers; keeps the connections to them while it runs. */
 abstract class FleetSubcommand extends PrintingCommand {
     @Mixin private FleetOptions options;
 
     /**
-     * Does the command's work.
+     * Runs the command.
      *
      * @param fleet the controllers; closed by the caller
      * @return one of {@link ExitCodes}
@@ -30,7 +30,7 @@
         return options.isJson();
     }
 
-    /** Prints a line to standard error for a response without success, and nothing for others. */
+    /** Prints a line to standard error if the response is not a success; otherwise nothing. */
     final void printFailure(FleetResponse response) {
         if (!response.isOk()) {
             err().println(response.address() + ": " + response.detail());
--- a/src/main/java/rosespread/cli/FormerNames.java
+++ b/src/main/java/rosespread/cli/FormerNames.java
@@ -7,9 +7,9 @@
 import picocli.CommandLine;
 
 /**
- * Former names of subcommands. Each goes on working as a hidden subcommand with the same options,
- * output and exit codes, so that scripts need not change at once; the program only says on standard
- * error which name is the current one.
+ * Former names of subcommands. Each still works as a hidden subcommand with the same options,
+ * output and exit codes, so that scripts need not change at once; the program also prints the
+ * current name to standard error.
  */
 enum FormerNames {
     /** Now {@link ControllerCommand}. */
@@ -29,7 +29,7 @@
         this.newCommand = newCommand;
     }
 
-    /** Adds all former names to the program's command line; they stay out of its help. */
+    /** Adds all former names to the program's command line, hidden from its help. */
     static void addTo(CommandLine program) {
         for (FormerNames name : values()) {
             CommandLine command = new CommandLine(name.newCommand.get());
@@ -38,14 +38,14 @@
         }
     }
 
-    /** The former name by which a subcommand is called, empty if it is called by a current one. */
+    /** Returns the former name that the arguments use; empty if they use a current name. */
     static Optional<FormerNames> usedIn(String... args) {
         return Arrays.stream(values())
                 .filter(name -> args.length > 0 && name.formerName.equals(args[0]))
                 .findFirst();
     }
 
-    /** The one line for standard error, without its end. */
+    /** Returns the line for standard error, without a line break. */
     String notice() {
         return "rosespread: '"
                 + formerName
--- a/src/main/java/rosespread/cli/Main.java
+++ b/src/main/java/rosespread/cli/Main.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The program: one subcommand a job. */
+/** The program, with one subcommand per task. */
 @Command(
         name = "rosespread",
         mixinStandardHelpOptions = true,
@@ -13,10 +13,10 @@
         synopsisSubcommandLabel = "SUBCOMMAND",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
-            "0:done; for a scenario, all rules kept",
-            "1:it failed while running",
-            "2:bad input, named with its place",
-            "3:a scenario broke a rule"
+            "0:done; for a scenario, all invariants held",
+            "1:the command failed while it ran",
+            "2:bad input; the message names its place",
+            "3:a scenario violated an invariant"
         },
         footer = {"", "Example: rosespread scenario bad-day --seed 7"},
         subcommands = {
@@ -35,8 +35,8 @@
     /**
      * Runs the subcommand that the arguments name and ends the process with its exit code.
      *
-     * <p>The adapter and serve are started often and by programs; without further arguments they
-     * are called directly, which saves the time and memory that picocli takes.
+     * <p>Programs start {@code adapter} and {@code serve} often; without further arguments both are
+     * called directly, which saves the time and memory that picocli takes.
      *
      * @param args the subcommand and its arguments
      */
@@ -57,8 +57,8 @@
     /**
      * Runs a subcommand within this process.
      *
-     * @param out stands for standard output
-     * @param err stands for standard error
+     * @param out replaces standard output
+     * @param err replaces standard error
      * @return one of {@link ExitCodes}
      */
     static int run(PrintWriter out, PrintWriter err, String... args) {
@@ -72,7 +72,8 @@
     }
 
     /**
-     * Settings of the command line reach the subcommands that it has by then, so they come last.
+     * Creates the command line. Its settings apply only to subcommands that were added before, so
+     * the settings come last.
      */
     private static CommandLine program(PrintWriter out, PrintWriter err) {
         CommandLine program = new CommandLine(new Main());
--- a/src/main/java/rosespread/cli/PrintingCommand.java
+++ b/src/main/java/rosespread/cli/PrintingCommand.java
@@ -10,7 +10,7 @@
     @Spec private CommandSpec spec;
 
     /**
-     * Does the command's work.
+     * Runs the command.
      *
      * @return one of {@link ExitCodes}
      * @throws Exception if it failed; the message is printed and the exit code is {@link
--- a/src/main/java/rosespread/cli/ScenarioCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -11,19 +11,20 @@
 import rosespread.scenario.ScenarioException;
 import rosespread.scenario.ScenarioRun;
 
-/** Runs a fault scenario on loopback and judges the five rules from what passed on the sockets. */
+/** Runs a fault scenario on loopback and checks the five invariants on its sockets' traffic. */
 @Command(
         name = "scenario",
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Plays a scripted day on loopback and judges the five rules from its sockets.",
+                "Runs a fault scenario on loopback and checks the five invariants on its sockets'"
+                        + " traffic.",
         exitCodeListHeading = "Exit codes:%n",
         exitCodeList = {
-            "0:all rules kept",
-            "1:it could not be played",
+            "0:all invariants held",
+            "1:the scenario could not be run",
             "2:bad input",
-            "3:a rule was broken"
+            "3:an invariant was violated"
         },
         footer = {"", "Example: rosespread scenario bad-day --seed 7 --out day.json"})
 final class ScenarioCommand extends PrintingCommand {
@@ -31,18 +32,22 @@
             paramLabel = "SCENARIO",
             description =
                     "bad-day, quiet-day, full-size, rollback-day, kill-day, drain-day, or the path of"
-                            + " a file.")
+                            + " a scenario file.")
     private String scenario;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws the day (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "Seed of the random choices (${DEFAULT-VALUE}).")
     private long seed;
 
-    @Option(names = "--out", paramLabel = "<out>", description = "Where the report goes as JSON.")
+    @Option(names = "--out", paramLabel = "<out>", description = "File for the report, as JSON.")
     private Path reportFile;
 
     @Option(
             names = "--no-conductor",
-            description = "Proxies keep their starting tables, for comparison.")
+            description =
+                    "Runs without controllers, for comparison: proxies keep their initial tables.")
     private boolean withoutController;
 
     @Override
@@ -69,6 +74,6 @@
             Files.writeString(reportFile, report.json());
         }
         out().print(report.text());
-        return report.kept() ? ExitCodes.DONE : ExitCodes.RULE_BROKEN;
+        return report.kept() ? ExitCodes.DONE : ExitCodes.INVARIANT_VIOLATED;
     }
 }
--- a/src/main/java/rosespread/cli/Seconds.java
+++ b/src/main/java/rosespread/cli/Seconds.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 
-/** Converts the seconds, with fractions, that options are given in. */
+/** Converts option values in seconds, which may have fractions. */
 final class Seconds {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private Seconds() {}
 
-    /** The time in whole nanoseconds, cut off; at most what a {@code long} holds. */
+    /** Truncates to whole nanoseconds; a longer time becomes the maximum of a {@code long}. */
     static Duration toDuration(double seconds) {
         return Duration.ofNanos((long) (seconds * NANOS_PER_SECOND));
     }
--- a/src/main/java/rosespread/cli/ServeCommand.java
+++ b/src/main/java/rosespread/cli/ServeCommand.java
@@ -17,12 +17,12 @@
         footer = {"", "Example: ROUTER_CONFIG=config.json rosespread serve"})
 final class ServeCommand implements Callable<Integer> {
     private static final int EXIT_OK = 0;
-    private static final int EXIT_CAN_NOT_LISTEN = 1;
+    private static final int EXIT_LISTEN_FAILED = 1;
     private static final int EXIT_BAD_CONFIGURATION = 2;
 
     /**
-     * Runs until the process is ended. {@link Main} calls it without picocli, as it is started
-     * often, by a program, and short of memory.
+     * Runs until the process ends. {@link Main} calls this method without picocli, since a program
+     * starts it often and with little memory.
      *
      * @return the exit code
      */
@@ -33,7 +33,7 @@
         } catch (ConfigException e) {
             return fail(EXIT_BAD_CONFIGURATION, e.getMessage());
         } catch (IOException e) {
-            return fail(EXIT_CAN_NOT_LISTEN, "can't listen: " + e.getMessage());
+            return fail(EXIT_LISTEN_FAILED, "cannot listen: " + e.getMessage());
         }
     }
 
--- a/src/main/java/rosespread/cli/TableChangeCommand.java
+++ b/src/main/java/rosespread/cli/TableChangeCommand.java
@@ -8,12 +8,12 @@
 abstract class TableChangeCommand extends TableSubcommand {
     private static final String DONE = "done";
     private static final String NOT_STORED =
-            "done, but not kept: a restart of the conductor forgets it; see /v1/state";
+            "done, but not stored: a controller restart loses the change; see /v1/state";
 
     @Parameters(paramLabel = "TABLE", index = "0")
     private int table;
 
-    /** The action with its query: the last part of the resource's path. */
+    /** Returns the last segment of the resource's path, with its query. */
     abstract String action();
 
     @Override
--- a/src/main/java/rosespread/cli/TableCommand.java
+++ b/src/main/java/rosespread/cli/TableCommand.java
@@ -7,7 +7,8 @@
         name = "table",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "SUBCOMMAND",
-        description = "Shows a controller's tables and versions, holds them, goes back.",
+        description =
+                "Shows a controller's tables and their versions, pins tables and rolls them back.",
         subcommands = {
             TableListCommand.class,
             TableShowCommand.class,
--- a/src/main/java/rosespread/cli/TableDiffCommand.java
+++ b/src/main/java/rosespread/cli/TableDiffCommand.java
@@ -12,7 +12,7 @@
 @Command(
         name = "diff",
         mixinStandardHelpOptions = true,
-        description = "What changes from one kept version to another.",
+        description = "Prints the weight entries in which two stored versions of a table differ.",
         footer = {"", "Example: rosespread table diff 1 41 42"})
 final class TableDiffCommand extends TableSubcommand {
     private static final String ROW = "%s %-30s %10s %10s%n";
--- a/src/main/java/rosespread/cli/TableListCommand.java
+++ b/src/main/java/rosespread/cli/TableListCommand.java
@@ -9,7 +9,7 @@
 import rosespread.fleet.TableSummary;
 
 /** Prints a line for each table. */
-@Command(name = "list", mixinStandardHelpOptions = true, description = "One line a table.")
+@Command(name = "list", mixinStandardHelpOptions = true, description = "Prints one line per table.")
 final class TableListCommand extends TableSubcommand {
     private static final String HEADER = "%5s %8s %6s %9s %8s  %s%n";
     private static final String ROW = "%5d %8d %6d %9s %8d  %s%n";
--- a/src/main/java/rosespread/cli/TablePinCommand.java
+++ b/src/main/java/rosespread/cli/TablePinCommand.java
@@ -6,7 +6,7 @@
 @Command(
         name = "pin",
         mixinStandardHelpOptions = true,
-        description = "Holds a table at what is out now.")
+        description = "Holds a table at the version in use.")
 final class TablePinCommand extends TableChangeCommand {
     @Override
     String action() {
--- a/src/main/java/rosespread/cli/TableReleaseCommand.java
+++ b/src/main/java/rosespread/cli/TableReleaseCommand.java
@@ -6,7 +6,7 @@
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
-        description = "Lets a held table follow the module again, step by step.")
+        description = "Lets a held table follow the policy again, step by step.")
 final class TableReleaseCommand extends TableChangeCommand {
     @Override
     String action() {
--- a/src/main/java/rosespread/cli/TableRollbackCommand.java
+++ b/src/main/java/rosespread/cli/TableRollbackCommand.java
@@ -7,7 +7,9 @@
 @Command(
         name = "rollback",
         mixinStandardHelpOptions = true,
-        description = "Commits a kept version's lines as the newest one and holds the table.",
+        description =
+                "Commits the weight entries of a stored version as the newest version and holds the"
+                        + " table.",
         footer = {"", "Example: rosespread table rollback 1 42"})
 final class TableRollbackCommand extends TableChangeCommand {
     @Parameters(paramLabel = "VERSION", index = "1")
--- a/src/main/java/rosespread/cli/TableShowCommand.java
+++ b/src/main/java/rosespread/cli/TableShowCommand.java
@@ -12,7 +12,7 @@
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = "A table's lines and versions.")
+        description = "Prints a table's weight entries and stored versions.")
 final class TableShowCommand extends TableSubcommand {
     private static final String ENTRY_ROW = "  %-30s %10.4f%n";
     private static final String VERSION_HEADER = "%8s %-10s %-24s %6s %7s  %s%n";
--- a/src/main/java/rosespread/cli/TableSubcommand.java
+++ b/src/main/java/rosespread/cli/TableSubcommand.java
@@ -10,7 +10,7 @@
     @Mixin private ControlOptions options;
 
     /**
-     * Does the command's work.
+     * Runs the command.
      *
      * @return one of {@link ExitCodes}
      * @throws IOException if the controller does not respond
--- a/src/main/java/rosespread/cli/TestbedCommand.java
+++ b/src/main/java/rosespread/cli/TestbedCommand.java
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** Groups the subcommands that surround controllers started by hand with fakes. */
+/** Groups the subcommands that run fakes around controllers started by hand. */
 @Command(
         name = "testbed",
         mixinStandardHelpOptions = true,
         synopsisSubcommandLabel = "SUBCOMMAND",
         description =
-                "Fakes of nodes, list, proxies and clients, for a controller started by hand.",
+                "Fake nodes, endpoint list, proxies and clients, for a controller started by hand.",
         subcommands = {TestbedSiteCommand.class, TestbedSettingsCommand.class},
         footer = {
             "",
--- a/src/main/java/rosespread/cli/TestbedOptions.java
+++ b/src/main/java/rosespread/cli/TestbedOptions.java
@@ -6,27 +6,32 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Arguments of every command on a testbed: the scenario, its seed, the endpoint list's port. */
+/** Arguments of every testbed command: scenario, seed and the endpoint list's port. */
 final class TestbedOptions {
     private static final int MAX_PORT = 65_535;
 
-    @Parameters(paramLabel = "SCENARIO", description = "A scenario that ships, or a file.")
+    @Parameters(
+            paramLabel = "SCENARIO",
+            description = "The name of an included scenario, or the path of a file.")
     private String scenario;
 
-    @Option(names = "--seed", defaultValue = "1", description = "Draws the day (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "Seed of the random choices (${DEFAULT-VALUE}).")
     private long seed;
 
     @Option(
             names = "--list-port",
             defaultValue = "8500",
-            description = "Where the server list answers (${DEFAULT-VALUE}).")
+            description = "Port of the endpoint list (${DEFAULT-VALUE}).")
     private int listPort;
 
     @Spec(Spec.Target.MIXEE)
     private CommandSpec command;
 
     /**
-     * Checks what picocli does not.
+     * Checks the port's range, which picocli does not check.
      *
      * @throws ParameterException if the port is not allowed
      */
@@ -34,11 +39,11 @@
         if (listPort < 1 || listPort > MAX_PORT) {
             throw new ParameterException(
                     command.commandLine(),
-                    "--list-port " + listPort + " is not from 1 to " + MAX_PORT);
+                    "--list-port is " + listPort + "; allowed: 1 to " + MAX_PORT);
         }
     }
 
-    /** The name of a scenario that ships with the program, or the path of a file. */
+    /** The name of a scenario included in the program, or the path of a file. */
     String scenario() {
         return scenario;
     }
--- a/src/main/java/rosespread/cli/TestbedSettingsCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSettingsCommand.java
@@ -5,11 +5,11 @@
 import rosespread.scenario.OpenSite;
 import rosespread.scenario.ScenarioException;
 
-/** Prints the settings that fit a scenario's fakes, as JSON. */
+/** Prints, as JSON, the settings for a controller that runs with a scenario's fakes. */
 @Command(
         name = "settings",
         mixinStandardHelpOptions = true,
-        description = "Prints the settings for a controller of this site.",
+        description = "Prints the settings for a controller of this scenario.",
         footer = {"", "Example: rosespread testbed settings quiet-day --list-port 8500"})
 final class TestbedSettingsCommand extends TestbedSubcommand {
     @Override
--- a/src/main/java/rosespread/cli/TestbedSiteCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSiteCommand.java
@@ -8,18 +8,23 @@
 import rosespread.scenario.OpenSite;
 import rosespread.scenario.ScenarioException;
 
-/** Runs a scenario's fakes for the scenario's time, or without controllers until it is stopped. */
+/**
+ * Runs a scenario's fakes for the scenario's duration or, without controllers, until the process is
+ * stopped.
+ */
 @Command(
         name = "site",
         mixinStandardHelpOptions = true,
-        description = "Runs nodes and list; with controllers, proxies and clients too, for a day.",
+        description =
+                "Runs nodes and endpoint list; with controllers, also proxies and clients, for the"
+                        + " scenario's duration.",
         footer = {"", "Example: rosespread testbed site quiet-day --conductor 127.0.0.1:7400"})
 final class TestbedSiteCommand extends TestbedSubcommand {
     @Option(
             names = "--conductor",
             converter = AddressConverter.class,
             paramLabel = "<conductors>",
-            description = "Where proxies dial; may be given several times.")
+            description = "Address that proxies connect to; may be given several times.")
     private List<InetSocketAddress> controllers = List.of();
 
     @Override
--- a/src/main/java/rosespread/cli/TestbedSubcommand.java
+++ b/src/main/java/rosespread/cli/TestbedSubcommand.java
@@ -9,10 +9,10 @@
     @Mixin private TestbedOptions options;
 
     /**
-     * Does the command's work.
+     * Runs the command.
      *
      * @param arguments the checked arguments
-     * @throws IOException if a file cannot be read or a port cannot be had
+     * @throws IOException if a file cannot be read or a port cannot be bound
      * @throws ScenarioException if the scenario is unknown or malformed
      * @throws InterruptedException if interrupted while the fakes run
      */
--- a/src/test/java/rosespread/cli/FleetCommandTest.java
+++ b/src/test/java/rosespread/cli/FleetCommandTest.java
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void settingsAreAppliedComparedAndShownAtAllControllers() {
+    void appliesComparesAndShowsSettingsAtAllControllers() {
         ProgramRun applied = fixture.applySettings();
         assertEquals(3, count(applied.out(), "applied as revision 1"));
 
@@ -75,20 +75,20 @@
     }
 
     @Test
-    void badSettingsAreAppliedNowhere() {
+    void appliesInvalidSettingsNowhere() {
         fixture.applySettings();
 
-        ProgramRun applied = fixture.fleet(fixture.badSettings(), "settings apply");
+        ProgramRun applied = fixture.fleet(fixture.invalidSettings(), "settings apply");
         assertExitCode(1, applied);
         assertContains(applied.out(), "field cold.timeMs is -1");
         assertContains(applied.out(), "nothing was applied anywhere");
 
-        assertExitCode(1, fixture.fleet(fixture.badSettings(), "settings apply --dry-run"));
+        assertExitCode(1, fixture.fleet(fixture.invalidSettings(), "settings apply --dry-run"));
         assertEquals(1, revisionOfFirstController());
     }
 
     @Test
-    void settingsAreAppliedNowhereIfOneControllerDoesNotRespond() {
+    void appliesSettingsNowhereIfOneControllerDoesNotRespond() {
         fixture.applySettings();
         fixture.stop(1);
 
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aDrainReachesAllControllersAndIsLoggedByEach() {
+    void drainReachesAllControllersAndIsLoggedByEach() {
         fixture.applySettings();
 
         ProgramRun drained = fixture.fleet("drain n1 --wait 8");
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aDrainWithoutAResponseOfOneControllerIsPartlyDoneAndCanBeRepeated() {
+    void drainIsPartlyDoneAndRepeatableIfOneControllerDoesNotRespond() {
         fixture.applySettings();
         fixture.stop(2);
 
@@ -146,15 +146,15 @@
     }
 
     @Test
-    void theDrainGuardRefusesAtAllControllersUnlessForced() {
+    void drainGuardRejectsAtAllControllersUnlessForced() {
         fixture.applySettings();
         assertExitCode(0, fixture.fleet("drain n0"));
         assertExitCode(0, fixture.fleet("drain n1"));
 
-        ProgramRun refused = fixture.fleet("drain n2");
-        assertExitCode(1, refused);
+        ProgramRun rejected = fixture.fleet("drain n2");
+        assertExitCode(1, rejected);
         assertContains(
-                refused.err(), "method quote would keep 1.00 of 4.00, that is 25% where 50%");
+                rejected.err(), "method quote would keep 1.00 of 4.00, that is 25% where 50%");
 
         assertExitCode(0, fixture.fleet("drain n2 --force"));
         ProgramRun status = fixture.fleet("status");
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void statusNamesTheControllersThatDoNotDrainANode() {
+    void statusNamesControllersThatDoNotDrainNode() {
         fixture.applySettings();
         ProgramRun.of("fleet drain n1 --fleet " + fixture.address(0));
 
@@ -183,7 +183,7 @@
                 "drains n1|2|Unmatched arguments",
                 "drain n1 --wait soon|2|'soon' is not a double"
             })
-    void aWrongCommandIsRefusedWithItsReason(String command, int exitCode, String reason) {
+    void rejectsInvalidCommandWithReason(String command, int exitCode, String reason) {
         fixture.applySettings();
         ProgramRun run = fixture.fleet(command);
         assertExitCode(exitCode, run);
--- a/src/test/java/rosespread/cli/FleetFixture.java
+++ b/src/test/java/rosespread/cli/FleetFixture.java
@@ -76,8 +76,8 @@
         return new HttpServer(
                 1,
                 HttpLimits.DEFAULT,
-                (call, exchange) -> {
-                    if (!call.target().contains("index=" + LIST_INDEX)) {
+                (request, exchange) -> {
+                    if (!request.target().contains("index=" + LIST_INDEX)) {
                         exchange.respond(new HttpMessage.Response(200, headers, body));
                     }
                 });
@@ -96,8 +96,8 @@
         return settings;
     }
 
-    /** The settings without a value that is allowed for {@code cold.timeMs}. */
-    String badSettings() {
+    /** The settings with a value of {@code cold.timeMs} that is not allowed. */
+    String invalidSettings() {
         return settings.replace("16000", "-1");
     }
 
@@ -132,23 +132,23 @@
         controllers.get(index).close();
     }
 
-    /** Runs {@code fleet} with the arguments, as operator ana at all controllers. */
+    /** Runs {@code fleet} with the arguments at all controllers, as operator ana. */
     ProgramRun fleet(String arguments) {
         return fleet("", arguments);
     }
 
-    /** Runs {@code fleet} with the arguments and this text on standard input. */
+    /** Runs {@code fleet} with the arguments and the input as standard input. */
     ProgramRun fleet(String input, String arguments) {
         String addressList =
                 IntStream.range(0, CONTROLLERS)
                         .mapToObj(this::address)
                         .collect(Collectors.joining(","));
-        InputStream before = System.in;
+        InputStream originalInput = System.in;
         System.setIn(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)));
         try {
             return ProgramRun.of("fleet " + arguments + " --as ana --fleet " + addressList);
         } finally {
-            System.setIn(before);
+            System.setIn(originalInput);
         }
     }
 
--- a/src/test/java/rosespread/cli/FormerNamesTest.java
+++ b/src/test/java/rosespread/cli/FormerNamesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Former names of subcommands do what the current ones do, and say which these are. */
+/** Former names of subcommands work as the current names do, and print the current names. */
 class FormerNamesTest {
     @TempDir private Path folder;
 
@@ -36,7 +36,7 @@
         "rehearse,scenario,bad-day --seed x,2",
         "rehearse,scenario,--help,0"
     })
-    void aFormerNameGivesTheSameExitCodeAndOutputAndOneMoreLineOnStandardError(
+    void formerNameGivesSameExitCodeAndOutputPlusNoticeOnStandardError(
             String formerName, String currentName, String arguments, int exitCode) {
         String suffix = arguments == null ? "" : " " + arguments;
         ProgramRun current = ProgramRun.of(currentName + suffix);
@@ -50,19 +50,19 @@
         assertEquals(words(current.out()), words(renamed(former.out(), formerName, currentName)));
     }
 
-    /** A usage text names the subcommand as it was called. */
+    /** Replaces the former name in a usage text, which names the subcommand as it was invoked. */
     private static String renamed(String text, String formerName, String currentName) {
         return text.replace("Usage: rosespread " + formerName, "Usage: rosespread " + currentName);
     }
 
-    /** Usage texts are wrapped by the length of the subcommand's name, so lines do not compare. */
+    /** Splits into words, since usage texts wrap differently for names of different lengths. */
     private static List<String> words(String text) {
         return List.of(text.strip().split("\\s+"));
     }
 
     @ParameterizedTest
     @CsvSource({"conductor,controller", "standin,testbed", "rehearse,scenario"})
-    void usageAndItsExamplesNameTheCurrentSubcommand(String formerName, String currentName) {
+    void usageAndItsExamplesUseCurrentName(String formerName, String currentName) {
         List<String> usage = ProgramRun.of(currentName + " --help").outLines();
         assertEquals(0, usage.get(0).indexOf("Usage: rosespread " + currentName + " "));
         assertFalse(usage.toString().contains("rosespread " + formerName), usage.toString());
@@ -70,7 +70,7 @@
 
     @ParameterizedTest
     @CsvSource({"conductor", "standin", "rehearse"})
-    void formerNamesAreNotListedAmongTheSubcommands(String formerName) {
+    void programUsageOmitsFormerNames(String formerName) {
         List<String> usage = ProgramRun.of("--help").outLines();
         assertFalse(
                 usage.stream().anyMatch(line -> line.startsWith("  " + formerName + " ")),
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aFailureWhileRunningIsReportedUnderTheNameThatWasUsed() throws Exception {
+    void reportsFailureUnderInvokedName() throws Exception {
         Path file = Files.createFile(folder.resolve("file"));
         String arguments = " --state " + file.resolve("state");
         ProgramRun current = ProgramRun.of("controller" + arguments);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void currentNamesSayNothingOfNames() {
+    void printsNoNoticeForCurrentName() {
         assertEquals(
                 List.of("nosuch-day: neither a file nor a scenario that ships with the program"),
                 ProgramRun.of("scenario nosuch-day").errLines());
--- a/src/test/java/rosespread/cli/ProgramRun.java
+++ b/src/test/java/rosespread/cli/ProgramRun.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * What one run of the program within this process gave.
+ * The result of one run of the program within this process.
  *
- * @param out what went to standard output
- * @param err what went to standard error
+ * @param out the text on standard output
+ * @param err the text on standard error
  */
 record ProgramRun(int exitCode, String out, String err) {
-    /** Runs the program with arguments that have no spaces within. */
+    /** Runs the program with arguments that contain no spaces. */
     static ProgramRun of(String commandLine) {
         StringWriter out = new StringWriter();
         StringWriter err = new StringWriter();
--- a/src/test/java/rosespread/cli/TableCommandTest.java
+++ b/src/test/java/rosespread/cli/TableCommandTest.java
@@ -43,10 +43,10 @@
                 new HttpServer(
                         1,
                         HttpLimits.DEFAULT,
-                        (call, exchange) ->
+                        (request, exchange) ->
                                 exchange.respond(
                                         responses.getOrDefault(
-                                                call.method() + " " + call.target(),
+                                                request.method() + " " + request.target(),
                                                 response(404, "{\"detail\":\"not prepared\"}"))));
         address = "127.0.0.1:" + controller.listen(ANY_PORT).getPort();
     }
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void listPrintsALineForEachTableWithItsSumOfRejectedChanges() {
+    void listPrintsLineForEachTableWithSumOfRejectedChanges() {
         String expected =
                 """
                 table  version  lines      held  refused  refusals
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void showPrintsWeightsInTheOrderOfTheResponseAndVersions() {
+    void showPrintsWeightsInOrderOfResponseAndVersions() {
         String expected =
                 """
                 table 3, version 12, held PINNED
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void showOfAnUnknownTableFails() {
+    void showOfUnknownTableFails() {
         assertEquals(new ProgramRun(1, "", "no table 4\n"), table("show 4"));
     }
 
@@ -110,36 +110,36 @@
     }
 
     @Test
-    void diffWithAnUnknownVersionFailsWithTheControllersReason() {
+    void diffWithUnknownVersionFailsWithReasonOfController() {
         assertEquals(new ProgramRun(1, "", "not prepared\n"), table("diff 3 1 12"));
     }
 
     @ParameterizedTest
     @CsvSource({"rollback 3 11,rollback?version=11", "pin 3,pin", "release 3,release"})
-    void aChangeSaysWhetherItSurvivesARestart(String command, String action) {
+    void changeReportsWhetherItSurvivesRestart(String command, String action) {
         String request = "POST /v1/tables/3/" + action;
         respond(request, 200, "{\"kept\":true}");
         assertEquals(new ProgramRun(0, "done\n", ""), table(command));
         respond(request, 200, "{\"kept\":false}");
         String notStored =
-                "done, but not kept: a restart of the conductor forgets it; see /v1/state\n";
+                "done, but not stored: a controller restart loses the change; see /v1/state\n";
         assertEquals(new ProgramRun(0, notStored, ""), table(command));
     }
 
     @ParameterizedTest
     @CsvSource({"rollback 3 11", "pin 3", "release 3"})
-    void aRefusedChangeFailsWithTheControllersReason(String command) {
+    void rejectedChangeFailsWithReasonOfController(String command) {
         assertEquals(new ProgramRun(1, "", "not prepared\n"), table(command));
     }
 
     @Test
-    void aRefusedChangeIsPrintedAsJsonToStandardErrorIfAskedFor() {
+    void printsRejectedChangeAsJsonToStandardErrorOnRequest() {
         String expected = "{\n  \"detail\" : \"not prepared\"\n}\n";
         assertEquals(new ProgramRun(1, "", expected), table("pin 3 --json"));
     }
 
     @Test
-    void aControllerThatDoesNotRespondIsNamed() {
+    void namesControllerThatDoesNotRespond() {
         controller.close();
         ProgramRun run = table("list");
         assertEquals(1, run.exitCode());
