--- a/src/test/java/rosespread/admin/AdminFixture.java
+++ b/src/test/java/rosespread/admin/AdminFixture.java
@@ -16,7 +16,9 @@
     private final InetSocketAddress address;
 
     /**
-     * @param auditLog may be null
+     * Starts the controller and its API, each on a free port.
+     *
+     * @param auditLog records changes; null for no log. The caller closes it.
      */
     AdminFixture(String name, Path folder, AuditLog auditLog) throws IOException {
         controller =
--- a/src/test/java/rosespread/admin/AdminFuzzTest.java
+++ b/src/test/java/rosespread/admin/AdminFuzzTest.java
@@ -19,13 +19,13 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /**
- * Calls of parts that could be right, put together anyhow, and bytes that are no call: none is a
- * 500 or hangs.
+ * Sends requests assembled at random from plausible parts, and random bytes. The API must neither
+ * respond with status 500 nor hang.
  */
 class AdminFuzzTest {
-    private static final List<String> VERBS =
+    private static final List<String> METHODS =
             List.of("GET", "PUT", "POST", "DELETE", "PATCH", "get", "");
-    private static final List<String> PARTS =
+    private static final List<String> TARGET_PARTS =
             List.of(
                     "/",
                     "v1",
@@ -74,13 +74,13 @@
     private static AdminFixture admin;
 
     @BeforeContainer
-    static void begin() throws IOException {
+    static void startServer() throws IOException {
         folder = Files.createTempDirectory("rosespread-fuzz");
         admin = new AdminFixture("fuzz", folder, null);
     }
 
     @AfterContainer
-    static void end() throws IOException {
+    static void stopServer() throws IOException {
         admin.close();
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.toList()) {
@@ -90,49 +90,53 @@
         Files.delete(folder);
     }
 
-    private static <T> T one(Random random, List<T> of) {
+    private static <T> T pick(Random random, List<T> of) {
         return of.get(random.nextInt(of.size()));
     }
 
-    private static byte[] call(Random random) {
+    private static byte[] randomRequest(Random random) {
         if (random.nextInt(6) == 0) {
-            byte[] noise = new byte[1 + random.nextInt(300)];
-            random.nextBytes(noise);
-            return noise;
+            byte[] randomBytes = new byte[1 + random.nextInt(300)];
+            random.nextBytes(randomBytes);
+            return randomBytes;
         }
         StringBuilder target = new StringBuilder(random.nextInt(4) == 0 ? "" : "/v1/");
         for (int i = random.nextInt(6); i >= 0; i--) {
-            target.append(one(random, PARTS)).append(random.nextBoolean() ? "/" : "");
+            target.append(pick(random, TARGET_PARTS)).append(random.nextBoolean() ? "/" : "");
         }
-        StringBuilder all =
-                new StringBuilder(one(random, VERBS) + " " + target + " HTTP/1.1\r\nhost: x\r\n");
+        StringBuilder message =
+                new StringBuilder(
+                        pick(random, METHODS) + " " + target + " HTTP/1.1\r\nhost: x\r\n");
         for (int i = random.nextInt(4); i > 0; i--) {
-            all.append(one(random, HEADERS)).append("\r\n");
+            message.append(pick(random, HEADERS)).append("\r\n");
         }
-        String body = one(random, BODIES);
+        String body = pick(random, BODIES);
         if (random.nextBoolean()) {
-            all.append("content-length: ").append(body.length()).append("\r\n");
+            message.append("content-length: ").append(body.length()).append("\r\n");
         }
-        return all.append("connection: close\r\n\r\n")
+        return message.append("connection: close\r\n\r\n")
                 .append(body)
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /**
-     * The status of the first answer; 0 if the connection was closed without, -1 if nothing came.
+     * Returns the status of the first response; 0 if the connection was closed without one, -1 if
+     * nothing arrived in time.
      */
-    private static int status(byte[] call, boolean whole) throws IOException {
+    private static int status(byte[] request, boolean complete) throws IOException {
         try (Socket socket = new Socket(admin.address().getAddress(), admin.address().getPort())) {
             socket.setSoTimeout(5_000);
-            socket.getOutputStream().write(call);
-            if (!whole) {
-                // What the server still waits for does not come.
+            socket.getOutputStream().write(request);
+            if (!complete) {
+                // Ends the request, since the rest that the server may wait for never comes.
                 socket.shutdownOutput();
             }
-            String answer =
+            String response =
                     new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
-            return answer.startsWith("HTTP/1.1 ") ? Integer.parseInt(answer.substring(9, 12)) : 0;
+            return response.startsWith("HTTP/1.1 ")
+                    ? Integer.parseInt(response.substring(9, 12))
+                    : 0;
         } catch (SocketTimeoutException e) {
             return -1;
         } catch (SocketException e) {
@@ -141,23 +145,26 @@
     }
 
     @Property(tries = 1500, seed = "1")
-    void noCallIsAnErrorOfOursOrHangs(@ForAll long seed) throws IOException {
-        byte[] call = call(new Random(seed));
-        String what = new String(call, StandardCharsets.ISO_8859_1);
-        String head = what.contains("\r\n\r\n") ? what.substring(0, what.indexOf("\r\n\r\n")) : "";
+    void answersAnyRequestWithoutInternalErrorOrHang(@ForAll long seed) throws IOException {
+        byte[] request = randomRequest(new Random(seed));
+        String requestText = new String(request, StandardCharsets.ISO_8859_1);
+        String head =
+                requestText.contains("\r\n\r\n")
+                        ? requestText.substring(0, requestText.indexOf("\r\n\r\n"))
+                        : "";
         int status =
                 status(
-                        call,
+                        request,
                         !head.isEmpty()
                                 && !head.contains("transfer-")
                                 && !head.contains("length: 5"));
-        assertNotEquals(500, status, what);
-        assertNotEquals(-1, status, "no answer and no close: " + what);
+        assertNotEquals(500, status, requestText);
+        assertNotEquals(-1, status, "neither a response nor a close: " + requestText);
         int health =
                 status(
                         "GET /v1/health HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"
                                 .getBytes(StandardCharsets.US_ASCII),
                         true);
-        assertEquals(503, health, "still there after " + what);
+        assertEquals(503, health, "health after " + requestText);
     }
 }
--- a/src/test/java/rosespread/admin/OpenApiTest.java
+++ b/src/test/java/rosespread/admin/OpenApiTest.java
@@ -18,18 +18,18 @@
 import rosespread.fleet.FleetResponse;
 
 /**
- * The API's description and the API: each call that is described is answered as described, and no
- * other.
+ * Compares the API with its OpenAPI description: each described operation responds with a described
+ * status, and no other operation exists.
  */
 class OpenApiTest {
     private static final List<String> METHODS = List.of("GET", "PUT", "POST", "DELETE");
     private static final long TIMEOUT_NANOS = 5_000_000_000L;
-    private static final int MIN_DESCRIBED_CALLS = 16;
+    private static final int MIN_DESCRIBED_OPERATIONS = 16;
 
     @TempDir private Path folder;
 
     @Test
-    void everyDescribedCallIsAnsweredAsDescribed() throws IOException {
+    void answersExactlyTheDescribedRequestsAsDescribed() throws IOException {
         JsonNode paths =
                 new YAMLMapper()
                         .readTree(Path.of("docs", "api", "openapi.yaml").toFile())
@@ -40,13 +40,13 @@
             for (Map.Entry<String, JsonNode> path : paths.properties()) {
                 described += checkPath(fleet, admin.address(), path.getKey(), path.getValue());
             }
-            String known = fleet.ask(admin.address(), "GET", "/v1/else", "").detail();
-            checkKnownPaths(pathsWithoutParameters(paths), known);
+            String knownPaths = fleet.ask(admin.address(), "GET", "/v1/else", "").detail();
+            checkKnownPaths(pathsWithoutParameters(paths), knownPaths);
         }
-        assertTrue(described >= MIN_DESCRIBED_CALLS, described + " calls");
+        assertTrue(described >= MIN_DESCRIBED_OPERATIONS, described + " described operations");
     }
 
-    /** Makes a call with each method; returns how many of them are described. */
+    /** Sends a request with each method; returns how many of the operations are described. */
     private static int checkPath(
             Fleet fleet, InetSocketAddress address, String path, JsonNode description) {
         int described = 0;
@@ -54,21 +54,22 @@
             JsonNode operation = description.path(method.toLowerCase(Locale.ROOT));
             String target = target(path, operation);
             FleetResponse response = fleet.ask(address, method, target, "");
-            String what =
+            String message =
                     method + " " + target + ": " + response.status() + " " + response.detail();
             if (operation.isMissingNode()) {
-                assertTrue(response.status() == 405 || response.status() == 404, what);
+                assertTrue(response.status() == 405 || response.status() == 404, message);
             } else {
                 described++;
                 assertTrue(
-                        operation.path("responses").has(String.valueOf(response.status())), what);
-                assertFalse(response.detail().matches("(no|not) /v1.*"), what);
+                        operation.path("responses").has(String.valueOf(response.status())),
+                        message);
+                assertFalse(response.detail().matches("(no|not) /v1.*"), message);
             }
         }
         return described;
     }
 
-    /** A target for the path, with 1 for each query parameter that is required. */
+    /** Returns a target for the path, with the value 1 for each required query parameter. */
     private static String target(String path, JsonNode operation) {
         StringBuilder target =
                 new StringBuilder(path.replace("{node}", "n").replace("{table}", "1"));
@@ -90,13 +91,13 @@
                 .toList();
     }
 
-    private static void checkKnownPaths(List<String> described, String known) {
+    private static void checkKnownPaths(List<String> described, String knownPaths) {
         for (String path : described) {
-            assertTrue(known.contains(path), known + " lacks " + path);
+            assertTrue(knownPaths.contains(path), knownPaths + " lacks " + path);
         }
         assertEquals(
                 described.size(),
-                known.chars().filter(c -> c == '/').count() / 2 - 1,
-                "no other call: " + known);
+                knownPaths.chars().filter(c -> c == '/').count() / 2 - 1,
+                "no undescribed path: " + knownPaths);
     }
 }
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -25,18 +25,18 @@
 import rosespread.http.HttpServer;
 import rosespread.settings.SettingsTest;
 
-/** Two operators who act at once, each against the revision that both have seen. */
+/** Two operators send a change at the same time, both based on the same revision. */
 class RaceTest {
     private static final long TIMEOUT_NANOS = 5_000_000_000L;
 
-    /** A few in every build; 1,000 for docs/results.md. */
+    /** Pairs of concurrent changes: few in a normal build; 1,000 for docs/results.md. */
     private static final int PAIRS = Integer.getInteger("race.pairs", 60);
 
     @TempDir private Path folder;
 
     private final Random random = new Random(1);
 
-    /** A request as either operator makes it. */
+    /** A change with the targets that the two operators request. */
     private record Change(String method, String anaTarget, String boTarget, String body) {
         static Change ofDrains() {
             return new Change("POST", "/v1/nodes/n/drain?force=true", "/v1/nodes/m/undrain", "");
@@ -51,7 +51,7 @@
         }
     }
 
-    /** An operator's client with all that its request needs. */
+    /** An operator and the client that sends its requests. */
     private record Operator(String name, Fleet fleet, InetSocketAddress address) {
         FleetResponse send(Change change, String target, String[] headers) {
             return fleet.ask(address, change.method(), target, change.body(), headers);
@@ -68,8 +68,8 @@
         return new HttpServer(
                 1,
                 HttpLimits.DEFAULT,
-                (call, exchange) -> {
-                    if (!call.target().contains("index=7")) {
+                (request, exchange) -> {
+                    if (!request.target().contains("index=7")) {
                         exchange.respond(
                                 new HttpMessage.Response(
                                         200, HttpHeaders.of("x-consul-index", "7"), body));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void oneOfTwoWinsAndTheOtherIsToldByWhom() throws IOException {
+    void appliesOneOfTwoConcurrentChangesAndNamesItsOperatorToTheOther() throws IOException {
         Path log = folder.resolve("audit.log");
         int repeats = 0;
         try (HttpServer list = endpointList()) {
@@ -111,7 +111,7 @@
         return new Fleet(List.of(admin.address()), operator, TIMEOUT_NANOS);
     }
 
-    /** Lets both make the change at once; returns how often the winner then repeated it. */
+    /** Sends the change of both at once; returns how often the winner then repeated its request. */
     private int race(Controller controller, Operator ana, Operator bo, Change change, int pair)
             throws IOException {
         long revision = revision(controller, change);
@@ -131,7 +131,7 @@
         if (random.nextInt(4) != 0) {
             return 0;
         }
-        // The winner's response was lost, so it repeats the request: nothing more comes of it.
+        // A repeat of the winner's request, as after a lost response, must have no further effect.
         FleetResponse repeated =
                 anaWon
                         ? ana.send(change, change.anaTarget(), anaHeaders)
@@ -145,7 +145,7 @@
         return new String[] {"if-match", String.valueOf(revision), "idempotency-key", key};
     }
 
-    /** The revision of what the change is made to: all drains, or the settings. */
+    /** Returns the revision that the change is based on: that of all drains, or of the settings. */
     private static long revision(Controller controller, Change change) throws IOException {
         return change.isDrain()
                 ? controller.drains().stream().mapToLong(Drain::stamp).max().orElse(0)
