--- a/src/main/java/rosespread/resp/RespCodec.java
+++ b/src/main/java/rosespread/resp/RespCodec.java
@@ -8,26 +8,26 @@
 import rosespread.codec.StreamCodecFactory;
 
 /**
- * The codec of RESP2 for MINA. Received messages are passed on as {@code List<String>}; messages to
- * be sent come as {@code byte[]}, encoded already by {@link RespWriter}.
+ * A MINA codec for RESP2. Received messages are delivered as {@code List<String>}; messages to send
+ * are {@code byte[]}, already encoded by {@link RespWriter}.
  *
- * <p>The stream may be cut at any byte. Messages before a malformed one are still passed on; then
- * the decoder throws {@link RespException} once and discards all that follows. Each session has its
- * own parser, used on its I/O thread only.
+ * <p>The stream may be split at any byte. Messages before a malformed one are still delivered; then
+ * the decoder throws {@link RespException} once and discards all further bytes. Each session has
+ * its own parser, used only on the session's I/O thread.
  */
 public final class RespCodec extends StreamCodecFactory<List<String>> {
     private static final AttributeKey PARSER = new AttributeKey(RespCodec.class, "parser");
 
     private final RespLimits limits;
 
-    /** A codec whose sessions start with these limits. */
+    /** Creates a codec whose sessions start with these limits. */
     public RespCodec(RespLimits limits) {
         this.limits = limits;
     }
 
     /**
-     * Gives a session other limits, from the next bytes on. To be called on the session's I/O
-     * thread, after the first byte was received.
+     * Changes a session's limits from the next byte on. Must be called on the session's I/O thread,
+     * after the session has received its first byte.
      */
     public static void setLimits(IoSession session, RespLimits limits) {
         ((RespParser) session.getAttribute(PARSER)).setLimits(limits);
--- a/src/main/java/rosespread/resp/RespException.java
+++ b/src/main/java/rosespread/resp/RespException.java
@@ -3,8 +3,8 @@
 import rosespread.codec.MalformedStreamException;
 
 /**
- * The bytes of a stream are not RESP2 arrays of bulk strings, or a message passes its limits. The
- * stream cannot be read any further.
+ * Thrown when the bytes of a stream are not RESP2 arrays of bulk strings or a message exceeds its
+ * limits. The stream cannot be parsed any further.
  */
 public final class RespException extends MalformedStreamException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/rosespread/resp/RespLimits.java
+++ b/src/main/java/rosespread/resp/RespLimits.java
@@ -1,9 +1,9 @@
 package rosespread.resp;
 
 /**
- * Limits on one message; a message over either is an error.
+ * Limits on one message; a message that exceeds either is an error.
  *
- * @param maxBytes its size on the wire, framing included
- * @param maxStrings the number of its strings
+ * @param maxBytes maximum size on the wire in bytes, including framing
+ * @param maxStrings maximum number of strings
  */
 public record RespLimits(int maxBytes, int maxStrings) {}
--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -9,15 +9,15 @@
 import rosespread.codec.MessageParser;
 
 /**
- * An incremental parser of RESP2 arrays of bulk strings. The stream may be cut at any byte.
+ * An incremental parser of RESP2 arrays of bulk strings. The stream may be split at any byte.
  *
  * <p>Nothing else of RESP is accepted: no null, no empty or nested array, no other type, no inline
- * command. Memory grows with the bytes received, never by a length that was only announced.
+ * command. Memory use grows with the bytes received, never with an announced length.
  *
- * <p>Not thread-safe; belongs to the I/O thread of its session.
+ * <p>Not thread-safe; used only on its session's I/O thread.
  */
 public final class RespParser implements MessageParser {
-    /** What the next byte belongs to. */
+    /** The element that the next byte belongs to. */
     private enum State {
         ARRAY_TYPE,
         ARRAY_LENGTH,
@@ -28,19 +28,19 @@
         STRING_LF
     }
 
-    /** No length within any limits has more digits, and none of so many overflows an int. */
+    /** Enough digits for a length within any limits, and too few to overflow an int. */
     private static final int MAX_DIGITS = 9;
 
     private static final int INITIAL_STRING_CAPACITY = 32;
 
-    /** A buffer that a longer string made grow is not kept for the next one. */
+    /** A string buffer is not reused after a string longer than this, which has made it grow. */
     private static final int MAX_KEPT_STRING_BYTES = 1024;
 
     private final Consumer<List<String>> messageConsumer;
     private RespLimits limits;
     private State state = State.ARRAY_TYPE;
 
-    /** The offset in the stream of the byte that is taken next. */
+    /** Offset in the stream of the next byte to parse. */
     private long offset;
 
     private long messageOffset;
@@ -53,9 +53,9 @@
     private ByteArrayOutputStream string = new ByteArrayOutputStream(INITIAL_STRING_CAPACITY);
 
     /**
-     * A parser at the start of a stream.
+     * Creates a parser for the start of a stream.
      *
-     * @param limits the limits of a message until {@link #setLimits} gives others
+     * @param limits the limits on a message until {@link #setLimits} changes them
      * @param messageConsumer called with each complete message, on the thread of {@link #feed}
      */
     public RespParser(RespLimits limits, Consumer<List<String>> messageConsumer) {
@@ -71,29 +71,29 @@
     /**
      * Parses all bytes that remain in the buffer.
      *
-     * @throws RespException if they are malformed or a message passes its limits; nothing more may
-     *     be fed after that
+     * @throws RespException if the bytes are malformed or a message exceeds its limits; the parser
+     *     must not be fed again after that
      */
     @Override
     public void feed(ByteBuffer in) throws RespException {
         while (in.hasRemaining()) {
             if (state == State.STRING_BYTES) {
-                takeStringBytes(in);
+                copyStringBytes(in);
             } else {
-                takeByte(in.get());
+                parseByte(in.get());
                 offset++;
             }
         }
     }
 
-    private void takeByte(byte b) throws RespException {
+    private void parseByte(byte b) throws RespException {
         switch (state) {
             case ARRAY_TYPE -> {
                 messageOffset = offset;
-                takeType(b, '*', State.ARRAY_LENGTH);
+                parseType(b, '*', State.ARRAY_LENGTH);
             }
-            case STRING_TYPE -> takeType(b, '$', State.STRING_LENGTH);
-            case ARRAY_LENGTH, STRING_LENGTH -> takeLengthByte(b);
+            case STRING_TYPE -> parseType(b, '$', State.STRING_LENGTH);
+            case ARRAY_LENGTH, STRING_LENGTH -> parseLengthByte(b);
             case STRING_CR -> {
                 expect(b, '\r');
                 state = State.STRING_LF;
@@ -106,7 +106,7 @@
         }
     }
 
-    private void takeType(byte b, char type, State next) throws RespException {
+    private void parseType(byte b, char type, State next) throws RespException {
         expect(b, type);
         length = 0;
         lengthDigits = 0;
@@ -116,11 +116,12 @@
 
     private void expect(byte b, char expected) throws RespException {
         if (b != expected) {
-            throw new RespException(offset, name(expected) + " expected, not byte " + (b & 0xFF));
+            throw new RespException(
+                    offset, "expected " + describe(expected) + ", found byte value " + (b & 0xFF));
         }
     }
 
-    private static String name(char expected) {
+    private static String describe(char expected) {
         return switch (expected) {
             case '\r' -> "CR";
             case '\n' -> "LF";
@@ -128,7 +129,7 @@
         };
     }
 
-    private void takeLengthByte(byte b) throws RespException {
+    private void parseLengthByte(byte b) throws RespException {
         if (lengthCrSeen) {
             expect(b, '\n');
             finishLength();
@@ -138,7 +139,12 @@
             length = length * 10 + (b - '0');
             lengthDigits++;
         } else {
-            throw new RespException(offset, "not a length of at most " + MAX_DIGITS + " digits");
+            throw new RespException(
+                    offset,
+                    "expected a length of 1 to "
+                            + MAX_DIGITS
+                            + " digits and CR, found byte value "
+                            + (b & 0xFF));
         }
     }
 
@@ -152,7 +158,8 @@
 
     private void finishArrayLength() throws RespException {
         if (length < 1 || length > limits.maxStrings()) {
-            throw new RespException(offset, length + " strings, not 1 to " + limits.maxStrings());
+            throw new RespException(
+                    offset, "expected 1 to " + limits.maxStrings() + " strings, found " + length);
         }
         expectedStrings = length;
         state = State.STRING_TYPE;
@@ -160,17 +167,23 @@
 
     private void finishStringLength() throws RespException {
         if (offset - messageOffset + length > limits.maxBytes()) {
-            throw new RespException(offset, "message over " + limits.maxBytes() + " bytes");
+            throw new RespException(
+                    offset,
+                    "message exceeds "
+                            + limits.maxBytes()
+                            + " bytes with a string of "
+                            + length
+                            + " bytes");
         }
         remainingBytes = length;
         state = remainingBytes == 0 ? State.STRING_CR : State.STRING_BYTES;
     }
 
-    private void takeStringBytes(ByteBuffer in) {
+    private void copyStringBytes(ByteBuffer in) {
         int count = Math.min(remainingBytes, in.remaining());
-        byte[] part = new byte[count];
-        in.get(part);
-        string.writeBytes(part);
+        byte[] bytes = new byte[count];
+        in.get(bytes);
+        string.writeBytes(bytes);
         offset += count;
         remainingBytes -= count;
         if (remainingBytes == 0) {
--- a/src/main/java/rosespread/resp/RespWriter.java
+++ b/src/main/java/rosespread/resp/RespWriter.java
@@ -10,14 +10,14 @@
 
     private RespWriter() {}
 
-    /** The bytes of one message. */
+    /** Returns the encoded bytes of one message. */
     public static byte[] encode(List<String> message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_CAPACITY);
         write(message, out);
         return out.toByteArray();
     }
 
-    /** Appends one message to what {@code out} holds. */
+    /** Appends one message to {@code out}. */
     public static void write(List<String> message, ByteArrayOutputStream out) {
         writeHeader('*', message.size(), out);
         for (String string : message) {
--- a/src/main/java/rosespread/resp/package-info.java
+++ b/src/main/java/rosespread/resp/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The part of RESP2, the Redis serialization protocol, that the platform's streams use: arrays of
- * bulk strings, in both directions. A parser and a writer that know nothing of sockets, and the
- * codec that puts them into a MINA filter chain.
+ * The subset of RESP2, the Redis serialization protocol, that the platform's streams use: arrays of
+ * bulk strings, in both directions. Contains a parser and a writer that do not depend on sockets,
+ * and a codec that integrates them into a MINA filter chain.
  *
- * <p>Of the project it uses only the shared codec. A parser belongs to one session and so to that
- * session's I/O thread; the writer has no state.
+ * <p>The only other package of the project that it uses is {@code rosespread.codec}. A parser
+ * belongs to one session and is used only on that session's I/O thread; the writer is stateless.
  */
 package rosespread.resp;
--- a/src/test/java/rosespread/resp/RespParserTest.java
+++ b/src/test/java/rosespread/resp/RespParserTest.java
@@ -19,22 +19,24 @@
 class RespParserTest {
     private static final RespLimits LIMITS = new RespLimits(4096, 16);
 
-    private static List<List<String>> parse(byte[] bytes, Random cuts) throws RespException {
+    private static List<List<String>> parse(byte[] bytes, Random splits) throws RespException {
         List<List<String>> parsed = new ArrayList<>();
         RespParser parser = new RespParser(LIMITS, parsed::add);
-        for (int at = 0; at < bytes.length; ) {
-            int part =
-                    cuts == null ? bytes.length : Math.min(bytes.length - at, 1 + cuts.nextInt(5));
-            parser.feed(ByteBuffer.wrap(bytes, at, part));
-            at += part;
+        for (int offset = 0; offset < bytes.length; ) {
+            int count =
+                    splits == null
+                            ? bytes.length
+                            : Math.min(bytes.length - offset, 1 + splits.nextInt(5));
+            parser.feed(ByteBuffer.wrap(bytes, offset, count));
+            offset += count;
         }
         return parsed;
     }
 
     @Property(seed = "1", tries = 300)
-    void writtenMessagesAreParsedAlikeAtAnyCut(
+    void parsesWrittenMessagesWhereverSplit(
             @ForAll @Size(min = 1, max = 6) List<@Size(min = 1, max = 16) List<String>> messages,
-            @ForAll long cuts)
+            @ForAll long splits)
             throws RespException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         messages.removeIf(
@@ -43,11 +45,11 @@
                                 || !m.stream()
                                         .allMatch(StandardCharsets.UTF_8.newEncoder()::canEncode));
         messages.forEach(message -> RespWriter.write(message, out));
-        assertEquals(messages, parse(out.toByteArray(), new Random(cuts)));
+        assertEquals(messages, parse(out.toByteArray(), new Random(splits)));
     }
 
     @Property(seed = "2", tries = 2000)
-    void corruptedBytesGiveTheSameOutcomeAtAnyCut(@ForAll long seed) {
+    void corruptedBytesGiveSameOutcomeWhereverSplit(@ForAll long seed) {
         Random random = new Random(seed);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         RespWriter.write(List.of("attach", "node", "17"), out);
@@ -63,9 +65,9 @@
         assertEquals(outcome(bytes, null), outcome(bytes, new Random(seed)));
     }
 
-    private static String outcome(byte[] bytes, Random cuts) {
+    private static String outcome(byte[] bytes, Random splits) {
         try {
-            return parse(bytes, cuts).toString();
+            return parse(bytes, splits).toString();
         } catch (RespException e) {
             return e.getMessage();
         }
@@ -75,19 +77,18 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "GET / HTTP/1.1            | '*' expected, not byte 71 (byte 0)",
-                "*1~:5~                    | '$' expected, not byte 58 (byte 4)",
-                "*-1~                      | not a length of at most 9 digits (byte 1)",
-                "*0~                       | 0 strings, not 1 to 16 (byte 3)",
-                "*17~                      | 17 strings, not 1 to 16 (byte 4)",
-                "*1~$4097~                 | message over 4096 bytes (byte 10)",
-                "*1~$99999999999~          | not a length of at most 9 digits (byte 14)",
-                "*1~$2~hbx                 | CR expected, not byte 120 (byte 10)",
+                "GET / HTTP/1.1            | expected '*', found byte value 71 (byte 0)",
+                "*1~:5~                    | expected '$', found byte value 58 (byte 4)",
+                "*-1~                      | expected a length of 1 to 9 digits and CR, found byte value 45 (byte 1)",
+                "*0~                       | expected 1 to 16 strings, found 0 (byte 3)",
+                "*17~                      | expected 1 to 16 strings, found 17 (byte 4)",
+                "*1~$4097~                 | message exceeds 4096 bytes with a string of 4097 bytes (byte 10)",
+                "*1~$99999999999~          | expected a length of 1 to 9 digits and CR, found byte value 57 (byte 14)",
+                "*1~$2~hbx                 | expected CR, found byte value 120 (byte 10)",
                 "*2~$4000~                 | ",
-                "*1~$~                     | not a length of at most 9 digits (byte 5)"
+                "*1~$~                     | expected a length of 1 to 9 digits and CR, found byte value 13 (byte 5)"
             })
-    void malformedBytesAreReportedWithTheirOffset(String text, String expected)
-            throws RespException {
+    void reportsMalformedBytesWithOffset(String text, String expected) throws RespException {
         byte[] bytes = text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII);
         if (expected == null) {
             assertTrue(parse(bytes, null).isEmpty());
