--- a/src/test/java/rosespread/platform/ColdNodeChecker.java
+++ b/src/test/java/rosespread/platform/ColdNodeChecker.java
@@ -8,14 +8,19 @@
 import rosespread.api.NodeId;
 import rosespread.api.PolicySettings;
 
-/** Weighs the load of joined proxies on each cold node, over a window, against its capacity. */
+/**
+ * Compares the load from joined proxies on each cold node, averaged over a window, with the node's
+ * capacity.
+ */
 final class ColdNodeChecker {
-    /** A cold node bears so many times its capacity for a window; it fails beyond that. */
-    private static final double MAX_LOAD = 3;
+    /** Multiple of its capacity that a cold node withstands for a window; it fails above that. */
+    private static final double MAX_LOAD_RATIO = 3;
 
     private static final int WINDOW_SAMPLES = 5;
 
-    /** The part of the warm nodes' capacity at the start that all proxies together offer. */
+    /**
+     * Load of all proxies as a fraction of the capacity of the nodes that are warm at the start.
+     */
     private static final double UTILIZATION = 0.65;
 
     private final PolicySettings settings;
@@ -29,13 +34,13 @@
         this.findings = findings;
     }
 
-    /** A node that was warm at the start. */
-    void warm() {
+    /** Adds a node that is warm at the start. */
+    void addWarmNode() {
         warmNodes++;
     }
 
-    /** A node that started then, and is cold at first. */
-    void started(NodeId node, long nanos) {
+    /** Adds a node that started at this time and is cold at first. */
+    void addColdNode(NodeId node, long nanos) {
         startedNanos.put(node, nanos);
     }
 
@@ -53,7 +58,7 @@
                     double load = loads.getOrDefault(node, 0.0) / (capacity * warmUpRatio);
                     double mean = addSample(node, load);
                     if (warmUpRatio < 1) {
-                        judge(node, mean, started, now);
+                        checkLoad(node, mean, started, now);
                     }
                 });
     }
@@ -72,10 +77,10 @@
         return window.stream().mapToDouble(sample -> sample).sum() / WINDOW_SAMPLES;
     }
 
-    private void judge(NodeId node, double load, long started, long now) {
-        findings.coldLoad(load);
-        if (load > MAX_LOAD) {
-            findings.overloaded(
+    private void checkLoad(NodeId node, double load, long started, long now) {
+        findings.recordColdLoad(load);
+        if (load > MAX_LOAD_RATIO) {
+            findings.addOverloadedColdNode(
                     node,
                     "%s at %d ms, started %d"
                             .formatted(node, now / FleetModel.MILLI, started / FleetModel.MILLI));
--- a/src/test/java/rosespread/platform/DrainChecker.java
+++ b/src/test/java/rosespread/platform/DrainChecker.java
@@ -20,11 +20,11 @@
         this.findings = findings;
     }
 
-    void ready(NodeId node) {
+    void nodeReady(NodeId node) {
         drainingSince.remove(node);
     }
 
-    void draining(NodeId node, long now) {
+    void nodeDraining(NodeId node, long now) {
         drainingSince.putIfAbsent(node, now);
     }
 
@@ -40,13 +40,13 @@
     }
 
     private void check(SimulatedProxy proxy, NodeId node, long since, long now) {
-        long late = now - Math.max(since, proxy.joinedNanos()) - settings.drainTimeoutNanos();
-        if (late <= 0 || !proxy.sendsTo(node)) {
+        long lateNanos = now - Math.max(since, proxy.joinedNanos()) - settings.drainTimeoutNanos();
+        if (lateNanos <= 0 || !proxy.sendsTo(node)) {
             return;
         }
         if (reported.add(proxy.id() + "/" + proxy.joinedNanos() + "/" + node)) {
-            findings.lateHolder(
-                    "%s holds %s at %d ms, joined %d, draining since %d"
+            findings.addLateHolder(
+                    "%s holds %s at %d ms, joined at %d ms, draining since %d ms"
                             .formatted(
                                     proxy.id(),
                                     node,
@@ -54,6 +54,6 @@
                                     proxy.joinedNanos() / FleetModel.MILLI,
                                     since / FleetModel.MILLI));
         }
-        findings.late(late);
+        findings.recordLateness(lateNanos);
     }
 }
--- a/src/test/java/rosespread/platform/FleetFindings.java
+++ b/src/test/java/rosespread/platform/FleetFindings.java
@@ -4,7 +4,7 @@
 import java.util.TreeSet;
 import rosespread.api.NodeId;
 
-/** How well the rules were kept so far, and what it took. */
+/** Rule violations, maxima and the duration of rounds in a simulation so far. */
 final class FleetFindings {
     private int lateHolders;
     private long maxLateNanos;
@@ -19,43 +19,43 @@
     private String firstOverload = "";
     private double maxColdLoad;
 
-    /** A proxy is found for the first time to hold a node after its drain timeout. */
-    void lateHolder(String description) {
+    /** Adds a proxy that is found for the first time to hold a node after its drain timeout. */
+    void addLateHolder(String description) {
         lateHolders++;
         firstLateHolder = firstLateHolder.isEmpty() ? description : firstLateHolder;
     }
 
-    /** A node is held so long after its drain timeout. */
-    void late(long nanos) {
+    /** Records for how long after its drain timeout a node is held. */
+    void recordLateness(long nanos) {
         maxLateNanos = Math.max(maxLateNanos, nanos);
     }
 
-    void queued(double entries) {
+    void recordQueuedEntries(double entries) {
         maxQueuedEntries = Math.max(maxQueuedEntries, entries);
     }
 
-    void messagesInWindow(int messages) {
+    void recordMessagesInWindow(int messages) {
         maxMessagesInWindow = Math.max(maxMessagesInWindow, messages);
     }
 
-    /** Takes what the policy did into the digest, in order. */
-    void digest(int value) {
+    /** Adds an action of the policy to the digest, which depends on the order of the actions. */
+    void addToDigest(int value) {
         actionsDigest = actionsDigest * 31 + value;
     }
 
-    void round(long nanos) {
+    void recordRound(long nanos) {
         rounds++;
         roundNanos += nanos;
         maxRoundNanos = Math.max(maxRoundNanos, nanos);
     }
 
-    /** A cold node bears so many times what it can do. */
-    void coldLoad(double load) {
+    /** Records the load on a cold node as a multiple of its capacity. */
+    void recordColdLoad(double load) {
         maxColdLoad = Math.max(maxColdLoad, load);
     }
 
-    /** A cold node bore more than it can for too long. */
-    void overloaded(NodeId node, String description) {
+    /** Adds a cold node that was overloaded for too long. */
+    void addOverloadedColdNode(NodeId node, String description) {
         if (overloadedColdNodes.add(node)) {
             firstOverload = firstOverload.isEmpty() ? description : firstOverload;
         }
@@ -73,7 +73,7 @@
         return maxMessagesInWindow;
     }
 
-    /** The most that a cold node bore, in times of what it could do. */
+    /** The maximum load on a cold node as a multiple of its capacity. */
     double maxColdLoad() {
         return maxColdLoad;
     }
--- a/src/test/java/rosespread/platform/FleetModel.java
+++ b/src/test/java/rosespread/platform/FleetModel.java
@@ -22,10 +22,10 @@
 import rosespread.policy.RoutingPolicy;
 
 /**
- * The policy and the update writer against simulated proxies, nodes and a paced channel, on a clock
- * of its own. The updates are those that the platform's proxies would get, and the rules are judged
- * from what the proxies hold. Nothing here takes real time, so a day of hundreds of proxies is a
- * unit test.
+ * Runs the policy and the update writer with simulated proxies, nodes, clock and paced channel. The
+ * updates are those that the platform's proxies would receive, and the rules are checked against
+ * the entries that the proxies hold. Nothing waits in real time, so a day of hundreds of proxies
+ * fits in a unit test.
  */
 final class FleetModel {
     static final long MILLI = 1_000_000L;
@@ -67,7 +67,7 @@
         coldNodeChecker = new ColdNodeChecker(settings, findings);
     }
 
-    /** Settings of a deployment whose methods may all use all nodes. */
+    /** Returns settings in which every node may serve every method. */
     static PolicySettings settings(
             int methods,
             int zones,
@@ -105,7 +105,7 @@
         return findings;
     }
 
-    /** How many tables ever had an entry. */
+    /** The number of tables that ever had an entry. */
     int tables() {
         return actions.tables();
     }
@@ -114,7 +114,7 @@
         return updates.subscribedProxies();
     }
 
-    /** How many ready nodes at least two of the proxies from this number on send to. */
+    /** The number of ready nodes that at least two of the proxies from this number on send to. */
     long nodesUsedByProxiesFrom(int firstProxy) {
         Map<NodeId, Integer> holders = new HashMap<>();
         proxies.values().stream()
@@ -131,8 +131,8 @@
                 .toList();
     }
 
-    /** A list of the nodes with these numbers, all in the same state. */
-    void list(NodeListKind kind, NodeState state, int from, int to) {
+    /** Sends a list of the nodes from one number to another (exclusive), all in one state. */
+    void listNodes(NodeListKind kind, NodeState state, int from, int to) {
         events.add(handler -> handler.listStarted(kind));
         for (int number = from; number < to; number++) {
             listNode(kind, state, number);
@@ -145,14 +145,14 @@
         boolean isNew = !nodes.containsKey(id);
         long started = kind == NodeListKind.CACHED ? Long.MIN_VALUE : now - SECOND;
         if (kind == NodeListKind.CACHED) {
-            coldNodeChecker.warm();
+            coldNodeChecker.addWarmNode();
         } else if (isNew) {
-            coldNodeChecker.started(id, started);
+            coldNodeChecker.addColdNode(id, started);
         }
         if (state == NodeState.READY) {
-            drainChecker.ready(id);
+            drainChecker.nodeReady(id);
         } else {
-            drainChecker.draining(id, now);
+            drainChecker.nodeDraining(id, now);
             possiblyExcluded.add(id);
         }
         nodes.put(id, state);
@@ -162,7 +162,7 @@
         events.add(handler -> handler.nodeListed(id, machineType, zone, 1, state, listed));
     }
 
-    /** A proxy's stream begins; it brings entries of these nodes if it holds no table yet. */
+    /** Starts a proxy's stream; a proxy without tables starts with entries of these nodes. */
     void join(int number, int fromNode, int toNode) {
         SimulatedProxy proxy =
                 proxies.computeIfAbsent(
@@ -174,14 +174,14 @@
         events.add(handler -> handler.proxyJoined(proxy.id(), zone, rate));
     }
 
-    /** Joins the proxies with these numbers. */
+    /** Joins the proxies from one number to another (exclusive), each with these nodes. */
     void joinAll(int from, int to, int fromNode, int toNode) {
         for (int number = from; number < to; number++) {
             join(number, fromNode, toNode);
         }
     }
 
-    /** A proxy's stream breaks; what is queued for it in the channel goes with it. */
+    /** Breaks a proxy's stream, if it has one; messages in the channel's queue are dropped. */
     void leave(int number) {
         SimulatedProxy proxy = proxies.get(number);
         if (proxy != null && proxy.isJoined()) {
@@ -192,15 +192,15 @@
         }
     }
 
-    /** The first so many proxies leave. */
+    /** Breaks the streams of this many proxies, from proxy 0 on. */
     void leaveFirst(int count) {
         for (int number = 0; number < count; number++) {
             leave(number);
         }
     }
 
-    /** This proxy applies what it gets, but its acknowledgements never come. */
-    void stopAcknowledgements(int number) {
+    /** Makes this proxy apply updates without acknowledging them. */
+    void stopAcknowledging(int number) {
         proxies.get(number).stopAcknowledging();
     }
 
@@ -209,10 +209,10 @@
         while (now < until) {
             now += STEP_NANOS;
             channel.advance(now, STEP_NANOS, this::receive);
-            report();
+            sendReports();
             fireTimer();
             if (!events.isEmpty()) {
-                round();
+                runRound();
             }
             check();
         }
@@ -224,15 +224,15 @@
             return;
         }
         delivery.parts().forEach(proxy::apply);
-        if (proxy.acknowledges() && delivery.mark() >= 0) {
+        if (proxy.acknowledges() && delivery.policyToken() >= 0) {
             events.add(
                     handler ->
                             handler.acknowledged(
-                                    proxy.id(), delivery.mark(), delivery.latencyNanos()));
+                                    proxy.id(), delivery.policyToken(), delivery.latencyNanos()));
         }
     }
 
-    private void report() {
+    private void sendReports() {
         if (now - reportedNanos < SimulatedReports.PERIOD_NANOS) {
             return;
         }
@@ -251,22 +251,22 @@
         }
     }
 
-    private void round() {
+    private void runRound() {
         List<Consumer<EventHandler>> delivered = List.copyOf(events);
         events.clear();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         policy.round(now, handler -> delivered.forEach(event -> event.accept(handler)), actions);
         updates.finishRound(this::send);
-        findings.round(System.nanoTime() - began);
-        findings.queued(channel.queuedEntries());
+        findings.recordRound(System.nanoTime() - startNanos);
+        findings.recordQueuedEntries(channel.queuedEntries());
     }
 
-    private void send(ProxyId id, List<UpdatePart> parts, int mark) {
+    private void send(ProxyId id, List<UpdatePart> parts, int policyToken) {
         SimulatedProxy proxy = proxies.get(id.value());
-        channel.write(proxy, parts, mark, now);
-        findings.messagesInWindow(proxy.countMessage(now, settings.messageWindowNanos()));
-        findings.digest(id.value() * 7 + mark);
-        findings.digest(parts.toString().hashCode());
+        channel.write(proxy, parts, policyToken, now);
+        findings.recordMessagesInWindow(proxy.countMessage(now, settings.messageWindowNanos()));
+        findings.addToDigest(id.value() * 7 + policyToken);
+        findings.addToDigest(parts.toString().hashCode());
     }
 
     private void check() {
@@ -292,7 +292,7 @@
 
         @Override
         public void report(PolicyEvent event) {
-            findings.digest(event.text().hashCode());
+            findings.addToDigest(event.text().hashCode());
         }
     }
 }
--- a/src/test/java/rosespread/platform/MassReconnectTest.java
+++ b/src/test/java/rosespread/platform/MassReconnectTest.java
@@ -13,8 +13,8 @@
 import rosespread.api.PolicySettings;
 
 /**
- * A whole fleet of proxies reconnects to one controller while nodes drain: none may hold a draining
- * node after the drain timeout, and the channel's queue keeps its limit.
+ * A whole fleet of proxies reconnects to one controller while nodes drain. No proxy may hold a
+ * draining node after the drain timeout, and the channel's queue must stay within its limit.
  */
 class MassReconnectTest {
     private static final double QUEUE_LIMIT = 13400;
@@ -24,17 +24,15 @@
         return FleetModel.settings(2, 3, 1600, 3, QUEUE_LIMIT, 0, 9100 * FleetModel.MILLI);
     }
 
-    private static FleetModel quietStart(PolicySettings settings, long seed, int proxies) {
+    private static FleetModel startFleet(PolicySettings settings, long seed, int proxies) {
         FleetModel model = new FleetModel(settings, seed);
-        model.list(CACHED, READY, 0, NODES);
+        model.listNodes(CACHED, READY, 0, NODES);
         model.joinAll(0, proxies, 0, 5);
         model.run(24);
         return model;
     }
 
-    /**
-     * Proxies that hold tables of another controller join within two seconds, a batch at a time.
-     */
+    /** Joins proxies that hold another controller's tables, in batches over two seconds. */
     private static void massReconnect(FleetModel model, int from, int to, int batch) {
         int next = from;
         for (int step = 0; step < 20; step++) {
@@ -60,25 +58,25 @@
     }
 
     /**
-     * Slow channel, long drain timeout, few messages: a node that drains during the reconnect must
-     * not wait behind all of it.
+     * The channel is slow, the drain timeout long and the message limit low. The removal of a node
+     * that drains during the reconnect must not wait for all messages of the reconnect.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void removalsDuringAReconnectThatFillsTheQueue(long seed) {
+    void removesNodesInTimeWhileReconnectFillsQueue(long seed) {
         double queueLimit = 19100;
         PolicySettings settings =
                 FleetModel.settings(2, 3, 1500, 6, queueLimit, 40, 14000 * FleetModel.MILLI);
-        FleetModel model = quietStart(settings, seed, 204);
+        FleetModel model = startFleet(settings, seed, 204);
         model.run(14);
-        model.list(INCREMENTAL, READY, 200, 230);
+        model.listNodes(INCREMENTAL, READY, 200, 230);
         model.run(1);
-        model.list(INCREMENTAL, DRAINING, 0, 30);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 30);
         massReconnect(model, 204, 792, 30);
         model.run(0.6);
-        model.list(INCREMENTAL, DRAINING, 30, 40);
+        model.listNodes(INCREMENTAL, DRAINING, 30, 40);
         model.run(4);
-        model.list(INCREMENTAL, DRAINING, 40, 70);
+        model.listNodes(INCREMENTAL, DRAINING, 40, 70);
         model.run(22);
         assertRulesKept(model, queueLimit);
         assertTrue(model.findings().maxMessagesInWindow() <= 40, model.findings().toString());
@@ -86,21 +84,22 @@
     }
 
     /**
-     * Seen with 168 proxies and 576 more: four batches of 30 of 200 nodes drain within ten seconds.
+     * Reproduces a case that was observed with 168 proxies and 576 reconnecting ones: four batches
+     * of 30 of 200 nodes drain within ten seconds.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void massReconnectDuringARollout(long seed) {
-        FleetModel model = quietStart(settings(), seed, 168);
-        model.list(INCREMENTAL, READY, 200, 230);
+    void removesNodesInTimeDuringRolloutAndMassReconnect(long seed) {
+        FleetModel model = startFleet(settings(), seed, 168);
+        model.listNodes(INCREMENTAL, READY, 200, 230);
         model.run(0.7);
-        model.list(INCREMENTAL, DRAINING, 0, 30);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 30);
         model.run(1.2);
         reconnect576(model);
         for (int batch = 0; batch < 3; batch++) {
-            model.list(INCREMENTAL, READY, 230 + 30 * batch, 260 + 30 * batch);
+            model.listNodes(INCREMENTAL, READY, 230 + 30 * batch, 260 + 30 * batch);
             model.run(1.5);
-            model.list(INCREMENTAL, DRAINING, 30 + 30 * batch, 60 + 30 * batch);
+            model.listNodes(INCREMENTAL, DRAINING, 30 + 30 * batch, 60 + 30 * batch);
             model.run(1.5);
         }
         model.run(15);
@@ -109,18 +108,18 @@
     }
 
     /**
-     * Partial tables take more proxies until they are full. They used to be closed to further
-     * proxies as soon as one was subscribed: 113 tables after two seconds, and rounds grow with
-     * tables. There must be one for each of the 25 parts of all nodes, so that nodes are used,
-     * besides the six of the start; the rest are heavier ones of those that came first, which take
-     * no more.
+     * Shards with partial tables must accept proxies until they are full. If they accept none after
+     * the first one is subscribed, there are 113 tables after two seconds, and the work of a round
+     * grows with the number of tables. A table is needed for each of the 25 parts of all nodes, so
+     * that nodes are used, besides the six tables of the start. The others are larger: they serve
+     * the proxies that came first, and accept no more proxies.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void tablesStayFewDuringAMassReconnect(long seed) {
-        FleetModel model = quietStart(settings(), seed, 168);
-        model.list(INCREMENTAL, READY, 200, 230);
-        model.list(INCREMENTAL, DRAINING, 0, 30);
+    void createsFewTablesDuringMassReconnect(long seed) {
+        FleetModel model = startFleet(settings(), seed, 168);
+        model.listNodes(INCREMENTAL, READY, 200, 230);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 30);
         model.run(1);
         reconnect576(model);
         model.run(5);
@@ -132,52 +131,52 @@
     }
 
     /**
-     * Seven in ten proxies reconnect during a rollout. The queue is half full then, so that their
-     * tables are as small as can be: 25 parts of all nodes. They used to be dealt to the five
-     * groups that 110 proxies fill: most nodes were held by nobody, a few cold ones bore 3.6 times
-     * what they could do.
+     * Seven in ten proxies reconnect during a rollout while the queue is half full, so their tables
+     * have the minimum size: 25 parts of all nodes. If the proxies are assigned only to the five
+     * shards that 110 proxies fill, most nodes are held by no proxy, and the load on a few cold
+     * nodes is 3.6 times their capacity.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void proxiesReconnectToColdNodes(long seed) {
+    void doesNotOverloadColdNodesWhenProxiesReconnect(long seed) {
         PolicySettings settings =
                 FleetModel.settings(2, 3, 1900, 3, QUEUE_LIMIT, 0, 7900 * FleetModel.MILLI);
         FleetModel model = new FleetModel(settings, seed);
-        model.list(CACHED, READY, 0, NODES);
+        model.listNodes(CACHED, READY, 0, NODES);
         model.joinAll(0, 150, 0, NODES);
         model.run(15.8);
-        model.list(INCREMENTAL, READY, 200, 230);
+        model.listNodes(INCREMENTAL, READY, 200, 230);
         model.run(1.8);
         model.leaveFirst(110);
-        model.list(INCREMENTAL, DRAINING, 0, 30);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 30);
         model.run(1.9);
-        model.list(INCREMENTAL, READY, 230, 260);
+        model.listNodes(INCREMENTAL, READY, 230, 260);
         for (int proxy = 0; proxy < 110; proxy++) {
             model.join(proxy, 0, NODES);
             model.run(proxy % 8 == 0 ? 0.1 : 0);
             if (proxy == 56) {
-                model.list(INCREMENTAL, DRAINING, 30, 60);
+                model.listNodes(INCREMENTAL, DRAINING, 30, 60);
             }
         }
         model.run(1);
-        model.list(INCREMENTAL, READY, 260, 290);
+        model.listNodes(INCREMENTAL, READY, 260, 290);
         model.run(1.6);
-        model.list(INCREMENTAL, DRAINING, 60, 90);
+        model.listNodes(INCREMENTAL, DRAINING, 60, 90);
         model.run(15);
         assertRulesKept(model);
         assertEquals(150, model.subscribedProxies());
         assertTrue(model.findings().maxColdLoad() < 2, model.findings().toString());
     }
 
-    /** The same with the whole fleet at one controller. */
+    /** The same case with the whole fleet at one controller. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void mostOfAFleetReconnectsToColdNodes(long seed) {
-        FleetModel model = quietStart(settings(), seed, 720);
+    void doesNotOverloadColdNodesWhenMostOfFleetReconnects(long seed) {
+        FleetModel model = startFleet(settings(), seed, 720);
         for (int batch = 0; batch < 4; batch++) {
-            model.list(INCREMENTAL, READY, 200 + 30 * batch, 230 + 30 * batch);
+            model.listNodes(INCREMENTAL, READY, 200 + 30 * batch, 230 + 30 * batch);
             model.run(1);
-            model.list(INCREMENTAL, DRAINING, 30 * batch, 30 + 30 * batch);
+            model.listNodes(INCREMENTAL, DRAINING, 30 * batch, 30 + 30 * batch);
             model.run(1);
             if (batch == 0) {
                 model.leaveFirst(504);
@@ -195,47 +194,47 @@
     }
 
     /**
-     * Six in ten nodes are replaced in two steps four seconds apart; removals entry by entry would
-     * not fit.
+     * Six in ten nodes are replaced in two steps four seconds apart. Removals entry by entry would
+     * exceed what the channel can send within the drain timeout.
      */
     @ParameterizedTest
     @CsvSource({"1, 154", "2, 154", "3, 120", "4, 168"})
-    void mostNodesReplacedWithinADrainTimeout(long seed, int proxies) {
-        FleetModel model = quietStart(settings(), seed, proxies);
-        model.list(INCREMENTAL, READY, 200, 260);
+    void removesMostNodesWithinDrainTimeout(long seed, int proxies) {
+        FleetModel model = startFleet(settings(), seed, proxies);
+        model.listNodes(INCREMENTAL, READY, 200, 260);
         model.run(0.7);
-        model.list(INCREMENTAL, DRAINING, 0, 60);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 60);
         model.run(2.7);
-        model.list(INCREMENTAL, READY, 260, 320);
+        model.listNodes(INCREMENTAL, READY, 260, 320);
         model.run(1.4);
-        model.list(INCREMENTAL, DRAINING, 60, 120);
+        model.listNodes(INCREMENTAL, DRAINING, 60, 120);
         model.run(20);
         assertRulesKept(model);
     }
 
-    /** One proxy that never acknowledges delays the removal at nobody, nor of its own entries. */
+    /** A proxy that never acknowledges delays neither removals elsewhere nor of its own entries. */
     @ParameterizedTest
     @ValueSource(ints = {0, 40, 143})
-    void proxyThatNeverAcknowledgesDelaysNoRemoval(int silent) {
-        FleetModel model = quietStart(settings(), 7, 144);
-        model.stopAcknowledgements(silent);
-        model.list(INCREMENTAL, READY, 200, 230);
+    void proxyThatNeverAcknowledgesDelaysNoRemoval(int proxy) {
+        FleetModel model = startFleet(settings(), 7, 144);
+        model.stopAcknowledging(proxy);
+        model.listNodes(INCREMENTAL, READY, 200, 230);
         model.run(1);
-        model.list(INCREMENTAL, DRAINING, 0, 30);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 30);
         model.run(3);
-        model.list(INCREMENTAL, DRAINING, 30, 50);
+        model.listNodes(INCREMENTAL, DRAINING, 30, 50);
         model.run(15);
         assertRulesKept(model);
     }
 
-    /** Streams that break within the drain timeout and come back, some of them twice. */
+    /** Streams break within the drain timeout and are re-established, some of them twice. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void proxiesThatReconnectWithinTheDrainTimeout(long seed) {
-        FleetModel model = quietStart(settings(), seed, 144);
-        model.list(INCREMENTAL, READY, 200, 240);
+    void removesNodesInTimeWhenProxiesReconnectWithinDrainTimeout(long seed) {
+        FleetModel model = startFleet(settings(), seed, 144);
+        model.listNodes(INCREMENTAL, READY, 200, 240);
         model.run(1);
-        model.list(INCREMENTAL, DRAINING, 0, 40);
+        model.listNodes(INCREMENTAL, DRAINING, 0, 40);
         for (int time = 0; time < 2; time++) {
             model.run(1.5);
             model.leaveFirst(60);
--- a/src/test/java/rosespread/platform/SimulatedChannel.java
+++ b/src/test/java/rosespread/platform/SimulatedChannel.java
@@ -6,28 +6,29 @@
 import rosespread.api.PolicySettings;
 
 /**
- * The paced channel to all proxies: so many entries a second, first in, first out, then a delay.
+ * The paced channel to all proxies: a first-in, first-out queue with a fixed rate in entries per
+ * second, followed by a fixed delay.
  */
 final class SimulatedChannel {
-    /** A message to a proxy, on the stream that it had at the time. */
+    /** A message to a proxy, on the stream that the proxy joined with at {@code joinedNanos}. */
     private record Message(
             SimulatedProxy proxy,
             long joinedNanos,
             List<UpdatePart> parts,
-            int mark,
+            int policyToken,
             double entries,
             long writtenNanos) {}
 
     /**
      * A message that has arrived.
      *
-     * @param latencyNanos from its writing to its leaving the queue
+     * @param latencyNanos time from writing the message until it left the queue
      */
     record Delivery(
             SimulatedProxy proxy,
             long joinedNanos,
             List<UpdatePart> parts,
-            int mark,
+            int policyToken,
             long arrivalNanos,
             long latencyNanos) {}
 
@@ -35,20 +36,20 @@
     private final ArrayDeque<Message> queue = new ArrayDeque<>();
     private final ArrayDeque<Delivery> inTransit = new ArrayDeque<>();
     private double queuedEntries;
-    private double credit;
+    private double creditEntries;
 
     SimulatedChannel(PolicySettings settings) {
         this.settings = settings;
     }
 
-    void write(SimulatedProxy proxy, List<UpdatePart> parts, int mark, long now) {
-        double entries = entries(parts, mark);
+    void write(SimulatedProxy proxy, List<UpdatePart> parts, int policyToken, long now) {
+        double entries = entries(parts, policyToken);
         queuedEntries += entries;
-        queue.addLast(new Message(proxy, proxy.joinedNanos(), parts, mark, entries, now));
+        queue.addLast(new Message(proxy, proxy.joinedNanos(), parts, policyToken, entries, now));
     }
 
-    private double entries(List<UpdatePart> parts, int mark) {
-        double entries = settings.messageOverheadEntries() + (mark >= 0 ? 1 : 0);
+    private double entries(List<UpdatePart> parts, int policyToken) {
+        double entries = settings.messageOverheadEntries() + (policyToken >= 0 ? 1 : 0);
         for (UpdatePart part : parts) {
             entries +=
                     (part.full() ? 1 : 0)
@@ -60,7 +61,7 @@
         return entries;
     }
 
-    /** The stream broke; what is queued for it goes with it. */
+    /** Drops the messages queued for a proxy whose stream broke. */
     void drop(SimulatedProxy proxy) {
         queue.removeIf(message -> message.proxy() == proxy);
         queuedEntries = queue.stream().mapToDouble(Message::entries).sum();
@@ -70,11 +71,11 @@
         return queuedEntries;
     }
 
-    /** Lets a step of time pass and hands over what has arrived by its end. */
+    /** Sends what the channel can in a step that ends now; passes on messages that have arrived. */
     void advance(long now, long stepNanos, Consumer<Delivery> receiver) {
         double entriesPerStep = settings.entriesPerSecond() * stepNanos / FleetModel.SECOND;
-        credit = queue.isEmpty() ? 0 : credit + entriesPerStep;
-        while (!queue.isEmpty() && queue.peekFirst().entries() <= credit) {
+        creditEntries = queue.isEmpty() ? 0 : creditEntries + entriesPerStep;
+        while (!queue.isEmpty() && queue.peekFirst().entries() <= creditEntries) {
             send(queue.removeFirst(), now);
         }
         while (!inTransit.isEmpty() && inTransit.peekFirst().arrivalNanos() <= now) {
@@ -83,14 +84,14 @@
     }
 
     private void send(Message message, long now) {
-        credit -= message.entries();
+        creditEntries -= message.entries();
         queuedEntries -= message.entries();
         inTransit.addLast(
                 new Delivery(
                         message.proxy(),
                         message.joinedNanos(),
                         message.parts(),
-                        message.mark(),
+                        message.policyToken(),
                         now + settings.maxPropagationDelayNanos() / 2,
                         now - message.writtenNanos()));
     }
--- a/src/test/java/rosespread/platform/SimulatedProxy.java
+++ b/src/test/java/rosespread/platform/SimulatedProxy.java
@@ -10,7 +10,7 @@
 import rosespread.api.NodeId;
 import rosespread.api.ProxyId;
 
-/** A proxy's end of its stream; the tables and exclusions that it holds outlive the stream. */
+/** The proxy's side of a stream; its tables and exclusions outlive the stream. */
 final class SimulatedProxy {
     private static final long NOT_JOINED = Long.MIN_VALUE;
 
@@ -32,12 +32,12 @@
         return id;
     }
 
-    /** A stream begins; the proxy brings entries of these nodes if it holds no table yet. */
-    void join(long now, double rate, Iterable<NodeId> brought) {
+    /** Starts a stream; a proxy without tables starts with entries of these nodes. */
+    void join(long now, double rate, Iterable<NodeId> initialNodes) {
         if (tables.isEmpty()) {
             for (int method = 0; method < methods; method++) {
                 Map<NodeId, Double> table = new HashMap<>();
-                brought.forEach(node -> table.put(node, 1.0));
+                initialNodes.forEach(node -> table.put(node, 1.0));
                 tables.put(new MethodId(method), table);
             }
         }
@@ -62,7 +62,7 @@
         return requestsPerSecond;
     }
 
-    /** From now on it applies what it gets, but its acknowledgements never come. */
+    /** Makes the proxy apply updates without acknowledging them from now on. */
     void stopAcknowledging() {
         acknowledges = false;
     }
@@ -71,7 +71,7 @@
         return acknowledges;
     }
 
-    /** Counts a message written to it; returns how many there were in the window up to now. */
+    /** Counts a message written to the proxy; returns the number in the window that ends now. */
     int countMessage(long now, long windowNanos) {
         messageTimes.addLast(now);
         messageTimes.removeIf(at -> now - at > windowNanos);
@@ -99,7 +99,10 @@
                                 table.compute(node, (same, old) -> weight > 0 ? weight : null));
     }
 
-    /** Adds what it sends to each node, a method's part of its rate by the weights of its table. */
+    /**
+     * Adds the proxy's rate of requests to each node: the rate is split evenly among the methods,
+     * and for each method by the weights of its table.
+     */
     void addLoads(Map<NodeId, Double> loads) {
         for (Map<NodeId, Double> table : tables.values()) {
             double sum =
@@ -117,13 +120,16 @@
         }
     }
 
-    /** PinChanged an entry counts as sending: a proxy sends often enough for it to come true. */
+    /**
+     * Whether the proxy holds an entry of the node and has not excluded the node. Holding an entry
+     * counts as sending, as a proxy sends often enough to use each of its entries.
+     */
     boolean sendsTo(NodeId node) {
         return !excluded.contains(node)
                 && tables.values().stream().anyMatch(table -> table.containsKey(node));
     }
 
-    /** The nodes that its first method's table names. */
+    /** The nodes in the table of the first method. */
     Set<NodeId> nodesOfFirstMethod() {
         return tables.get(new MethodId(0)).keySet();
     }
--- a/src/test/java/rosespread/platform/SimulatedReports.java
+++ b/src/test/java/rosespread/platform/SimulatedReports.java
@@ -11,13 +11,14 @@
 import rosespread.api.ZoneId;
 
 /**
- * Load reports of nodes that share the load evenly and never fail, and demand reports of proxies.
+ * Generates load reports on nodes that share the load evenly and never fail, and demand reports of
+ * proxies.
  */
 final class SimulatedReports {
     static final long PERIOD_NANOS = FleetModel.SECOND / 2;
     private static final double MIN_LATENCY_SECONDS = 0.2;
     private static final double LATENCY_SPREAD_SECONDS = 0.1;
-    private static final int DEMAND_BOUND = 3;
+    private static final int REQUESTS_BOUND = 3;
 
     private final PolicySettings settings;
     private final SplittableRandom random;
@@ -32,7 +33,7 @@
         this.events = events;
     }
 
-    /** Reports on each ready node from each zone, this many attempts on average. */
+    /** Reports the load on each ready node from each zone, with this mean number of attempts. */
     void reportLoad(List<NodeId> ready, double meanAttempts) {
         for (NodeId node : ready) {
             for (int zone = 0; zone < settings.zones(); zone++) {
@@ -55,7 +56,7 @@
     void reportDemand(Collection<SimulatedProxy> proxies) {
         for (SimulatedProxy proxy : proxies) {
             if (proxy.isJoined()) {
-                int requests = random.nextInt(DEMAND_BOUND);
+                int requests = random.nextInt(REQUESTS_BOUND);
                 MethodId method = new MethodId(random.nextInt(settings.methods().size()));
                 events.accept(
                         handler ->
--- a/src/test/java/rosespread/platform/TableCountingActions.java
+++ b/src/test/java/rosespread/platform/TableCountingActions.java
@@ -9,13 +9,13 @@
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
-/** Passes actions on and counts the tables that were ever given an entry. */
+/** Forwards actions and counts the tables that were ever given an entry. */
 final class TableCountingActions implements PolicyActions {
-    private final PolicyActions next;
+    private final PolicyActions delegate;
     private final Set<TableId> tables = new TreeSet<>();
 
-    TableCountingActions(PolicyActions next) {
-        this.next = next;
+    TableCountingActions(PolicyActions delegate) {
+        this.delegate = delegate;
     }
 
     int tables() {
@@ -25,46 +25,46 @@
     @Override
     public void setWeight(TableId table, NodeId node, double weight) {
         tables.add(table);
-        next.setWeight(table, node, weight);
+        delegate.setWeight(table, node, weight);
     }
 
     @Override
     public void subscribe(ProxyId proxy, Iterable<MethodId> methods, TableId table) {
-        next.subscribe(proxy, methods, table);
+        delegate.subscribe(proxy, methods, table);
     }
 
     @Override
-    public void setExcluded(NodeId node, boolean out) {
-        next.setExcluded(node, out);
+    public void setExcluded(NodeId node, boolean excluded) {
+        delegate.setExcluded(node, excluded);
     }
 
     @Override
-    public void setAdmissionLimit(TableId table, MethodId method, double admitted) {
-        next.setAdmissionLimit(table, method, admitted);
+    public void setAdmissionLimit(TableId table, MethodId method, double limit) {
+        delegate.setAdmissionLimit(table, method, limit);
     }
 
     @Override
-    public void requestAcknowledgement(int mark) {
-        next.requestAcknowledgement(mark);
+    public void requestAcknowledgement(int policyToken) {
+        delegate.requestAcknowledgement(policyToken);
     }
 
     @Override
     public void checkHealth(NodeId node) {
-        next.checkHealth(node);
+        delegate.checkHealth(node);
     }
 
     @Override
     public void watchNodes() {
-        next.watchNodes();
+        delegate.watchNodes();
     }
 
     @Override
     public void startTimer(long nanos) {
-        next.startTimer(nanos);
+        delegate.startTimer(nanos);
     }
 
     @Override
     public void report(PolicyEvent event) {
-        next.report(event);
+        delegate.report(event);
     }
 }
