--- a/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
+++ b/src/test/java/rosespread/platform/PlatformUpdateWriterTest.java
@@ -18,7 +18,7 @@
 import rosespread.api.ProxyId;
 import rosespread.api.TableId;
 
-/** From a round's actions to updates, case by case as the platform's pages have it. */
+/** Tests the updates written for a round's actions, case by case as the platform documents them. */
 class PlatformUpdateWriterTest {
     private final NodeNameRegistry nodes = new NodeNameRegistry();
     private final UpdateEncoder encoder =
@@ -28,11 +28,13 @@
             new PlatformUpdateWriter(2, possiblyExcluded::contains, null);
 
     /**
-     * Plays a script: j0 joins proxy 0, l0 is its leaving; b0:1:lo subscribes it to table 1 for
-     * lookup and order; 1:A=2 sets a weight; 1:o~0.5 an admission limit; -A excludes a node, +A
-     * readmits it; r:A has left once; m7 is a mark; / ends the round.
+     * Runs a script. j0 joins proxy 0, l0 ends its stream; b0:1:lo subscribes proxy 0 to table 1
+     * for lookup and order; 1:A=2 sets the weight of node A in table 1; 1:o~0.5 sets the table's
+     * admission limit for order; -A excludes node A, +A readmits it; r:A marks node A as possibly
+     * excluded, as a node that has left once; m7 requests an acknowledgement with token 7; / ends
+     * the round.
      */
-    private void play(String script) {
+    private void runScript(String script) {
         for (String step : script.trim().split(" ")) {
             String rest = step.substring(1);
             switch (step.charAt(0)) {
@@ -43,7 +45,7 @@
                 case '-' -> updates.setExcluded(nodes.register(rest), true);
                 case '+' -> updates.setExcluded(nodes.register(rest), false);
                 case 'b' -> subscribe(rest.split(":"));
-                case '/' -> updates.finishRound((proxy, parts, mark) -> {});
+                case '/' -> updates.finishRound((proxy, parts, policyToken) -> {});
                 default -> changeTable(step);
             }
         }
@@ -81,20 +83,20 @@
         return letters.chars().mapToObj(letter -> new MethodId(letter == 'l' ? 0 : 1)).toList();
     }
 
-    /** Ends the round; what each proxy gets, parts separated by semicolons. */
+    /** Ends the round; returns each proxy's update, with parts separated by semicolons. */
     private String finishRound() {
         Map<ProxyId, String> sent = new TreeMap<>();
         updates.finishRound(
-                (proxy, parts, mark) ->
-                        sent.put(proxy, proxy.value() + "> " + describe(parts, mark)));
+                (proxy, parts, policyToken) ->
+                        sent.put(proxy, proxy.value() + "> " + describe(parts, policyToken)));
         return String.join(" ", sent.values());
     }
 
-    private String describe(List<UpdatePart> parts, int mark) {
+    private String describe(List<UpdatePart> parts, int policyToken) {
         List<String> texts = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
             boolean last = i == parts.size() - 1;
-            int token = last ? mark : UpdateEncoder.NO_TOKEN;
+            int token = last ? policyToken : UpdateEncoder.NO_TOKEN;
             texts.add(String.join(" ", encoder.toStrings(parts.get(i), token, !last)));
         }
         return String.join("; ", texts);
@@ -134,20 +136,20 @@
                 "j0 1:A=2 2:B=1 b0:1:lo / b0:2:lo / 1:A=3 | ",
                 "j0 1:A=2 2:B=1 b0:1:lo / b0:2:o / 1:A=3 | 0> assign classes lookup lines A:3"
             })
-    void actionsBecomeUpdates(String script, String expected) {
-        play(script);
+    void writesActionsAsUpdates(String script, String expected) {
+        runScript(script);
         assertEquals(expected == null ? "" : expected, finishRound());
     }
 
     @Test
-    void exclusionOfAnUnlistedNodeIsNeverWritten() {
+    void rejectsExclusionOfUnlistedNode() {
         UpdatePart unlisted = UpdatePart.ofExclusions(List.of(new NodeId(9)), List.of());
         assertThrows(IllegalStateException.class, () -> encoder.encode(List.of(unlisted), 1));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-    void weightThatAProxyCannotUseIsNeverWritten(double weight) {
+    void rejectsWeightThatProxyCannotUse(double weight) {
         Map<NodeId, Double> weights = Map.of(nodes.register("A"), weight);
         UpdatePart part =
                 new UpdatePart(
--- a/src/test/java/rosespread/platform/RecordingConnection.java
+++ b/src/test/java/rosespread/platform/RecordingConnection.java
@@ -7,9 +7,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/**
- * A proxy's connection that keeps what is written, each message as its words with blanks between.
- */
+/** A proxy's connection that keeps written messages, each as its strings separated by blanks. */
 final class RecordingConnection implements ProxyConnection {
     private static final Pattern TOKEN = Pattern.compile("ticket ([0-9]+)");
 
@@ -44,7 +42,7 @@
     int lastToken() {
         Matcher token = TOKEN.matcher(messages.get(messages.size() - 1));
         if (!token.find()) {
-            throw new AssertionError("no token in the last of " + messages);
+            throw new AssertionError("expected a token in the last message, found " + messages);
         }
         return Integer.parseInt(token.group(1));
     }
--- a/src/test/java/rosespread/platform/RespBytesTest.java
+++ b/src/test/java/rosespread/platform/RespBytesTest.java
@@ -22,19 +22,20 @@
 import rosespread.eventloop.EventQueue;
 
 /**
- * Pins the bytes written to proxies of the platform: for a fixed row of orders, for a fixed day of
- * the whole core with proxies of two zones, and for the replies to strangers. Longer streams are
- * compared by length and digest, short ones literally.
+ * Compares the bytes written to the platform's proxies with recorded ones: updates for a fixed
+ * sequence of actions, streams of a fixed run of the controller's state with proxies of two zones,
+ * and replies to unidentified peers. Longer streams are compared by length and digest, short ones
+ * literally.
  */
 class RespBytesTest {
     private static final long SECOND = 1_000_000_000L;
 
     private final PlatformConfig config = PlatformFixture.config();
     private final NodeNameRegistry nodes = new NodeNameRegistry();
-    private final UpdateEncoder writer = new UpdateEncoder(config.names(), nodes);
-    private final TreeSet<NodeId> restless = new TreeSet<>();
-    private final PlatformUpdateWriter orders =
-            new PlatformUpdateWriter(2, restless::contains, null);
+    private final UpdateEncoder encoder = new UpdateEncoder(config.names(), nodes);
+    private final TreeSet<NodeId> possiblyExcluded = new TreeSet<>();
+    private final PlatformUpdateWriter updates =
+            new PlatformUpdateWriter(2, possiblyExcluded::contains, null);
     private final Map<String, ByteArrayOutputStream> streams = new TreeMap<>();
     private long now = 100 * SECOND;
 
@@ -54,56 +55,56 @@
     }
 
     private void record(String stream, byte[] bytes) {
-        streams.computeIfAbsent(stream, s -> new ByteArrayOutputStream()).writeBytes(bytes);
+        streams.computeIfAbsent(stream, absent -> new ByteArrayOutputStream()).writeBytes(bytes);
     }
 
     private void join(int proxy) {
-        orders.proxyJoined(new ProxyId(proxy));
+        updates.proxyJoined(new ProxyId(proxy));
     }
 
     private void leave(int proxy) {
-        orders.proxyLeft(new ProxyId(proxy));
+        updates.proxyLeft(new ProxyId(proxy));
     }
 
-    private void line(int table, String node, double weight) {
-        orders.setWeight(new TableId(table), nodes.register(node), weight);
+    private void setWeight(int table, String node, double weight) {
+        updates.setWeight(new TableId(table), nodes.register(node), weight);
     }
 
-    private void bind(int proxy, int table, int... methods) {
+    private void subscribe(int proxy, int table, int... methods) {
         List<MethodId> all = new ArrayList<>();
         for (int method : methods) {
             all.add(new MethodId(method));
         }
-        orders.subscribe(new ProxyId(proxy), all, new TableId(table));
+        updates.subscribe(new ProxyId(proxy), all, new TableId(table));
     }
 
-    private void level(int table, int method, double admitted) {
-        orders.setAdmissionLimit(new TableId(table), new MethodId(method), admitted);
+    private void setAdmissionLimit(int table, int method, double limit) {
+        updates.setAdmissionLimit(new TableId(table), new MethodId(method), limit);
     }
 
-    private void withdraw(String node, boolean out) {
-        orders.setExcluded(nodes.register(node), out);
+    private void setExcluded(String node, boolean excluded) {
+        updates.setExcluded(nodes.register(node), excluded);
     }
 
-    /** Ends the round; a mark below 0 is none. */
-    private void round(int mark) {
-        if (mark >= 0) {
-            orders.requestAcknowledgement(mark);
+    /** Ends the round; a negative token requests no acknowledgement. */
+    private void finishRound(int policyToken) {
+        if (policyToken >= 0) {
+            updates.requestAcknowledgement(policyToken);
         }
-        orders.finishRound(
-                (proxy, parts, last) ->
-                        record("proxy " + proxy.value(), writer.encode(parts, last)));
+        updates.finishRound(
+                (proxy, parts, token) ->
+                        record("proxy " + proxy.value(), encoder.encode(parts, token)));
     }
 
     @Test
-    void smallCaseInFull() {
+    void updateKeepsRecordedBytes() {
         join(0);
-        line(1, "A", 2);
-        line(2, "B", 0.1);
-        bind(0, 1, 0);
-        bind(0, 2, 1);
-        level(2, 1, 0.5);
-        round(7);
+        setWeight(1, "A", 2);
+        setWeight(2, "B", 0.1);
+        subscribe(0, 1, 0);
+        subscribe(0, 2, 1);
+        setAdmissionLimit(2, 1, 0.5);
+        finishRound(7);
         assertEquals(
                 "*9|$6|assign|$7|classes|$6|lookup|$5|whole|$1|1|$5|lines|$3|A:2|$4|more|$1|1|"
                         + "*13|$6|assign|$7|classes|$5|order|$5|whole|$1|1|$5|lines|$10|B:0.100000|$5|level|$3|0.5|"
@@ -112,11 +113,11 @@
     }
 
     @Test
-    void ordersOfManyRounds() {
-        begin();
-        change();
-        shutOut();
-        replace();
+    void updatesOfManyRoundsKeepRecordedBytes() {
+        writeInitialTables();
+        writeTableChanges();
+        writeExclusions();
+        writeAfterReconnects();
         assertEquals(
                 """
                 proxy 0: 561 7d30fa1470e2f090
@@ -127,82 +128,82 @@
                 digests());
     }
 
-    private void begin() {
+    private void writeInitialTables() {
         for (int proxy = 0; proxy < 4; proxy++) {
             join(proxy);
         }
         for (int node = 0; node < 12; node++) {
-            line(1 + node % 3, "node-" + node, 1 + node / 7.0);
+            setWeight(1 + node % 3, "node-" + node, 1 + node / 7.0);
         }
-        bind(0, 1, 0, 1);
-        bind(1, 1, 0);
-        bind(1, 2, 1);
-        bind(2, 3, 1, 0);
-        level(1, 0, 3.25);
-        level(1, 1, Double.POSITIVE_INFINITY);
-        level(2, 1, 0);
-        round(1);
+        subscribe(0, 1, 0, 1);
+        subscribe(1, 1, 0);
+        subscribe(1, 2, 1);
+        subscribe(2, 3, 1, 0);
+        setAdmissionLimit(1, 0, 3.25);
+        setAdmissionLimit(1, 1, Double.POSITIVE_INFINITY);
+        setAdmissionLimit(2, 1, 0);
+        finishRound(1);
     }
 
-    private void change() {
-        line(1, "node-0", 0);
-        line(1, "node-3", 1e-7);
-        line(2, "node-1", 123456789.0);
-        round(2);
-        level(1, 0, Double.POSITIVE_INFINITY);
-        level(3, 0, 0.125);
-        level(3, 1, 0.125);
-        round(-1);
-        bind(3, 2, 0, 1);
-        line(3, "node-2", 2.0 / 3);
-        level(2, 0, 17);
-        round(65_535);
-        round(3);
+    private void writeTableChanges() {
+        setWeight(1, "node-0", 0);
+        setWeight(1, "node-3", 1e-7);
+        setWeight(2, "node-1", 123456789.0);
+        finishRound(2);
+        setAdmissionLimit(1, 0, Double.POSITIVE_INFINITY);
+        setAdmissionLimit(3, 0, 0.125);
+        setAdmissionLimit(3, 1, 0.125);
+        finishRound(-1);
+        subscribe(3, 2, 0, 1);
+        setWeight(3, "node-2", 2.0 / 3);
+        setAdmissionLimit(2, 0, 17);
+        finishRound(65_535);
+        finishRound(3);
     }
 
-    private void shutOut() {
-        withdraw("node-3", true);
-        withdraw("node-4", true);
-        round(4);
-        withdraw("node-3", false);
-        line(1, "node-3", 0.5);
-        round(5);
-        withdraw("node-4", false);
-        withdraw("node-2", true);
-        round(-1);
-        restless.add(nodes.register("node-5"));
-        line(3, "node-5", 0.75);
-        bind(2, 3, 0);
-        bind(2, 1, 1);
-        round(6);
+    private void writeExclusions() {
+        setExcluded("node-3", true);
+        setExcluded("node-4", true);
+        finishRound(4);
+        setExcluded("node-3", false);
+        setWeight(1, "node-3", 0.5);
+        finishRound(5);
+        setExcluded("node-4", false);
+        setExcluded("node-2", true);
+        finishRound(-1);
+        possiblyExcluded.add(nodes.register("node-5"));
+        setWeight(3, "node-5", 0.75);
+        subscribe(2, 3, 0);
+        subscribe(2, 1, 1);
+        finishRound(6);
     }
 
-    private void replace() {
+    private void writeAfterReconnects() {
         leave(0);
         join(1);
-        line(2, "node-7", 9);
-        withdraw("node-8", true);
-        round(7);
-        bind(1, 1, 0, 1);
-        bind(1, 2, 1);
-        round(8);
-        line(1, "node-6", 4);
-        level(2, 1, 2.5);
-        round(9);
+        setWeight(2, "node-7", 9);
+        setExcluded("node-8", true);
+        finishRound(7);
+        subscribe(1, 1, 0, 1);
+        subscribe(1, 2, 1);
+        finishRound(8);
+        setWeight(1, "node-6", 4);
+        setAdmissionLimit(2, 1, 2.5);
+        finishRound(9);
     }
 
-    private PlatformState core() throws ConfigException {
+    private PlatformState newState() throws ConfigException {
         return new PlatformState(
                 PlatformFixture.parse(PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2")),
                 new PlatformState.HealthCheckSender() {
                     @Override
-                    public void checkHealth(NodeId node, NodeEntry target) {}
+                    public void checkHealth(NodeId node, NodeEntry entry) {}
                 },
                 new PlatformMetrics(),
                 0);
     }
 
-    private ProxyConnection wire(String name) {
+    private ProxyConnection connection(String name) {
         return new ProxyConnection() {
             @Override
             public void write(byte[] message) {
@@ -221,25 +222,26 @@
         };
     }
 
-    private void tell(PlatformState core, ProxyConnection wire, String words) {
+    private void receive(PlatformState state, ProxyConnection connection, String words) {
         try {
             Message message =
                     new MessageReader(config.names(), config.proxies())
                             .read(List.of(words.split(" ")));
             if (message instanceof Message.ProxyJoin join) {
-                core.proxyJoined(now, wire, join);
-            } else if (message instanceof Message.LoadReport sums) {
-                core.loadReported(now, sums);
-            } else if (message instanceof Message.DemandReport offered) {
-                core.demandReported(now, offered);
+                state.proxyJoined(now, connection, join);
+            } else if (message instanceof Message.LoadReport report) {
+                state.loadReported(now, report);
+            } else if (message instanceof Message.DemandReport report) {
+                state.demandReported(now, report);
             }
         } catch (MalformedMessageException e) {
             throw new AssertionError(e);
         }
     }
 
-    private void list(PlatformState core, long version, String... nodes) throws ConfigException {
-        core.nodeListReceived(
+    private void receiveNodeList(PlatformState state, long version, String... nodes)
+            throws ConfigException {
+        state.nodeListReceived(
                 now,
                 NodeList.parse(
                         ("{\"version\":"
@@ -250,17 +252,17 @@
                                 .getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void pass(PlatformState core, double seconds) {
+    private void run(PlatformState state, double seconds) {
         for (long until = now + Math.round(seconds * SECOND); now < until; now += SECOND / 50) {
-            core.runDue(now);
+            state.runDue(now);
         }
     }
 
-    private void report(PlatformState core, double utilization) {
+    private void sendReports(PlatformState state, double utilization) {
         for (String zone : List.of("a", "b")) {
             for (int node = 1; node <= 4; node++) {
-                tell(
-                        core,
+                receive(
+                        state,
                         null,
                         "upstream_stats endpoint s-"
                                 + node
@@ -271,12 +273,12 @@
             }
         }
         for (int proxy = 0; proxy < 3; proxy++) {
-            tell(
-                    core,
+            receive(
+                    state,
                     null,
                     "client_stats node " + proxy + " route lookup total 300 errors 0 interval 500");
-            tell(
-                    core,
+            receive(
+                    state,
                     null,
                     "client_stats node " + proxy + " route order total 100 errors 0 interval 500");
         }
@@ -287,32 +289,35 @@
     }
 
     @Test
-    void dayOfTheCoreWithProxiesOfTwoZones() throws ConfigException {
-        PlatformState core = core();
-        list(
-                core,
+    void streamsOfTwoZonesKeepRecordedBytes() throws ConfigException {
+        PlatformState state = newState();
+        receiveNodeList(
+                state,
                 8,
                 PlatformFixture.node("s-2", "SERVING"),
                 inZoneB(PlatformFixture.node("s-3", "SERVING")),
                 inZoneB(PlatformFixture.node("s-4", "SERVING")));
-        tell(core, wire("proxy 0 a"), "attach node 0 locality a w 50 cold 1");
-        tell(core, wire("proxy 1 a"), "attach node 1 locality a w 70 cold 0");
-        tell(core, wire("proxy 2 b"), "attach node 2 locality b w 90 cold 1");
-        pass(core, 1);
+        receive(state, connection("proxy 0 a"), "attach node 0 locality a w 50 cold 1");
+        receive(state, connection("proxy 1 a"), "attach node 1 locality a w 70 cold 0");
+        receive(state, connection("proxy 2 b"), "attach node 2 locality b w 90 cold 1");
+        run(state, 1);
         for (int i = 0; i < 12; i++) {
-            report(core, i < 6 ? 0.5 : 1.5);
-            pass(core, 0.5);
+            sendReports(state, i < 6 ? 0.5 : 1.5);
+            run(state, 0.5);
         }
-        list(core, 9, PlatformFixture.node("s-1", "DRAINING"));
-        pass(core, 1);
-        tell(core, wire("proxy 0 a, second stream"), "attach node 0 locality a w 50 cold 0");
-        pass(core, 2);
-        list(
-                core,
+        receiveNodeList(state, 9, PlatformFixture.node("s-1", "DRAINING"));
+        run(state, 1);
+        receive(
+                state,
+                connection("proxy 0 a, second stream"),
+                "attach node 0 locality a w 50 cold 0");
+        run(state, 2);
+        receiveNodeList(
+                state,
                 10,
                 PlatformFixture.node("s-1", "SERVING")
                         .replace("\"started_ms\":0", "\"started_ms\":108000"));
-        pass(core, 6);
+        run(state, 6);
         assertEquals(
                 """
                 proxy 0 a: 443 1009ef16986646d
@@ -323,26 +328,26 @@
                 digests());
     }
 
-    private String exchange(String sent, int answered) throws IOException, ConfigException {
+    private String exchange(String sent, int replyBytes) throws IOException, ConfigException {
         try (StreamServer server =
                 new StreamServer(
                         new EventQueue(),
-                        core(),
+                        newState(),
                         new MessageReader(config.names(), config.proxies()),
                         new PlatformMetrics(),
                         10)) {
-            InetSocketAddress at = server.listen(new InetSocketAddress("127.0.0.1", 0));
-            try (Socket peer = new Socket(at.getAddress(), at.getPort())) {
+            InetSocketAddress address = server.listen(new InetSocketAddress("127.0.0.1", 0));
+            try (Socket peer = new Socket(address.getAddress(), address.getPort())) {
                 peer.getOutputStream()
                         .write(sent.replace("|", "\r\n").getBytes(StandardCharsets.US_ASCII));
-                byte[] answer = peer.getInputStream().readNBytes(answered);
-                return new String(answer, StandardCharsets.US_ASCII).replace("\r\n", "|");
+                byte[] reply = peer.getInputStream().readNBytes(replyBytes);
+                return new String(reply, StandardCharsets.US_ASCII).replace("\r\n", "|");
             }
         }
     }
 
     @Test
-    void repliesToStrangers() throws IOException, ConfigException {
+    void repliesToUnidentifiedPeersKeepRecordedBytes() throws IOException, ConfigException {
         assertEquals("*1|$5|hb_ok|*1|$5|hb_ok|", exchange("*1|$2|hb|*1|$2|hb|", 30));
         assertEquals(
                 "*3|$6|reject|$6|reason|$19|locality is missing|",
