--- a/src/main/java/rosespread/resp/RespParser.java
+++ b/src/main/java/rosespread/resp/RespParser.java
@@ -33,7 +33,7 @@
 
     private static final int INITIAL_STRING_CAPACITY = 32;
 
-    /** A string buffer is not reused after a string longer than this, which has made it grow. */
+    /** Longest string whose buffer is reused; a longer one has made its buffer grow. */
     private static final int MAX_KEPT_STRING_BYTES = 1024;
 
     private final Consumer<List<String>> messageConsumer;
--- a/src/test/java/rosespread/platform/ChannelCapacityCheckTest.java
+++ b/src/test/java/rosespread/platform/ChannelCapacityCheckTest.java
@@ -20,13 +20,13 @@
     }
 
     @Test
-    void channelThatReachesAllProxiesInTimeIsNotWarnedOf() {
+    void doesNotWarnIfChannelReachesAllProxiesInTime() {
         assertEquals(List.of(), warnings(1600, 13400, 0, 400));
         assertEquals(List.of(), warnings(1600, 13400, 30, 400));
     }
 
     @Test
-    void tooManyProxiesForTheChannelRate() {
+    void warnsOfTooManyProxiesForChannelRate() {
         Warning expected =
                 new Warning(
                         Shortage.CHANNEL_RATE,
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void queueTooShortForOneMessage() {
+    void warnsOfQueueTooShortForOneMessage() {
         Warning expected =
                 new Warning(
                         Shortage.QUEUE_LIMIT,
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void messagesFurtherApartThanTheDrainTimeout() {
+    void warnsOfMessageIntervalAboveDrainTimeout() {
         Warning expected =
                 new Warning(
                         Shortage.MESSAGE_LIMIT,
--- a/src/test/java/rosespread/platform/DiscoveryRequestTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryRequestTest.java
@@ -13,7 +13,7 @@
 import rosespread.http.HttpLimits;
 import rosespread.http.RecordingServer;
 
-/** The exact requests that are sent to discovery: the whole list first, then the watch. */
+/** Checks the exact bytes of requests to discovery: the full list first, then the watch. */
 class DiscoveryRequestTest {
     private static final String FULL_LIST =
             "GET /api/targets HTTP/1.1\r\nhost: 127.0.0.1:PORT\r\n" + "content-length: 0\r\n\r\n";
@@ -31,12 +31,12 @@
                     public void listReceived(NodeList list) {}
 
                     @Override
-                    public void listUnavailable(String why) {}
+                    public void listUnavailable(String reason) {}
                 });
     }
 
     @Test
-    void requestsAreUnchanged() throws IOException {
+    void requestsKeepRecordedFormat() throws IOException {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (RecordingServer server =
                         new RecordingServer(
--- a/src/test/java/rosespread/platform/DiscoveryWatchTest.java
+++ b/src/test/java/rosespread/platform/DiscoveryWatchTest.java
@@ -34,8 +34,8 @@
                         }
 
                         @Override
-                        public void listUnavailable(String why) {
-                            received.add("unavailable: " + why);
+                        public void listUnavailable(String reason) {
+                            received.add("unavailable: " + reason);
                         }
                     });
 
@@ -47,15 +47,16 @@
     }
 
     @Test
-    void fullListComesFirstThenTheWatchGoesOn() throws IOException {
+    void requestsFullListThenWatchesForChanges() throws IOException {
         try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             watch.follow(discovery.socketAddress());
-            await().until(discovery::watched);
+            await().until(discovery::hasOpenWatch);
             discovery.change(PlatformFixture.node("s-1", "DRAINING"));
             await().until(
                             () ->
                                     discovery.requests().stream()
-                                                    .anyMatch(t -> t.contains("?since=2&"))
+                                                    .anyMatch(
+                                                            target -> target.contains("?since=2&"))
                                             && received.contains("changes 2"));
             assertEquals("/api/targets", discovery.requests().get(0));
             assertEquals(List.of("full 1", "changes 2"), received);
@@ -64,7 +65,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{\"version\":2,\"full\":tr", "[]", "{\"version\":2,\"servers\":[{}]}"})
-    void invalidListIsRequestedAgain(String answer) throws IOException {
+    void requestsInvalidListAgain(String answer) throws IOException {
         try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             discovery.answerNext(answer);
             watch.follow(discovery.socketAddress());
@@ -73,16 +74,17 @@
         }
     }
 
-    /** Full lists and changes, in the order in which they were received. */
+    /** The received full lists and changes, in order. */
     private List<String> lists() {
-        return received.stream().filter(one -> !one.startsWith("unavailable")).toList();
+        return received.stream().filter(entry -> !entry.startsWith("unavailable")).toList();
     }
 
     /**
-     * Discovery that restarted goes on sending the older version, and is accepted after a while.
+     * Discovery that has restarted keeps sending an older version; its full list is accepted after
+     * the time for which older lists are rejected.
      */
     @Test
-    void versionThatWentBackIsNotAcceptedAsAChange() throws IOException {
+    void acceptsOlderVersionOnlyAsFullListAfterRestart() throws IOException {
         try (FakeDiscovery discovery = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             discovery.answerNext("{\"version\":9,\"full\":true,\"servers\":[]}");
             watch.follow(discovery.socketAddress());
@@ -94,13 +96,16 @@
         }
     }
 
-    /** The agent that was moved to answers first with what is older than the old one sent. */
+    /**
+     * After an address change, the new agent first answers with a list older than the last one of
+     * the previous agent.
+     */
     @Test
-    void olderFullListAfterAMoveUndoesNothing() throws IOException {
+    void rejectsOlderFullListAfterAddressChange() throws IOException {
         try (FakeDiscovery old = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
                 FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             watch.follow(old.socketAddress());
-            await().until(old::watched);
+            await().until(old::hasOpenWatch);
             old.change(PlatformFixture.node("s-1", "DRAINING"));
             next.change(PlatformFixture.node("s-1", "DRAINING"));
             await().until(() -> received.contains("changes 2"));
@@ -109,37 +114,36 @@
                             + PlatformFixture.node("s-1", "SERVING")
                             + "]}");
             watch.follow(next.socketAddress());
-            await().until(() -> next.watched() && received.contains("full 2"));
+            await().until(() -> next.hasOpenWatch() && received.contains("full 2"));
             assertEquals(List.of("full 1", "changes 2", "full 2"), lists());
         }
     }
 
     /**
-     * The end of a kept connection and the next request cross: nothing was missed, so nothing is
-     * reported.
+     * The server ends a kept-alive connection while the next request is being written. No list was
+     * missed, so no failure is reported.
      */
     @Test
-    void connectionThatEndsAsTheNextRequestIsWrittenCausesNoFailure() throws IOException {
+    void reportsNoFailureIfConnectionEndsDuringNextRequest() throws IOException {
         try (CrossingServer discovery =
                 new CrossingServer(
                         "{\"version\":1,\"full\":true,\"servers\":[]}",
                         "{\"version\":1,\"full\":false,\"servers\":[]}")) {
             watch.follow(discovery.at());
             await().until(() -> received.size() >= 2);
-            // The watch goes on meanwhile: only a copy stays as it is while it is
-            // compared.
+            // Compares a copy, as the watch continues to add lists.
             assertEquals(List.of("full 1", "changes 1"), List.copyOf(received).subList(0, 2));
         }
     }
 
     @Test
-    void otherAddressIsFollowedAtOnceAndTheOldPollIsIgnored() throws IOException {
+    void followsNewAddressAtOnceAndIgnoresOldPoll() throws IOException {
         try (FakeDiscovery old = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
                 FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-2", "SERVING"))) {
             watch.follow(old.socketAddress());
-            await().until(old::watched);
+            await().until(old::hasOpenWatch);
             watch.follow(next.socketAddress());
-            await().until(next::watched);
+            await().until(next::hasOpenWatch);
             old.change(PlatformFixture.node("s-1", "DRAINING"));
             next.change(PlatformFixture.node("s-2", "DRAINING"));
             await().until(() -> received.contains("changes 2"));
--- a/src/test/java/rosespread/platform/FakeDiscovery.java
+++ b/src/test/java/rosespread/platform/FakeDiscovery.java
@@ -14,7 +14,10 @@
 import rosespread.http.HttpMessage;
 import rosespread.http.HttpServer;
 
-/** Discovery as the platform has it: a full list, and a watch that waits for the next change. */
+/**
+ * A discovery service with the platform's API: a full list, and a watch that waits for the next
+ * change.
+ */
 final class FakeDiscovery implements AutoCloseable {
     private final List<String> requests = new CopyOnWriteArrayList<>();
     private final List<HttpServer.Exchange> watches = new ArrayList<>();
@@ -31,7 +34,7 @@
         address = server.listen(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
     }
 
-    /** The address as a configuration has it. */
+    /** The address as written in a configuration. */
     String address() {
         return "127.0.0.1:" + address.getPort();
     }
@@ -40,12 +43,12 @@
         return address;
     }
 
-    /** The paths that were requested. */
+    /** The requested paths with their queries, in order. */
     List<String> requests() {
         return Collections.unmodifiableList(requests);
     }
 
-    /** The next answer is this text, whatever is asked for. */
+    /** Sends this text as the next answer, whatever the request. */
     synchronized void answerNext(String text) {
         nextAnswer = text;
     }
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Changes a node's entry: open watches are answered, and later requests get it too. */
+    /** Changes a node's entry: answers open watches with it and includes it in later answers. */
     synchronized void change(String entry) {
         version++;
         nodes.removeIf(node -> idOf(node).equals(idOf(entry)));
@@ -91,7 +94,7 @@
     }
 
     /** Whether a watch is open. */
-    synchronized boolean watched() {
+    synchronized boolean hasOpenWatch() {
         return !watches.isEmpty();
     }
 
--- a/src/test/java/rosespread/platform/FakePeer.java
+++ b/src/test/java/rosespread/platform/FakePeer.java
@@ -17,7 +17,7 @@
 import rosespread.resp.RespParser;
 import rosespread.resp.RespWriter;
 
-/** A client's end of one connection to the controller: all that it receives is kept. */
+/** The client side of a connection to the controller; keeps all received messages. */
 final class FakePeer implements AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final RespLimits LIMITS = new RespLimits(1 << 20, 256);
@@ -46,12 +46,15 @@
         ended = true;
     }
 
-    /** Sends one message of these words, separated by blanks. */
+    /** Sends one message, given as its strings separated by blanks. */
     void send(String words) throws IOException {
         sendBytes(RespWriter.encode(List.of(words.split(" "))));
     }
 
-    /** Sends these bytes; a connection that the controller has closed already takes none. */
+    /**
+     * Sends these bytes. If the controller has closed the connection, marks this peer as ended
+     * instead of throwing.
+     */
     void sendBytes(byte[] bytes) throws IOException {
         try {
             socket.getOutputStream().write(bytes);
@@ -69,7 +72,7 @@
         return ended;
     }
 
-    /** The first message with all these words in a row, once it is there. */
+    /** Waits for a message that contains these words in sequence; returns the first one. */
     List<String> awaitMessage(String words) {
         await().atMost(TIMEOUT).until(() -> find(words).isPresent());
         return find(words).orElseThrow();
--- a/src/test/java/rosespread/platform/MessageReaderTest.java
+++ b/src/test/java/rosespread/platform/MessageReaderTest.java
@@ -37,7 +37,7 @@
                         + " zone=ZoneId[value=0], attempts=3, failures=3, latencySeconds=NaN, periodNanos=500000000,"
                         + " utilization=NaN]"
             })
-    void validMessagesAreRead(String words, String expected) throws MalformedMessageException {
+    void readsValidMessages(String words, String expected) throws MalformedMessageException {
         assertEquals(expected, read(words).toString());
     }
 
@@ -71,7 +71,7 @@
         "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util, TYPE",
         "upstream_stats locality a endpoint s-1 total 2 errors 0 rtt 1 interval 500 metrics util:-1, RANGE"
     })
-    void malformedMessagesAreRejectedByReason(String words, Reason reason) {
+    void rejectsMalformedMessagesWithReason(String words, Reason reason) {
         assertEquals(
                 reason, assertThrows(MalformedMessageException.class, () -> read(words)).reason());
     }
--- a/src/test/java/rosespread/platform/PlatformConfigTest.java
+++ b/src/test/java/rosespread/platform/PlatformConfigTest.java
@@ -13,7 +13,7 @@
 
 class PlatformConfigTest {
     @Test
-    void requiredFieldsAreRead() {
+    void readsRequiredFields() {
         PlatformConfig config = PlatformFixture.config();
         assertEquals("n1", config.name());
         assertEquals(20, config.proxies());
@@ -41,32 +41,32 @@
                 "\"weight\":1.0 | \"weight\":-1 | entry 0 of servers: weight -1.0 or started_ms 0 is out of range",
                 "\"limits\":{ | \"limits\":[ | is not JSON at line 2"
             })
-    void invalidFieldIsNamed(String good, String bad, String expected) {
+    void namesInvalidField(String valid, String invalid, String expected) {
         String text = PlatformFixture.config("127.0.0.1:1", "127.0.0.1:2");
-        assertTrue(text.contains(good));
+        assertTrue(text.contains(valid));
         String message =
                 assertThrows(
                                 ConfigException.class,
-                                () -> PlatformFixture.parse(text.replace(good, bad)))
+                                () -> PlatformFixture.parse(text.replace(valid, invalid)))
                         .getMessage();
         assertTrue(message.contains(expected), message);
     }
 
     @Test
-    void everyTruncatedListIsAnError() throws ConfigException {
+    void rejectsListTruncatedAtAnyCharacter() throws ConfigException {
         String text =
                 "{\"version\":3,\"full\":false,\"servers\":["
                         + PlatformFixture.node("s-2", "DELETED")
                         + "]}";
         assertEquals(1, NodeList.parse(text.getBytes(StandardCharsets.UTF_8)).nodes().size());
-        for (int cut = 0; cut < text.length(); cut++) {
-            byte[] part = text.substring(0, cut).getBytes(StandardCharsets.UTF_8);
-            assertThrows(ConfigException.class, () -> NodeList.parse(part));
+        for (int length = 0; length < text.length(); length++) {
+            byte[] truncated = text.substring(0, length).getBytes(StandardCharsets.UTF_8);
+            assertThrows(ConfigException.class, () -> NodeList.parse(truncated));
         }
     }
 
     @Test
-    void missingFileIsNamed() {
+    void namesVariableIfFileIsMissing() {
         assertTrue(
                 assertThrows(ConfigException.class, () -> PlatformConfig.read(Map.of()))
                         .getMessage()
--- a/src/test/java/rosespread/platform/PlatformControllerTest.java
+++ b/src/test/java/rosespread/platform/PlatformControllerTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Signals and configurations that cross the start, or never come. */
+/** Tests a SIGHUP during startup, and a changed configuration file without a SIGHUP. */
 class PlatformControllerTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     @TempDir private Path folder;
 
-    /** The environment of a process whose file is replaced once it was read for the first time. */
+    /** The environment of a process whose file is replaced after it is read for the first time. */
     private final class ReplacedFile extends AbstractMap<String, String> {
         private int reads;
 
@@ -48,7 +48,7 @@
         return state == Thread.State.WAITING || state == Thread.State.TERMINATED;
     }
 
-    /** Raises the signal from a thread of its own, and goes on once it waits or is done. */
+    /** Runs a signal handler on its own thread; returns once the thread waits or has ended. */
     private static void raise(Runnable handler) {
         Thread signal = new Thread(handler, "SIGHUP handler");
         signal.setDaemon(true);
@@ -57,10 +57,10 @@
     }
 
     /**
-     * The signal comes before the first configuration was read, so surely before the start is over.
+     * The signal arrives before the first configuration is read, and so before startup is complete.
      */
     @Test
-    void signalDuringTheStartIsNotLost() throws Exception {
+    void handlesSignalReceivedDuringStartup() throws Exception {
         try (FakeDiscovery first = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
                 FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             write("first.json", first);
@@ -71,24 +71,25 @@
                     "serve",
                     new ReplacedFile(),
                     (signal, action) -> !signal.equals("HUP") || hangup.complete(action));
-            await().atMost(TIMEOUT).until(next::watched);
+            await().atMost(TIMEOUT).until(next::hasOpenWatch);
         }
     }
 
     /**
-     * The parent ignores the signal, as nohup does: the file alone tells that discovery has moved.
+     * The parent process set SIGHUP to be ignored, as nohup does, so only the file shows that
+     * discovery has moved.
      */
     @Test
-    void moveWithoutSignalIsFollowedOnceTheOldAddressIsGone() throws Exception {
+    void followsMovedDiscoveryWithoutSignalOnceOldAddressFails() throws Exception {
         FakeDiscovery first = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"));
         try (FakeDiscovery next = new FakeDiscovery(PlatformFixture.node("s-1", "SERVING"))) {
             write("first.json", first);
             write("next.json", next);
             PlatformFixture.serve(
                     "serve", new ReplacedFile(), (signal, action) -> !signal.equals("HUP"));
-            await().atMost(TIMEOUT).until(first::watched);
+            await().atMost(TIMEOUT).until(first::hasOpenWatch);
             first.close();
-            await().atMost(TIMEOUT).until(next::watched);
+            await().atMost(TIMEOUT).until(next::hasOpenWatch);
         }
     }
 }
--- a/src/test/java/rosespread/platform/PlatformFixture.java
+++ b/src/test/java/rosespread/platform/PlatformFixture.java
@@ -31,7 +31,7 @@
                 .formatted(listen, discovery, node("s-1", "SERVING"), SETTINGS);
     }
 
-    /** A node's entry in a list of discovery. */
+    /** A node's entry in discovery's node list. */
     static String node(String id, String state) {
         return """
                 {"id":"%s","addr":"127.0.0.1:9","zone":"a","kind":"m2","cell":0,"state":"%s","weight":1.0,
--- a/src/test/java/rosespread/platform/PlatformStateTest.java
+++ b/src/test/java/rosespread/platform/PlatformStateTest.java
@@ -11,7 +11,7 @@
 import rosespread.api.ZoneId;
 import rosespread.config.ConfigException;
 
-/** What the event loop keeps of sessions, tokens and node lists, driven by a clock of the test. */
+/** Tests the state of sessions, tokens and node lists on the event loop, with a simulated clock. */
 class PlatformStateTest {
     private static final long SECOND = 1_000_000_000L;
     private static final ProxyId PROXY = new ProxyId(3);
@@ -27,10 +27,12 @@
         state = new PlatformState(config, this::checkHealth, new PlatformMetrics(), 0);
     }
 
-    /** Health checks are asked for within a round, so that a throw here fails the policy. */
+    /**
+     * The policy requests health checks within a round, so an error thrown here fails the policy.
+     */
     private void checkHealth(NodeId node, NodeEntry entry) {
         if (policyFails) {
-            throw new NoClassDefFoundError("on purpose, within a round");
+            throw new NoClassDefFoundError("thrown by the test within a round");
         }
     }
 
@@ -58,7 +60,7 @@
     }
 
     @Test
-    void restartedPolicyTakesNoAcknowledgementOfAnEarlierOne() {
+    void restartedPolicyIgnoresAcknowledgementsOfEarlierPolicy() {
         RecordingConnection connection = join();
         run(0.2);
         int first = connection.lastToken();
@@ -74,7 +76,7 @@
     }
 
     @Test
-    void lateCloseOfAReplacedConnectionEndsNothingAcrossAPolicyRestart() {
+    void lateCloseOfReplacedConnectionEndsNoSessionAfterPolicyRestart() {
         RecordingConnection old = join();
         run(0.2);
         RecordingConnection current = join();
@@ -90,7 +92,7 @@
     }
 
     @Test
-    void emptyFullListRemovesNothing() {
+    void emptyFullListRemovesNoNode() {
         RecordingConnection connection = join();
         run(1);
         acknowledge(connection, connection.lastToken());
@@ -102,14 +104,17 @@
         assertEquals(before, connection.messages());
     }
 
-    /** A node under a new name was never excluded; one that restarted may have been, elsewhere. */
+    /**
+     * A node with a new name was never excluded; another controller may have excluded a node that
+     * restarted.
+     */
     @Test
-    void youngNodeIsReadmittedOnlyIfItWasListedBefore() throws ConfigException {
+    void readmitsRestartedNodeOnlyIfListedBefore() throws ConfigException {
         for (String name : List.of("s-2", "s-1")) {
-            String young =
+            String restarted =
                     PlatformFixture.node(name, "SERVING")
                             .replace("\"started_ms\":0", "\"started_ms\":5000");
-            String list = "{\"version\":8,\"full\":false,\"servers\":[" + young + "]}";
+            String list = "{\"version\":8,\"full\":false,\"servers\":[" + restarted + "]}";
             state.nodeListReceived(now, NodeList.parse(list.getBytes(StandardCharsets.UTF_8)));
         }
         run(20);
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -21,7 +21,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * {@code serve} as a process, against small fakes of discovery, collectors and proxies on loopback.
+ * Tests {@code serve} as a separate process, with fakes of discovery, collectors and proxies on the
+ * loopback interface.
  */
 class ServeTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -32,7 +33,7 @@
     private int port;
     private final List<FakePeer> peers = new ArrayList<>();
 
-    private FakePeer peer() throws IOException {
+    private FakePeer connect() throws IOException {
         FakePeer peer = new FakePeer(port);
         peers.add(peer);
         return peer;
@@ -86,28 +87,31 @@
         discovery.close();
     }
 
-    /** Once a watch is open, as the fake answers open watches with a change. */
+    /**
+     * Lists a node as draining once a watch is open, as the fake answers open watches with the
+     * change.
+     */
     private void drain(String node) {
-        await().atMost(TIMEOUT).until(discovery::watched);
+        await().atMost(TIMEOUT).until(discovery::hasOpenWatch);
         discovery.change(PlatformFixture.node(node, "DRAINING"));
     }
 
-    private FakePeer joined(int proxy) throws IOException {
-        FakePeer peer = peer();
+    private FakePeer joinProxy(int proxy) throws IOException {
+        FakePeer peer = connect();
         peer.send("attach node " + proxy + " locality a w 5 cold 1");
         peer.awaitMessage("whole 1");
         return peer;
     }
 
     @Test
-    void proxyJoinsAcknowledgesAndGetsARemoval() throws IOException {
-        FakePeer proxy = joined(3);
-        List<String> whole = proxy.awaitMessage("whole 1");
+    void proxyJoinsAcknowledgesAndReceivesRemoval() throws IOException {
+        FakePeer proxy = joinProxy(3);
+        List<String> fullTable = proxy.awaitMessage("whole 1");
         assertTrue(
-                whole.contains("ticket") && String.join(" ", whole).contains("s-1:"),
-                whole.toString());
-        proxy.send("done node 3 nonce " + FakePeer.tokenOf(whole) + " latency 12.5");
-        FakePeer collector = peer();
+                fullTable.contains("ticket") && String.join(" ", fullTable).contains("s-1:"),
+                fullTable.toString());
+        proxy.send("done node 3 nonce " + FakePeer.tokenOf(fullTable) + " latency 12.5");
+        FakePeer collector = connect();
         collector.send("telemetry locality a");
         collector.send(
                 "upstream_stats locality a endpoint s-1 total 5 errors 9 rtt 3 interval 500");
@@ -123,12 +127,12 @@
     }
 
     @Test
-    void newStreamReplacesTheOldWhoseLateEndEndsNothing() throws IOException {
-        FakePeer old = joined(3);
-        FakePeer fresh = joined(3);
+    void newStreamReplacesOlderStreamWhoseLateEndIsIgnored() throws IOException {
+        FakePeer old = joinProxy(3);
+        FakePeer current = joinProxy(3);
         await().atMost(TIMEOUT).until(() -> old.isEnded());
         drain("s-1");
-        fresh.awaitMessage("s-1:0");
+        current.awaitMessage("s-1:0");
         assertEquals(false, log().contains("proxy left proxy=\"3\""));
     }
 
@@ -143,52 +147,54 @@
         "*2~$2~hb~, false",
         "'', false"
     })
-    void badClientIsRejectedOrClosedAndProxiesAreUnaffected(String text, boolean told)
+    void rejectsOrClosesBadClientWithoutAffectingProxies(String text, boolean expectRejection)
             throws IOException {
-        FakePeer proxy = joined(4);
-        FakePeer bad = peer();
+        FakePeer proxy = joinProxy(4);
+        FakePeer bad = connect();
         bad.sendBytes(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
         await().atMost(Duration.ofSeconds(3)).until(() -> bad.isEnded());
-        assertEquals(told, bad.received().stream().anyMatch(m -> m.get(0).equals("reject")));
+        assertEquals(
+                expectRejection,
+                bad.received().stream().anyMatch(message -> message.get(0).equals("reject")));
         proxy.send("hb");
         proxy.awaitMessage("hb_ok");
     }
 
     @Test
-    void messagesBehindARejectedOneAreIgnored() throws IOException {
-        FakePeer bad = peer();
+    void ignoresMessagesAfterRejectedOne() throws IOException {
+        FakePeer bad = connect();
         bad.sendBytes(
                 ("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
                         .replace("~", "\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
         bad.awaitMessage("reject");
-        joined(9);
+        joinProxy(9);
         await().atMost(TIMEOUT).until(() -> log().contains("proxy joined proxy=\"9\""));
         assertEquals(false, log().contains("proxy joined proxy=\"8\""));
     }
 
     @Test
-    void hundredsOfSilentConnectionsLeaveRoomForAProxy() throws IOException {
+    void acceptsProxyDespiteHundredsOfSilentConnections() throws IOException {
         for (int i = 0; i < 400; i++) {
-            peer();
+            connect();
         }
-        joined(5);
+        joinProxy(5);
         assertTrue(process.isAlive());
     }
 
     @Test
-    void newConfigurationMovesDiscoveryAndAnInvalidOneDoesNot() throws Exception {
-        FakePeer proxy = joined(6);
-        hup();
+    void followsDiscoveryOfNewConfigurationAndRejectsInvalidOne() throws Exception {
+        FakePeer proxy = joinProxy(6);
+        sendHangup();
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
-        hup();
+        sendHangup();
         await().atMost(TIMEOUT).until(() -> log().contains("configuration rejected"));
         try (FakeDiscovery next =
                 new FakeDiscovery(
                         PlatformFixture.node("s-2", "SERVING"),
                         PlatformFixture.node("s-3", "SERVING"))) {
             configure(next.address());
-            hup();
+            sendHangup();
             proxy.awaitMessage("s-3:");
             proxy.awaitMessage("s-1:0");
             assertEquals(false, proxy.isEnded());
@@ -196,14 +202,14 @@
     }
 
     @Test
-    void termEndsTheProcessPromptlyWithExitCode0() throws Exception {
-        joined(7);
+    void exitsPromptlyWithStatus0OnTerm() throws Exception {
+        joinProxy(7);
         process.destroy();
         assertTrue(process.waitFor(5, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue());
     }
 
-    private void hup() throws IOException, InterruptedException {
+    private void sendHangup() throws IOException, InterruptedException {
         await().atMost(TIMEOUT).until(() -> log().contains("listening for proxies"));
         int before = log().length();
         new ProcessBuilder("/bin/kill", "-HUP", Long.toString(process.pid())).start().waitFor();
--- a/src/test/java/rosespread/platform/StreamServerTest.java
+++ b/src/test/java/rosespread/platform/StreamServerTest.java
@@ -48,7 +48,7 @@
 
     /** A rejection that is queued behind unread replies must not keep the connection open. */
     @Test
-    void rejectedPeerThatReadsNothingIsClosedAllTheSame() throws IOException {
+    void closesRejectedPeerThatReadsNothing() throws IOException {
         Socket peer = connectRejectedPeer();
         try {
             assertEquals(1, server.openConnections());
@@ -60,9 +60,9 @@
     }
 
     /**
-     * Connects a peer that reads no replies and is rejected after its socket takes no more. A
-     * server that falls behind by several batches of heartbeats closes the peer for its unread
-     * replies before it reads the malformed join; the next peer is tried then.
+     * Connects a peer that reads no replies and is rejected once its socket accepts no more of
+     * them. A server that lags by several batches of heartbeats closes the peer for its unread
+     * replies before it reads the malformed join; in that case, the next peer is tried.
      */
     private Socket connectRejectedPeer() throws IOException {
         for (int attempt = 0; attempt < MAX_PEERS; attempt++) {
--- a/src/test/java/rosespread/platform/TenantIsolationTest.java
+++ b/src/test/java/rosespread/platform/TenantIsolationTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Two tenants whose settings share nothing, served side by side in one process: nothing crosses.
+ * Runs controllers for two tenants in one process. The tenants' settings have nothing in common,
+ * and neither tenant may affect the other.
  */
 class TenantIsolationTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
@@ -54,7 +55,7 @@
         Path file = Files.writeString(folder.resolve(name + ".json"), config);
         PlatformFixture.serve(
                 name, Map.of("ROUTER_CONFIG", file.toString()), (signal, action) -> true);
-        await().atMost(TIMEOUT).until(discovery::watched);
+        await().atMost(TIMEOUT).until(discovery::hasOpenWatch);
         return port;
     }
 
@@ -71,35 +72,39 @@
     }
 
     @Test
-    void methodsZonesLimitsAndNodesAreEachTenantsOwn() throws IOException {
+    void keepsMethodsZonesLimitsAndNodesOfTenantsApart() throws IOException {
         try (FakeDiscovery tickets =
                         new FakeDiscovery(
                                 node("p-1", "quay", "wide-8"), node("p-2", "ridge", "thin-2"));
                 FakeDiscovery archive = new FakeDiscovery(node("a-1", "west", "tall-6"))) {
             int ticketsPort = serve("tickets", TICKETS, tickets);
             int archivePort = serve("archive", ARCHIVE, archive);
-            String partial =
+            String ticketsTable =
                     String.join(" ", join(ticketsPort, 11, "ridge").awaitMessage("whole 1"));
-            String all = String.join(" ", join(archivePort, 299, "north").awaitMessage("whole 1"));
+            String archiveTable =
+                    String.join(" ", join(archivePort, 299, "north").awaitMessage("whole 1"));
             assertTrue(
-                    partial.contains("classes show")
-                            && partial.contains("p-1:")
-                            && partial.contains("p-2:"),
-                    partial);
+                    ticketsTable.contains("classes show")
+                            && ticketsTable.contains("p-1:")
+                            && ticketsTable.contains("p-2:"),
+                    ticketsTable);
             assertTrue(
-                    !all.contains("classes") && all.contains("a-1:") && !all.contains("p-"), all);
+                    !archiveTable.contains("classes")
+                            && archiveTable.contains("a-1:")
+                            && !archiveTable.contains("p-"),
+                    archiveTable);
             FakePeer subscribed = join(ticketsPort, 10, "ridge");
-            String stamp = String.join(" ", subscribed.awaitMessage("classes stamp"));
+            String stampTable = String.join(" ", subscribed.awaitMessage("classes stamp"));
             assertTrue(
-                    stamp.contains("p-2:") && !stamp.contains("p-1:"),
-                    "its own zone alone: " + stamp);
-            for (FakePeer wrong :
+                    stampTable.contains("p-2:") && !stampTable.contains("p-1:"),
+                    "expected only nodes of zone ridge, found " + stampTable);
+            for (FakePeer rejected :
                     List.of(
                             join(ticketsPort, 3, "north"),
                             join(ticketsPort, 12, "quay"),
                             join(archivePort, 3, "quay"))) {
-                wrong.awaitMessage("reject");
-                await().atMost(TIMEOUT).until(() -> wrong.isEnded());
+                rejected.awaitMessage("reject");
+                await().atMost(TIMEOUT).until(() -> rejected.isEnded());
             }
             assertEquals(false, subscribed.isEnded());
         }
