--- a/src/main/java/rosespread/cli/TestbedSettingsCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSettingsCommand.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import picocli.CommandLine.Command;
-import rosespread.scenario.OpenSite;
 import rosespread.scenario.ScenarioException;
+import rosespread.scenario.StandaloneSite;
 
 /** Prints the settings that fit a scenario's fakes, as JSON. */
 @Command(
@@ -15,6 +15,7 @@
     @Override
     void run(TestbedOptions arguments) throws IOException, ScenarioException {
         System.out.println(
-                OpenSite.settings(arguments.scenario(), arguments.seed(), arguments.listPort()));
+                StandaloneSite.settings(
+                        arguments.scenario(), arguments.seed(), arguments.listPort()));
     }
 }
--- a/src/main/java/rosespread/cli/TestbedSiteCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSiteCommand.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import rosespread.scenario.OpenSite;
 import rosespread.scenario.ScenarioException;
+import rosespread.scenario.StandaloneSite;
 
 /** Runs a scenario's fakes for the scenario's time, or without controllers until it is stopped. */
 @Command(
@@ -24,7 +24,7 @@
 
     @Override
     void run(TestbedOptions arguments) throws IOException, ScenarioException, InterruptedException {
-        OpenSite.run(
+        StandaloneSite.run(
                 arguments.scenario(),
                 arguments.seed(),
                 arguments.listPort(),
--- a/src/main/java/rosespread/scenario/ControllerFaults.java
+++ b/src/main/java/rosespread/scenario/ControllerFaults.java
@@ -57,9 +57,9 @@
 
     private void stall(Fault fault, ControllerProcess controller)
             throws IOException, InterruptedException {
-        long stoppedNanos = loop.now();
+        long suspendedNanos = loop.now();
         controller.setSuspended(true);
-        loop.run(() -> checker.controllerStopped(controller.name(), stoppedNanos));
+        loop.run(() -> checker.controllerSuspended(controller.name(), suspendedNanos));
         Thread.sleep(fault.durationNanos() / NANOS_PER_MILLI);
         controller.setSuspended(false);
         loop.run(() -> checker.controllerResumed(controller.name(), loop.now()));
--- a/src/main/java/rosespread/scenario/DrainInvariant.java
+++ b/src/main/java/rosespread/scenario/DrainInvariant.java
@@ -111,8 +111,8 @@
 
     private void attemptDuringDrain(
             long nanos, ObservedProxy proxy, String nodeName, ObservedNode node) {
-        long from = Math.max(node.sinceNanos(), proxy.joinedNanos());
-        node.usedAfterDrain(nanos - from);
+        long from = Math.max(node.stateSinceNanos(), proxy.joinedNanos());
+        node.recordUseAfterDrain(nanos - from);
         String where = where(nanos, proxy, nodeName);
         result.recordValue((nanos - from) / (double) NANOS_PER_MILLI, where);
         if (isLate(from, nanos)) {
@@ -125,7 +125,7 @@
                             proxy.controller(),
                             node.state(),
                             RunTimeline.describeAge(nanos, proxy.joinedNanos()),
-                            RunTimeline.describeAge(nanos, node.sinceNanos()),
+                            RunTimeline.describeAge(nanos, node.stateSinceNanos()),
                             RunTimeline.describeAge(nanos, proxy.firstMessageNanos()),
                             RunTimeline.describeAge(nanos, proxy.lastMessageSentNanos())));
         }
--- a/src/main/java/rosespread/scenario/InvariantChecker.java
+++ b/src/main/java/rosespread/scenario/InvariantChecker.java
@@ -30,7 +30,8 @@
     private final ChangeLatency changeLatency;
 
     /**
-     * @param startNanos from when on times in texts count, until {@link #setDayStart} is called
+     * @param startNanos from when on times in texts count, until {@link #setMeasurementStart} is
+     *     called
      */
     InvariantChecker(Scenario scenario, long startNanos) {
         timeline = new RunTimeline(scenario.channel(), startNanos);
@@ -88,8 +89,8 @@
     }
 
     /** Times in texts count from here on. */
-    void setDayStart(long nanos) {
-        timeline.setDayStart(nanos);
+    void setMeasurementStart(long nanos) {
+        timeline.setMeasurementStart(nanos);
     }
 
     /** The controller's process is gone: it knows nothing any more. */
@@ -99,14 +100,15 @@
     }
 
     /** The controller's process was suspended. */
-    void controllerStopped(String controller, long nanos) {
-        timeline.controllerStopped(controller, nanos);
+    void controllerSuspended(String controller, long nanos) {
+        timeline.controllerSuspended(controller, nanos);
     }
 
     /** The controller's process goes on and learns now what came meanwhile. */
     void controllerResumed(String controller, long nanos) {
         timeline.controllerResumed(controller, nanos)
-                .ifPresent(stopped -> nodeLists.deferKnowledge(controller, stopped, nanos));
+                .ifPresent(
+                        stopped -> nodeLists.deferChangesUntilResume(controller, stopped, nanos));
     }
 
     /** From now on entries pass links so many times slower; 1 ends it. */
--- a/src/main/java/rosespread/scenario/ObservedNode.java
+++ b/src/main/java/rosespread/scenario/ObservedNode.java
@@ -9,7 +9,7 @@
  */
 final class ObservedNode {
     private NodeState state = NodeState.GONE;
-    private long sinceNanos;
+    private long stateSinceNanos;
     private long startedMillis;
     private String machineType = "";
     private long longestUseNanos;
@@ -18,11 +18,11 @@
     void listed(long nanos, NodeListing listing) {
         boolean restarted = startedMillis != listing.startedMillis();
         if (state != listing.state()) {
-            sinceNanos = nanos;
+            stateSinceNanos = nanos;
             longestUseNanos = 0;
         }
         if (restarted && listing.state() == NodeState.READY) {
-            sinceNanos = nanos;
+            stateSinceNanos = nanos;
         }
         state = listing.state();
         startedMillis = listing.startedMillis();
@@ -32,21 +32,21 @@
     /** The list names it no more; a node that drained before keeps the time since it did. */
     void unlisted(long nanos) {
         if (state == NodeState.READY) {
-            sinceNanos = nanos;
+            stateSinceNanos = nanos;
             longestUseNanos = 0;
         }
         state = NodeState.GONE;
     }
 
     /** What a controller was sent while it stood still it learns only when it goes on. */
-    void deferKnowledge(long stoppedNanos, long resumedNanos) {
-        if (sinceNanos > stoppedNanos) {
-            sinceNanos = resumedNanos;
+    void deferChangesUntilResume(long suspendedNanos, long resumedNanos) {
+        if (stateSinceNanos > suspendedNanos) {
+            stateSinceNanos = resumedNanos;
         }
     }
 
     /** A proxy sent to the node so long after it could know that the node drains. */
-    void usedAfterDrain(long nanos) {
+    void recordUseAfterDrain(long nanos) {
         longestUseNanos = Math.max(longestUseNanos, nanos);
     }
 
@@ -56,15 +56,15 @@
 
     /** Whether it was listed once and is not to be used any more. */
     boolean isWithdrawn() {
-        return state != NodeState.READY && sinceNanos > 0;
+        return state != NodeState.READY && stateSinceNanos > 0;
     }
 
     NodeState state() {
         return state;
     }
 
-    long sinceNanos() {
-        return sinceNanos;
+    long stateSinceNanos() {
+        return stateSinceNanos;
     }
 
     /**
--- a/src/main/java/rosespread/scenario/ServedNodeLists.java
+++ b/src/main/java/rosespread/scenario/ServedNodeLists.java
@@ -69,8 +69,9 @@
     }
 
     /** What a controller was sent while it stood still counts from its resumption on. */
-    void deferKnowledge(String controller, long stoppedNanos, long resumedNanos) {
-        nodes(controller).forEach(node -> node.deferKnowledge(stoppedNanos, resumedNanos));
+    void deferChangesUntilResume(String controller, long suspendedNanos, long resumedNanos) {
+        nodes(controller)
+                .forEach(node -> node.deferChangesUntilResume(suspendedNanos, resumedNanos));
     }
 
     /** A node as a controller knows it; null if no list it was sent named it. */
--- a/src/main/java/rosespread/scenario/OpenSite.java
+++ b/src/main/java/rosespread/scenario/StandaloneSite.java
@@ -18,7 +18,7 @@
 /**
  * A scenario's fakes without its controllers and faults, for controllers that were started by hand.
  */
-public final class OpenSite {
+public final class StandaloneSite {
     private static final long PROGRESS_PERIOD_NANOS = 5_000_000_000L;
 
     private final Scenario scenario;
@@ -28,7 +28,7 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private final Progress progress = new Progress();
 
-    private OpenSite(Scenario scenario, long seed, TestLoop loop, PrintStream out) {
+    private StandaloneSite(Scenario scenario, long seed, TestLoop loop, PrintStream out) {
         this.scenario = scenario;
         this.seed = seed;
         this.loop = loop;
@@ -71,7 +71,7 @@
                                 loop, scenario.site(), list, new SplittableRandom(seed), ignored)) {
             list.setDelay(scenario.listDelayNanos());
             out.println(nodes.names().size() + " nodes; the list answers at " + list.address());
-            OpenSite site = new OpenSite(scenario, seed, loop, out);
+            StandaloneSite site = new StandaloneSite(scenario, seed, loop, out);
             if (controllers.isEmpty()) {
                 site.done.await();
             }
--- a/src/main/java/rosespread/scenario/WarmUpInvariant.java
+++ b/src/main/java/rosespread/scenario/WarmUpInvariant.java
@@ -71,10 +71,10 @@
             return false;
         }
         ObservedNode node = nodeLists.node(proxy.controller(), nodeName);
-        if (node == null || !node.isReady() || node.sinceNanos() < startedNanos) {
+        if (node == null || !node.isReady() || node.stateSinceNanos() < startedNanos) {
             return false;
         }
-        long since = node.sinceNanos();
+        long since = node.stateSinceNanos();
         return proxy.lastMessageSentNanos() > since
                 || nanos - since > timeline.extendedLimit(knowledgeNanos, since, nanos);
     }
--- a/src/test/java/rosespread/scenario/RunTimelineTest.java
+++ b/src/test/java/rosespread/scenario/RunTimelineTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void limitGrowsByTheTimeThatAControllerStoodStill() {
-        timeline.controllerStopped("c0", 2 * SECOND);
+        timeline.controllerSuspended("c0", 2 * SECOND);
         assertEquals(OptionalLong.of(2 * SECOND), timeline.controllerResumed("c0", 3 * SECOND));
         assertEquals(4 * SECOND, timeline.extendedLimit(3 * SECOND, SECOND, 5 * SECOND));
         assertEquals(3 * SECOND, timeline.extendedLimit(3 * SECOND, 3 * SECOND, 5 * SECOND));
@@ -29,7 +29,7 @@
 
     @Test
     void limitGrowsWhileAControllerStillStandsStill() {
-        timeline.controllerStopped("c0", 2 * SECOND);
+        timeline.controllerSuspended("c0", 2 * SECOND);
         assertEquals(6 * SECOND, timeline.extendedLimit(3 * SECOND, SECOND, 5 * SECOND));
     }
 
@@ -49,7 +49,7 @@
 
     @Test
     void timesAreShownAsSecondsOfTheDay() {
-        timeline.setDayStart(10 * SECOND);
+        timeline.setMeasurementStart(10 * SECOND);
         assertEquals(String.format("%.2f s", -1.5), timeline.describe(8_500_000_000L));
         assertEquals("never", RunTimeline.describeAge(SECOND, Long.MIN_VALUE));
         assertEquals("250 ms ago", RunTimeline.describeAge(SECOND, 750_000_000L));
