--- a/src/main/java/rosespread/scenario/ArrivalGenerator.java
+++ b/src/main/java/rosespread/scenario/ArrivalGenerator.java
@@ -9,13 +9,17 @@
 import rosespread.testbed.SiteDefinition;
 
 /**
- * Draws a day's arrivals ahead from the seed: the same seed gives the same day, whatever happens in
- * it. Faults of clients and traffic are drawn into it.
+ * Generates all RPC arrivals of a run in advance from the seed, so that the same seed gives the
+ * same arrivals whatever happens during the run. Faults of clients and traffic are part of the
+ * arrivals.
  */
 final class ArrivalGenerator {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Work spreads by a log-normal of this deviation; the shift keeps the mean at 1. */
+    /**
+     * Standard deviation of the logarithm of the work factor, which is log-normal; the shift keeps
+     * the factor's mean at 1.
+     */
     private static final double WORK_DEVIATION = 0.25;
 
     private static final double WORK_SHIFT = -WORK_DEVIATION * WORK_DEVIATION / 2;
@@ -35,46 +39,46 @@
         this.totalShare = site.methods().stream().mapToDouble(SiteDefinition.Method::share).sum();
     }
 
-    /** Usual RPCs a second of each proxy: all alike. */
+    /** Returns the mean RPCs per second of each proxy without faults, equal for all proxies. */
     static double[] requestRates(Scenario scenario) {
         double[] rates = new double[scenario.site().proxies().count()];
         Arrays.fill(rates, scenario.requestsPerSecond() / rates.length);
         return rates;
     }
 
-    /** The arrivals of a scenario's warm-up and day, in order of time. */
+    /** Returns the arrivals of a scenario's warm-up and measured period, in order of time. */
     static List<Arrival> arrivals(Scenario scenario, long seed) {
         return new ArrivalGenerator(scenario, seed).generate();
     }
 
     private List<Arrival> generate() {
         List<Arrival> arrivals = new ArrayList<>();
-        double dueNanos = nextDue(-scenario.warmUpNanos());
+        double dueNanos = nextDueNanos(-scenario.warmUpNanos());
         for (long number = 1; dueNanos < scenario.durationNanos(); number++) {
-            arrivals.add(draw(number, (long) dueNanos));
-            dueNanos = nextDue(dueNanos);
+            arrivals.add(drawArrival(number, (long) dueNanos));
+            dueNanos = nextDueNanos(dueNanos);
         }
         return arrivals;
     }
 
-    private double nextDue(double nanos) {
+    private double nextDueNanos(double nanos) {
         return nanos
                 + -Math.log(1 - random.nextDouble())
                         / scenario.requestsPerSecond()
                         * NANOS_PER_SECOND;
     }
 
-    private Arrival draw(long number, long dueNanos) {
+    private Arrival drawArrival(long number, long dueNanos) {
         SiteDefinition.Method method = drawMethod();
         Draft draft = new Draft(scenario.clients(), method);
         draft.work =
                 method.workNanos() * Math.exp(WORK_DEVIATION * random.nextGaussian() + WORK_SHIFT);
         draft.zone = site.zones().get(random.nextInt(site.zones().size()));
         double proxyPosition = random.nextDouble();
-        double chance = random.nextDouble();
+        double sample = random.nextDouble();
         for (Fault fault : scenario.faults()) {
             if (fault.isActiveAt(dueNanos)) {
-                draft.apply(fault, chance);
+                draft.apply(fault, sample);
             }
         }
         return draft.toArrival(number, dueNanos, proxyPosition);
@@ -91,7 +95,7 @@
         return site.methods().get(site.methods().size() - 1);
     }
 
-    /** An arrival to which faults are still being applied. */
+    /** An arrival under construction, to which faults are applied. */
     private static final class Draft {
         private final SiteDefinition.Method method;
         private double work;
@@ -109,24 +113,27 @@
         }
 
         /**
-         * Applies a fault that lasts when the RPC is due.
+         * Applies a fault that is active when the RPC is due.
          *
-         * @param chance from 0 to 1; below the fault's share the RPC is among those it strikes
+         * @param sample uniform, 0 to 1; the fault affects the RPC if it is below the fault's share
          */
-        void apply(Fault fault, double chance) {
-            boolean struck = chance < fault.share();
+        void apply(Fault fault, double sample) {
+            boolean affected = sample < fault.share();
             switch (fault.kind()) {
                 case COSTLY_RPCS ->
-                        work *= struck && method.name().equals(fault.method()) ? fault.factor() : 1;
-                case SHIFT -> zone = struck ? fault.zone() : zone;
-                case HOT_PROXY -> hotProxy = struck ? HOT_PROXY : hotProxy;
+                        work *=
+                                affected && method.name().equals(fault.method())
+                                        ? fault.factor()
+                                        : 1;
+                case SHIFT -> zone = affected ? fault.zone() : zone;
+                case HOT_PROXY -> hotProxy = affected ? HOT_PROXY : hotProxy;
                 case CLIENTS_GIVE_UP -> deadlineRatio = Math.min(deadlineRatio, fault.share());
                 case IMPATIENT_CLIENTS -> {
                     retries = Math.max(retries, IMPATIENT_RETRIES);
                     retryDelayNanos = 0;
                 }
                 default -> {
-                    // The others strike the site, not its clients.
+                    // The other faults affect the site, not its clients.
                 }
             }
         }
--- a/src/main/java/rosespread/scenario/ControllerFaults.java
+++ b/src/main/java/rosespread/scenario/ControllerFaults.java
@@ -8,8 +8,8 @@
 import rosespread.testbed.TestLoop;
 
 /**
- * Crashes, restarts, suspends and kills controllers' processes. Processes are ended and started on
- * a thread of their own; the checker is notified on the loop's thread.
+ * Crashes, restarts, suspends and kills controller processes. Processes are ended and started on a
+ * thread of each fault's own; the checker is notified on the loop's thread.
  */
 final class ControllerFaults {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -26,7 +26,10 @@
         this.checker = environment.checker();
     }
 
-    /** Begins a fault of a controller; does nothing in a run without any. On the loop's thread. */
+    /**
+     * Starts a fault of a controller; does nothing in a run without controllers. Called on the
+     * loop's thread.
+     */
     void inject(Fault fault) {
         if (environment.controllers().isEmpty()) {
             return;
@@ -37,25 +40,26 @@
         BackgroundTask.start(
                 "controller-fault",
                 () -> {
-                    strike(fault, controller);
-                    environment.eventLater(name + ": it runs again");
+                    apply(fault, controller);
+                    environment.eventLater(name + ": process is running again");
                 },
                 e -> environment.eventLater(name + " failed: " + e.getMessage()));
     }
 
-    private void strike(Fault fault, ControllerProcess controller)
+    private void apply(Fault fault, ControllerProcess controller)
             throws IOException, InterruptedException {
         switch (fault.kind()) {
-            case CONDUCTOR_STALL -> stall(fault, controller);
+            case CONDUCTOR_STALL -> suspend(fault, controller);
             case CONDUCTOR_CRASH -> crash(fault, controller);
             case CONDUCTOR_KILLS -> killRepeatedly(fault, controller);
             case CONDUCTOR_RESTART -> restart(controller);
             default ->
-                    throw new IllegalArgumentException("no fault of controllers: " + fault.kind());
+                    throw new IllegalArgumentException(
+                            "expected a fault of a controller, got " + fault.kind());
         }
     }
 
-    private void stall(Fault fault, ControllerProcess controller)
+    private void suspend(Fault fault, ControllerProcess controller)
             throws IOException, InterruptedException {
         long suspendedNanos = loop.now();
         controller.setSuspended(true);
@@ -80,18 +84,19 @@
     }
 
     /**
-     * Kills and starts a controller over and over, at moments drawn up to the fault's span after it
-     * is up, and compares what it has restored with what proxies acknowledged.
+     * Kills and starts a controller repeatedly until the fault ends, each time after a random pause
+     * of up to the fault's span, and compares the table versions that it restored with the versions
+     * that proxies acknowledged.
      */
     private void killRepeatedly(Fault fault, ControllerProcess controller)
             throws IOException, InterruptedException {
         int kills = 0;
-        // A generator of its own: how long a process takes to start must not move what other
-        // faults strike.
-        Random pauses = new Random(environment.seed() ^ fault.startNanos());
+        // A separate generator, since the number of draws depends on how long a process takes to
+        // start and must not change the targets of other faults.
+        Random pauseRandom = new Random(environment.seed() ^ fault.startNanos());
         long maxPauseMillis = Math.max(1, fault.spanNanos() / NANOS_PER_MILLI);
         while (environment.elapsedNanos() < fault.endNanos() && !environment.hasEnded()) {
-            Thread.sleep(pauses.nextLong(maxPauseMillis));
+            Thread.sleep(pauseRandom.nextLong(maxPauseMillis));
             killOnce(controller);
             kills++;
         }
--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -17,9 +17,10 @@
 import rosespread.testbed.Ports;
 
 /**
- * A controller as a process of its own, known only by its sockets and its process id. One thread at
- * a time starts and ends it; its state may be read from others. Its methods block, so the loop's
- * thread calls only {@link #isAlive}, {@link #cpuTime} and {@link #residentMegabytes}.
+ * A controller that runs in a separate process, reached only through its sockets and its process
+ * id. One thread at a time starts and ends it; other threads may read its state. The methods block,
+ * so the loop's thread calls only {@link #isAlive}, {@link #cpuTime} and {@link
+ * #residentMegabytes}.
  */
 final class ControllerProcess {
     private static final long CALL_TIMEOUT_NANOS = 3_000_000_000L;
@@ -40,10 +41,10 @@
     private volatile Duration endedCpuTime = Duration.ZERO;
 
     /**
-     * A controller that is yet to be started.
+     * Creates a controller whose process is not started yet.
      *
-     * @param folder takes its log and its state
-     * @param leadingArguments go before the usual ones
+     * @param folder directory for the controller's log and state
+     * @param leadingArguments command-line arguments placed before the controller's own
      * @throws IOException if there is no free port
      */
     ControllerProcess(
@@ -74,13 +75,13 @@
         return controlAddress;
     }
 
-    /** Takes what all of its processes print. */
+    /** Returns the file that collects the output of all of this controller's processes. */
     Path logFile() {
         return folder.resolve(name + ".log");
     }
 
     /**
-     * Starts a process with the state that the one before has left; does not wait until it is up.
+     * Starts a process with the state that the previous process left; does not wait until it is up.
      */
     void start() throws IOException {
         process =
@@ -122,20 +123,27 @@
     }
 
     /**
-     * Waits until the control API answers and gives it the settings.
+     * Waits until the control API answers and sends it the settings.
      *
-     * @throws IOException if the process ended or did not answer in time, or refused the settings
+     * @throws IOException if the process ended, did not answer in time or rejected the settings
      */
     void putSettings(String json) throws IOException {
         HttpMessage.Response response = callWhenUp("PUT", "/v1/settings", json);
         if (response.status() != HTTP_OK) {
             throw new IOException(
-                    "conductor " + name + " did not take its settings: " + response.text());
+                    "controller "
+                            + name
+                            + " rejected its settings: expected status "
+                            + HTTP_OK
+                            + ", got "
+                            + response.status()
+                            + ": "
+                            + response.text());
         }
     }
 
     /**
-     * Reads from the control API as soon as it answers.
+     * Sends a GET request to the control API, repeated until the API answers.
      *
      * @throws IOException if the process ended or did not answer in time
      */
@@ -151,14 +159,23 @@
                 return call(verb, path, body);
             } catch (IOException e) {
                 failure = e.getMessage();
-                pause();
+                pauseBeforeRetry();
             }
         }
         throw new IOException(
-                "conductor " + name + " did not start: " + failure + "; see " + logFile());
+                "controller "
+                        + name
+                        + " did not start or did not answer "
+                        + verb
+                        + " "
+                        + path
+                        + ": "
+                        + failure
+                        + "; see "
+                        + logFile());
     }
 
-    private static void pause() throws IOException {
+    private static void pauseBeforeRetry() throws IOException {
         try {
             Thread.sleep(START_ATTEMPT_PAUSE_MILLIS);
         } catch (InterruptedException e) {
@@ -170,8 +187,8 @@
     /**
      * Makes one call to the control API.
      *
-     * @param headers names and values in turn
-     * @throws IOException if it was not answered, or the thread was interrupted
+     * @param headers header names and values, alternating
+     * @throws IOException if there was no response, or the thread was interrupted
      */
     HttpMessage.Response call(String verb, String path, String body, String... headers)
             throws IOException {
@@ -181,18 +198,20 @@
                         path,
                         HttpHeaders.of(headers).add("host", hostAndPort(controlAddress)),
                         body.getBytes(StandardCharsets.UTF_8));
-        Answer answer = new Answer();
-        http.call(controlAddress, request, CALL_TIMEOUT_NANOS, answer);
-        return answer.await();
+        PendingResponse pending = new PendingResponse();
+        http.call(controlAddress, request, CALL_TIMEOUT_NANOS, pending);
+        return pending.await();
     }
 
-    /** Hands an answer from the client's thread to the one that waits for it. */
-    private static final class Answer implements HttpClient.ResponseHandler {
+    /**
+     * Passes a response from the HTTP client's thread to the thread that waits for the response.
+     */
+    private static final class PendingResponse implements HttpClient.ResponseHandler {
         private final CompletableFuture<HttpMessage.Response> response = new CompletableFuture<>();
 
         @Override
-        public void onResponse(HttpMessage.Response got) {
-            response.complete(got);
+        public void onResponse(HttpMessage.Response received) {
+            response.complete(received);
         }
 
         @Override
@@ -212,14 +231,14 @@
         }
     }
 
-    /** Ends the process outright, as a crash does, and waits until it is gone. */
+    /** Kills the process without a shutdown, as in a crash, and waits until it has ended. */
     void kill() {
         endedCpuTime = cpuTime();
         process.destroyForcibly();
         awaitEnd();
     }
 
-    /** Asks the process to end and waits for it; one that goes on too long is killed. */
+    /** Asks the process to end; kills it if it has not ended within the stop timeout. */
     void stop() {
         endedCpuTime = cpuTime();
         process.destroy();
@@ -240,7 +259,7 @@
         return process != null && process.isAlive();
     }
 
-    /** Lets the process stand still, or go on. */
+    /** Suspends the process (SIGSTOP) or resumes it (SIGCONT). */
     void setSuspended(boolean suspended) throws IOException {
         String signal = suspended ? "-STOP" : "-CONT";
         try {
@@ -250,14 +269,16 @@
         }
     }
 
-    /** CPU time used since the first start, over all its processes. */
+    /**
+     * Returns the CPU time since the first start, summed over all of this controller's processes.
+     */
     Duration cpuTime() {
         return isAlive()
                 ? endedCpuTime.plus(process.info().totalCpuDuration().orElse(Duration.ZERO))
                 : endedCpuTime;
     }
 
-    /** Resident memory in MB; 0 where the system does not show it. */
+    /** Returns the resident memory in MB; 0 if the system does not report it. */
     double residentMegabytes() {
         Path status = Path.of("/proc", String.valueOf(process.pid()), "status");
         try {
--- a/src/main/java/rosespread/scenario/ControllerSettingsWriter.java
+++ b/src/main/java/rosespread/scenario/ControllerSettingsWriter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import rosespread.testbed.SiteDefinition;
 
-/** Writes what a controller has to know of a scenario as the JSON that its control API takes. */
+/** Writes a scenario's controller settings as the JSON that the control API takes. */
 final class ControllerSettingsWriter {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int LIST_WAIT_MILLIS = 5_000;
--- a/src/main/java/rosespread/scenario/Fault.java
+++ b/src/main/java/rosespread/scenario/Fault.java
@@ -5,15 +5,16 @@
 import java.util.stream.Collectors;
 
 /**
- * One thing that goes wrong. Which of its values a fault uses depends on its kind.
+ * A fault that a scenario injects. The kind determines which of the other values are used.
  *
- * @param startNanos since the start of the day
- * @param share of nodes, proxies, RPCs or table changes that it strikes, 0 to 1
- * @param zone that it strikes as a whole
- * @param factor how badly, in times of what is usual
- * @param spanNanos how badly, as a time
- * @param method whose RPCs it strikes
- * @param controllerIndex the controller that it strikes, by place from 0
+ * @param startNanos since the start of the measured period
+ * @param share ratio of the nodes, proxies, RPCs or table changes that are affected, 0 to 1; for
+ *     {@link Kind#CLIENTS_GIVE_UP} the ratio of the deadline for which clients wait
+ * @param zone the zone that is affected as a whole, or that RPCs are moved to
+ * @param factor the severity as a multiple of the value without the fault
+ * @param spanNanos the severity as a time, such as a delay, half a period or the longest pause
+ * @param method the method whose RPCs are affected
+ * @param controllerIndex the index of the affected controller, from 0
  */
 record Fault(
         long startNanos,
@@ -26,84 +27,84 @@
         String method,
         int controllerIndex) {
 
-    /** What goes wrong. The names are read from scenario files and stay. */
+    /** Kinds of fault. The names are part of the scenario file format and must not change. */
     enum Kind {
-        /** Processes of nodes die. */
+        /** Node processes crash. */
         NODE_CRASH,
-        /** Nodes take RPCs and never answer. */
+        /** Nodes accept RPCs and never respond. */
         HANG,
-        /** Nodes fail RPCs at once. */
+        /** Nodes fail RPCs immediately. */
         FAST_ABORTS,
-        /** Nodes start again and have to warm up. */
+        /** Nodes restart and have to warm up. */
         COLD_START,
-        /** The list says that nodes drain. */
+        /** The node list shows nodes as draining. */
         DRAIN,
-        /** Nodes drain, end and start again, one after the other. */
+        /** Nodes drain, end and restart, one after the other. */
         ROLLING_DEPLOY,
-        /** Nodes die and start in turn. */
+        /** Nodes crash and restart in alternation. */
         FLAPPING,
-        /** Something else on their machines makes nodes slower. */
+        /** Other load on their machines slows nodes down. */
         NEIGHBOUR,
-        /** RPCs of a method need more work. */
+        /** RPCs of a method require more work. */
         COSTLY_RPCS,
-        /** RPCs come to another zone. */
+        /** RPCs arrive in another zone. */
         SHIFT,
-        /** RPCs come to one proxy. */
+        /** RPCs arrive at one proxy. */
         HOT_PROXY,
-        /** Nodes and proxies of a zone die. */
+        /** Nodes and proxies of a zone crash. */
         ZONE_LOSS,
-        /** Processes of proxies die. */
+        /** Proxy processes crash. */
         PROXY_CRASH,
-        /** Proxies and controllers can't reach each other. */
+        /** Proxies and controllers cannot reach each other. */
         STREAM_CUT,
-        /** A controller's process is killed and started after a while. */
+        /** A controller process is killed, and started at the end of the fault. */
         CONDUCTOR_CRASH,
-        /** A controller's process is ended and started. */
+        /** A controller process is stopped and started. */
         CONDUCTOR_RESTART,
-        /** A controller's process stands still. */
+        /** A controller process is suspended. */
         CONDUCTOR_STALL,
-        /** Controllers' links are slow. */
+        /** The links from controllers to proxies are slow. */
         SLOW_CHANNEL,
-        /** Load reports come later than usual. */
+        /** Load reports are delayed. */
         LATE_REPORTS,
-        /** Nodes report another load than they have. */
+        /** Nodes report a utilization that differs from the actual one. */
         FALSE_REPORTS,
-        /** The list shows changes later than usual. */
+        /** The node list shows changes later. */
         LATE_LIST,
-        /** The list does not answer. */
+        /** The node list does not respond. */
         SILENT_LIST,
-        /** The list answers with an old state, then with errors. */
+        /** The node list responds with an old state, then with errors. */
         WRONG_LIST,
-        /** Clients wait for a part of the deadline only. */
+        /** Clients wait for only a fraction of the deadline. */
         CLIENTS_GIVE_UP,
-        /** Clients send RPCs again at once, and more often. */
+        /** Clients retry RPCs without delay, and more often. */
         IMPATIENT_CLIENTS,
-        /** Proxies lose changes of tables. */
+        /** Proxies lose table changes. */
         MISSED_DELTAS,
         /** An operator rolls a table back. */
         ROLLBACK,
-        /** A controller's process is killed and started over and over. */
+        /** A controller process is killed and started repeatedly. */
         CONDUCTOR_KILLS,
         /** An operator drains a node. */
         OPERATOR_DRAIN;
 
-        /** The name in scenario files and events. */
+        /** Returns the name in scenario files and events. */
         String yamlName() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
 
-        /** The names of all kinds, separated by bars. */
+        /** Returns the names of all kinds, separated by {@code |}. */
         static String yamlNames() {
             return Arrays.stream(values()).map(Kind::yamlName).collect(Collectors.joining("|"));
         }
     }
 
-    /** Whether the fault lasts at a time of the day. */
-    boolean isActiveAt(long dayNanos) {
-        return dayNanos >= startNanos && dayNanos < endNanos();
+    /** Returns whether the fault is active at a time since the start of the measured period. */
+    boolean isActiveAt(long elapsedNanos) {
+        return elapsedNanos >= startNanos && elapsedNanos < endNanos();
     }
 
-    /** The first time of the day at which it does not last any more. */
+    /** Returns the end, exclusive, since the start of the measured period. */
     long endNanos() {
         return startNanos + durationNanos;
     }
--- a/src/main/java/rosespread/scenario/FaultInjector.java
+++ b/src/main/java/rosespread/scenario/FaultInjector.java
@@ -7,11 +7,11 @@
 import rosespread.testbed.FakeProxies;
 import rosespread.testbed.TestLoop;
 
-/** Begins and ends a scenario's faults at their times. Lives on the loop's thread. */
+/** Starts and ends a scenario's faults at their times. Confined to the loop's thread. */
 final class FaultInjector {
     private static final long SECOND_NANOS = 1_000_000_000L;
 
-    /** What a fault does to one node or proxy. */
+    /** Actions that start and end a fault of one node or proxy, given its name. */
     private record Effect(Consumer<String> begin, Consumer<String> end) {}
 
     private final RunEnvironment environment;
@@ -34,7 +34,7 @@
         this.operator = new OperatorActions(environment);
     }
 
-    /** Plans a fault; called at the start of the day. */
+    /** Schedules a fault; called at the start of the measured period. */
     void schedule(Fault fault) {
         loop.after(fault.startNanos(), () -> begin(fault));
     }
@@ -42,12 +42,12 @@
     private void begin(Fault fault) {
         switch (fault.kind()) {
             case NODE_CRASH, HANG, FAST_ABORTS, COLD_START, DRAIN, NEIGHBOUR, FALSE_REPORTS ->
-                    strike(fault, targets.draw(nodes.names(), fault.share()), nodeEffect(fault));
+                    apply(fault, targets.draw(nodes.names(), fault.share()), nodeEffect(fault));
             case ROLLING_DEPLOY -> rollingDeploy(fault);
             case FLAPPING -> flap(fault, targets.draw(nodes.names(), fault.share()), true);
-            case ZONE_LOSS -> loseZone(fault);
+            case ZONE_LOSS -> failZone(fault);
             case PROXY_CRASH, STREAM_CUT ->
-                    strike(fault, targets.draw(proxies.names(), fault.share()), proxyEffect(fault));
+                    apply(fault, targets.draw(proxies.names(), fault.share()), proxyEffect(fault));
             case ROLLBACK -> {
                 if (!environment.controllers().isEmpty()) {
                     operator.rollback(fault, targets.drawNumber());
@@ -59,11 +59,11 @@
             case SLOW_CHANNEL -> slowChannel(fault);
             case MISSED_DELTAS -> {
                 proxies.setDeltaLossRatio(fault.share());
-                endLater(fault, () -> proxies.setDeltaLossRatio(0));
+                scheduleEnd(fault, () -> proxies.setDeltaLossRatio(0));
             }
             case LATE_REPORTS -> {
                 proxies.setReportDelay(fault.spanNanos());
-                endLater(fault, () -> proxies.setReportDelay(0));
+                scheduleEnd(fault, () -> proxies.setReportDelay(0));
             }
             case LATE_LIST -> delayList(fault);
             case SILENT_LIST -> setListMode(fault, FakeNodeList.AnswerMode.SILENT);
@@ -73,8 +73,8 @@
                         fault.durationNanos() / 2,
                         () -> list.setMode(FakeNodeList.AnswerMode.ERRORS));
             }
-            // The others are drawn into the arrivals.
-            default -> endLater(fault, () -> {});
+            // The other faults are part of the generated arrivals.
+            default -> scheduleEnd(fault, () -> {});
         }
     }
 
@@ -97,7 +97,9 @@
                     new Effect(
                             n -> nodes.setReportFactor(n, fault.factor()),
                             n -> nodes.setReportFactor(n, 1));
-            default -> throw new IllegalArgumentException("no fault of nodes: " + fault.kind());
+            default ->
+                    throw new IllegalArgumentException(
+                            "expected a fault of nodes, got " + fault.kind());
         };
     }
 
@@ -105,11 +107,13 @@
         return switch (fault.kind()) {
             case PROXY_CRASH -> new Effect(proxies::crash, proxies::restart);
             case STREAM_CUT ->
-                    // Half of the proxies notice nothing of the cut.
+                    // About half of the proxies get no sign of the cut.
                     new Effect(
                             p -> proxies.setCut(p, true, p.hashCode() % 2 == 0),
                             p -> proxies.setCut(p, false, false));
-            default -> throw new IllegalArgumentException("no fault of proxies: " + fault.kind());
+            default ->
+                    throw new IllegalArgumentException(
+                            "expected a fault of proxies, got " + fault.kind());
         };
     }
 
@@ -118,19 +122,20 @@
         nodes.restart(node);
     }
 
-    private void strike(Fault fault, List<String> struck, Effect effect) {
+    private void apply(Fault fault, List<String> targetNames, Effect effect) {
         String name = fault.kind().yamlName();
-        environment.event(name + " strikes " + struck.size() + ": " + String.join(" ", struck));
-        struck.forEach(effect.begin());
+        environment.event(
+                name + " affects " + targetNames.size() + ": " + String.join(" ", targetNames));
+        targetNames.forEach(effect.begin());
         loop.after(
                 fault.durationNanos(),
                 () -> {
                     environment.event(name + " ends");
-                    struck.forEach(effect.end());
+                    targetNames.forEach(effect.end());
                 });
     }
 
-    private void endLater(Fault fault, Runnable end) {
+    private void scheduleEnd(Fault fault, Runnable end) {
         String name = fault.kind().yamlName();
         environment.event(name + " begins");
         loop.after(
@@ -141,14 +146,14 @@
                 });
     }
 
-    private void loseZone(Fault fault) {
-        strike(fault, nodes.names(fault.zone()), new Effect(nodes::crash, nodes::restart));
-        strike(fault, proxies.names(fault.zone()), new Effect(proxies::crash, proxies::restart));
+    private void failZone(Fault fault) {
+        apply(fault, nodes.names(fault.zone()), new Effect(nodes::crash, nodes::restart));
+        apply(fault, proxies.names(fault.zone()), new Effect(proxies::crash, proxies::restart));
     }
 
     private void slowChannel(Fault fault) {
         setLinkSlowdown(fault.factor());
-        endLater(fault, () -> setLinkSlowdown(1));
+        scheduleEnd(fault, () -> setLinkSlowdown(1));
     }
 
     private void setLinkSlowdown(double factor) {
@@ -157,23 +162,26 @@
     }
 
     private void delayList(Fault fault) {
-        long usualNanos = environment.scenario().listDelayNanos();
-        list.setDelay(usualNanos + fault.spanNanos());
-        endLater(fault, () -> list.setDelay(usualNanos));
+        long configuredNanos = environment.scenario().listDelayNanos();
+        list.setDelay(configuredNanos + fault.spanNanos());
+        scheduleEnd(fault, () -> list.setDelay(configuredNanos));
     }
 
     private void setListMode(Fault fault, FakeNodeList.AnswerMode mode) {
         list.setMode(mode);
-        endLater(fault, () -> list.setMode(FakeNodeList.AnswerMode.USUAL));
+        scheduleEnd(fault, () -> list.setMode(FakeNodeList.AnswerMode.USUAL));
     }
 
-    /** One after the other: listed as draining, ended after the timeout, started again cold. */
+    /**
+     * Redeploys nodes one after the other: each node is listed as draining, crashed after the drain
+     * timeout and restarted cold.
+     */
     private void rollingDeploy(Fault fault) {
-        List<String> struck = targets.draw(nodes.names(), fault.share());
-        environment.event("rolling deploy of " + struck.size() + " nodes begins");
-        for (int i = 0; i < struck.size(); i++) {
-            String node = struck.get(i);
-            loop.after(fault.durationNanos() * i / struck.size(), () -> redeploy(node));
+        List<String> targetNames = targets.draw(nodes.names(), fault.share());
+        environment.event("rolling deploy of " + targetNames.size() + " nodes begins");
+        for (int i = 0; i < targetNames.size(); i++) {
+            String node = targetNames.get(i);
+            loop.after(fault.durationNanos() * i / targetNames.size(), () -> redeploy(node));
         }
         loop.after(
                 fault.durationNanos(),
@@ -188,13 +196,13 @@
         loop.after(drainNanos + 2 * SECOND_NANOS, () -> nodes.restart(node));
     }
 
-    private void flap(Fault fault, List<String> struck, boolean down) {
+    private void flap(Fault fault, List<String> targetNames, boolean down) {
         long halfPeriodNanos = Math.max(SECOND_NANOS, fault.spanNanos());
-        environment.event("flapping: " + String.join(" ", struck) + (down ? " down" : " up"));
-        struck.forEach(down ? nodes::crash : nodes::restart);
+        environment.event("flapping: " + String.join(" ", targetNames) + (down ? " down" : " up"));
+        targetNames.forEach(down ? nodes::crash : nodes::restart);
         boolean more = environment.elapsedNanos() + halfPeriodNanos < fault.endNanos();
         if (down || more) {
-            loop.after(halfPeriodNanos, () -> flap(fault, struck, !down));
+            loop.after(halfPeriodNanos, () -> flap(fault, targetNames, !down));
         }
     }
 }
--- a/src/main/java/rosespread/scenario/FaultTargets.java
+++ b/src/main/java/rosespread/scenario/FaultTargets.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Random;
 
-/** Draws what a fault strikes; the same seed gives the same targets. On the loop's thread. */
+/**
+ * Draws the targets of faults; the same seed gives the same targets. Confined to the loop's thread.
+ */
 final class FaultTargets {
     private final Random random;
 
@@ -13,7 +15,7 @@
         this.random = new Random(seed);
     }
 
-    /** Draws a share of the names, one at least as long as there are any. */
+    /** Draws a share of the names, at least one unless there are none. */
     List<String> draw(List<String> names, double share) {
         List<String> drawn = new ArrayList<>(names);
         Collections.sort(drawn);
@@ -22,12 +24,12 @@
         return drawn.subList(0, Math.min(drawn.size(), count));
     }
 
-    /** Draws one of the names, of which there is one at least. */
+    /** Draws one of the names, of which there must be at least one. */
     String drawOne(List<String> names) {
         return draw(names, 0).get(0);
     }
 
-    /** Draws a number from 0 on. */
+    /** Draws a number of at least 0. */
     int drawNumber() {
         return random.nextInt(Integer.MAX_VALUE);
     }
--- a/src/main/java/rosespread/scenario/OperatorActions.java
+++ b/src/main/java/rosespread/scenario/OperatorActions.java
@@ -11,17 +11,17 @@
 import rosespread.testbed.TestLoop;
 
 /**
- * What operators do over the control API: roll a table back, and drain a node. Calls are made on
- * threads of their own; the checker is notified on the loop's thread.
+ * Operator actions over the control API: table rollbacks and node drains. Calls are made on
+ * separate threads; the checker is notified on the loop's thread.
  */
 final class OperatorActions {
     private static final String THREAD_NAME = "operator";
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long REPEAT_MILLIS = 300;
+    private static final long DRAIN_RETRY_MILLIS = 300;
     private static final int HTTP_OK = 200;
 
-    /** Sets apart the bits of a draw that choose a table from those that choose its version. */
-    private static final int TABLE_DRAWS = 64;
+    /** Divides a draw before it chooses a version, so that other bits choose the table. */
+    private static final int VERSION_DRAW_DIVISOR = 64;
 
     private final ObjectMapper json = new ObjectMapper();
     private final RunEnvironment environment;
@@ -33,10 +33,10 @@
     }
 
     /**
-     * An operator goes back to a version among those that are kept, and releases the table at the
-     * end of the fault.
+     * Rolls a table back to one of the kept versions, and releases the table at the end of the
+     * fault.
      *
-     * @param draw chooses table and version
+     * @param draw random number that chooses the table and the version
      */
     void rollback(Fault fault, int draw) {
         ControllerProcess controller = environment.controllers().get(fault.controllerIndex());
@@ -47,7 +47,7 @@
                         environment.eventLater(
                                 "rollback of a table of "
                                         + controller.name()
-                                        + ": "
+                                        + " failed: "
                                         + e.getMessage()));
     }
 
@@ -59,7 +59,8 @@
         }
         JsonNode table = tables.get(draw % tables.size());
         JsonNode versions = table.path("versions");
-        long version = versions.get(draw / TABLE_DRAWS % versions.size()).path("number").asLong();
+        long version =
+                versions.get(draw / VERSION_DRAW_DIVISOR % versions.size()).path("number").asLong();
         String path = "/v1/tables/" + table.path("table").asInt();
         rollback(controller, table, version, path);
         Thread.sleep(fault.durationNanos() / NANOS_PER_MILLI);
@@ -80,7 +81,7 @@
                         + table.path("version")
                         + " to "
                         + version
-                        + ": "
+                        + ": status "
                         + status);
         Map<String, Double> weights = new TreeMap<>();
         read(controller, path)
@@ -101,9 +102,9 @@
     }
 
     /**
-     * An operator drains a node at all controllers at once and ends it after a while; each
-     * controller's proxies have the timeout from its answer on. One that does not answer learns of
-     * it from the others.
+     * Drains a node at all controllers at once and ends the drain at the end of the fault. The
+     * drain timeout of each controller's proxies runs from that controller's response. A controller
+     * that does not respond learns of the drain from the other controllers.
      */
     void drain(Fault fault, String node) {
         if (environment.controllers().isEmpty()) {
@@ -112,7 +113,7 @@
         BackgroundTask.start(
                 THREAD_NAME,
                 () -> drainAndUndrain(fault, node),
-                e -> environment.eventLater("drain of " + node + ": " + e.getMessage()));
+                e -> environment.eventLater("drain of " + node + " failed: " + e.getMessage()));
     }
 
     private void drainAndUndrain(Fault fault, String node) throws InterruptedException {
@@ -120,19 +121,19 @@
         long endNanos = loop.now() + fault.durationNanos();
         List<ControllerProcess> unanswered = new ArrayList<>(environment.controllers());
         while (!unanswered.isEmpty() && loop.now() < endNanos) {
-            // As an operator would, the command is repeated where it was not answered.
+            // Like an operator, repeats the command at controllers that did not answer.
             unanswered.removeIf(controller -> requestDrain(controller, node, idempotencyKey));
-            Thread.sleep(unanswered.isEmpty() ? 0 : REPEAT_MILLIS);
+            Thread.sleep(unanswered.isEmpty() ? 0 : DRAIN_RETRY_MILLIS);
         }
         Thread.sleep(Math.max(0, (endNanos - loop.now()) / NANOS_PER_MILLI));
         for (ControllerProcess controller : environment.controllers()) {
             loop.run(() -> environment.checker().operatorUndrained(controller.name(), node));
-            command(controller, node, "undrain", idempotencyKey + "-ends", () -> {});
+            sendCommand(controller, node, "undrain", idempotencyKey + "-ends", () -> {});
         }
     }
 
     private boolean requestDrain(ControllerProcess controller, String node, String idempotencyKey) {
-        return command(
+        return sendCommand(
                 controller,
                 node,
                 "drain?force=true",
@@ -141,20 +142,20 @@
     }
 
     /**
-     * Gives a command about a node.
+     * Sends a command for a node to a controller.
      *
-     * @param accepted run on the loop's thread if the controller accepted it
-     * @return whether it did
+     * @param onAccepted run on the loop's thread if the controller accepted the command
+     * @return whether the controller accepted the command
      */
-    private boolean command(
+    private boolean sendCommand(
             ControllerProcess controller,
             String node,
             String command,
             String idempotencyKey,
-            Runnable accepted) {
+            Runnable onAccepted) {
         String description = command + " of " + node + " at " + controller.name() + ": ";
         try {
-            HttpMessage.Response answer =
+            HttpMessage.Response response =
                     controller.call(
                             "POST",
                             "/v1/nodes/" + node + "/" + command,
@@ -165,12 +166,12 @@
                             "rehearsal");
             loop.run(
                     () -> {
-                        environment.event(description + answer.status());
-                        if (answer.status() == HTTP_OK) {
-                            accepted.run();
+                        environment.event(description + "status " + response.status());
+                        if (response.status() == HTTP_OK) {
+                            onAccepted.run();
                         }
                     });
-            return answer.status() == HTTP_OK;
+            return response.status() == HTTP_OK;
         } catch (IOException e) {
             environment.eventLater(description + e.getMessage());
             return false;
