--- a/src/main/java/rosespread/scenario/ChangeLatency.java
+++ b/src/main/java/rosespread/scenario/ChangeLatency.java
@@ -6,7 +6,8 @@
 import rosespread.channel.Frame;
 
 /**
- * How long changes take from a controller's round to the last proxy that took them up. Confined to
+ * Measures how long changes take from a controller's round to the last proxy that applied them. The
+ * time counts from when the round's first message to arrive was handed to its stream. Confined to
  * the loop's thread until the run has ended.
  */
 final class ChangeLatency {
@@ -15,7 +16,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** One round of a controller and its entries over all proxies. */
+    /** One round of a controller, with its entries summed over all proxies. */
     private static final class Round {
         final long sentNanos;
         long lastAppliedNanos;
@@ -33,7 +34,11 @@
         this.entriesPerSecond = scenario.channel().entriesPerSecond();
     }
 
-    /** When the message of a mark that came at {@code nanos} was handed to its stream. */
+    /**
+     * Returns the time at which the message that {@code mark} closes was handed to its stream.
+     *
+     * @param nanos when the message arrived
+     */
     static long sentNanos(long nanos, Frame.Mark mark) {
         return nanos - mark.queuedMicros() * NANOS_PER_MICRO;
     }
@@ -51,7 +56,7 @@
         }
     }
 
-    /** Milliseconds from a change's commit to the last proxy that took it up. */
+    /** Returns the milliseconds from a change's commit to the last proxy that applied it. */
     Histogram changeMillis() {
         Histogram millis = new Histogram(HISTOGRAM_DIGITS);
         rounds.values().stream()
@@ -61,7 +66,9 @@
         return millis;
     }
 
-    /** What the paced channel itself needs for the entries of each change, in milliseconds. */
+    /**
+     * Returns the milliseconds that the channel's rate limit alone takes for each change's entries.
+     */
     Histogram pacedMillis() {
         Histogram millis = new Histogram(HISTOGRAM_DIGITS);
         rounds.values()
--- a/src/main/java/rosespread/scenario/DrainInvariant.java
+++ b/src/main/java/rosespread/scenario/DrainInvariant.java
@@ -5,9 +5,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * No joined proxy sends to a node for longer than the drain timeout after its controller learned
- * from the list, or from an operator, that the node is not to be used. Values in milliseconds.
- * Confined to the loop's thread; the histograms are read after the run.
+ * Checks that no joined proxy sends to a node for longer than the drain timeout after the proxy's
+ * controller learned, from the node list or from an operator, that the node must not be used.
+ * Values in milliseconds. Confined to the loop's thread; the histograms are read after the run.
  */
 final class DrainInvariant implements ServedNodeLists.Listener {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -20,7 +20,10 @@
     private final Histogram drainMillis = new Histogram(HISTOGRAM_DIGITS);
     private final Histogram operatorDrainMillis = new Histogram(HISTOGRAM_DIGITS);
 
-    /** When a controller accepted an operator's drain; it outlives the controller's process. */
+    /**
+     * Times at which controllers accepted operators' drains, by controller and node. An entry
+     * survives the end of the controller's process.
+     */
     private final Map<String, Map<String, Long>> operatorDrains = new TreeMap<>();
 
     DrainInvariant(Scenario scenario, RunTimeline timeline, ObservedProxies proxies) {
@@ -35,13 +38,17 @@
     }
 
     /**
-     * For each drain, how long a proxy went on sending once it was joined and its controller knew.
+     * Returns, for each drain, the longest time for which a proxy kept sending after it had joined
+     * and its controller had learned of the drain.
      */
     Histogram drainMillis() {
         return drainMillis;
     }
 
-    /** For each attempt at a node that an operator drains, the time since that was accepted. */
+    /**
+     * Returns, for each attempt to a node that an operator drains, the time since the controller
+     * accepted the drain.
+     */
     Histogram operatorDrainMillis() {
         return operatorDrainMillis;
     }
@@ -56,14 +63,17 @@
         result.countChecks(proxies.joinedTo(controller));
     }
 
-    /** The node's drain, if it is in one, is over, or the run is. */
+    /** Records the node's drain, if it has one, when the drain or the run ends. */
     void closeDrain(ObservedNode node) {
         if (node.isWithdrawn()) {
             drainMillis.recordValue(node.longestUseNanos() / NANOS_PER_MILLI);
         }
     }
 
-    /** A controller accepted that a node drains; from here on it is as if the list had shown it. */
+    /**
+     * Records that a controller accepted an operator's drain; the limit applies from now on as if
+     * the node list had shown the drain.
+     */
     void operatorDrained(long nanos, String controller, String node) {
         operatorDrains.computeIfAbsent(controller, c -> new TreeMap<>()).putIfAbsent(node, nanos);
         result.countChecks(proxies.joinedTo(controller));
@@ -74,9 +84,9 @@
     }
 
     /**
-     * A proxy sent to a node.
+     * Checks an attempt that a proxy sends to a node.
      *
-     * @param node as the proxy's controller knows it; null if it does not
+     * @param node the node as the proxy's controller knows it; null if it does not know the node
      */
     void attemptStarted(long nanos, ObservedProxy proxy, String nodeName, ObservedNode node) {
         if (!proxy.isJoined()) {
@@ -85,23 +95,23 @@
         Long acceptedNanos =
                 operatorDrains.getOrDefault(proxy.controller(), Map.of()).get(nodeName);
         if (acceptedNanos != null) {
-            attemptDuringOperatorDrain(nanos, proxy, nodeName, acceptedNanos);
+            checkOperatorDrain(nanos, proxy, nodeName, acceptedNanos);
         }
         if (node != null && !node.isReady()) {
-            attemptDuringDrain(nanos, proxy, nodeName, node);
+            checkListedDrain(nanos, proxy, nodeName, node);
         }
     }
 
-    private void attemptDuringOperatorDrain(
+    private void checkOperatorDrain(
             long nanos, ObservedProxy proxy, String nodeName, long acceptedNanos) {
         long from = Math.max(acceptedNanos, proxy.joinedNanos());
-        String where = where(nanos, proxy, nodeName);
+        String where = describeAttempt(nanos, proxy, nodeName);
         result.recordValue((nanos - from) / (double) NANOS_PER_MILLI, where);
         operatorDrainMillis.recordValue((nanos - from) / NANOS_PER_MILLI);
         if (isLate(from, nanos)) {
             result.recordViolation(
                     String.format(
-                            "%s: %d ms after %s took an operator's drain up; joined %s",
+                            "%s: %d ms after %s accepted an operator's drain; proxy joined %s",
                             where,
                             RunTimeline.toMillis(nanos - from),
                             proxy.controller(),
@@ -109,17 +119,17 @@
         }
     }
 
-    private void attemptDuringDrain(
+    private void checkListedDrain(
             long nanos, ObservedProxy proxy, String nodeName, ObservedNode node) {
         long from = Math.max(node.stateSinceNanos(), proxy.joinedNanos());
         node.recordUseAfterDrain(nanos - from);
-        String where = where(nanos, proxy, nodeName);
+        String where = describeAttempt(nanos, proxy, nodeName);
         result.recordValue((nanos - from) / (double) NANOS_PER_MILLI, where);
         if (isLate(from, nanos)) {
             result.recordViolation(
                     String.format(
-                            "%s: %d ms after %s was told that it is %s; joined %s, told %s,"
-                                    + " first message %s, last one %s",
+                            "%s: %d ms after %s learned that the node is %s; proxy joined %s,"
+                                    + " node state learned %s, first message %s, last message %s",
                             where,
                             RunTimeline.toMillis(nanos - from),
                             proxy.controller(),
@@ -135,7 +145,7 @@
         return nanos - fromNanos > timeline.extendedLimit(limitNanos, fromNanos, nanos);
     }
 
-    private String where(long nanos, ObservedProxy proxy, String nodeName) {
+    private String describeAttempt(long nanos, ObservedProxy proxy, String nodeName) {
         return proxy.name() + " to " + nodeName + " at " + timeline.describe(nanos);
     }
 }
--- a/src/main/java/rosespread/scenario/DurabilityInvariant.java
+++ b/src/main/java/rosespread/scenario/DurabilityInvariant.java
@@ -6,8 +6,9 @@
 import rosespread.testbed.TrafficRecorder.TableSnapshot;
 
 /**
- * A restarted controller still has the versions that proxies acknowledged before, with the same
- * entries, unless they are older than the oldest that it keeps. Confined to the loop's thread.
+ * Checks that a restarted controller still has the table versions that proxies acknowledged before,
+ * with the same entries, unless they are older than the oldest version that the controller keeps.
+ * Confined to the loop's thread.
  */
 final class DurabilityInvariant {
     private final InvariantResult result = new InvariantResult("answersKept", 0);
@@ -28,12 +29,17 @@
                 .add(held.table(), held.version(), held.digest());
     }
 
-    /** A copy of the versions of a controller that proxies have acknowledged by now. */
+    /** Returns a copy of a controller's versions that proxies have acknowledged so far. */
     TableVersions acknowledged(String controller) {
         return acknowledged.getOrDefault(controller, new TableVersions()).copy();
     }
 
-    /** A controller that ended and started again has these versions. */
+    /**
+     * Compares the versions of a restarted controller with the versions acknowledged before.
+     *
+     * @param before versions that proxies had acknowledged when the controller ended
+     * @param after versions that the controller has after its restart
+     */
     void controllerRestored(
             long nanos, String controller, TableVersions before, TableVersions after) {
         before.forEach(
@@ -63,6 +69,8 @@
                         timeline.describe(nanos),
                         version,
                         table,
-                        hasOtherDigest ? " has other lines" : " is forgotten"));
+                        hasOtherDigest
+                                ? " has a digest other than the acknowledged one"
+                                : " is missing after the restart"));
     }
 }
--- a/src/main/java/rosespread/scenario/InvariantChecker.java
+++ b/src/main/java/rosespread/scenario/InvariantChecker.java
@@ -8,10 +8,10 @@
 import rosespread.testbed.TrafficRecorder;
 
 /**
- * Judges the contract's rules from what the fakes' ends of the sockets saw, and from nothing else
- * but the contract and the times at which a controller's process or the links were held up by the
- * scenario. Passes each event to the invariants that it concerns. Confined to the loop's thread
- * until {@link #end}; results are read after.
+ * Checks the invariants of a run by passing each event to the invariants that it concerns. The only
+ * inputs are the traffic observed at the fakes' ends of the sockets, the scenario's limits, and the
+ * times at which the scenario itself suspended a controller or slowed the links. Confined to the
+ * loop's thread until {@link #end}; results are read afterwards.
  */
 final class InvariantChecker implements TrafficRecorder {
     private final RunTimeline timeline;
@@ -30,8 +30,7 @@
     private final ChangeLatency changeLatency;
 
     /**
-     * @param startNanos from when on times in texts count, until {@link #setMeasurementStart} is
-     *     called
+     * @param startNanos the zero of times in texts until {@link #setMeasurementStart} is called
      */
     InvariantChecker(Scenario scenario, long startNanos) {
         timeline = new RunTimeline(scenario.channel(), startNanos);
@@ -49,7 +48,7 @@
         changeLatency = new ChangeLatency(scenario);
     }
 
-    /** The results in the order of reports. */
+    /** Returns the results in the order of reports. */
     List<InvariantResult> results() {
         return List.of(
                 noEndpoint.result(),
@@ -88,67 +87,76 @@
         return changeLatency.pacedMillis();
     }
 
-    /** Times in texts count from here on. */
+    /** Sets the zero of times in texts. */
     void setMeasurementStart(long nanos) {
         timeline.setMeasurementStart(nanos);
     }
 
-    /** The controller's process is gone: it knows nothing any more. */
+    /** Records that the controller's process has ended and lost the node list that it was sent. */
     void controllerDown(String controller) {
         rollbacks.controllerDown(controller);
         nodeLists.forget(controller);
     }
 
-    /** The controller's process was suspended. */
+    /** Records that the controller's process was suspended. */
     void controllerSuspended(String controller, long nanos) {
         timeline.controllerSuspended(controller, nanos);
     }
 
-    /** The controller's process goes on and learns now what came meanwhile. */
+    /**
+     * Records that the controller's process was resumed; node states that it was sent while
+     * suspended count from now on.
+     */
     void controllerResumed(String controller, long nanos) {
         timeline.controllerResumed(controller, nanos)
                 .ifPresent(
-                        stopped -> nodeLists.deferChangesUntilResume(controller, stopped, nanos));
+                        suspendedNanos ->
+                                nodeLists.deferChangesUntilResume(
+                                        controller, suspendedNanos, nanos));
     }
 
-    /** From now on entries pass links so many times slower; 1 ends it. */
+    /**
+     * Records that links carry entries slower by {@code factor} from now on; 1 ends the slowdown.
+     */
     void linksSlowed(long nanos, double factor) {
         timeline.linksSlowed(nanos, factor);
     }
 
-    /** A controller accepted an operator's drain of a node. */
+    /** Records that a controller accepted an operator's drain of a node. */
     void operatorDrained(long nanos, String controller, String node) {
         drains.operatorDrained(nanos, controller, node);
     }
 
-    /** An operator ends the drain of a node at a controller. */
+    /** Records that an operator ends the drain of a node at a controller. */
     void operatorUndrained(String controller, String node) {
         drains.operatorUndrained(controller, node);
     }
 
-    /** A controller accepted an operator's rollback to these weights by node. */
+    /** Records that a controller accepted an operator's rollback to these weights by node. */
     void rolledBack(long nanos, String controller, int table, Map<String, Double> weights) {
         rollbacks.rolledBack(nanos, controller, table, weights);
     }
 
-    /** A copy of the versions of a controller that proxies have acknowledged by now. */
+    /** Returns a copy of a controller's versions that proxies have acknowledged so far. */
     TableVersions acknowledgedVersions(String controller) {
         return durability.acknowledged(controller);
     }
 
-    /** A controller was killed and started; compares its versions with those from before. */
+    /**
+     * Compares the versions of a killed and restarted controller with those acknowledged before.
+     */
     void controllerRestored(
             long nanos, String controller, TableVersions before, TableVersions after) {
         durability.controllerRestored(nanos, controller, before, after);
     }
 
-    /** Looks at what time alone can break; called often. */
+    /** Checks the invariants that can break by the passage of time alone; called periodically. */
     void sample(long nanos) {
         rollbacks.check(nanos);
         noEndpoint.sample(nanos);
     }
 
-    /** The run is over: closes the drains that are still open. */
+    /** Ends the run: closes the drains that are still open. */
     void end(long nanos) {
         sample(nanos);
         nodeLists.all().forEach(drains::closeDrain);
--- a/src/main/java/rosespread/scenario/InvariantResult.java
+++ b/src/main/java/rosespread/scenario/InvariantResult.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * What a run showed of one invariant: how often it could have been broken, the worst value, and the
- * first violations. Written on the loop's thread; read after the run.
+ * The result of one invariant over a run: the number of checks, the worst value and the first
+ * violations. Written on the loop's thread; read after the run.
  */
 final class InvariantResult {
-    /** How an invariant fared over a run. */
+    /** Whether an invariant held over a run. */
     enum Verdict {
-        /** There were occasions to break it, and none did. */
+        /** The invariant was checked at least once and never broken. */
         KEPT,
-        /** At least one occasion broke it. */
+        /** The invariant was broken at least once. */
         BROKEN,
-        /** There was no occasion to break it, so nothing can be said. */
+        /** The invariant was never checked, so the run shows nothing about it. */
         NOT_SEEN
     }
 
@@ -30,24 +30,24 @@
 
     /**
      * @param name the invariant's name in reports
-     * @param limit the bound of its values, in the invariant's own unit; 0 where it has none
+     * @param limit the limit of its values, in the invariant's own unit; 0 if it has none
      */
     InvariantResult(String name, double limit) {
         this.name = name;
         this.limit = limit;
     }
 
-    /** Counts an occasion on which the invariant could have been broken. */
+    /** Counts one event by which the invariant could have been broken. */
     void countCheck() {
         countChecks(1);
     }
 
-    /** Counts several such occasions. */
-    void countChecks(long occasions) {
-        checked += occasions;
+    /** Counts several events by which the invariant could have been broken. */
+    void countChecks(long checks) {
+        checked += checks;
     }
 
-    /** Keeps the value and where it was measured if it is the worst so far. */
+    /** Keeps the value and where it was measured if it is the largest so far. */
     void recordValue(double value, String where) {
         if (value > worst) {
             worst = value;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Counts a violation and keeps its text if it is among the first. */
+    /** Counts a violation; keeps its text if it is among the first {@link #MAX_VIOLATIONS_KEPT}. */
     void recordViolation(String text) {
         violationCount++;
         if (violations.size() < MAX_VIOLATIONS_KEPT) {
@@ -86,12 +86,12 @@
         return worst;
     }
 
-    /** Where the worst value was measured; empty if no value was above 0. */
+    /** Returns where the worst value was measured; empty if no value was above 0. */
     String worstAt() {
         return worstAt;
     }
 
-    /** The first violations in order of time; empty if there was none. */
+    /** Returns the first violations in order of time; empty if there was none. */
     List<String> violations() {
         return List.copyOf(violations);
     }
--- a/src/main/java/rosespread/scenario/JsonReportWriter.java
+++ b/src/main/java/rosespread/scenario/JsonReportWriter.java
@@ -8,7 +8,10 @@
 import org.HdrHistogram.Histogram;
 import rosespread.scenario.InvariantResult.Verdict;
 
-/** Writes a report as JSON. The names are compared over versions of the program and stay. */
+/**
+ * Writes a report as JSON. The keys are compared between versions of the program and must not
+ * change.
+ */
 final class JsonReportWriter {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double DECIMALS = 10_000;
@@ -21,7 +24,7 @@
     }
 
     /**
-     * The whole report, ending with a line feed.
+     * Returns the whole report as JSON text that ends with a line feed.
      *
      * @throws IOException if it cannot be written as JSON
      */
@@ -56,7 +59,7 @@
         }
     }
 
-    /** Null stands for a rule that there was no occasion to break. */
+    /** Returns null for an invariant that was never checked. */
     private static Boolean toNullableBoolean(Verdict verdict) {
         return verdict == Verdict.NOT_SEEN ? null : Boolean.valueOf(verdict == Verdict.KEPT);
     }
--- a/src/main/java/rosespread/scenario/MessageRateInvariant.java
+++ b/src/main/java/rosespread/scenario/MessageRateInvariant.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * No proxy gets more messages within the channel's window than its limit; a limit of 0 is none.
- * Values in messages. Confined to the loop's thread.
+ * Checks that no proxy receives more messages within the channel's window than the message limit; a
+ * limit of 0 means no limit. Values in messages. Confined to the loop's thread.
  */
 final class MessageRateInvariant {
     private final InvariantResult result;
@@ -26,7 +26,7 @@
         return result;
     }
 
-    /** The messages of another stream do not count. */
+    /** Discards the recorded arrivals, since the messages of an earlier stream do not count. */
     void proxyJoined(String proxy) {
         arrivals(proxy).clear();
     }
@@ -41,7 +41,14 @@
         String when = timeline.describe(nanos);
         result.recordValue(arrivals.size(), proxy + " at " + when);
         if (limit > 0 && arrivals.size() > limit) {
-            result.recordViolation(arrivals.size() + " messages to " + proxy + " by " + when);
+            result.recordViolation(
+                    arrivals.size()
+                            + " messages to "
+                            + proxy
+                            + " in the window ending at "
+                            + when
+                            + ", limit "
+                            + limit);
         }
     }
 
--- a/src/main/java/rosespread/scenario/NoEndpointInvariant.java
+++ b/src/main/java/rosespread/scenario/NoEndpointInvariant.java
@@ -6,17 +6,17 @@
 import rosespread.testbed.SiteDefinition;
 
 /**
- * A joined proxy has an entry to pick for each method, as long as its controller knows a ready,
- * warm node for it; a lack may last as long as the contract says. Values in milliseconds. Confined
- * to the loop's thread.
+ * Checks that a joined proxy has a weight entry to pick for each method while its controller knows
+ * a ready, warm node that serves the method. The proxy may be without an entry for at most the
+ * scenario's limit. Values in milliseconds. Confined to the loop's thread.
  */
 final class NoEndpointInvariant {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** What a proxy can pick, and since when (in nanoseconds) it lacks an entry for a method. */
+    /** The methods for which a proxy has an entry, and since when (in nanoseconds) it has none. */
     private static final class Availability {
         final Map<String, Boolean> availableByMethod = new HashMap<>();
-        final Map<String, Long> lackingSince = new HashMap<>();
+        final Map<String, Long> unavailableSince = new HashMap<>();
     }
 
     private final InvariantResult result;
@@ -47,38 +47,42 @@
 
     void proxyJoined(long nanos, String proxy) {
         Availability availability = availability(proxy);
-        availability.lackingSince.clear();
+        availability.unavailableSince.clear();
         for (SiteDefinition.Method method : site.methods()) {
             result.countCheck();
             if (!availability.availableByMethod.getOrDefault(method.name(), false)) {
-                availability.lackingSince.put(method.name(), nanos);
+                availability.unavailableSince.put(method.name(), nanos);
             }
         }
     }
 
     void proxyLeft(String proxy) {
-        availability(proxy).lackingSince.clear();
+        availability(proxy).unavailableSince.clear();
     }
 
     void availabilityChanged(long nanos, ObservedProxy proxy, String method, boolean available) {
         Availability availability = availability(proxy.name());
         availability.availableByMethod.put(method, available);
         if (available) {
-            availability.lackingSince.remove(method);
+            availability.unavailableSince.remove(method);
         } else if (proxy.isJoined()) {
-            availability.lackingSince.put(method, nanos);
+            availability.unavailableSince.put(method, nanos);
         }
     }
 
-    /** Looks at every proxy that lacks an entry; called often. */
+    /** Checks every proxy that is without an entry; called periodically. */
     void sample(long nanos) {
         byProxy.forEach(
                 (name, availability) ->
-                        availability.lackingSince.replaceAll(
+                        availability.unavailableSince.replaceAll(
                                 (method, since) -> check(nanos, proxies.get(name), method, since)));
     }
 
-    /** Returns from when on the lack counts. */
+    /**
+     * Checks one method of a proxy that has no entry for it.
+     *
+     * @return the time from which the time without an entry counts at the next check
+     */
     private long check(long nanos, ObservedProxy proxy, String method, long since) {
         if (!proxy.isJoined()) {
             return since;
@@ -86,14 +90,17 @@
         if (!hasReadyWarmNode(proxy.controller(), method)) {
             return nanos;
         }
-        double lackNanos = nanos - since;
+        double unavailableNanos = nanos - since;
         String where = proxy.name() + " for " + method + " at " + timeline.describe(nanos);
-        result.recordValue(lackNanos / NANOS_PER_MILLI, where);
-        if (lackNanos <= timeline.extendedLimit(limitNanos, since, nanos)) {
+        result.recordValue(unavailableNanos / NANOS_PER_MILLI, where);
+        if (unavailableNanos <= timeline.extendedLimit(limitNanos, since, nanos)) {
             return since;
         }
         result.recordViolation(
-                where + ": no line to pick for " + RunTimeline.toMillis(lackNanos) + " ms");
+                where
+                        + ": no weight entry to pick for "
+                        + RunTimeline.toMillis(unavailableNanos)
+                        + " ms");
         return nanos;
     }
 
--- a/src/main/java/rosespread/scenario/ObservedNode.java
+++ b/src/main/java/rosespread/scenario/ObservedNode.java
@@ -4,8 +4,8 @@
 import rosespread.testbed.TrafficRecorder.NodeListing;
 
 /**
- * A node as the list last showed it to a controller, and how proxies used it since. Times in
- * nanoseconds of the loop's clock but for {@link #startedMillis}. Confined to the loop's thread.
+ * A node as the node list last showed it to a controller, and how proxies have used it since. Times
+ * in nanoseconds of the loop's clock except {@link #startedMillis}. Confined to the loop's thread.
  */
 final class ObservedNode {
     private NodeState state = NodeState.GONE;
@@ -14,7 +14,10 @@
     private String machineType = "";
     private long longestUseNanos;
 
-    /** The list has named it: what follows is known to the controller since {@code nanos}. */
+    /**
+     * Records that the node list named the node; the controller knows the listing since {@code
+     * nanos}.
+     */
     void listed(long nanos, NodeListing listing) {
         boolean restarted = startedMillis != listing.startedMillis();
         if (state != listing.state()) {
@@ -29,7 +32,10 @@
         machineType = listing.machineType();
     }
 
-    /** The list names it no more; a node that drained before keeps the time since it did. */
+    /**
+     * Records that the node list no longer names the node; a node that drained before keeps the
+     * start of its drain.
+     */
     void unlisted(long nanos) {
         if (state == NodeState.READY) {
             stateSinceNanos = nanos;
@@ -38,14 +44,21 @@
         state = NodeState.GONE;
     }
 
-    /** What a controller was sent while it stood still it learns only when it goes on. */
+    /**
+     * Moves a state change that the controller was sent while suspended to its resumption, since
+     * the controller learns of it only then.
+     */
     void deferChangesUntilResume(long suspendedNanos, long resumedNanos) {
         if (stateSinceNanos > suspendedNanos) {
             stateSinceNanos = resumedNanos;
         }
     }
 
-    /** A proxy sent to the node so long after it could know that the node drains. */
+    /**
+     * Records an attempt to a node that is not ready.
+     *
+     * @param nanos the time since the controller knew the node's state and the proxy had joined
+     */
     void recordUseAfterDrain(long nanos) {
         longestUseNanos = Math.max(longestUseNanos, nanos);
     }
@@ -54,7 +67,7 @@
         return state == NodeState.READY;
     }
 
-    /** Whether it was listed once and is not to be used any more. */
+    /** Returns whether the node was listed before and must not be used any more. */
     boolean isWithdrawn() {
         return state != NodeState.READY && stateSinceNanos > 0;
     }
@@ -68,7 +81,8 @@
     }
 
     /**
-     * When its process started, in milliseconds since the epoch; 0 if it was warm from the first.
+     * Returns when the node's process started, in milliseconds since the epoch; 0 if the node was
+     * warm from the start.
      */
     long startedMillis() {
         return startedMillis;
@@ -78,7 +92,9 @@
         return machineType;
     }
 
-    /** The longest that a joined proxy went on sending since the node's state changed. */
+    /**
+     * Returns the longest time for which a joined proxy kept sending after the node's state change.
+     */
     long longestUseNanos() {
         return longestUseNanos;
     }
--- a/src/main/java/rosespread/scenario/ObservedProxies.java
+++ b/src/main/java/rosespread/scenario/ObservedProxies.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** All proxies that were seen, in order of their names. Confined to the loop's thread. */
+/** All proxies observed so far, in order of their names. Confined to the loop's thread. */
 final class ObservedProxies {
     private final Map<String, ObservedProxy> byName = new TreeMap<>();
 
-    /** The proxy of a name; made at its first use. */
+    /** Returns the proxy of a name; creates it at the first use. */
     ObservedProxy get(String name) {
         return byName.computeIfAbsent(name, ObservedProxy::new);
     }
@@ -17,7 +17,7 @@
         return byName.values();
     }
 
-    /** How many proxies are joined to a controller now. */
+    /** Returns the number of proxies currently joined to a controller. */
     long joinedTo(String controller) {
         return byName.values().stream().filter(proxy -> proxy.isJoinedTo(controller)).count();
     }
--- a/src/main/java/rosespread/scenario/ObservedProxy.java
+++ b/src/main/java/rosespread/scenario/ObservedProxy.java
@@ -4,9 +4,9 @@
 import java.util.TreeMap;
 
 /**
- * A proxy as its end of the socket showed it: the controller it is joined to, when messages came,
- * and the weights it holds. Times in nanoseconds of the loop's clock. Confined to the loop's
- * thread.
+ * A proxy as observed at its end of the socket: the controller that the proxy is joined to, the
+ * times of messages, and the weights that the proxy holds. Times in nanoseconds of the loop's
+ * clock. Confined to the loop's thread.
  */
 final class ObservedProxy {
     private final String name;
@@ -20,7 +20,7 @@
         this.name = name;
     }
 
-    /** A new stream begins: nothing of the one before holds for its controller. */
+    /** Records the start of a new stream and discards all records of the previous stream. */
     void joined(String newController, long nanos) {
         controller = newController;
         joinedNanos = nanos;
@@ -46,7 +46,7 @@
         return name;
     }
 
-    /** The controller it is joined to; null if there is none. */
+    /** Returns the controller that the proxy is joined to; null if there is none. */
     String controller() {
         return controller;
     }
@@ -63,17 +63,20 @@
         return joinedNanos;
     }
 
-    /** When the stream's first message came; {@link Long#MIN_VALUE} before. */
+    /** Returns when the stream's first message arrived; {@link Long#MIN_VALUE} before. */
     long firstMessageNanos() {
         return firstMessageNanos;
     }
 
-    /** When the last message was handed to the stream; {@link Long#MIN_VALUE} before the first. */
+    /**
+     * Returns when the last message was handed to the stream; {@link Long#MIN_VALUE} before the
+     * first message.
+     */
     long lastMessageSentNanos() {
         return lastMessageSentNanos;
     }
 
-    /** Weights of a table by node, as the stream brought them; null if it brought none. */
+    /** Returns the weights of a table by node; null if the stream delivered none for the table. */
     Map<String, Double> weights(int table) {
         return weightsByTable.get(table);
     }
--- a/src/main/java/rosespread/scenario/StandaloneSite.java
+++ b/src/main/java/rosespread/scenario/StandaloneSite.java
@@ -15,9 +15,7 @@
 import rosespread.testbed.TestLoop;
 import rosespread.testbed.TrafficRecorder;
 
-/**
- * A scenario's fakes without its controllers and faults, for controllers that were started by hand.
- */
+/** Runs a scenario's fakes without its controllers and faults, for controllers started by hand. */
 public final class StandaloneSite {
     private static final long PROGRESS_PERIOD_NANOS = 5_000_000_000L;
 
@@ -36,7 +34,7 @@
     }
 
     /**
-     * The settings that a controller of this scenario is given, as JSON.
+     * Returns the settings for a controller of the scenario, as JSON.
      *
      * @throws ScenarioException if the scenario is faulty, with file, line and field
      */
@@ -46,12 +44,12 @@
     }
 
     /**
-     * Runs nodes and list, and proxies and clients if there are controllers, for the scenario's
-     * time; without controllers until the thread is interrupted.
+     * Runs nodes, node list, proxies and clients for the scenario's duration. Without controllers,
+     * runs only nodes and node list, until the thread is interrupted.
      *
-     * @param listPort where the list answers; 0: any free port
-     * @param controllers addresses of their channels
-     * @param out takes a line of progress every 5 s
+     * @param listPort port of the node list; 0 for any free port
+     * @param controllers addresses of the controllers' channels
+     * @param out receives a progress line every 5 s
      * @throws ScenarioException if the scenario is faulty, with file, line and field
      * @throws IOException if a fake cannot be started
      */
@@ -70,7 +68,7 @@
                         new FakeNodes(
                                 loop, scenario.site(), list, new SplittableRandom(seed), ignored)) {
             list.setDelay(scenario.listDelayNanos());
-            out.println(nodes.names().size() + " nodes; the list answers at " + list.address());
+            out.println(nodes.names().size() + " nodes; node list listens on " + list.address());
             StandaloneSite site = new StandaloneSite(scenario, seed, loop, out);
             if (controllers.isEmpty()) {
                 site.done.await();
@@ -84,7 +82,10 @@
             throws InterruptedException {
         List<FakeProxies.ControllerTarget> targets =
                 controllers.stream()
-                        .map(at -> new FakeProxies.ControllerTarget(at.toString(), at, null))
+                        .map(
+                                address ->
+                                        new FakeProxies.ControllerTarget(
+                                                address.toString(), address, null))
                         .toList();
         try (FakeProxies proxies =
                 new FakeProxies(
@@ -108,25 +109,26 @@
         proxies.start();
         clients.play(
                 ArrivalGenerator.arrivals(scenario, seed), loop.now() + scenario.warmUpNanos());
-        printLater(proxies);
+        scheduleProgressLine(proxies);
         loop.after(scenario.warmUpNanos() + scenario.durationNanos(), done::countDown);
     }
 
-    private void printLater(FakeProxies proxies) {
+    private void scheduleProgressLine(FakeProxies proxies) {
         loop.after(
                 PROGRESS_PERIOD_NANOS,
                 () -> {
                     out.println(progress.describeAndReset(proxies.allSubscribed()));
-                    printLater(proxies);
+                    scheduleProgressLine(proxies);
                 });
     }
 
-    /** The RPCs since the last line of progress. Lives on the loop's thread. */
+    /** Counts the RPCs since the last progress line. Confined to the loop's thread. */
     private static final class Progress {
         private long rpcs;
         private long inTime;
 
-        void rpcEnded(OpenLoopClients.Arrival rpc, RpcResult result, long latencyNanos, int tries) {
+        void rpcEnded(
+                OpenLoopClients.Arrival rpc, RpcResult result, long latencyNanos, int attempts) {
             rpcs++;
             boolean timely =
                     result == RpcResult.OK && latencyNanos <= rpc.method().latencyObjectiveNanos();
@@ -140,7 +142,9 @@
                             "%d RPCs in 5 s, %.3f in time, %s",
                             rpcs,
                             rpcs == 0 ? 1 : inTime / (double) rpcs,
-                            allSubscribed ? "all proxies bound" : "not all proxies bound");
+                            allSubscribed
+                                    ? "all proxies subscribed"
+                                    : "not all proxies subscribed");
             rpcs = 0;
             inTime = 0;
             return line;
--- a/src/test/java/rosespread/scenario/ScenarioRunTest.java
+++ b/src/test/java/rosespread/scenario/ScenarioRunTest.java
@@ -51,7 +51,7 @@
         "IGNORES_DRAINS,drainsKept,DRAINING",
         "FLOODS_COLD,noColdNodePushedOver,fell over",
         "REPEATS,noEffectTwice,took effect again",
-        "EMPTIES,noProxyWithoutNode,no line to pick",
+        "EMPTIES,noProxyWithoutNode,no weight entry to pick",
         "FLOODS_CHANNEL,shortQueue,lines waiting"
     })
     void namesTheRuleThatAFaultyPolicyBreaks(String fault, String rule, String words)
