--- a/src/main/java/rosespread/scenario/ObservedNode.java
+++ b/src/main/java/rosespread/scenario/ObservedNode.java
@@ -4,49 +4,62 @@
 import rosespread.testbed.TrafficRecorder.NodeListing;
 
 /**
- * A node as the list last showed it to a controller, and how proxies used it since. Times in
- * nanoseconds of the loop's clock but for {@link #startedMillis}. Confined to the loop's thread.
+ * A node as the node list last showed it to a controller, and how proxies have used it since. Times
+ * in nanoseconds of the loop's clock except {@link #startedMillis}. Confined to the loop's thread.
  */
 final class ObservedNode {
     private NodeState state = NodeState.GONE;
-    private long sinceNanos;
+    private long stateSinceNanos;
     private long startedMillis;
     private String machineType = "";
     private long longestUseNanos;
 
-    /** The list has named it: what follows is known to the controller since {@code nanos}. */
+    /**
+     * Records that the node list named the node; the controller knows the listing since {@code
+     * nanos}.
+     */
     void listed(long nanos, NodeListing listing) {
         boolean restarted = startedMillis != listing.startedMillis();
         if (state != listing.state()) {
-            sinceNanos = nanos;
+            stateSinceNanos = nanos;
             longestUseNanos = 0;
         }
         if (restarted && listing.state() == NodeState.READY) {
-            sinceNanos = nanos;
+            stateSinceNanos = nanos;
         }
         state = listing.state();
         startedMillis = listing.startedMillis();
         machineType = listing.machineType();
     }
 
-    /** The list names it no more; a node that drained before keeps the time since it did. */
+    /**
+     * Records that the node list no longer names the node; a node that drained before keeps the
+     * start of its drain.
+     */
     void unlisted(long nanos) {
         if (state == NodeState.READY) {
-            sinceNanos = nanos;
+            stateSinceNanos = nanos;
             longestUseNanos = 0;
         }
         state = NodeState.GONE;
     }
 
-    /** What a controller was sent while it stood still it learns only when it goes on. */
-    void deferKnowledge(long stoppedNanos, long resumedNanos) {
-        if (sinceNanos > stoppedNanos) {
-            sinceNanos = resumedNanos;
+    /**
+     * Moves a state change that the controller was sent while suspended to its resumption, since
+     * the controller learns of it only then.
+     */
+    void deferChangesUntilResume(long suspendedNanos, long resumedNanos) {
+        if (stateSinceNanos > suspendedNanos) {
+            stateSinceNanos = resumedNanos;
         }
     }
 
-    /** A proxy sent to the node so long after it could know that the node drains. */
-    void usedAfterDrain(long nanos) {
+    /**
+     * Records an attempt to a node that is not ready.
+     *
+     * @param nanos the time since the controller knew the node's state and the proxy had joined
+     */
+    void recordUseAfterDrain(long nanos) {
         longestUseNanos = Math.max(longestUseNanos, nanos);
     }
 
@@ -54,21 +67,22 @@
         return state == NodeState.READY;
     }
 
-    /** Whether it was listed once and is not to be used any more. */
+    /** Returns whether the node was listed before and must not be used any more. */
     boolean isWithdrawn() {
-        return state != NodeState.READY && sinceNanos > 0;
+        return state != NodeState.READY && stateSinceNanos > 0;
     }
 
     NodeState state() {
         return state;
     }
 
-    long sinceNanos() {
-        return sinceNanos;
+    long stateSinceNanos() {
+        return stateSinceNanos;
     }
 
     /**
-     * When its process started, in milliseconds since the epoch; 0 if it was warm from the first.
+     * Returns when the node's process started, in milliseconds since the epoch; 0 if the node was
+     * warm from the start.
      */
     long startedMillis() {
         return startedMillis;
@@ -78,7 +92,9 @@
         return machineType;
     }
 
-    /** The longest that a joined proxy went on sending since the node's state changed. */
+    /**
+     * Returns the longest time for which a joined proxy kept sending after the node's state change.
+     */
     long longestUseNanos() {
         return longestUseNanos;
     }
