--- a/src/main/java/rosespread/cli/ControlOptions.java
+++ b/src/main/java/rosespread/cli/ControlOptions.java
@@ -32,7 +32,7 @@
     FleetResponse send(String verb, String path) throws IOException {
         String operator = System.getProperty("user.name");
         try (Fleet fleet = new Fleet(List.of(control), operator, TIMEOUT.toNanos())) {
-            FleetResponse response = fleet.ask(control, verb, path, "");
+            FleetResponse response = fleet.request(control, verb, path, "");
             if (!response.isReceived()) {
                 throw new IOException(response.address() + ": " + response.detail());
             }
--- a/src/main/java/rosespread/cli/FleetDrainCommand.java
+++ b/src/main/java/rosespread/cli/FleetDrainCommand.java
@@ -42,7 +42,7 @@
         long deadlineNanos = startNanos + Seconds.toDuration(waitSeconds).toNanos();
         List<DrainBlocker> blockers;
         do {
-            blockers = check.blockers(fleet.ask("GET", "/v1/nodes", ""));
+            blockers = check.blockers(fleet.request("GET", "/v1/nodes", ""));
             if (blockers.isEmpty()) {
                 double seconds = Seconds.ofNanos(System.nanoTime() - startNanos);
                 out().printf("%s is empty after %.1f s%n", node(), seconds);
--- a/src/main/java/rosespread/cli/FleetNodeCommand.java
+++ b/src/main/java/rosespread/cli/FleetNodeCommand.java
@@ -33,7 +33,7 @@
         // The same key at all controllers: an action that one learned from another is not repeated.
         String idempotencyKey = UUID.randomUUID().toString();
         List<FleetResponse> responses =
-                fleet.ask("POST", path, "", "idempotency-key", idempotencyKey);
+                fleet.request("POST", path, "", "idempotency-key", idempotencyKey);
         if (isJson()) {
             out().println(FleetJson.format(responses));
         } else {
--- a/src/main/java/rosespread/cli/FleetQueryCommand.java
+++ b/src/main/java/rosespread/cli/FleetQueryCommand.java
@@ -23,7 +23,7 @@
 
     @Override
     final int run(Fleet fleet) {
-        List<FleetResponse> responses = fleet.ask("GET", path, "");
+        List<FleetResponse> responses = fleet.request("GET", path, "");
         if (isJson()) {
             out().println(FleetJson.format(responses));
         } else {
--- a/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsApplyCommand.java
@@ -41,7 +41,7 @@
     }
 
     private Completion check(Fleet fleet, String settings) {
-        List<FleetResponse> responses = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
+        List<FleetResponse> responses = fleet.request("PUT", "/v1/settings?dry-run=true", settings);
         out().println(FleetJson.format(responses));
         return Completion.of(responses);
     }
--- a/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
+++ b/src/main/java/rosespread/cli/FleetSettingsDiffCommand.java
@@ -28,7 +28,7 @@
             err().println("standard input is not JSON: " + e.getOriginalMessage());
             return ExitCodes.BAD_INPUT;
         }
-        List<FleetResponse> responses = fleet.ask("GET", "/v1/settings", "");
+        List<FleetResponse> responses = fleet.request("GET", "/v1/settings", "");
         responses.forEach(response -> print(response, desired));
         return ExitCodes.of(Completion.of(responses));
     }
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -143,7 +143,7 @@
                 policyRunner.channel().map(PacedChannel::durabilityTimeout);
         return new ControllerStatus.Storage(
                 registry.log().fault(),
-                timeout.map(DurabilityTimeout::late).orElse(false),
+                timeout.map(DurabilityTimeout::isDiskLate).orElse(false),
                 Math.max(0, registry.lastSequence() - registry.log().durable()),
                 timeout.map(DurabilityTimeout::sentBeforeDurable).orElse(0L),
                 registry.log().bytes());
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -115,7 +115,7 @@
         methods.clear();
         zones.clear();
         history.admissionLimits().clear();
-        acceptedTotals.forget();
+        acceptedTotals.invalidate();
         refusals = List.of();
         pin = pin.lasting();
         awaitingPolicy = true;
@@ -123,7 +123,7 @@
 
     void addMethods(Set<MethodId> added) {
         if (methods.addAll(added)) {
-            acceptedTotals.forget();
+            acceptedTotals.invalidate();
         }
     }
 
@@ -133,7 +133,7 @@
 
     void addZone(ZoneId zone) {
         if (zones.add(zone)) {
-            acceptedTotals.forget();
+            acceptedTotals.invalidate();
         }
     }
 
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -120,7 +120,7 @@
             RoundTime time) {
         boolean followsPolicy = table.pin() == PinState.NONE;
         if (!followsPolicy) {
-            table.acceptedTotals().forget();
+            table.acceptedTotals().invalidate();
         }
         Map<NodeId, Double> changes = actions.weights(table.id());
         TableChangeValidator.ValidationResult result = validation.validate(table, changes, context);
@@ -128,7 +128,7 @@
         Map<NodeId, Double> delta =
                 followsPolicy && passed
                         ? changes
-                        : replacement(table, result.lines(), context, time.nowNanos());
+                        : replacement(table, result.entries(), context, time.nowNanos());
         return registry.commit(
                 table,
                 delta,
@@ -145,7 +145,7 @@
             Map<NodeId, Double> weights,
             TableChangeValidator.ValidationContext context,
             long nowNanos) {
-        table.acceptedTotals().forget();
+        table.acceptedTotals().invalidate();
         Map<NodeId, Double> replacements = table.current().changesTo(weights);
         Map<NodeId, Double> selected = selector.select(table, replacements, context, nowNanos);
         if (selected.size() < replacements.size()) {
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -204,6 +204,6 @@
                     .snapshot(table.pin(), table.rollbackTarget(), table.pending())
                     .ifPresent(persisted::add);
         }
-        return new StoreSnapshot(layout, persisted, drains.all());
+        return new StoreSnapshot(layout, persisted, drains.snapshot());
     }
 }
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -109,7 +109,7 @@
                             + ": "
                             + refusal.figures()
                             + " "
-                            + names(refusal.lines()));
+                            + names(refusal.nodes()));
         }
         if (refusals.isEmpty()) {
             modes.report("table " + table.id().value() + " passes its checks again");
--- a/src/main/java/rosespread/drain/DrainRegistry.java
+++ b/src/main/java/rosespread/drain/DrainRegistry.java
@@ -102,7 +102,7 @@
     }
 
     /** All orders that must be applied again to come to the same state, in this order. */
-    public List<Drain> all() {
+    public List<Drain> snapshot() {
         Set<Drain> all = new LinkedHashSet<>(requests.values());
         all.addAll(latest.values());
         List<Drain> sorted = new ArrayList<>(all);
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -60,7 +60,7 @@
      * @param headers names and values in turn
      * @return a response for each controller, in the order of {@link #controllers()}
      */
-    public List<FleetResponse> ask(String verb, String path, String body, String... headers) {
+    public List<FleetResponse> request(String verb, String path, String body, String... headers) {
         List<CompletableFuture<FleetResponse>> pending =
                 controllers.stream()
                         .map(controller -> send(controller, verb, path, body, headers))
@@ -78,7 +78,7 @@
      * @param body the request's body, empty for none
      * @param headers names and values in turn
      */
-    public FleetResponse ask(
+    public FleetResponse request(
             InetSocketAddress controller,
             String verb,
             String path,
--- a/src/main/java/rosespread/fleet/StagedSettingsRollout.java
+++ b/src/main/java/rosespread/fleet/StagedSettingsRollout.java
@@ -65,7 +65,7 @@
     }
 
     private boolean passesDryRun(String settings) {
-        List<FleetResponse> responses = fleet.ask("PUT", "/v1/settings?dry-run=true", settings);
+        List<FleetResponse> responses = fleet.request("PUT", "/v1/settings?dry-run=true", settings);
         Optional<FleetResponse> failed = responses.stream().filter(r -> !r.isOk()).findFirst();
         failed.ifPresent(
                 response ->
@@ -84,7 +84,7 @@
         long revision =
                 before.settings().map(ControllerSummary.AppliedSettings::revision).orElse(0L);
         FleetResponse response =
-                fleet.ask(
+                fleet.request(
                         controller,
                         "PUT",
                         "/v1/settings",
@@ -116,7 +116,7 @@
     }
 
     private ControllerSummary status(InetSocketAddress controller) {
-        return ControllerSummary.parse(fleet.ask(controller, "GET", "/v1/status", "").body());
+        return ControllerSummary.parse(fleet.request(controller, "GET", "/v1/status", "").body());
     }
 
     private static String reason(FleetResponse response) {
--- a/src/main/java/rosespread/store/LogReplay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -127,6 +127,6 @@
                     .snapshot(table.pinState, table.rollbackTarget, table.pending)
                     .ifPresent(snapshots::add);
         }
-        return new StoreSnapshot(layout, snapshots, drains.all());
+        return new StoreSnapshot(layout, snapshots, drains.snapshot());
     }
 }
--- a/src/main/java/rosespread/validation/AcceptedTotals.java
+++ b/src/main/java/rosespread/validation/AcceptedTotals.java
@@ -14,7 +14,7 @@
  * validator computes them again whenever {@link ValidationContext#factsVersion} differs.
  *
  * <p>Not thread-safe: owned by the thread that validates the table. {@link TableChangeValidator}
- * alone reads and updates the totals; callers only {@link #forget} them.
+ * alone reads and updates the totals; callers only {@link #invalidate} them.
  */
 public final class AcceptedTotals {
     private boolean known;
@@ -30,7 +30,7 @@
      * Drops the totals. To be called when entries were changed without the validator, for example
      * by a rollback; the next validation then looks at the whole table.
      */
-    public void forget() {
+    public void invalidate() {
         known = false;
     }
 
--- a/src/main/java/rosespread/validation/DurabilityTimeout.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -48,7 +48,7 @@
     }
 
     /** Whether the disk is late, so that messages are sent without waiting for it. */
-    public boolean late() {
+    public boolean isDiskLate() {
         return late;
     }
 
--- a/src/main/java/rosespread/validation/TableChangeValidator.java
+++ b/src/main/java/rosespread/validation/TableChangeValidator.java
@@ -41,10 +41,10 @@
      * A rule that was broken.
      *
      * @param reason the rule
-     * @param lines the nodes of the entries at fault, empty if the table as a whole is
+     * @param nodes the nodes of the entries at fault, empty if the table as a whole is
      * @param figures what was found, for operators
      */
-    public record Refusal(Reason reason, List<NodeId> lines, String figures) {}
+    public record Refusal(Reason reason, List<NodeId> nodes, String figures) {}
 
     /**
      * What is known of a node.
@@ -86,10 +86,11 @@
     /**
      * What comes of a validation.
      *
-     * @param lines the entries to roll out now
-     * @param refusals the rules that were broken; empty if {@code lines} are those that were wanted
+     * @param entries the entries to roll out now
+     * @param refusals the rules that were broken; empty if {@code entries} are those that were
+     *     wanted
      */
-    public record ValidationResult(Map<NodeId, Double> lines, List<Refusal> refusals) {}
+    public record ValidationResult(Map<NodeId, Double> entries, List<Refusal> refusals) {}
 
     /** Sums of weights drift a little with each change; after so many they are computed again. */
     private static final int MAX_INCREMENTAL_CHANGES = 10_000;
@@ -135,7 +136,7 @@
             // The whole table is validated for reasons and figures: a refusal is rare.
             ValidationResult result = validate(current, wanted, context);
             if (!result.refusals().isEmpty()) {
-                totals.forget();
+                totals.invalidate();
                 return result;
             }
         }
@@ -152,7 +153,7 @@
         if (result.refusals().isEmpty()) {
             totals.compute(wanted, context);
         } else {
-            totals.forget();
+            totals.invalidate();
         }
         return result;
     }
--- a/src/test/java/rosespread/admin/OpenApiTest.java
+++ b/src/test/java/rosespread/admin/OpenApiTest.java
@@ -40,7 +40,7 @@
             for (Map.Entry<String, JsonNode> path : paths.properties()) {
                 described += checkPath(fleet, admin.address(), path.getKey(), path.getValue());
             }
-            String known = fleet.ask(admin.address(), "GET", "/v1/else", "").detail();
+            String known = fleet.request(admin.address(), "GET", "/v1/else", "").detail();
             checkKnownPaths(pathsWithoutParameters(paths), known);
         }
         assertTrue(described >= MIN_DESCRIBED_CALLS, described + " calls");
@@ -53,7 +53,7 @@
         for (String method : METHODS) {
             JsonNode operation = description.path(method.toLowerCase(Locale.ROOT));
             String target = target(path, operation);
-            FleetResponse response = fleet.ask(address, method, target, "");
+            FleetResponse response = fleet.request(address, method, target, "");
             String what =
                     method + " " + target + ": " + response.status() + " " + response.detail();
             if (operation.isMissingNode()) {
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -54,7 +54,7 @@
     /** An operator's client with all that its request needs. */
     private record Operator(String name, Fleet fleet, InetSocketAddress address) {
         FleetResponse send(Change change, String target, String[] headers) {
-            return fleet.ask(address, change.method(), target, change.body(), headers);
+            return fleet.request(address, change.method(), target, change.body(), headers);
         }
     }
 
--- a/src/test/java/rosespread/validation/DurabilityTimeoutTest.java
+++ b/src/test/java/rosespread/validation/DurabilityTimeoutTest.java
@@ -17,7 +17,7 @@
     void aMessageWaitsUntilWhatItAnnouncesIsDurable() {
         assertFalse(timeout.maySend(7, 6, false, TIMEOUT_NANOS - 1));
         assertTrue(timeout.maySend(7, 7, false, TIMEOUT_NANOS - 1));
-        assertFalse(timeout.late());
+        assertFalse(timeout.isDiskLate());
         assertEquals(0, timeout.sentBeforeDurable());
     }
 
@@ -25,17 +25,17 @@
     void afterTheTimeoutMessagesDoNotWaitUntilTheDiskHasCaughtUp() {
         assertTrue(timeout.maySend(7, 6, false, TIMEOUT_NANOS));
         assertTrue(timeout.maySend(8, 6, false, 0));
-        assertTrue(timeout.late());
+        assertTrue(timeout.isDiskLate());
         assertEquals(2, timeout.sentBeforeDurable());
         assertTrue(timeout.maySend(8, 8, false, 0));
-        assertFalse(timeout.late());
+        assertFalse(timeout.isDiskLate());
         assertFalse(timeout.maySend(9, 8, false, 0));
     }
 
     @Test
     void noMessageWaitsForALogThatCannotBeWritten() {
         assertTrue(timeout.maySend(7, 6, true, 0));
-        assertFalse(timeout.late());
+        assertFalse(timeout.isDiskLate());
         assertEquals(1, timeout.sentBeforeDurable());
     }
 }
--- a/src/test/java/rosespread/validation/TableChangeValidatorTest.java
+++ b/src/test/java/rosespread/validation/TableChangeValidatorTest.java
@@ -67,7 +67,7 @@
         assertEquals(
                 reasons == null ? List.of() : List.of(reasons.split(" ")),
                 result.refusals().stream().map(refusal -> refusal.reason().name()).toList());
-        assertEquals(entries(goesOut), result.lines());
+        assertEquals(entries(goesOut), result.entries());
     }
 
     @Property(seed = "1")
@@ -83,7 +83,7 @@
             wanted.put(new NodeId(i), wantedWeights.get(i));
         }
         Map<NodeId, Double> retained = validator.retainableEntries(current, context);
-        assertOnlyEligible(validator.validate(current, wanted, context).lines());
+        assertOnlyEligible(validator.validate(current, wanted, context).entries());
         assertOnlyEligible(retained);
         assertOnlyEligible(validator.stepTowards(current, retained, context));
     }
@@ -105,7 +105,7 @@
                 nodes = random.nextBoolean() ? "0 1 2 3d 4 5c 6" : "0 1 2 3 4c 5c";
                 ValidationContext changed = context(nodes, true, UNLIMITED);
                 current.keySet().retainAll(validator.retainableEntries(current, changed).keySet());
-                totals.forget();
+                totals.invalidate();
             }
             ValidationContext context =
                     context(nodes, random.nextInt(3) > 0, random.nextInt(4) == 0 ? 1 : UNLIMITED);
