--- a/src/main/java/rosespread/drain/Drain.java
+++ b/src/main/java/rosespread/drain/Drain.java
@@ -3,26 +3,26 @@
 import rosespread.api.NodeId;
 
 /**
- * An operator's order on a node: that it drains, or no longer does. Controllers exchange drains and
- * store them; the components have the names of the JSON fields.
+ * An operator's order to start or end the drain of a node. Controllers exchange drains and store
+ * them; the components have the names of the JSON fields.
  *
- * @param name what discovery calls the node
- * @param on whether the node drains
- * @param stamp a Lamport clock: higher than every stamp that the controller knew when the order was
- *     given, so that the later of two orders on a node is known without wall clocks
+ * @param name the node's name in the node list
+ * @param on true to start the drain, false to end it
+ * @param stamp a Lamport timestamp, higher than every stamp that the controller knew when the order
+ *     was given, so that the later of two orders for a node is determined without wall clocks
  * @param by the operator
- * @param call the idempotency key of the request, so that a repeated one does nothing
- * @param atMillis wall clock of the order, for people only
+ * @param call the idempotency key of the request, so that a repeated request has no effect
+ * @param atMillis wall-clock time of the order in milliseconds since the epoch, for display only
  */
 public record Drain(
         NodeId node, String name, boolean on, long stamp, String by, String call, long atMillis) {
 
     /**
-     * Whether this order takes the place of another one on the same node. A total order over
-     * orders, so that all controllers agree whatever arrives first: by stamp, ties by operator and
-     * request.
+     * Returns whether this order replaces another order for the same node. Orders are compared by
+     * stamp, and with equal stamps by operator and request id. This is a total order, so that all
+     * controllers agree regardless of the order of arrival.
      *
-     * @param other may be null, for none
+     * @param other null if there is no other order, which this order always replaces
      */
     public boolean supersedes(Drain other) {
         if (other == null || stamp != other.stamp) {
--- a/src/main/java/rosespread/drain/DrainGuard.java
+++ b/src/main/java/rosespread/drain/DrainGuard.java
@@ -8,10 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * Decides whether one more node may drain: not if a method would keep too small a share of its
- * capacity, nor if it would lose its last ready node of a zone. Guards against drains that are each
- * right and together too much. It judges by what discovery and earlier drains say, so it sees no
- * load. Capacities are relative numbers without a unit.
+ * Decides whether one more node may drain. Rejects a drain if a method would keep less than the
+ * minimum ratio of its capacity, or would lose its last ready node in a zone. Prevents drains that
+ * are each acceptable from removing too much capacity together. The decision uses the node list and
+ * earlier drains only, so it does not take load into account. Capacities are relative numbers
+ * without a unit.
  *
  * <p>Does no I/O and reads no clock. Immutable and therefore thread-safe.
  */
@@ -19,93 +20,98 @@
     /**
      * A listed node.
      *
-     * @param kind its machine type
-     * @param size its capacity
-     * @param ready whether requests may go there now
+     * @param machineType the node's machine type
+     * @param capacity the node's capacity
+     * @param ready whether the node may receive requests now
      */
-    public record Node(String name, String zone, String kind, double size, boolean ready) {}
+    public record Node(
+            String name, String zone, String machineType, double capacity, boolean ready) {}
 
     /**
-     * Where requests of a method may go.
+     * A method and the nodes that may serve it.
      *
-     * @param onlyKinds the machine types that it may use, empty for all
-     * @param onlyZones the zones that it may use, empty for all
+     * @param allowedMachineTypes the machine types that may serve the method, empty for all
+     * @param allowedZones the zones that may serve the method, empty for all
      */
-    public record Method(String name, Set<String> onlyKinds, Set<String> onlyZones) {
+    public record Method(String name, Set<String> allowedMachineTypes, Set<String> allowedZones) {
         boolean allows(Node node) {
-            return (onlyKinds.isEmpty() || onlyKinds.contains(node.kind()))
-                    && (onlyZones.isEmpty() || onlyZones.contains(node.zone()));
+            return (allowedMachineTypes.isEmpty()
+                            || allowedMachineTypes.contains(node.machineType()))
+                    && (allowedZones.isEmpty() || allowedZones.contains(node.zone()));
         }
     }
 
-    private final double leastShare;
+    private final double minCapacityRatio;
 
     /**
-     * A guard with a limit.
+     * Creates a guard.
      *
-     * @param leastShare the share of all listed capacity that a method must keep, 0 to 1
+     * @param minCapacityRatio the ratio of its listed capacity that a method must keep, 0 to 1
      */
-    public DrainGuard(double leastShare) {
-        this.leastShare = leastShare;
+    public DrainGuard(double minCapacityRatio) {
+        this.minCapacityRatio = minCapacityRatio;
     }
 
     /**
-     * Why a node may not drain.
+     * Returns the reasons why a node may not drain.
      *
-     * @param draining the node's name
-     * @return a sentence with figures for each reason; empty if it may drain
+     * @param nodeToDrain the node's name
+     * @return a sentence with figures for each reason; empty if the node may drain
      */
-    public List<String> violations(String draining, List<Node> nodes, List<Method> methods) {
+    public List<String> violations(String nodeToDrain, List<Node> nodes, List<Method> methods) {
         List<String> violations = new ArrayList<>();
         for (Method method : methods) {
             List<Node> usable = nodes.stream().filter(method::allows).toList();
-            tooLittleCapacity(method, draining, usable).ifPresent(violations::add);
-            violations.addAll(lostZones(method, draining, usable));
+            capacityViolation(method, nodeToDrain, usable).ifPresent(violations::add);
+            violations.addAll(zoneViolations(method, nodeToDrain, usable));
         }
         return violations;
     }
 
-    private Optional<String> tooLittleCapacity(Method method, String draining, List<Node> nodes) {
-        double listed = 0;
-        double before = 0;
-        double left = 0;
+    private Optional<String> capacityViolation(
+            Method method, String nodeToDrain, List<Node> nodes) {
+        double listedCapacity = 0;
+        double readyCapacity = 0;
+        double remainingCapacity = 0;
         for (Node node : nodes) {
-            listed += node.size();
+            listedCapacity += node.capacity();
             if (node.ready()) {
-                before += node.size();
-                left += node.name().equals(draining) ? 0 : node.size();
+                readyCapacity += node.capacity();
+                remainingCapacity += node.name().equals(nodeToDrain) ? 0 : node.capacity();
             }
         }
-        // A method that the node does not serve now loses nothing by the drain.
-        if (left < before && left < leastShare * listed) {
+        // A method that the node does not serve now loses no capacity by the drain.
+        if (remainingCapacity < readyCapacity
+                && remainingCapacity < minCapacityRatio * listedCapacity) {
             return Optional.of(
                     String.format(
                             Locale.ROOT,
-                            "method %s would keep %.2f of %.2f, that is %.0f%% where %.0f%% must stay",
+                            "method %s would keep %.2f of %.2f capacity (%.0f%%); at least %.0f%% must remain",
                             method.name(),
-                            left,
-                            listed,
-                            100 * left / listed,
-                            100 * leastShare));
+                            remainingCapacity,
+                            listedCapacity,
+                            100 * remainingCapacity / listedCapacity,
+                            100 * minCapacityRatio));
         }
         return Optional.empty();
     }
 
-    private static List<String> lostZones(Method method, String draining, List<Node> nodes) {
-        Set<String> before = new TreeSet<>();
-        Set<String> left = new TreeSet<>();
+    private static List<String> zoneViolations(
+            Method method, String nodeToDrain, List<Node> nodes) {
+        Set<String> lostZones = new TreeSet<>();
+        Set<String> remainingZones = new TreeSet<>();
         for (Node node : nodes) {
             if (node.ready()) {
-                (node.name().equals(draining) ? before : left).add(node.zone());
+                (node.name().equals(nodeToDrain) ? lostZones : remainingZones).add(node.zone());
             }
         }
-        before.removeAll(left);
-        return before.stream()
+        lostZones.removeAll(remainingZones);
+        return lostZones.stream()
                 .map(
                         zone ->
                                 "method "
                                         + method.name()
-                                        + " would lose its last node of zone "
+                                        + " would lose its last ready node in zone "
                                         + zone)
                 .toList();
     }
--- a/src/main/java/rosespread/drain/DrainRegistry.java
+++ b/src/main/java/rosespread/drain/DrainRegistry.java
@@ -14,97 +14,100 @@
 import rosespread.api.NodeId;
 
 /**
- * All drains and ended drains, the latest of each node. Drains applied in any order and any number
- * of times lead to the same state. Ended ones stay for a while, so that a controller that missed
- * one learns of it.
+ * The latest drain or end of a drain of each node. Drains applied in any order and any number of
+ * times lead to the same state. The most recent {@value #MAX_ENDED_DRAINS} ended drains are kept,
+ * so that a controller that missed the end of a drain can still receive it.
  *
  * <p>Not thread-safe: owned by the controller's event loop.
  */
 public final class DrainRegistry {
-    private static final int MAX_REQUESTS = 4096;
-    private static final int MAX_ENDED = 1024;
+    private static final int MAX_REQUEST_IDS = 4096;
+    private static final int MAX_ENDED_DRAINS = 1024;
     private static final Comparator<Drain> BY_STAMP = Comparator.comparingLong(Drain::stamp);
 
-    private final TreeMap<NodeId, Drain> latest = new TreeMap<>();
+    private final TreeMap<NodeId, Drain> latestByNode = new TreeMap<>();
 
-    /** Recent orders by the id of their request, oldest first. */
-    private final Map<String, Drain> requests = new LinkedHashMap<>();
+    /** Recent orders by request id, oldest first. */
+    private final Map<String, Drain> drainsByRequestId = new LinkedHashMap<>();
 
-    private long stamp;
+    private long highestStamp;
 
     /**
-     * Applies an order given here or learnt from another controller.
+     * Applies an order that was given to this controller or received from another one.
      *
-     * @return whether it changes what holds for the node
+     * @return whether the order is now the latest one for its node
      */
     public boolean apply(Drain drain) {
-        stamp = Math.max(stamp, drain.stamp());
-        remember(drain);
-        if (!drain.supersedes(latest.get(drain.node()))) {
+        highestStamp = Math.max(highestStamp, drain.stamp());
+        recordRequest(drain);
+        if (!drain.supersedes(latestByNode.get(drain.node()))) {
             return false;
         }
-        latest.put(drain.node(), drain);
-        trimEnded();
+        latestByNode.put(drain.node(), drain);
+        removeOldestEnded();
         return true;
     }
 
-    private void remember(Drain drain) {
-        requests.put(drain.call(), drain);
-        while (requests.size() > MAX_REQUESTS) {
-            requests.remove(requests.keySet().iterator().next());
+    private void recordRequest(Drain drain) {
+        drainsByRequestId.put(drain.call(), drain);
+        while (drainsByRequestId.size() > MAX_REQUEST_IDS) {
+            drainsByRequestId.remove(drainsByRequestId.keySet().iterator().next());
         }
     }
 
-    private void trimEnded() {
+    private void removeOldestEnded() {
         List<Drain> ended =
-                latest.values().stream().filter(drain -> !drain.on()).sorted(BY_STAMP).toList();
-        ended.subList(0, Math.max(0, ended.size() - MAX_ENDED))
-                .forEach(drain -> latest.remove(drain.node()));
+                latestByNode.values().stream()
+                        .filter(drain -> !drain.on())
+                        .sorted(BY_STAMP)
+                        .toList();
+        ended.subList(0, Math.max(0, ended.size() - MAX_ENDED_DRAINS))
+                .forEach(drain -> latestByNode.remove(drain.node()));
     }
 
-    /** The stamp for an order that is given now. */
+    /** Returns the stamp for a new order. */
     public long nextStamp() {
-        return stamp + 1;
+        return highestStamp + 1;
     }
 
-    /** The revision that a request is made against: the highest stamp known. */
+    /** Returns the current revision of the drains, which is the highest known stamp. */
     public long revision() {
-        return stamp;
+        return highestStamp;
     }
 
-    /** Whether a node drains by an operator's order. */
+    /** Returns whether an operator drains the node. */
     public boolean drains(NodeId node) {
-        Drain drain = latest.get(node);
+        Drain drain = latestByNode.get(node);
         return drain != null && drain.on();
     }
 
-    /** What a request of this id ordered before; empty if it is unknown or long ago. */
+    /** Returns the order of an earlier request; empty if the id is unknown or no longer kept. */
     public Optional<Drain> findByRequestId(String requestId) {
-        return Optional.ofNullable(requests.get(requestId));
+        return Optional.ofNullable(drainsByRequestId.get(requestId));
     }
 
-    /** The latest order on a node, if any. */
+    /** Returns the latest order for a node, if any. */
     public Optional<Drain> latest(NodeId node) {
-        return Optional.ofNullable(latest.get(node));
+        return Optional.ofNullable(latestByNode.get(node));
     }
 
-    /** The latest orders of their nodes that were given after a revision, oldest first. */
+    /** Returns the latest order of each node that is newer than a revision, oldest first. */
     public List<Drain> changesSince(long revision) {
-        List<Drain> later = new ArrayList<>(latest.values());
-        later.removeIf(drain -> drain.stamp() <= revision);
-        later.sort(BY_STAMP);
-        return later;
+        List<Drain> newer = new ArrayList<>(latestByNode.values());
+        newer.removeIf(drain -> drain.stamp() <= revision);
+        newer.sort(BY_STAMP);
+        return newer;
     }
 
-    /** The latest order of each node, by node: an unmodifiable view. */
+    /** Returns the latest order of each node, sorted by node: an unmodifiable view. */
     public Collection<Drain> allLatest() {
-        return Collections.unmodifiableCollection(latest.values());
+        return Collections.unmodifiableCollection(latestByNode.values());
     }
 
-    /** All orders that must be applied again to come to the same state, in this order. */
+    /** Returns all orders that restore the same state when applied in the returned order. */
     public List<Drain> snapshot() {
-        Set<Drain> all = new LinkedHashSet<>(requests.values());
-        all.addAll(latest.values());
+        Set<Drain> all = new LinkedHashSet<>(drainsByRequestId.values());
+        all.addAll(latestByNode.values());
         List<Drain> sorted = new ArrayList<>(all);
         sorted.sort(BY_STAMP);
         return sorted;
--- a/src/main/java/rosespread/drain/package-info.java
+++ b/src/main/java/rosespread/drain/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Drains that operators order: what holds for each node ({@link rosespread.drain.DrainRegistry}),
- * agreed upon between controllers without wall clocks, and the guard against draining too much
- * ({@link rosespread.drain.DrainGuard}). See docs/daemon.md.
+ * Drains that operators order: the latest order for each node ({@link
+ * rosespread.drain.DrainRegistry}), on which controllers agree without wall clocks, and the guard
+ * against draining too much capacity ({@link rosespread.drain.DrainGuard}). See docs/daemon.md.
  *
- * <p>May use {@code rosespread.api} alone; no I/O, no clock, no threads, which an ArchUnit test
- * holds. The registry is owned by the controller's event loop.
+ * <p>May depend on {@code rosespread.api} only; no I/O, no clock, no threads. An ArchUnit test
+ * enforces this. The registry is owned by the controller's event loop.
  */
 package rosespread.drain;
--- a/src/test/java/rosespread/cli/FleetCommandTest.java
+++ b/src/test/java/rosespread/cli/FleetCommandTest.java
@@ -154,7 +154,7 @@
         ProgramRun refused = fixture.fleet("drain n2");
         assertExitCode(1, refused);
         assertContains(
-                refused.err(), "method quote would keep 1.00 of 4.00, that is 25% where 50%");
+                refused.err(), "method quote would keep 1.00 of 4.00 capacity (25%); at least 50%");
 
         assertExitCode(0, fixture.fleet("drain n2 --force"));
         ProgramRun status = fixture.fleet("status");
--- a/src/test/java/rosespread/controller/ControllerTest.java
+++ b/src/test/java/rosespread/controller/ControllerTest.java
@@ -121,7 +121,7 @@
         String guarded = loopback.call("POST", "/v1/nodes/m/drain", "", "x-operator: bo");
         assertTrue(
                 guarded.startsWith("HTTP/1.1 409")
-                        && guarded.contains("would lose its last node of zone a"),
+                        && guarded.contains("would lose its last ready node in zone a"),
                 guarded);
     }
 
--- a/src/test/java/rosespread/drain/DrainRegistryTest.java
+++ b/src/test/java/rosespread/drain/DrainRegistryTest.java
@@ -11,10 +11,10 @@
 import net.jqwik.api.Property;
 import rosespread.api.NodeId;
 
-/** Drains that reach controllers in different orders. */
+/** Drains that reach two controllers in different orders and repeatedly. */
 class DrainRegistryTest {
     @Property(seed = "1")
-    void drainsInAnyOrderAndNumberLeadToTheSameState(@ForAll long seed) {
+    void drainsAppliedInAnyOrderAndRepeatedlyLeadToSameState(@ForAll long seed) {
         Random random = new Random(seed);
         List<Drain> drains = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -29,17 +29,19 @@
                             "c" + i,
                             i));
         }
-        DrainRegistry one = new DrainRegistry();
-        drains.forEach(one::apply);
+        DrainRegistry inOrder = new DrainRegistry();
+        drains.forEach(inOrder::apply);
         List<Drain> shuffled = new ArrayList<>(drains);
         shuffled.addAll(drains.subList(0, random.nextInt(drains.size())));
         Collections.shuffle(shuffled, random);
-        DrainRegistry other = new DrainRegistry();
-        shuffled.forEach(other::apply);
-        assertEquals(List.copyOf(one.allLatest()), List.copyOf(other.allLatest()));
-        assertEquals(one.revision(), other.revision());
+        DrainRegistry outOfOrder = new DrainRegistry();
+        shuffled.forEach(outOfOrder::apply);
+        assertEquals(List.copyOf(inOrder.allLatest()), List.copyOf(outOfOrder.allLatest()));
+        assertEquals(inOrder.revision(), outOfOrder.revision());
         drains.forEach(
-                drain -> assertEquals(drain, other.findByRequestId(drain.call()).orElseThrow()));
-        one.changesSince(3).forEach(drain -> assertTrue(drain.stamp() > 3));
+                drain ->
+                        assertEquals(
+                                drain, outOfOrder.findByRequestId(drain.call()).orElseThrow()));
+        inOrder.changesSince(3).forEach(drain -> assertTrue(drain.stamp() > 3));
     }
 }
