--- a/src/main/java/rosespread/validation/AcceptedTotals.java
+++ b/src/main/java/rosespread/validation/AcceptedTotals.java
@@ -9,139 +9,139 @@
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
 /**
- * Totals over the entries of one table that were accepted as a whole, so that a change of a few
- * entries is validated at the cost of the change. They hold for one version of the node facts: the
- * validator computes them again whenever {@link ValidationContext#factsVersion} differs.
+ * Totals over all accepted entries of one table, so that the cost of validating a change depends on
+ * the size of the change and not of the table. The totals apply to one version of the node facts:
+ * the validator computes them again whenever {@link ValidationContext#factsVersion} differs.
  *
  * <p>Not thread-safe: owned by the thread that validates the table. {@link TableChangeValidator}
  * alone reads and updates the totals; callers only {@link #invalidate} them.
  */
 public final class AcceptedTotals {
-    private boolean known;
+    private boolean valid;
     private long factsVersion;
-    private double sum;
-    private double warmSum;
-    private int warm;
-    private int eligible;
-    private final TreeSet<NodeId> cold = new TreeSet<>();
-    private int changes;
+    private double weightSum;
+    private double warmWeightSum;
+    private int warmNodes;
+    private int eligibleNodes;
+    private final TreeSet<NodeId> coldNodes = new TreeSet<>();
+    private int changesSinceComputed;
 
     /**
-     * Drops the totals. To be called when entries were changed without the validator, for example
-     * by a rollback; the next validation then looks at the whole table.
+     * Marks the totals as out of date. To be called when entries were changed without the
+     * validator, for example by a rollback; the next validation then checks the whole table.
      */
     public void invalidate() {
-        known = false;
+        valid = false;
     }
 
-    /** Whether the totals stand for the entries now in force. */
-    boolean isKnown() {
-        return known;
+    /** Returns whether the totals match the entries in force. */
+    boolean isValid() {
+        return valid;
     }
 
-    /** The version of the node facts that the totals were computed by. */
+    /** Returns the version of the node facts from which the totals were computed. */
     long factsVersion() {
         return factsVersion;
     }
 
-    /** The sum of all weights. */
-    double sum() {
-        return sum;
+    /** Returns the sum of all weights. */
+    double weightSum() {
+        return weightSum;
     }
 
-    /** The mean weight of warm eligible nodes, infinite if there is none. */
+    /** Returns the mean weight of the eligible nodes that have warmed up; infinite if none has. */
     double warmMean() {
-        // Without a warm node there is nothing to compare with: a whole site has come back cold.
-        return warm == 0 ? Double.POSITIVE_INFINITY : warmSum / warm;
+        // Infinity disables the comparison: after a restart of the whole site no node is warmed up.
+        return warmNodes == 0 ? Double.POSITIVE_INFINITY : warmWeightSum / warmNodes;
     }
 
-    /** The number of entries with a positive weight whose nodes are eligible. */
-    int eligible() {
-        return eligible;
+    /** Returns the number of entries that have a positive weight and whose node is eligible. */
+    int eligibleNodes() {
+        return eligibleNodes;
     }
 
-    /** Eligible nodes with a positive weight that are still warming up. */
-    SortedSet<NodeId> cold() {
-        return Collections.unmodifiableSortedSet(cold);
+    /** Returns the eligible nodes with a positive weight that are still warming up. */
+    SortedSet<NodeId> coldNodes() {
+        return Collections.unmodifiableSortedSet(coldNodes);
     }
 
-    /** Changes applied since the totals were last computed from all entries. */
-    int changes() {
-        return changes;
+    /** Returns the number of deltas applied since the totals were computed from all entries. */
+    int changesSinceComputed() {
+        return changesSinceComputed;
     }
 
     /** Computes the totals from all entries of a table that was just accepted. */
     void compute(Map<NodeId, Double> entries, ValidationContext context) {
-        sum = 0;
-        warmSum = 0;
-        warm = 0;
-        eligible = 0;
-        changes = 0;
-        cold.clear();
+        weightSum = 0;
+        warmWeightSum = 0;
+        warmNodes = 0;
+        eligibleNodes = 0;
+        changesSinceComputed = 0;
+        coldNodes.clear();
         entries.forEach((node, weight) -> add(node, weight, context.nodes().get(node)));
         factsVersion = context.factsVersion();
-        known = true;
+        valid = true;
     }
 
     /**
-     * Applies an accepted change.
+     * Updates the totals by an accepted delta.
      *
-     * @param current entries before the change
-     * @param changed new weights, 0 for a removed entry
+     * @param current all entries before the delta
+     * @param changed the new weights, 0 for a removed entry
      */
     void apply(
             Map<NodeId, Double> current, Map<NodeId, Double> changed, ValidationContext context) {
         changed.forEach(
                 (node, weight) -> {
                     NodeFact fact = context.nodes().get(node);
-                    Double old = current.get(node);
-                    if (old != null) {
-                        remove(node, old, fact);
+                    Double previous = current.get(node);
+                    if (previous != null) {
+                        remove(node, previous, fact);
                     }
                     if (weight != 0) {
                         add(node, weight, fact);
                     }
                 });
-        changes++;
+        changesSinceComputed++;
     }
 
-    /** The totals as they would be after a change; these stay as they are. */
+    /** Returns the totals after a delta without changing this object. */
     AcceptedTotals after(
             Map<NodeId, Double> current, Map<NodeId, Double> changed, ValidationContext context) {
         AcceptedTotals next = new AcceptedTotals();
-        next.sum = sum;
-        next.warmSum = warmSum;
-        next.warm = warm;
-        next.eligible = eligible;
-        next.cold.addAll(cold);
+        next.weightSum = weightSum;
+        next.warmWeightSum = warmWeightSum;
+        next.warmNodes = warmNodes;
+        next.eligibleNodes = eligibleNodes;
+        next.coldNodes.addAll(coldNodes);
         next.apply(current, changed, context);
         return next;
     }
 
     private void add(NodeId node, double weight, NodeFact fact) {
-        sum += weight;
+        weightSum += weight;
         if (fact == null || !fact.eligible() || !(weight > 0)) {
             return;
         }
-        eligible++;
+        eligibleNodes++;
         if (fact.warmth() >= 1) {
-            warm++;
-            warmSum += weight;
+            warmNodes++;
+            warmWeightSum += weight;
         } else {
-            cold.add(node);
+            coldNodes.add(node);
         }
     }
 
     private void remove(NodeId node, double weight, NodeFact fact) {
-        sum -= weight;
-        cold.remove(node);
+        weightSum -= weight;
+        coldNodes.remove(node);
         if (fact == null || !fact.eligible() || !(weight > 0)) {
             return;
         }
-        eligible--;
+        eligibleNodes--;
         if (fact.warmth() >= 1) {
-            warm--;
-            warmSum -= weight;
+            warmNodes--;
+            warmWeightSum -= weight;
         }
     }
 }
--- a/src/main/java/rosespread/validation/ChannelCapacity.java
+++ b/src/main/java/rosespread/validation/ChannelCapacity.java
@@ -1,22 +1,26 @@
 package rosespread.validation;
 
 /**
- * Decides how much may be sent that the routing policy did not order: rollbacks, what the validator
- * puts in place of a refused change, and full tables for proxies that could not follow. The policy
- * keeps the rest of queue and messages; removals of draining nodes may use more, as they may not
- * wait. Entries are weight entries of tables, counted once for each proxy that they go to.
+ * Limits the messages that the controller sends in addition to those that the routing policy
+ * orders: rollbacks, replacements of refused changes, and full tables for proxies that missed a
+ * delta. These messages may use a share of the queue limit and of each proxy's message limit; the
+ * rest is reserved for the policy. Removals of draining nodes may use a larger share, because they
+ * must not wait. Entries are weight entries of tables, counted once for each receiving proxy.
  *
  * <p>Stateless and therefore thread-safe.
  */
 public final class ChannelCapacity {
-    /** Shares of the queue's limit and of a proxy's message limit; the policy has the rest. */
+    /** Share of the queue limit; the rest is reserved for the policy. */
     private static final double QUEUE_SHARE = 0.5;
 
     private static final double QUEUE_SHARE_OF_DRAINS = 0.9;
+
+    /** Share of a proxy's message limit; the rest is reserved for the policy. */
     private static final double MESSAGE_SHARE = 0.7;
+
     private static final double MESSAGE_SHARE_OF_DRAINS = 0.9;
 
-    /** How much later than usual an acknowledgement may come. */
+    /** Time by which an acknowledgement may exceed the longest usual round trip. */
     private static final long ACKNOWLEDGEMENT_SLACK_NANOS = 300_000_000L;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -24,11 +28,12 @@
     private ChannelCapacity() {}
 
     /**
-     * How many entries may be sent to each of so many proxies now.
+     * Returns how many entries may be sent to each of the proxies now.
      *
-     * @param queueLimit the most entries that may be queued
+     * @param queueLimit the maximum number of queued entries
      * @param queued entries in the queue
-     * @param messageOverhead what a message counts by itself, in entries
+     * @param proxies the number of receiving proxies
+     * @param messageOverhead the cost of a message without entries, in entries
      * @param drain whether the entries are removals of draining nodes
      * @return 0 or more
      */
@@ -39,16 +44,17 @@
     }
 
     /**
-     * How many entries of one table the channel can still deliver to each of its proxies within the
-     * drain timeout and the queue's limit. Guards against changes that are each small but not
-     * together, as all tables share the channel.
+     * Returns how many entries of one table the channel can still deliver to each of the table's
+     * proxies within the drain timeout and the queue limit. All tables share the channel, so this
+     * prevents changes that are each small from overloading it together.
      *
      * @param entriesPerSecond the channel's rate
      * @param drainTimeoutNanos the drain timeout
-     * @param queueLimit the most entries that may be queued
+     * @param queueLimit the maximum number of queued entries
      * @param queued entries in the queue and on their way to it
-     * @param messageOverhead what a message counts by itself, in entries
-     * @return infinite without proxies; negative if too much is queued already
+     * @param proxies the number of proxies that use the table
+     * @param messageOverhead the cost of a message without entries, in entries
+     * @return infinite without proxies; negative if too many entries are queued already
      */
     public static double deliverableEntries(
             double entriesPerSecond,
@@ -60,41 +66,43 @@
         if (proxies == 0) {
             return Double.POSITIVE_INFINITY;
         }
-        double delivered =
+        double deliverable =
                 Math.min(entriesPerSecond * drainTimeoutNanos / NANOS_PER_SECOND, queueLimit);
-        return (delivered - queued) / proxies - messageOverhead;
+        return (deliverable - queued) / proxies - messageOverhead;
     }
 
     /**
-     * Whether a message should have been acknowledged by now. Its entries then count as queued: a
-     * link that has become slow holds them where the controller cannot see them, and must not be
-     * filled with what could wait.
+     * Returns whether the acknowledgement of a message is overdue. The entries of an overdue
+     * message count as queued: a slow link buffers them where the controller cannot see them, and
+     * messages that can wait must not add to that backlog.
      *
-     * @param sinceWrittenNanos how long ago the message was written
-     * @param longestRoundTripNanos the longest that a message and its acknowledgement usually take
+     * @param sinceWrittenNanos time since the message was written
+     * @param longestRoundTripNanos the longest usual time from a message to its acknowledgement
      */
     public static boolean isOverdue(long sinceWrittenNanos, long longestRoundTripNanos) {
         return sinceWrittenNanos > longestRoundTripNanos + ACKNOWLEDGEMENT_SLACK_NANOS;
     }
 
     /**
-     * How many entries of overdue messages count as queued: all of them if most proxies owe an
-     * acknowledgement, else none. A few that do not answer are slow themselves, and must not keep
-     * the others from theirs.
+     * Returns how many entries of overdue messages count as queued: all of them if more than half
+     * of the proxies have an overdue acknowledgement, else none. If only a few proxies do not
+     * acknowledge, these proxies are slow and not the channel, and they must not delay messages to
+     * the others.
      *
-     * @param entries entries of all overdue messages
-     * @param lateProxies proxies with an overdue message
-     * @param proxies all proxies
+     * @param entries the number of entries in all overdue messages
+     * @param lateProxies the number of proxies with an overdue message
+     * @param proxies the number of all proxies
      */
     public static long overdueEntries(long entries, long lateProxies, long proxies) {
         return 2 * lateProxies > proxies ? entries : 0;
     }
 
     /**
-     * Whether a proxy may be sent one more message.
+     * Returns whether one more message may be sent to a proxy.
      *
-     * @param limit the most messages to one proxy within the span that is limited, 0 for no limit
-     * @param written messages to it within that span
+     * @param limit the maximum number of messages to one proxy within the window of the message
+     *     limit, 0 for no limit
+     * @param written messages to the proxy within that window
      * @param drain whether the message removes a draining node
      */
     public static boolean mayWriteMessage(int limit, int written, boolean drain) {
--- a/src/main/java/rosespread/validation/DurabilityTimeout.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -1,58 +1,60 @@
 package rosespread.validation;
 
 /**
- * Decides how long a message waits until what it announces is on the disk. A proxy should learn of
- * nothing that a restart forgets, but a disk that is full, broken or slow must not delay a drain:
- * after the timeout messages leave without it, and go on so until the disk has caught up, rather
- * than each waiting again. What a restart forgot then is made up for as proxies rejoin and name the
+ * Decides how long a message waits until the log entry that it announces is on disk. A proxy should
+ * not receive a table version that the controller loses in a restart, but a full, broken or slow
+ * disk must not delay a drain. After the timeout, messages are therefore sent without waiting for
+ * the disk until the log has caught up; otherwise each message would wait for a timeout of its own.
+ * If a restart then loses versions, the controller recovers when proxies reconnect and report the
  * versions that they hold.
  *
- * <p>Not thread-safe: owned by the event loop. Reads no clock.
+ * <p>Not thread-safe: owned by the controller's event loop. Reads no clock.
  */
 public final class DurabilityTimeout {
-    /** The timeout as a part of the drain timeout; the rest is for the message's delivery. */
-    private static final double SHARE_OF_DRAIN_TIMEOUT = 0.1;
+    /** Share of the drain timeout that a message may wait; the rest is for its delivery. */
+    private static final double DRAIN_TIMEOUT_SHARE = 0.1;
 
     private final long timeoutNanos;
-    private boolean late;
+    private boolean diskLate;
     private long sentBeforeDurable;
 
     /**
-     * A timeout for messages that may have to bring a drain.
+     * Creates a timeout for messages that may carry a drain.
      *
      * @param drainTimeoutNanos the drain timeout
      */
     public DurabilityTimeout(long drainTimeoutNanos) {
-        this.timeoutNanos = (long) (SHARE_OF_DRAIN_TIMEOUT * drainTimeoutNanos);
+        this.timeoutNanos = (long) (DRAIN_TIMEOUT_SHARE * drainTimeoutNanos);
     }
 
     /**
-     * Whether a message may be sent now.
+     * Returns whether a message may be sent now.
      *
-     * @param required the log sequence that the message announces
-     * @param durable the log sequence up to which all is on the disk
-     * @param failed whether the log cannot be written at all
+     * @param requiredSequence the sequence of the log entry that the message announces
+     * @param durableSequence the sequence up to which all log entries are on disk
+     * @param logFailed whether the log cannot be written at all
      * @param waitedNanos how long the message has waited
      */
-    public boolean maySend(long required, long durable, boolean failed, long waitedNanos) {
-        if (durable >= required) {
-            late = false;
+    public boolean maySend(
+            long requiredSequence, long durableSequence, boolean logFailed, long waitedNanos) {
+        if (durableSequence >= requiredSequence) {
+            diskLate = false;
             return true;
         }
-        late |= waitedNanos >= timeoutNanos;
-        if (failed || late) {
+        diskLate |= waitedNanos >= timeoutNanos;
+        if (logFailed || diskLate) {
             sentBeforeDurable++;
             return true;
         }
         return false;
     }
 
-    /** Whether the disk is late, so that messages are sent without waiting for it. */
+    /** Returns whether messages are sent without waiting because the disk is behind. */
     public boolean isDiskLate() {
-        return late;
+        return diskLate;
     }
 
-    /** How many messages were sent before what they announce was on the disk. */
+    /** Returns how many messages were sent before the announced log entry was on disk. */
     public long sentBeforeDurable() {
         return sentBeforeDurable;
     }
--- a/src/main/java/rosespread/validation/EntryRetention.java
+++ b/src/main/java/rosespread/validation/EntryRetention.java
@@ -8,11 +8,12 @@
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
 /**
- * Entries that go out without the routing policy having ordered them: what may stay of a table, and
- * the steps by which a pinned table comes back to what is wanted. Stateless.
+ * Computes entries that are sent without an order of the routing policy: the current entries that a
+ * table may retain, and the steps by which a released table returns to the entries that the policy
+ * requests. Stateless.
  */
 final class EntryRetention {
-    /** The share of all weight that one step moves. */
+    /** Maximum share of the total weight that one step moves. */
     private static final double STEP_SHARE = 0.15;
 
     private EntryRetention() {}
@@ -25,13 +26,13 @@
                 (node, weight) -> {
                     NodeFact fact = context.nodes().get(node);
                     if (fact != null && fact.eligible() && Double.isFinite(weight) && weight > 0) {
-                        retained.put(node, bounded(weight, fact, warmMean));
+                        retained.put(node, boundedByWarmth(weight, fact, warmMean));
                     }
                 });
         return retained.isEmpty() ? allEligible(context) : retained;
     }
 
-    private static double bounded(double weight, NodeFact fact, double warmMean) {
+    private static double boundedByWarmth(double weight, NodeFact fact, double warmMean) {
         return fact.warmth() < 1 ? Math.min(weight, fact.warmth() * warmMean) : weight;
     }
 
@@ -49,35 +50,38 @@
 
     /** See {@link TableChangeValidator#stepTowards}. */
     static Map<NodeId, Double> step(
-            Map<NodeId, Double> current, Map<NodeId, Double> wanted, ValidationContext context) {
+            Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
         Map<NodeId, Double> from = retain(current, context);
-        // The step is what keeps the move small, so neither rule on its size is applied here.
-        ValidationContext anySize =
+        // The step itself limits the size of the change, so the two size rules are not applied.
+        ValidationContext contextWithoutSizeLimits =
                 new ValidationContext(
                         context.nodes(), context.factsVersion(), true, Double.POSITIVE_INFINITY);
-        if (!TableRules.check(current, wanted, anySize).isEmpty()) {
+        if (!TableRules.check(current, desired, contextWithoutSizeLimits).isEmpty()) {
             return from;
         }
-        double moved = WeightShift.share(from, wanted);
+        double moved = WeightShift.movedShare(from, desired);
         if (moved <= STEP_SHARE) {
-            return wanted;
+            return desired;
         }
-        return retain(blend(from, wanted, STEP_SHARE / moved), context);
+        return retain(blend(from, desired, STEP_SHARE / moved), context);
     }
 
-    /** Both tables mixed, the first one scaled to the sum of the second. */
+    /**
+     * Returns the weighted mean of two tables after the first one is scaled to the weight sum of
+     * the second.
+     */
     private static Map<NodeId, Double> blend(
-            Map<NodeId, Double> from, Map<NodeId, Double> to, double toShare) {
+            Map<NodeId, Double> from, Map<NodeId, Double> to, double toFraction) {
         double scale = WeightShift.sum(to) / WeightShift.sum(from);
-        TreeSet<NodeId> all = new TreeSet<>(from.keySet());
-        all.addAll(to.keySet());
-        Map<NodeId, Double> mixed = new TreeMap<>();
-        for (NodeId node : all) {
+        TreeSet<NodeId> allNodes = new TreeSet<>(from.keySet());
+        allNodes.addAll(to.keySet());
+        Map<NodeId, Double> blended = new TreeMap<>();
+        for (NodeId node : allNodes) {
             double weight =
-                    (1 - toShare) * scale * from.getOrDefault(node, 0.0)
-                            + toShare * to.getOrDefault(node, 0.0);
-            mixed.put(node, weight);
+                    (1 - toFraction) * scale * from.getOrDefault(node, 0.0)
+                            + toFraction * to.getOrDefault(node, 0.0);
+            blended.put(node, weight);
         }
-        return mixed;
+        return blended;
     }
 }
--- a/src/main/java/rosespread/validation/EntryRules.java
+++ b/src/main/java/rosespread/validation/EntryRules.java
@@ -6,19 +6,22 @@
 import rosespread.validation.TableChangeValidator.Reason;
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
-/** The rules that a single entry of a table must keep. Stateless. */
+/** Rules that each entry of a table must satisfy. Stateless. */
 final class EntryRules {
-    /** A node that is warming up may have this multiple of its warmth times the warm mean. */
-    private static final double MAX_COLD_MULTIPLE = 4;
+    /**
+     * Maximum weight of a node that is warming up, as a multiple of its warmth times the mean
+     * weight of warm nodes.
+     */
+    private static final double MAX_WARM_UP_WEIGHT_MULTIPLE = 4;
 
     private EntryRules() {}
 
     /**
-     * The rule that an entry breaks.
+     * Returns the first rule that an entry breaks.
      *
-     * @param fact what is known of its node, null if it was never listed
+     * @param fact the facts about the entry's node, null if the node was never listed
      * @param warmMean the mean weight of warm nodes, infinite if there is none
-     * @return null if the entry may go out
+     * @return null if the entry breaks no rule
      */
     static Reason violation(double weight, NodeFact fact, double warmMean) {
         if (!Double.isFinite(weight) || weight < 0) {
@@ -30,13 +33,13 @@
         if (fact.leaving()) {
             return Reason.LEAVING_NODE;
         }
-        if (fact.warmth() < 1 && weight > MAX_COLD_MULTIPLE * fact.warmth() * warmMean) {
+        if (fact.warmth() < 1 && weight > MAX_WARM_UP_WEIGHT_MULTIPLE * fact.warmth() * warmMean) {
             return Reason.COLD_TOO_HIGH;
         }
         return null;
     }
 
-    /** The mean weight of warm eligible nodes, infinite if there is none. */
+    /** Returns the mean weight of warm eligible nodes, infinite if there is none. */
     static double warmMean(Map<NodeId, Double> entries, ValidationContext context) {
         double mean =
                 entries.entrySet().stream()
@@ -45,7 +48,7 @@
                         .mapToDouble(Map.Entry::getValue)
                         .average()
                         .orElse(Double.NaN);
-        // Without a warm node there is nothing to compare with: a whole site has come back cold.
+        // Infinity disables the comparison: after a restart of the whole site no node is warm.
         return Double.isNaN(mean) ? Double.POSITIVE_INFINITY : mean;
     }
 
--- a/src/main/java/rosespread/validation/TableChangeValidator.java
+++ b/src/main/java/rosespread/validation/TableChangeValidator.java
@@ -8,18 +8,20 @@
 import rosespread.api.NodeId;
 
 /**
- * Decides which entries of a routing table are rolled out: it stands between the table that the
- * routing policy wants and the one that proxies were last given. A change that fails a rule never
- * goes out; the last accepted entries stay, less those of nodes that drain or are gone, so that a
- * refusal delays no drain, and a table that would be left without a node gets every eligible one.
- * docs/versions.md tells for each rule how it could do harm and when it steps aside.
+ * Decides which entries of a routing table are rolled out, given the table that the routing policy
+ * requests and the table that proxies were last given. A change that breaks a rule is never sent.
+ * The last accepted entries are retained instead, without those of nodes that drain or are gone, so
+ * that a refusal does not delay a drain. A table that would have no node left gets all eligible
+ * nodes. docs/versions.md explains for each rule when it may misfire and when it is not applied.
  *
  * <p>Does no I/O and reads no clock. Stateless and therefore thread-safe; {@link AcceptedTotals}
  * passed in belong to the calling thread. Weights are relative numbers without a unit. Not final,
- * so that a test can let everything pass.
+ * so that a test can replace it by a validator that accepts every change.
  */
 public class TableChangeValidator {
-    /** Why a change is refused. Names are reported by the control API and must not change. */
+    /**
+     * The reason why a change is refused. The control API reports the names; they must not change.
+     */
     public enum Reason {
         /** A weight is negative, infinite or not a number. */
         BAD_WEIGHT,
@@ -27,11 +29,13 @@
         UNKNOWN_NODE,
         /** An entry names a node that drains or is gone. */
         LEAVING_NODE,
-        /** No entry has an eligible node although a warm one is listed. */
+        /** No entry has an eligible node although a warm eligible node is listed. */
         NO_NODE,
-        /** A node that is warming up would get too large a weight. */
+        /** The weight of a node that is warming up is too large for its warmth. */
         COLD_TOO_HIGH,
-        /** Too large a part of all weight would move at once without a cause. */
+        /**
+         * Too large a share of the weight would move at once although no large move is expected.
+         */
         MOVES_TOO_MUCH,
         /** More entries change than the channel can deliver in time. */
         TOO_MANY_LINES
@@ -41,39 +45,39 @@
      * A rule that was broken.
      *
      * @param reason the rule
-     * @param nodes the nodes of the entries at fault, empty if the table as a whole is
-     * @param figures what was found, for operators
+     * @param nodes the nodes of the invalid entries, empty if the table as a whole breaks the rule
+     * @param figures the values that broke the rule, for operators
      */
     public record Refusal(Reason reason, List<NodeId> nodes, String figures) {}
 
     /**
-     * What is known of a node.
+     * The facts about a node that the validator uses.
      *
-     * @param state as discovery and drains have it
-     * @param warmth the part of its capacity that it can be relied on to have by now, 0 to 1; 1
-     *     once it is warm
-     * @param open whether the table's methods and zones may use it
+     * @param state the state according to discovery and drains
+     * @param warmth the ratio of its capacity that the node has reliably reached in its warm-up, 0
+     *     to 1; 1 once the node is warm
+     * @param allowed whether the table's methods and zones may use the node
      */
-    public record NodeFact(NodeState state, double warmth, boolean open) {
-        /** Whether the table may have an entry for the node. */
+    public record NodeFact(NodeState state, double warmth, boolean allowed) {
+        /** Returns whether the table may have an entry for the node. */
         public boolean eligible() {
-            return state == NodeState.READY && open;
+            return state == NodeState.READY && allowed;
         }
 
-        /** Whether an entry for the node must be removed. */
+        /** Returns whether an entry for the node must be removed. */
         public boolean leaving() {
             return state != NodeState.READY;
         }
     }
 
     /**
-     * What is known as a change is validated.
+     * The circumstances under which a change is validated.
      *
-     * @param nodes all nodes that discovery has ever listed
-     * @param factsVersion changes whenever a fact may have changed, other than that a node has
-     *     warmed up further
-     * @param largeMoveExpected whether endpoint list or health have lately changed so that a large
-     *     move of weight can be intended
+     * @param nodes the facts about all nodes that discovery has ever listed
+     * @param factsVersion changes whenever a fact may have changed, except for progress in a node's
+     *     warm-up
+     * @param largeMoveExpected whether the endpoint list or the health of nodes changed recently,
+     *     so that a large move of weight can be intended
      * @param deliverableEntries how many entries the channel can deliver to each proxy of this
      *     table within the drain timeout
      */
@@ -84,74 +88,76 @@
             double deliverableEntries) {}
 
     /**
-     * What comes of a validation.
+     * The result of a validation.
      *
      * @param entries the entries to roll out now
-     * @param refusals the rules that were broken; empty if {@code entries} are those that were
-     *     wanted
+     * @param refusals the rules that were broken; empty if {@code entries} are the desired ones
      */
     public record ValidationResult(Map<NodeId, Double> entries, List<Refusal> refusals) {}
 
-    /** Sums of weights drift a little with each change; after so many they are computed again. */
+    /**
+     * Number of changes after which the totals are computed again, because rounding errors in sums
+     * of weights accumulate.
+     */
     private static final int MAX_INCREMENTAL_CHANGES = 10_000;
 
     /**
      * Validates a whole table.
      *
      * @param current the entries that proxies were last given, empty if none
-     * @param wanted the entries that the routing policy wants
+     * @param desired the entries that the routing policy requests
      */
     public ValidationResult validate(
-            Map<NodeId, Double> current, Map<NodeId, Double> wanted, ValidationContext context) {
-        List<Refusal> refusals = TableRules.check(current, wanted, context);
+            Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
+        List<Refusal> refusals = TableRules.check(current, desired, context);
         return new ValidationResult(
-                refusals.isEmpty() ? wanted : retainableEntries(current, context), refusals);
+                refusals.isEmpty() ? desired : retainableEntries(current, context), refusals);
     }
 
     /**
-     * Validates a change of a few entries of a table whose other entries were accepted before: the
-     * same result as for the whole table, at the cost of the change. An accepted change is added to
-     * the totals, a refused one drops them.
+     * Validates a change of a few entries of a table whose other entries were accepted before. The
+     * result is the same as for the whole table, but the cost depends on the size of the change and
+     * not of the table. An accepted change updates the totals; a refused change invalidates them.
      *
-     * @param totals of the current entries
+     * @param totals the totals over the current entries
      * @param current the entries that proxies were last given, empty if none
-     * @param wanted the entries that the routing policy wants
-     * @param changed every entry in which {@code wanted} differs from {@code current}, weight 0 for
-     *     a removed one; may hold others
+     * @param desired the entries that the routing policy requests
+     * @param changed every entry in which {@code desired} differs from {@code current}, with weight
+     *     0 for a removed entry; may contain unchanged entries as well
      */
     public ValidationResult validate(
             AcceptedTotals totals,
             Map<NodeId, Double> current,
-            Map<NodeId, Double> wanted,
+            Map<NodeId, Double> desired,
             Map<NodeId, Double> changed,
             ValidationContext context) {
-        if (!totals.isKnown()
+        if (!totals.isValid()
                 || totals.factsVersion() != context.factsVersion()
-                || totals.changes() >= MAX_INCREMENTAL_CHANGES) {
-            return validateWhole(totals, current, wanted, context);
+                || totals.changesSinceComputed() >= MAX_INCREMENTAL_CHANGES) {
+            return validateWhole(totals, current, desired, context);
         }
         AcceptedTotals next = totals.after(current, changed, context);
-        if (!entriesPass(next, wanted, changed, context)
+        if (!entriesPass(next, desired, changed, context)
                 || !changePasses(totals, next, current, changed, context)) {
-            // The whole table is validated for reasons and figures: a refusal is rare.
-            ValidationResult result = validate(current, wanted, context);
+            // Validating the whole table gives all reasons and figures; refusals are rare.
+            ValidationResult result = validate(current, desired, context);
             if (!result.refusals().isEmpty()) {
                 totals.invalidate();
                 return result;
             }
         }
         totals.apply(current, changed, context);
-        return new ValidationResult(wanted, List.of());
+        return new ValidationResult(desired, List.of());
     }
 
     private ValidationResult validateWhole(
             AcceptedTotals totals,
             Map<NodeId, Double> current,
-            Map<NodeId, Double> wanted,
+            Map<NodeId, Double> desired,
             ValidationContext context) {
-        ValidationResult result = validate(current, wanted, context);
+        ValidationResult result = validate(current, desired, context);
         if (result.refusals().isEmpty()) {
-            totals.compute(wanted, context);
+            totals.compute(desired, context);
         } else {
             totals.invalidate();
         }
@@ -159,21 +165,22 @@
     }
 
     /**
-     * Whether changed and cold entries keep the rules of an entry, and an eligible node is left.
+     * Returns whether all changed entries and all entries of cold nodes satisfy the entry rules,
+     * and at least one eligible node is left.
      */
     private static boolean entriesPass(
             AcceptedTotals next,
-            Map<NodeId, Double> wanted,
+            Map<NodeId, Double> desired,
             Map<NodeId, Double> changed,
             ValidationContext context) {
-        if (next.eligible() == 0) {
+        if (next.eligibleNodes() == 0) {
             return false;
         }
         double warmMean = next.warmMean();
-        TreeSet<NodeId> affected = new TreeSet<>(next.cold());
+        TreeSet<NodeId> affected = new TreeSet<>(next.coldNodes());
         affected.addAll(changed.keySet());
         for (NodeId node : affected) {
-            Double weight = wanted.get(node);
+            Double weight = desired.get(node);
             if (weight != null
                     && EntryRules.violation(weight, context.nodes().get(node), warmMean) != null) {
                 return false;
@@ -182,7 +189,7 @@
         return true;
     }
 
-    /** Whether the change keeps the rules on its size. */
+    /** Returns whether the change satisfies the rules on its size. */
     private static boolean changePasses(
             AcceptedTotals totals,
             AcceptedTotals next,
@@ -195,7 +202,8 @@
         long changes = changed.entrySet().stream().filter(entry -> differs(entry, current)).count();
         return changes <= context.deliverableEntries()
                 && (context.largeMoveExpected()
-                        || WeightShift.share(totals.sum(), next.sum(), current, changed)
+                        || WeightShift.movedShare(
+                                        totals.weightSum(), next.weightSum(), current, changed)
                                 <= TableRules.MAX_MOVED_SHARE);
     }
 
@@ -205,10 +213,10 @@
     }
 
     /**
-     * The entries that may stay of a table: those of nodes that drain, are gone or unknown are
-     * dropped, and nodes that are warming up are held to their warmth, since an entry may have been
-     * made for a node that was warm and has restarted since. If nothing is left, all eligible nodes
-     * take their place, each with its warmth as weight.
+     * Returns the entries of a table that may be retained. Entries of nodes that drain, are gone or
+     * unknown are removed. Weights of nodes that are warming up are limited by their warmth,
+     * because a node may have been warm when its entry was made and may have restarted since. If no
+     * entry is left, the result has all eligible nodes, each with its warmth as weight.
      */
     public Map<NodeId, Double> retainableEntries(
             Map<NodeId, Double> entries, ValidationContext context) {
@@ -216,12 +224,13 @@
     }
 
     /**
-     * One step from entries that were pinned towards those that the routing policy wants: a part of
-     * the way, so that releasing a table moves no more than a stated share of all weight at once.
-     * Wanted entries that break a rule are not approached.
+     * Returns the entries after one step from the entries of a released table towards those that
+     * the routing policy requests. Each step moves at most a fixed share of the weight, so that the
+     * release of a pinned table causes no large move. If the requested entries break a rule, the
+     * step only retains the current entries that may stay.
      */
     public Map<NodeId, Double> stepTowards(
-            Map<NodeId, Double> current, Map<NodeId, Double> wanted, ValidationContext context) {
-        return EntryRetention.step(current, wanted, context);
+            Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
+        return EntryRetention.step(current, desired, context);
     }
 }
--- a/src/main/java/rosespread/validation/TableRules.java
+++ b/src/main/java/rosespread/validation/TableRules.java
@@ -12,11 +12,12 @@
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
 /**
- * All rules applied to a whole table. The rules on the size of a change are looked at only if all
- * others are kept: a table with wrong entries is refused for those. Stateless.
+ * Applies every rule to a whole table. The rules on the size of a change are checked only if no
+ * other rule is broken, so that a table with invalid entries is refused for these entries.
+ * Stateless.
  */
 final class TableRules {
-    /** A change may move this share of all weight at once without a cause. */
+    /** Maximum share of the weight sum that one change may move if no large move is expected. */
     static final double MAX_MOVED_SHARE = 0.5;
 
     private TableRules() {}
@@ -25,23 +26,25 @@
      * Checks a table against every rule.
      *
      * @param current the entries that proxies were last given, empty if none
-     * @return the rules that are broken, in the order of {@link Reason}; empty if all are kept
+     * @param desired the entries that the routing policy requests
+     * @return the broken rules, in the order of {@link Reason}; empty if no rule is broken
      */
     static List<Refusal> check(
-            Map<NodeId, Double> current, Map<NodeId, Double> wanted, ValidationContext context) {
-        List<Refusal> refusals = new ArrayList<>(badEntries(wanted, context));
-        noNode(wanted, context).ifPresent(refusals::add);
+            Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
+        List<Refusal> refusals = new ArrayList<>(entryViolations(desired, context));
+        missingEligibleNode(desired, context).ifPresent(refusals::add);
         if (refusals.isEmpty() && !current.isEmpty()) {
-            movesTooMuch(current, wanted, context).ifPresent(refusals::add);
-            tooManyEntries(current, wanted, context).ifPresent(refusals::add);
+            movesTooMuch(current, desired, context).ifPresent(refusals::add);
+            tooManyEntries(current, desired, context).ifPresent(refusals::add);
         }
         return refusals;
     }
 
-    private static List<Refusal> badEntries(Map<NodeId, Double> wanted, ValidationContext context) {
+    private static List<Refusal> entryViolations(
+            Map<NodeId, Double> desired, ValidationContext context) {
         Map<Reason, List<NodeId>> violations = new EnumMap<>(Reason.class);
-        double warmMean = EntryRules.warmMean(wanted, context);
-        wanted.forEach(
+        double warmMean = EntryRules.warmMean(desired, context);
+        desired.forEach(
                 (node, weight) -> {
                     Reason reason =
                             EntryRules.violation(weight, context.nodes().get(node), warmMean);
@@ -52,46 +55,48 @@
         List<Refusal> refusals = new ArrayList<>();
         violations.forEach(
                 (reason, nodes) ->
-                        refusals.add(new Refusal(reason, nodes, nodes.size() + " lines")));
+                        refusals.add(new Refusal(reason, nodes, nodes.size() + " entries")));
         return refusals;
     }
 
-    private static Optional<Refusal> noNode(Map<NodeId, Double> wanted, ValidationContext context) {
-        boolean served =
-                wanted.entrySet().stream()
+    private static Optional<Refusal> missingEligibleNode(
+            Map<NodeId, Double> desired, ValidationContext context) {
+        boolean hasEligibleNode =
+                desired.entrySet().stream()
                         .anyMatch(
                                 entry ->
                                         entry.getValue() > 0
                                                 && isEligible(context.nodes().get(entry.getKey())));
-        if (served
+        if (hasEligibleNode
                 || context.nodes().values().stream()
                         .noneMatch(fact -> fact.eligible() && fact.warmth() >= 1)) {
             return Optional.empty();
         }
-        return refusal(Reason.NO_NODE, "no ready node of " + wanted.size() + " lines");
+        return refusal(Reason.NO_NODE, "no eligible node in " + desired.size() + " entries");
     }
 
     private static Optional<Refusal> movesTooMuch(
-            Map<NodeId, Double> current, Map<NodeId, Double> wanted, ValidationContext context) {
-        double moved = WeightShift.share(current, wanted);
+            Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
+        double moved = WeightShift.movedShare(current, desired);
         if (moved > MAX_MOVED_SHARE
                 && !context.largeMoveExpected()
-                && mostCanStay(current, context)) {
-            return refusal(Reason.MOVES_TOO_MUCH, Math.round(100 * moved) + "% of all weight");
+                && isMostWeightEligible(current, context)) {
+            return refusal(
+                    Reason.MOVES_TOO_MUCH, Math.round(100 * moved) + "% of the weight would move");
         }
         return Optional.empty();
     }
 
     private static Optional<Refusal> tooManyEntries(
-            Map<NodeId, Double> current, Map<NodeId, Double> wanted, ValidationContext context) {
-        long changed = changedEntries(current, wanted);
+            Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
+        long changed = changedEntries(current, desired);
         if (changed > context.deliverableEntries()) {
             return refusal(
                     Reason.TOO_MANY_LINES,
                     changed
-                            + " lines, "
+                            + " changed entries, "
                             + Math.round(context.deliverableEntries())
-                            + " can be carried");
+                            + " can be delivered");
         }
         return Optional.empty();
     }
@@ -100,27 +105,32 @@
         return Optional.of(new Refusal(reason, List.of(), figures));
     }
 
-    /** Whether most of the current weight can stay: else a large move is what the list asks for. */
-    private static boolean mostCanStay(Map<NodeId, Double> current, ValidationContext context) {
-        double all = 0;
-        double eligible = 0;
+    /**
+     * Returns whether more than half of the current weight is on eligible nodes. Otherwise the node
+     * list itself requires a large move.
+     */
+    private static boolean isMostWeightEligible(
+            Map<NodeId, Double> current, ValidationContext context) {
+        double totalWeight = 0;
+        double eligibleWeight = 0;
         for (Map.Entry<NodeId, Double> entry : current.entrySet()) {
-            all += entry.getValue();
-            eligible += isEligible(context.nodes().get(entry.getKey())) ? entry.getValue() : 0;
+            totalWeight += entry.getValue();
+            eligibleWeight +=
+                    isEligible(context.nodes().get(entry.getKey())) ? entry.getValue() : 0;
         }
-        return eligible > all / 2;
+        return eligibleWeight > totalWeight / 2;
     }
 
     private static boolean isEligible(NodeFact fact) {
         return fact != null && fact.eligible();
     }
 
-    private static long changedEntries(Map<NodeId, Double> current, Map<NodeId, Double> wanted) {
-        long same =
-                wanted.entrySet().stream()
+    private static long changedEntries(Map<NodeId, Double> current, Map<NodeId, Double> desired) {
+        long unchanged =
+                desired.entrySet().stream()
                         .filter(entry -> entry.getValue().equals(current.get(entry.getKey())))
                         .count();
-        long removed = current.keySet().stream().filter(node -> !wanted.containsKey(node)).count();
-        return wanted.size() - same + removed;
+        long removed = current.keySet().stream().filter(node -> !desired.containsKey(node)).count();
+        return desired.size() - unchanged + removed;
     }
 }
--- a/src/main/java/rosespread/validation/WeightShift.java
+++ b/src/main/java/rosespread/validation/WeightShift.java
@@ -5,23 +5,23 @@
 import rosespread.api.NodeId;
 
 /**
- * How much of a table's weight a change moves to other nodes, as a share of all weight: 0 if the
- * proportions stay as they are, 1 if no node keeps any. A table without weight on either side
- * counts as moved whole. Stateless.
+ * Computes which fraction of a table's weight a change moves to other nodes: 0 if the proportions
+ * stay the same, 1 if no node keeps any weight. The result is also 1 if the weight sum before or
+ * after the change is not positive. Stateless.
  */
 final class WeightShift {
     private WeightShift() {}
 
-    /** The share moved between two whole tables. */
-    static double share(Map<NodeId, Double> from, Map<NodeId, Double> to) {
+    /** Returns the fraction of weight that moves from one whole table to another. */
+    static double movedShare(Map<NodeId, Double> from, Map<NodeId, Double> to) {
         double fromSum = sum(from);
         double toSum = sum(to);
         if (!(fromSum > 0) || !(toSum > 0)) {
             return 1;
         }
-        TreeSet<NodeId> all = new TreeSet<>(from.keySet());
-        all.addAll(to.keySet());
-        return all.stream()
+        TreeSet<NodeId> allNodes = new TreeSet<>(from.keySet());
+        allNodes.addAll(to.keySet());
+        return allNodes.stream()
                         .mapToDouble(
                                 node ->
                                         Math.abs(
@@ -32,14 +32,15 @@
     }
 
     /**
-     * The share that a change of a few entries moves; all others move by what the sum changed.
+     * Returns the fraction of weight that a change of a few entries moves. The proportions of the
+     * unchanged entries move as far as the weight sum changes.
      *
-     * @param fromSum the sum of the weights before
-     * @param toSum the sum of the weights after
-     * @param from entries before
+     * @param fromSum the weight sum of the former table
+     * @param toSum the weight sum of the new table
+     * @param from the former entries
      * @param changed new weights, 0 for a removed entry
      */
-    static double share(
+    static double movedShare(
             double fromSum, double toSum, Map<NodeId, Double> from, Map<NodeId, Double> changed) {
         if (!(fromSum > 0) || !(toSum > 0)) {
             return 1;
@@ -47,14 +48,14 @@
         double unchanged = fromSum;
         double moved = 0;
         for (Map.Entry<NodeId, Double> entry : changed.entrySet()) {
-            double before = from.getOrDefault(entry.getKey(), 0.0);
-            unchanged -= before;
-            moved += Math.abs(before / fromSum - entry.getValue() / toSum);
+            double weightBefore = from.getOrDefault(entry.getKey(), 0.0);
+            unchanged -= weightBefore;
+            moved += Math.abs(weightBefore / fromSum - entry.getValue() / toSum);
         }
         return (moved + Math.max(0, unchanged) * Math.abs(1 / fromSum - 1 / toSum)) / 2;
     }
 
-    /** The sum of all weights. */
+    /** Returns the weight sum. */
     static double sum(Map<NodeId, Double> entries) {
         return entries.values().stream().mapToDouble(weight -> weight).sum();
     }
--- a/src/test/java/rosespread/validation/DurabilityTimeoutTest.java
+++ b/src/test/java/rosespread/validation/DurabilityTimeoutTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a message waits for the disk. */
+/** The time that messages wait for the disk. */
 class DurabilityTimeoutTest {
     private static final long DRAIN_TIMEOUT_NANOS = 2_000_000_000L;
     private static final long TIMEOUT_NANOS = 200_000_000L;
@@ -14,7 +14,7 @@
     private final DurabilityTimeout timeout = new DurabilityTimeout(DRAIN_TIMEOUT_NANOS);
 
     @Test
-    void aMessageWaitsUntilWhatItAnnouncesIsDurable() {
+    void messageWaitsUntilAnnouncedSequenceIsDurable() {
         assertFalse(timeout.maySend(7, 6, false, TIMEOUT_NANOS - 1));
         assertTrue(timeout.maySend(7, 7, false, TIMEOUT_NANOS - 1));
         assertFalse(timeout.isDiskLate());
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void afterTheTimeoutMessagesDoNotWaitUntilTheDiskHasCaughtUp() {
+    void messagesDoNotWaitAfterTimeoutUntilDiskHasCaughtUp() {
         assertTrue(timeout.maySend(7, 6, false, TIMEOUT_NANOS));
         assertTrue(timeout.maySend(8, 6, false, 0));
         assertTrue(timeout.isDiskLate());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void noMessageWaitsForALogThatCannotBeWritten() {
+    void messageDoesNotWaitIfLogCannotBeWritten() {
         assertTrue(timeout.maySend(7, 6, true, 0));
         assertFalse(timeout.isDiskLate());
         assertEquals(1, timeout.sentBeforeDurable());
--- a/src/test/java/rosespread/validation/EntryRetentionTest.java
+++ b/src/test/java/rosespread/validation/EntryRetentionTest.java
@@ -13,9 +13,9 @@
 import rosespread.api.NodeId;
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
-/** What may stay of a table, and the steps from a pinned table to the wanted one. */
+/** The entries that a table may retain, and the steps from a pinned table to the desired one. */
 class EntryRetentionTest {
-    private static final double LITTLE_OVER_A_STEP = 0.16;
+    private static final double STEP_SHARE_WITH_TOLERANCE = 0.16;
 
     private final TableChangeValidator validator = new TableChangeValidator();
 
@@ -33,7 +33,7 @@
                 "2=5|2c|2=5",
                 "1=1|1d|-"
             })
-    void retainsEntriesOfEligibleNodesAndBoundsColdOnes(
+    void retainsEntriesOfEligibleNodesAndLimitsWeightsOfColdNodes(
             String entries, String nodes, String retained) {
         assertEquals(
                 entries(retained),
@@ -41,14 +41,16 @@
     }
 
     @Test
-    void aReleaseReachesTheWantedTableInStepsThatMoveAShareEach() {
+    void releaseReachesDesiredTableInStepsOfLimitedSize() {
         ValidationContext context = context("1 2 3 4", false, UNLIMITED);
         Map<NodeId, Double> current = entries("1=1 2=1");
-        Map<NodeId, Double> wanted = entries("3=1 4=1");
+        Map<NodeId, Double> desired = entries("3=1 4=1");
         int steps = 0;
-        while (!current.equals(wanted)) {
-            Map<NodeId, Double> next = validator.stepTowards(current, wanted, context);
-            assertTrue(WeightShift.share(current, next) < LITTLE_OVER_A_STEP, next::toString);
+        while (!current.equals(desired)) {
+            Map<NodeId, Double> next = validator.stepTowards(current, desired, context);
+            assertTrue(
+                    WeightShift.movedShare(current, next) < STEP_SHARE_WITH_TOLERANCE,
+                    next::toString);
             current = next;
             steps++;
             assertTrue(steps < 12, current::toString);
--- a/src/test/java/rosespread/validation/TableChangeValidatorTest.java
+++ b/src/test/java/rosespread/validation/TableChangeValidatorTest.java
@@ -21,7 +21,7 @@
 import rosespread.validation.TableChangeValidator.ValidationContext;
 import rosespread.validation.TableChangeValidator.ValidationResult;
 
-/** Which changes of a table are refused, and what goes out in their place. */
+/** Changes of a table that are refused, and the entries that are rolled out instead. */
 class TableChangeValidatorTest {
     private final TableChangeValidator validator = new TableChangeValidator();
 
@@ -30,8 +30,8 @@
             delimiter = '|',
             nullValues = "-",
             value = {
-                // current | wanted | nodes | large move expected | deliverable entries | reasons |
-                // what goes out
+                // current | desired | nodes | large move expected | deliverable entries | reasons |
+                // rolled-out entries
                 "1=1 2=1|1=1 2=0.5|1 2|false|9|-|1=1 2=0.5",
                 "1=1 2=1|1=NaN 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
                 "1=1 2=1|1=Infinity 2=1|1 2|true|9|BAD_WEIGHT|1=1 2=1",
@@ -51,39 +51,39 @@
                 "1=1 2=1|1=0.9 2=0.9|1 2|false|1|TOO_MANY_LINES|1=1 2=1",
                 "-|1=1 2=1|1 2|false|1|-|1=1 2=1"
             })
-    void aChangeThatBreaksARuleIsReplacedByWhatMayStay(
+    void changeThatBreaksRuleIsReplacedByRetainableEntries(
             String current,
-            String wanted,
+            String desired,
             String nodes,
             boolean largeMoveExpected,
             double deliverableEntries,
             String reasons,
-            String goesOut) {
+            String rolledOut) {
         ValidationResult result =
                 validator.validate(
                         entries(current),
-                        entries(wanted),
+                        entries(desired),
                         context(nodes, largeMoveExpected, deliverableEntries));
         assertEquals(
                 reasons == null ? List.of() : List.of(reasons.split(" ")),
                 result.refusals().stream().map(refusal -> refusal.reason().name()).toList());
-        assertEquals(entries(goesOut), result.entries());
+        assertEquals(entries(rolledOut), result.entries());
     }
 
     @Property(seed = "1")
-    void whateverIsWantedOnlyEligibleNodesGetPositiveWeights(
+    void resultHasOnlyEligibleNodesWithPositiveWeights(
             @ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> currentWeights,
-            @ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> wantedWeights,
+            @ForAll @Size(6) List<@DoubleRange(min = -1, max = 9) Double> desiredWeights,
             @ForAll boolean largeMoveExpected) {
         ValidationContext context = context("0 1c 2d 3g 4x", largeMoveExpected, UNLIMITED);
         Map<NodeId, Double> current = new TreeMap<>();
-        Map<NodeId, Double> wanted = new TreeMap<>();
+        Map<NodeId, Double> desired = new TreeMap<>();
         for (int i = 0; i < 6; i++) {
             current.put(new NodeId(i), Math.abs(currentWeights.get(i)) + 0.001);
-            wanted.put(new NodeId(i), wantedWeights.get(i));
+            desired.put(new NodeId(i), desiredWeights.get(i));
         }
         Map<NodeId, Double> retained = validator.retainableEntries(current, context);
-        assertOnlyEligible(validator.validate(current, wanted, context).entries());
+        assertOnlyEligible(validator.validate(current, desired, context).entries());
         assertOnlyEligible(retained);
         assertOnlyEligible(validator.stepTowards(current, retained, context));
     }
@@ -95,7 +95,7 @@
     }
 
     @Property(seed = "1")
-    void anySequenceOfChangesIsValidatedAsIfEachWereAWholeTable(@ForAll long seed) {
+    void validationOfDeltaEqualsValidationOfWholeTable(@ForAll long seed) {
         Random random = new Random(seed);
         AcceptedTotals totals = new AcceptedTotals();
         Map<NodeId, Double> current = new TreeMap<>();
@@ -110,13 +110,13 @@
             ValidationContext context =
                     context(nodes, random.nextInt(3) > 0, random.nextInt(4) == 0 ? 1 : UNLIMITED);
             Map<NodeId, Double> changes = randomChanges(random);
-            Map<NodeId, Double> wanted = changed(current, changes);
-            ValidationResult whole = validator.validate(current, wanted, context);
+            Map<NodeId, Double> desired = changed(current, changes);
+            ValidationResult wholeTableResult = validator.validate(current, desired, context);
             assertEquals(
-                    whole,
-                    validator.validate(totals, current, wanted, changes, context),
+                    wholeTableResult,
+                    validator.validate(totals, current, desired, changes, context),
                     "step " + step);
-            current = whole.refusals().isEmpty() ? wanted : current;
+            current = wholeTableResult.refusals().isEmpty() ? desired : current;
         }
     }
 
--- a/src/test/java/rosespread/validation/ValidationFixture.java
+++ b/src/test/java/rosespread/validation/ValidationFixture.java
@@ -7,7 +7,7 @@
 import rosespread.validation.TableChangeValidator.NodeFact;
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
-/** Tables and node facts written as text. */
+/** Parses tables and node facts from text. */
 final class ValidationFixture {
     static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
@@ -15,21 +15,26 @@
 
     private ValidationFixture() {}
 
-    /** Weight entries: "1=0.5 2=1"; null for none. */
+    /** Parses weight entries such as "1=0.5 2=1"; null for none. */
     static Map<NodeId, Double> entries(String text) {
         Map<NodeId, Double> entries = new TreeMap<>();
-        for (String entry : words(text)) {
-            String[] part = entry.split("=");
-            entries.put(new NodeId(Long.parseLong(part[0])), Double.parseDouble(part[1]));
+        for (String entry : splitAtSpaces(text)) {
+            String[] nodeAndWeight = entry.split("=");
+            entries.put(
+                    new NodeId(Long.parseLong(nodeAndWeight[0])),
+                    Double.parseDouble(nodeAndWeight[1]));
         }
         return entries;
     }
 
-    /** Node facts: "1 2c 3d 4g 5x" are ready, warming up, draining, gone and not open. */
+    /**
+     * Parses node ids with an optional letter: c for warming up, d for draining, g for gone, x for
+     * not allowed; a node without a letter is ready and warm.
+     */
     static ValidationContext context(
             String nodes, boolean largeMoveExpected, double deliverableEntries) {
         Map<NodeId, NodeFact> facts = new TreeMap<>();
-        for (String node : words(nodes)) {
+        for (String node : splitAtSpaces(nodes)) {
             NodeId id = new NodeId(Long.parseLong(node.replaceAll("[a-z]", "")));
             facts.put(
                     id,
@@ -48,7 +53,7 @@
         return node.contains("g") ? NodeState.GONE : NodeState.READY;
     }
 
-    private static String[] words(String text) {
+    private static String[] splitAtSpaces(String text) {
         return text == null ? new String[0] : text.split(" ");
     }
 }
