--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -83,7 +83,7 @@
         int repeats = 0;
         try (HttpServer list = endpointList()) {
             int port = list.listen(AdminFixture.ANY_PORT).getPort();
-            String settings = SettingsTest.GOOD.replace("8500", String.valueOf(port));
+            String settings = SettingsTest.VALID_SETTINGS.replace("8500", String.valueOf(port));
             try (AuditLog audit = new AuditLog(log, System::currentTimeMillis);
                     AdminFixture admin = new AdminFixture("race", folder, audit);
                     Fleet anaFleet = fleet(admin, "ana");
--- a/src/test/java/rosespread/cli/FleetFixture.java
+++ b/src/test/java/rosespread/cli/FleetFixture.java
@@ -46,7 +46,7 @@
         this.folder = folder;
         endpointList = endpointList();
         String port = String.valueOf(endpointList.listen(ANY_PORT).getPort());
-        settings = SettingsTest.GOOD.replace("8500", port);
+        settings = SettingsTest.VALID_SETTINGS.replace("8500", port);
         for (int i = 0; i < CONTROLLERS; i++) {
             startController("c" + i);
         }
--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -102,7 +102,7 @@
         core.applySettings(
                 now,
                 SettingsReader.read(
-                        SettingsTest.GOOD.replace(
+                        SettingsTest.VALID_SETTINGS.replace(
                                 "\"linesPerSecond\":1000", "\"linesPerSecond\":100000")));
         for (int i = 0; i < NODES; i++) {
             nodes.add(node(i, EventHandler.NodeState.READY));
--- a/src/test/java/rosespread/controller/ControllerFixture.java
+++ b/src/test/java/rosespread/controller/ControllerFixture.java
@@ -55,7 +55,7 @@
      */
     static ControllerFixture startedAndRecording() throws SettingsException {
         ControllerFixture fixture = new ControllerFixture(true, now -> WALL_MILLIS);
-        fixture.start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        fixture.start(StoreSnapshot.EMPTY, SettingsTest.VALID_SETTINGS);
         fixture.pass(20);
         fixture.recorder.events().clear();
         return fixture;
--- a/src/test/java/rosespread/controller/LoopbackController.java
+++ b/src/test/java/rosespread/controller/LoopbackController.java
@@ -54,7 +54,7 @@
                             }
                         });
         this.settings =
-                SettingsTest.GOOD
+                SettingsTest.VALID_SETTINGS
                         .replace("8500", String.valueOf(nodeList.listen(ANY_PORT).getPort()))
                         .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":20000")
                         .replace("\"queueLimit\":1500", "\"queueLimit\":30000");
--- a/src/test/java/rosespread/settings/SettingsFileTest.java
+++ b/src/test/java/rosespread/settings/SettingsFileTest.java
@@ -18,7 +18,7 @@
     void snapshotDamagedAtAnyByteIsRefusedAndSetAside(@TempDir Path folder) throws IOException {
         SettingsFile snapshot = new SettingsFile(folder);
         assertEquals(Optional.empty(), snapshot.load());
-        snapshot.save(new SettingsFile.Saved(SettingsTest.GOOD, 3, "o", "c", 1));
+        snapshot.save(new SettingsFile.Saved(SettingsTest.VALID_SETTINGS, 3, "o", "c", 1));
         Path file = folder.resolve("settings.json");
         byte[] good = Files.readAllBytes(file);
         SettingsFile.Saved saved = new SettingsFile(folder).load().orElseThrow();
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 public class SettingsTest {
-    public static final String GOOD =
+    public static final String VALID_SETTINGS =
             """
             {"zones":["a","b"],"kinds":["k"],
              "methods":[{"name":"quote","criticality":1},{"name":"book","criticality":3,"onlyKinds":["k"]}],
@@ -20,7 +20,7 @@
 
     @Test
     void policySettingsAreReadInNanoseconds() throws SettingsException {
-        FleetSettings settings = SettingsReader.read(GOOD);
+        FleetSettings settings = SettingsReader.read(VALID_SETTINGS);
         assertEquals(2_000_000_000L, settings.policySettings().drainTimeoutNanos());
         assertEquals(2, settings.policySettings().zones());
         assertEquals(1, settings.policySettings().methods().get(1).allowedMachineTypes().size());
@@ -49,7 +49,8 @@
             String from, String to, String field, String value) {
         SettingsException error =
                 assertThrows(
-                        SettingsException.class, () -> SettingsReader.read(GOOD.replace(from, to)));
+                        SettingsException.class,
+                        () -> SettingsReader.read(VALID_SETTINGS.replace(from, to)));
         assertTrue(
                 error.invalidFields().stream()
                         .anyMatch(
