--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -33,7 +33,7 @@
 
     @BeforeEach
     void start() throws SettingsException {
-        start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        start(StoreSnapshot.EMPTY, SettingsTest.VALID_SETTINGS);
     }
 
     private void start(StoreSnapshot persisted, String settings) throws SettingsException {
@@ -152,7 +152,7 @@
         weights(1, 0.7, 1);
         long version = table().version();
         long versions = table().versions().size();
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         assertEquals(version, table().version());
         assertEquals(versions, table().versions().size());
         // Before the list is known nothing moves; then what is not listed any more goes.
@@ -245,14 +245,14 @@
         weights(1, 0.5, 0.5);
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
         fixture.pass(100);
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         list(0, 1, 2);
         weights(0.2, 0.3, 1);
         subscribed("p");
         assertEquals("PINNED", table().held());
         assertEquals(1.0, table().lines().get("n0"));
         assertEquals(TableActResult.DONE, fixture.release(TABLE));
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         assertEquals("RELEASING", table().held());
         list(0, 1, 2);
         weights(0.2, 0.3, 1);
@@ -274,7 +274,7 @@
             proxy.session().recordMessageQueued(fixture.nowNanos());
         }
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         assertEquals("PINNED", table().held());
         list(0, 1, 2);
         fixture.pass(50);
@@ -307,7 +307,7 @@
 
     @Test
     void versionsBeginBeyondThoseThatProxiesHoldIfNothingWasPersisted() throws SettingsException {
-        start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        start(StoreSnapshot.EMPTY, SettingsTest.VALID_SETTINGS);
         list(0, 1);
         AcknowledgingProxy proxy =
                 new AcknowledgingProxy(fixture, "p", List.of(new Frame.Holding(TABLE, 700)));
@@ -331,9 +331,12 @@
         weights(1, 0.5);
         fixture.pin(TABLE);
         long version = table().version();
-        fixture.applySettings(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod"));
+        fixture.applySettings(
+                SettingsTest.VALID_SETTINGS.replace("\"reportPeriod", "\"reportPeriod"));
         assertEquals("PINNED", table().held(), "the same settings change nothing");
-        restart(SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
+        restart(
+                SettingsTest.VALID_SETTINGS.replaceFirst(
+                        "\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
         assertEquals(1, table().versions().size());
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -33,7 +33,7 @@
     private static final int NODES = 6;
     private static final int STEPS = 25;
     private static final String SETTINGS =
-            SettingsTest.GOOD
+            SettingsTest.VALID_SETTINGS
                     .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":100000")
                     .replace("\"messageLimit\":30", "\"messageLimit\":0");
 
