--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -10,24 +10,26 @@
 import rosespread.api.ZoneId;
 
 /**
- * The settings that an operator applies, by names; durations are in nanoseconds. A part of them
- * becomes the policy's {@link PolicySettings}; the rest configures discovery, health checks, the
- * channel to the proxies, and drains.
+ * The settings that an operator applies, with names instead of ids. Some of them become the
+ * policy's {@link PolicySettings}; the others configure discovery, health checks, the channel to
+ * the proxies, and drains.
  *
  * @param seed the seed of the policy's random numbers
  * @param zones the names of the zones
  * @param machineTypes the names of the machine types
  * @param methods the methods that the fleet serves
- * @param discovery where the node list comes from
- * @param healthChecks how health checks are made
- * @param throttle what admission limits are counted in, if proxies enforce them
+ * @param discovery the source of the node list
+ * @param healthChecks the settings of health checks
+ * @param throttle the unit of admission limits, or none if proxies do not enforce them
  * @param channel rates and limits of the channel to the proxies
- * @param reportPeriodNanos how often proxies and nodes report, in nanoseconds
- * @param drainTimeoutNanos within what time traffic must have left a draining node, in nanoseconds
+ * @param reportPeriodNanos the interval of the reports of proxies and nodes, in nanoseconds
+ * @param drainTimeoutNanos the time within which traffic must have left a draining node, in
+ *     nanoseconds
  * @param minCapacityRatioWhileDraining the ratio of its listed capacity that a method must keep
  *     while operators drain nodes
- * @param peers the control API's addresses of all controllers of the fleet, to learn drains from
- * @param warmUp how nodes warm up
+ * @param peers the control API addresses of all controllers of the fleet, from which drains are
+ *     fetched
+ * @param warmUp the warm-up of nodes
  */
 public record FleetSettings(
         long seed,
@@ -47,10 +49,11 @@
     /**
      * A method.
      *
-     * @param priorityWeight what one of its RPCs is worth when load must be shed
+     * @param priorityWeight the relative value of one of its RPCs for load shedding; methods of the
+     *     lowest value are shed first
      * @param allowedMachineTypes the machine types that may serve it; empty if all may
      * @param allowedZones the zones that may serve it; empty if all may
-     * @param localZoneOnly whether RPCs must stay in the zone of their proxy
+     * @param localZoneOnly whether only nodes in the proxy's own zone may serve the method
      */
     public record Method(
             String name,
@@ -62,12 +65,12 @@
     /**
      * The service in Consul's health catalogue that lists the nodes.
      *
-     * @param onDemand whether a failed query is repeated only when the policy asks for it
+     * @param onDemand whether a failed query is repeated only when the policy requests it
      * @param blockingWaitNanos how long one query may block for a change, in nanoseconds
-     * @param responseTimeoutNanos how long a response may take beyond that until the list counts as
-     *     unavailable, in nanoseconds
-     * @param indexRollbackGraceNanos how long responses must be older than the known list until
-     *     they are taken as a catalogue that was set up again, in nanoseconds
+     * @param responseTimeoutNanos how long a response may take beyond the blocking wait before the
+     *     list counts as unavailable, in nanoseconds
+     * @param indexRollbackGraceNanos how long responses must be older than the known list before
+     *     they are accepted as those of a newly set up catalogue, in nanoseconds
      */
     public record Discovery(
             String host,
@@ -81,8 +84,8 @@
     /**
      * Health checks of nodes.
      *
-     * @param allowed whether the policy may make any
-     * @param path the path that nodes answer them at
+     * @param allowed whether the policy may order health checks
+     * @param path the HTTP path of a health check on a node
      * @param timeoutNanos how long a response may take, in nanoseconds
      */
     public record HealthChecks(boolean allowed, String path, long timeoutNanos) {}
@@ -90,14 +93,16 @@
     /**
      * Rates and limits of the channel to the proxies.
      *
-     * @param entriesPerSecond how many weight entries a second the channel carries
-     * @param messageOverheadEntries what a message costs beside its entries, in entries
-     * @param queueLimitEntries how many entries may be queued in it
-     * @param channelCost what the channel's usual rate costs, as a ratio of all service
-     * @param messageLimit how many messages a proxy may be sent within {@code messageWindowNanos};
-     *     0 for no limit
+     * @param entriesPerSecond the rate of the channel in weight entries per second
+     * @param messageOverheadEntries the cost of a message without its entries, in entries
+     * @param queueLimitEntries the maximum number of queued entries
+     * @param channelCost the cost of the channel at its usual rate, as a fraction of the whole
+     *     service
+     * @param messageLimit the maximum number of messages to a proxy within {@code
+     *     messageWindowNanos}; 0 for no limit
      * @param messageWindowNanos the window of the message limit, in nanoseconds
-     * @param maxPropagationDelayNanos the longest way of a message to its proxy, in nanoseconds
+     * @param maxPropagationDelayNanos the maximum time that a message takes from the channel to its
+     *     proxy, in nanoseconds
      * @param keepAliveNanos the interval of keep-alives, in nanoseconds
      */
     public record Channel(
@@ -111,15 +116,16 @@
             long keepAliveNanos) {}
 
     /**
-     * How nodes warm up after their start.
+     * The warm-up of nodes after their start.
      *
-     * @param durationNanos how long it takes at most, in nanoseconds
-     * @param coldCapacityRatio the ratio of its capacity that a node starts with
-     * @param windowNanos how long a node that is sent too much holds out until it falls over
+     * @param durationNanos the maximum duration of a warm-up, in nanoseconds
+     * @param coldCapacityRatio the ratio of its full capacity that a node has at its start
+     * @param coldOverloadNanos how long a node that is warming up can be overloaded before it
+     *     fails, in nanoseconds
      */
-    public record WarmUp(long durationNanos, double coldCapacityRatio, long windowNanos) {}
+    public record WarmUp(long durationNanos, double coldCapacityRatio, long coldOverloadNanos) {}
 
-    /** The part that the policy is given, with names as ids: their positions in these lists. */
+    /** Returns the settings of the policy. The id of a name is its index in the list of names. */
     public PolicySettings policySettings() {
         return new PolicySettings(
                 methods.stream().map(this::policyMethod).toList(),
@@ -139,7 +145,7 @@
                 drainTimeoutNanos,
                 warmUp.durationNanos(),
                 warmUp.coldCapacityRatio(),
-                warmUp.windowNanos());
+                warmUp.coldOverloadNanos());
     }
 
     private PolicySettings.Method policyMethod(Method method) {
@@ -158,7 +164,7 @@
         return ids;
     }
 
-    /** The names of the methods, by id. */
+    /** Returns the names of the methods, indexed by id. */
     public List<String> methodNames() {
         return methods.stream().map(Method::name).toList();
     }
--- a/src/main/java/rosespread/settings/JsonFields.java
+++ b/src/main/java/rosespread/settings/JsonFields.java
@@ -8,9 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * Reads an object of JSON or YAML field by field. An invalid field is recorded and reading goes on
- * with a value in its place, so that {@link #throwIfInvalid} can report all of them at once;
- * nothing that was read may be used before that has returned.
+ * Reads an object of JSON or YAML field by field. An invalid field is recorded, and a placeholder
+ * value is returned for it, so that {@link #throwIfInvalid} can report all invalid fields at once.
+ * No value may be used before {@link #throwIfInvalid} has returned.
  *
  * <p>Not thread-safe.
  */
@@ -19,19 +19,19 @@
     private static final int MAX_SHOWN_CHARS = 80;
     private static final String NAME_PATTERN = "\\S{1,64}";
 
-    /** The path of a whole document in errors. */
-    static final String WHOLE = "(whole)";
+    /** The path that stands for the whole document in errors. */
+    static final String WHOLE_DOCUMENT = "(whole)";
 
     private final String path;
     private final JsonNode node;
 
-    /** Shared by a document's objects. */
+    /** The invalid fields found so far; shared by all objects of the document. */
     private final List<SettingsException.InvalidField> invalidFields;
 
-    /** The names asked for so far. */
-    private final Set<String> known = new TreeSet<>();
+    /** The names of the fields that were read so far. */
+    private final Set<String> knownNames = new TreeSet<>();
 
-    /** The fields of a whole document. */
+    /** Creates a reader of the fields of a whole document. */
     public JsonFields(JsonNode document) {
         this("", document, new ArrayList<>());
     }
@@ -42,28 +42,28 @@
         this.node = node;
         this.invalidFields = invalidFields;
         if (!node.isObject() && !node.isMissingNode()) {
-            addInvalid(path.isEmpty() ? WHOLE : path, node, "an object");
+            addInvalid(path.isEmpty() ? WHOLE_DOCUMENT : path, node, "an object");
         }
     }
 
-    /** Records the fields of this object that were never asked for; called once all were. */
+    /** Records unknown fields as invalid. To be called after all known fields have been read. */
     public void rejectUnknownFields() {
         node.fieldNames()
                 .forEachRemaining(
                         name -> {
-                            if (!known.contains(name)) {
+                            if (!knownNames.contains(name)) {
                                 recordUnknown(name);
                             }
                         });
     }
 
     private void recordUnknown(String name) {
-        String allowed = "no such field; known are " + String.join(", ", known);
+        String allowed = "only the fields " + String.join(", ", knownNames);
         addInvalid(pathOf(name), node.get(name), allowed);
     }
 
     /**
-     * Ends the reading of the document; called on the document's own fields, after all else.
+     * Reports all invalid fields. To be called last, on the reader of the whole document.
      *
      * @throws SettingsException if any field of the document is invalid or unknown
      */
@@ -74,97 +74,100 @@
         }
     }
 
-    /** Whether the field is there, be it null. */
+    /** Returns whether the field is present, even if its value is null. */
     public boolean has(String name) {
-        known.add(name);
+        knownNames.add(name);
         return node.has(name);
     }
 
-    /** The object in a field; its own fields are read as missing if the field is. */
+    /** Returns the object in a field. If the field is missing, all fields of the object are too. */
     public JsonFields object(String name) {
-        known.add(name);
+        knownNames.add(name);
         JsonNode value = node.has(name) ? node.get(name) : MissingNode.getInstance();
         return new JsonFields(pathOf(name), value, invalidFields);
     }
 
     /**
-     * The objects of an array of {@code least} to {@code most}; if 0 will do, it may be missing.
+     * Returns the objects of an array of {@code min} to {@code max} elements. The array may be
+     * missing if {@code min} is 0.
      */
-    public List<JsonFields> objects(String name, int least, int most) {
+    public List<JsonFields> objects(String name, int min, int max) {
         List<JsonFields> objects = new ArrayList<>();
-        JsonNode array = array(name, least, most);
+        JsonNode array = array(name, min, max);
         for (int i = 0; i < array.size(); i++) {
             objects.add(new JsonFields(pathOf(name, i), array.get(i), invalidFields));
         }
         return objects;
     }
 
-    /** The names of all fields, for objects whose field names are free. */
+    /** Returns the names of all fields, for objects with arbitrary field names. */
     public List<String> names() {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         return names;
     }
 
-    private JsonNode array(String name, int least, int most) {
-        known.add(name);
+    private JsonNode array(String name, int min, int max) {
+        knownNames.add(name);
         JsonNode array = node.path(name);
-        if (array.isMissingNode() && least == 0) {
+        if (array.isMissingNode() && min == 0) {
             return array;
         }
-        if (!array.isArray() || array.size() < least || array.size() > most) {
-            reject(name, "an array of " + least + " to " + most);
+        if (!array.isArray() || array.size() < min || array.size() > max) {
+            reject(name, "an array of " + min + " to " + max + " elements");
             return MissingNode.getInstance();
         }
         return array;
     }
 
     /**
-     * The strings of an array of {@code least} to {@code most}: names of 1 to 64 characters without
-     * spaces, each once.
+     * Returns the strings of an array of {@code min} to {@code max} elements. The strings must be
+     * distinct names of 1 to 64 characters without spaces. The array may be missing if {@code min}
+     * is 0.
      *
-     * @param among the names that are valid; null if all are
+     * @param allowedNames the valid names; null if all names are valid
      */
-    public List<String> strings(String name, int least, int most, List<String> among) {
-        List<String> texts = new ArrayList<>();
-        JsonNode array = array(name, least, most);
+    public List<String> strings(String name, int min, int max, List<String> allowedNames) {
+        List<String> names = new ArrayList<>();
+        JsonNode array = array(name, min, max);
         for (int i = 0; i < array.size(); i++) {
             JsonNode entry = array.get(i);
-            if (isNewName(entry, texts, among)) {
-                texts.add(entry.asText());
+            if (isValidName(entry, names, allowedNames)) {
+                names.add(entry.asText());
             } else {
-                addInvalid(pathOf(name, i), entry, allowedNames(among));
+                addInvalid(pathOf(name, i), entry, describeAllowedNames(allowedNames));
             }
         }
-        return texts;
+        return names;
     }
 
-    private static boolean isNewName(JsonNode entry, List<String> earlier, List<String> among) {
+    private static boolean isValidName(
+            JsonNode entry, List<String> previous, List<String> allowedNames) {
         String text = entry.asText();
         return entry.isTextual()
                 && text.matches(NAME_PATTERN)
-                && !earlier.contains(text)
-                && (among == null || among.contains(text));
+                && !previous.contains(text)
+                && (allowedNames == null || allowedNames.contains(text));
     }
 
-    private static String allowedNames(List<String> among) {
-        return among == null
+    private static String describeAllowedNames(List<String> allowedNames) {
+        return allowedNames == null
                 ? "1 to 64 characters without spaces, each once"
-                : "each once, one of " + String.join(", ", among);
+                : "each once, one of " + String.join(", ", allowedNames);
     }
 
     /**
-     * The string in a field.
+     * Returns the string in a field.
      *
-     * @param absent the value if the field is missing; null if it must be there
+     * @param defaultValue the value if the field is missing; null if the field is required
      * @param pattern the regular expression that the whole string must match
-     * @param allowed the pattern in words
+     * @param allowed a description of the pattern for the error
      */
-    public String string(String name, String absent, String pattern, String allowed) {
-        known.add(name);
+    public String string(String name, String defaultValue, String pattern, String allowed) {
+        knownNames.add(name);
         JsonNode value = node.path(name);
-        if (value.isMissingNode() && absent != null) {
-            return absent;
+        if (value.isMissingNode() && defaultValue != null) {
+            return defaultValue;
         }
         if (!value.isTextual() || !value.asText().matches(pattern)) {
             reject(name, allowed);
@@ -173,71 +176,77 @@
         return value.asText();
     }
 
-    /** The truth value in a field, or {@code absent} if the field is missing. */
-    public boolean booleanValue(String name, boolean absent) {
-        known.add(name);
+    /** Returns the boolean in a field, or {@code defaultValue} if the field is missing. */
+    public boolean booleanValue(String name, boolean defaultValue) {
+        knownNames.add(name);
         JsonNode value = node.path(name);
         if (!value.isMissingNode() && !value.isBoolean()) {
             reject(name, "true or false");
         }
-        return value.asBoolean(absent);
+        return value.asBoolean(defaultValue);
     }
 
     /**
-     * The number in a field, from {@code least} to {@code most}.
+     * Returns the number in a field, which must be from {@code min} to {@code max}.
      *
-     * @param absent the value if the field is missing; NaN if it must be there
+     * @param defaultValue the value if the field is missing; NaN if the field is required
      */
-    public double doubleValue(String name, double absent, double least, double most) {
-        known.add(name);
+    public double doubleValue(String name, double defaultValue, double min, double max) {
+        knownNames.add(name);
         JsonNode value = node.path(name);
-        if (value.isMissingNode() && !Double.isNaN(absent)) {
-            return absent;
+        if (value.isMissingNode() && !Double.isNaN(defaultValue)) {
+            return defaultValue;
         }
-        if (!value.isNumber() || !(value.asDouble() >= least && value.asDouble() <= most)) {
-            reject(name, "a number from " + least + " to " + most);
-            return Math.max(least, 1);
+        if (!value.isNumber() || !(value.asDouble() >= min && value.asDouble() <= max)) {
+            reject(name, "a number from " + min + " to " + max);
+            return Math.max(min, 1);
         }
         return value.asDouble();
     }
 
     /**
-     * The whole number in a field, from {@code least} to {@code most}.
+     * Returns the integer in a field, which must be from {@code min} to {@code max}.
      *
-     * @param absent the value if the field is missing; under {@code least} if it must be there
+     * @param defaultValue the value if the field is missing; less than {@code min} if the field is
+     *     required
      */
-    public long longValue(String name, long absent, long least, long most) {
-        known.add(name);
+    public long longValue(String name, long defaultValue, long min, long max) {
+        knownNames.add(name);
         JsonNode value = node.path(name);
-        if (value.isMissingNode() && absent >= least) {
-            return absent;
+        if (value.isMissingNode() && defaultValue >= min) {
+            return defaultValue;
         }
         boolean isLong = value.isIntegralNumber() && value.canConvertToLong();
-        if (!isLong || value.asLong() < least || value.asLong() > most) {
-            reject(name, "a whole number from " + least + " to " + most);
-            return least;
+        if (!isLong || value.asLong() < min || value.asLong() > max) {
+            reject(name, "a whole number from " + min + " to " + max);
+            return min;
         }
         return value.asLong();
     }
 
     /**
-     * The duration in a field that holds milliseconds, in nanoseconds.
+     * Returns the duration in a field in nanoseconds; the field holds milliseconds.
      *
-     * @param absent the milliseconds if the field is missing; NaN if it must be there
-     * @param least the fewest milliseconds allowed
-     * @param most the most milliseconds allowed
+     * @param defaultValue the milliseconds if the field is missing; NaN if the field is required
+     * @param min the minimum in milliseconds
+     * @param max the maximum in milliseconds
      */
-    public long millisAsNanos(String name, double absent, double least, double most) {
-        return Math.round(doubleValue(name, absent, least, most) * NANOS_PER_MILLI);
+    public long millisAsNanos(String name, double defaultValue, double min, double max) {
+        return Math.round(doubleValue(name, defaultValue, min, max) * NANOS_PER_MILLI);
     }
 
-    /** Records a field as invalid. */
+    /**
+     * Records a field as invalid.
+     *
+     * @param allowed a description of the allowed values
+     */
     public void reject(String name, String allowed) {
         addInvalid(pathOf(name), node.path(name), allowed);
     }
 
     private void addInvalid(String fieldPath, JsonNode found, String allowed) {
-        invalidFields.add(new SettingsException.InvalidField(fieldPath, shown(found), allowed));
+        invalidFields.add(
+                new SettingsException.InvalidField(fieldPath, abbreviate(found), allowed));
     }
 
     private String pathOf(String name) {
@@ -248,7 +257,7 @@
         return pathOf(name) + "[" + index + "]";
     }
 
-    private static String shown(JsonNode value) {
+    private static String abbreviate(JsonNode value) {
         String text = value.isMissingNode() ? "missing" : value.toString();
         return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
--- a/src/main/java/rosespread/settings/SettingsException.java
+++ b/src/main/java/rosespread/settings/SettingsException.java
@@ -3,16 +3,17 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Settings cannot be applied; carries every invalid field. */
+/** Thrown if settings cannot be applied; lists every invalid field. */
 public final class SettingsException extends Exception {
     private static final long serialVersionUID = 1L;
 
     /**
      * One invalid field.
      *
-     * @param field its path, such as {@code methods[1].name}; {@code (whole)} for the document
-     * @param found what was found there, as JSON, shortened if long
-     * @param allowed what would be valid, for an operator to read
+     * @param field the path of the field, such as {@code methods[1].name}; {@code (whole)} for the
+     *     whole document
+     * @param found the value of the field as JSON, shortened if long
+     * @param allowed a description of the allowed values, for an operator to read
      */
     public record InvalidField(String field, String found, String allowed) {
         private String describe() {
@@ -27,7 +28,7 @@
         this.invalidFields = List.copyOf(invalidFields);
     }
 
-    /** The invalid fields in the order in which they were read; never empty. */
+    /** Returns the invalid fields in the order in which they were read; never empty. */
     public List<InvalidField> invalidFields() {
         return invalidFields;
     }
--- a/src/main/java/rosespread/settings/SettingsFile.java
+++ b/src/main/java/rosespread/settings/SettingsFile.java
@@ -16,18 +16,18 @@
 import java.util.Optional;
 
 /**
- * The file {@code settings.json} that keeps the settings in force over restarts.
+ * The file {@code settings.json} that preserves the settings in force across restarts.
  *
- * <p>It is written beside and moved into place, and forced to disk, so that after a crash it holds
- * either the former settings or the new ones. A digest detects damage. A damaged file is never
- * overwritten: the next save sets it aside.
+ * <p>A save writes a temporary file, forces it to disk and renames it, so that after a crash the
+ * file holds either the former settings or the new ones. A digest detects damage. A damaged file is
+ * never overwritten: the following save sets it aside.
  *
- * <p>Not thread-safe; both methods block on the disk.
+ * <p>Not thread-safe; {@link #load} and {@link #save} block on the disk.
  */
 public final class SettingsFile {
     private static final int FORMAT = 2;
 
-    /** The format before settings had a revision; its digest is over the settings alone. */
+    /** The format before settings had a revision; its digest covers the settings only. */
     private static final int FORMAT_WITHOUT_REVISION = 1;
 
     private static final String DIGEST = "digest";
@@ -37,29 +37,30 @@
      * Settings as they were applied.
      *
      * @param json the settings as JSON
-     * @param revision rises by one with each that is applied
-     * @param operator the operator who applied them
-     * @param requestId the id of the request that applied them
-     * @param savedAtMillis the wall clock time of that in milliseconds since the epoch
+     * @param revision a number that increases by one with each change of the settings
+     * @param operator the operator who applied these settings
+     * @param requestId the id of the request that applied the settings
+     * @param savedAtMillis the wall-clock time at which they were applied, in milliseconds since
+     *     the epoch
      */
     public record Saved(
             String json, long revision, String operator, String requestId, long savedAtMillis) {}
 
     private final Path file;
 
-    /** Whether the file that stands there could not be loaded, and must be set aside. */
+    /** Whether the existing file could not be loaded and must be set aside before a save. */
     private boolean damaged;
 
-    /** The file in this folder, which need not exist yet. */
-    public SettingsFile(Path folder) {
-        this.file = folder.resolve("settings.json");
+    /** Uses the file in a directory; neither needs to exist yet. */
+    public SettingsFile(Path directory) {
+        this.file = directory.resolve("settings.json");
     }
 
     /**
-     * The settings saved last, or empty if none were.
+     * Returns the settings saved last, or empty if there is no file.
      *
      * @throws IOException if the file cannot be read or is damaged; the message names the file and
-     *     the place
+     *     the byte or field
      */
     public Optional<Saved> load() throws IOException {
         if (!Files.exists(file)) {
@@ -67,7 +68,7 @@
         }
         damaged = true;
         JsonNode content = parse(Files.readAllBytes(file));
-        int format = checkedFormat(content);
+        int format = readFormat(content);
         String settings = content.path("settings").toString();
         checkDigest(content, format, settings);
         damaged = false;
@@ -90,7 +91,7 @@
         }
     }
 
-    private int checkedFormat(JsonNode content) throws IOException {
+    private int readFormat(JsonNode content) throws IOException {
         int format = content == null ? 0 : content.path("format").asInt();
         boolean known = format == FORMAT || format == FORMAT_WITHOUT_REVISION;
         if (content == null || !content.isObject() || !known) {
@@ -108,32 +109,36 @@
                     file
                             + ": field digest is \""
                             + stored
-                            + "\"; what is in the file has \""
+                            + "\"; the digest of the content is \""
                             + actual
                             + "\"");
         }
     }
 
     /**
-     * Saves settings; they are on disk when this returns.
+     * Saves settings. They are on disk when the method returns.
      *
-     * @return where a damaged file that stood in the way was moved, if there was one
-     * @throws IOException if they could not be saved, or are not JSON
+     * @return the path to which a damaged file was moved, if there was one
+     * @throws IOException if the settings cannot be saved or are not JSON
      */
     public Optional<Path> save(Saved settings) throws IOException {
         byte[] content =
                 JSON.writerWithDefaultPrettyPrinter().writeValueAsBytes(contentOf(settings));
         Files.createDirectories(file.getParent());
         Optional<Path> aside = setDamagedFileAside(settings.savedAtMillis());
-        Path next = file.resolveSibling("settings.json.next");
-        writeDurably(next, content);
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        forceFolder();
+        Path temporaryFile = file.resolveSibling("settings.json.next");
+        writeDurably(temporaryFile, content);
+        Files.move(
+                temporaryFile,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
+        forceDirectory();
         damaged = false;
         return aside;
     }
 
-    /** The order of the fields is part of the stored form, as the digest covers it. */
+    /** The digest covers the text of all other fields, so their order must not change. */
     private static ObjectNode contentOf(Saved settings) throws JsonProcessingException {
         ObjectNode content = JSON.createObjectNode();
         content.put("format", FORMAT);
@@ -169,10 +174,10 @@
         }
     }
 
-    /** Makes the move itself durable. */
-    private void forceFolder() throws IOException {
-        try (FileChannel folder = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
+    /** Makes the rename of the file durable. */
+    private void forceDirectory() throws IOException {
+        try (FileChannel directory = FileChannel.open(file.getParent(), StandardOpenOption.READ)) {
+            directory.force(true);
         }
     }
 
--- a/src/main/java/rosespread/settings/SettingsReader.java
+++ b/src/main/java/rosespread/settings/SettingsReader.java
@@ -14,7 +14,7 @@
 
 /**
  * Reads and checks operators' settings; docs/controller.md lists the fields. The bounds are wide:
- * they catch slips, such as seconds where milliseconds are meant, not poor choices.
+ * they detect mistakes such as seconds in place of milliseconds, but not unsuitable values.
  */
 public final class SettingsReader {
     private static final ObjectMapper JSON =
@@ -23,7 +23,7 @@
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .build();
 
-    /** Stands for "must be there" in numbers. */
+    /** The default value of a number that is required. */
     private static final double REQUIRED = Double.NaN;
 
     private static final double MINUTE_MILLIS = 60_000;
@@ -49,7 +49,7 @@
             throw new SettingsException(
                     List.of(
                             new SettingsException.InvalidField(
-                                    JsonFields.WHOLE,
+                                    JsonFields.WHOLE_DOCUMENT,
                                     describe(e.getLocation()),
                                     "JSON: " + e.getOriginalMessage())));
         }
@@ -73,7 +73,7 @@
         return settings;
     }
 
-    /** Invalid fields are reported in the order in which they are read here. */
+    /** Reads all fields. Invalid fields are reported in the order of these reads. */
     private static FleetSettings settings(JsonFields fields) {
         long seed = fields.longValue("seed", 1, 0, Long.MAX_VALUE);
         List<String> zones = fields.strings("zones", 1, MAX_NAMES, null);
@@ -116,11 +116,11 @@
 
     private static FleetSettings.Method method(
             JsonFields fields,
-            List<FleetSettings.Method> earlier,
+            List<FleetSettings.Method> previousMethods,
             List<String> machineTypes,
             List<String> zones) {
         String name = fields.string("name", null, "\\S{1,64}", "1 to 64 characters without spaces");
-        if (earlier.stream().anyMatch(method -> method.name().equals(name))) {
+        if (previousMethods.stream().anyMatch(method -> method.name().equals(name))) {
             fields.reject("name", "a name that no other method has");
         }
         FleetSettings.Method method =
@@ -193,12 +193,12 @@
     private static List<InetSocketAddress> peers(JsonFields fields) {
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String text : fields.strings("peers", 0, MAX_PEERS, null)) {
-            int colon = text.lastIndexOf(':');
-            if (colon < 1 || !isPort(text.substring(colon + 1))) {
+            int colonIndex = text.lastIndexOf(':');
+            if (colonIndex < 1 || !isPort(text.substring(colonIndex + 1))) {
                 fields.reject("peers", "addresses as HOST:PORT");
             } else {
-                int port = Integer.parseInt(text.substring(colon + 1));
-                peers.add(new InetSocketAddress(text.substring(0, colon), port));
+                int port = Integer.parseInt(text.substring(colonIndex + 1));
+                peers.add(new InetSocketAddress(text.substring(0, colonIndex), port));
             }
         }
         return peers;
--- a/src/main/java/rosespread/settings/package-info.java
+++ b/src/main/java/rosespread/settings/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The settings that operators apply to a controller: their form as JSON, the checks on them, and
- * the file that keeps the ones in force.
+ * The settings that operators apply to a controller: their JSON format, their validation, and the
+ * file that preserves the settings in force.
  *
  * <p>{@link rosespread.settings.JsonFields} reads any object field by field and reports all invalid
- * fields at once; scenario files are read with it as well. The package uses only {@code
- * rosespread.api}. {@link rosespread.settings.FleetSettings} are immutable; readers and the file
- * belong to one thread at a time.
+ * fields at once; it also reads scenario files. The package depends on {@code rosespread.api} only.
+ * {@link rosespread.settings.FleetSettings} are immutable; readers and the file may be used by one
+ * thread at a time.
  */
 package rosespread.settings;
--- a/src/test/java/rosespread/settings/SettingsFileTest.java
+++ b/src/test/java/rosespread/settings/SettingsFileTest.java
@@ -15,33 +15,36 @@
 
 class SettingsFileTest {
     @Test
-    void snapshotDamagedAtAnyByteIsRefusedAndSetAside(@TempDir Path folder) throws IOException {
-        SettingsFile snapshot = new SettingsFile(folder);
-        assertEquals(Optional.empty(), snapshot.load());
-        snapshot.save(new SettingsFile.Saved(SettingsTest.VALID_SETTINGS, 3, "o", "c", 1));
-        Path file = folder.resolve("settings.json");
-        byte[] good = Files.readAllBytes(file);
-        SettingsFile.Saved saved = new SettingsFile(folder).load().orElseThrow();
+    void fileDamagedAtAnyByteIsRejectedAndSetAside(@TempDir Path directory) throws IOException {
+        SettingsFile settingsFile = new SettingsFile(directory);
+        assertEquals(Optional.empty(), settingsFile.load());
+        settingsFile.save(new SettingsFile.Saved(SettingsTest.VALID_SETTINGS, 3, "o", "c", 1));
+        Path file = directory.resolve("settings.json");
+        byte[] validBytes = Files.readAllBytes(file);
+        SettingsFile.Saved saved = new SettingsFile(directory).load().orElseThrow();
         assertEquals(3, saved.revision());
-        for (int at = 0; at < good.length; at++) {
-            byte[] cut = Arrays.copyOf(good, at);
-            byte[] flipped = good.clone();
-            flipped[at] ^= 1;
+        for (int offset = 0; offset < validBytes.length; offset++) {
+            byte[] cut = Arrays.copyOf(validBytes, offset);
+            byte[] flipped = validBytes.clone();
+            flipped[offset] ^= 1;
             for (byte[] damaged : List.of(cut, flipped)) {
                 Files.write(file, damaged);
                 try {
-                    // A flip may fall on what does not matter: a space.
-                    assertEquals(Optional.of(saved), new SettingsFile(folder).load(), "byte " + at);
+                    // A flipped bit in whitespace may leave the content unchanged.
+                    assertEquals(
+                            Optional.of(saved),
+                            new SettingsFile(directory).load(),
+                            "byte " + offset);
                 } catch (IOException e) {
                     assertTrue(e.getMessage().contains("settings.json"), e.getMessage());
                 }
             }
         }
         Files.write(file, new byte[] {'{'});
-        SettingsFile after = new SettingsFile(folder);
-        assertThrows(IOException.class, after::load);
-        Path aside = after.save(saved).orElseThrow();
-        assertEquals("{", Files.readString(aside));
-        assertEquals(saved, new SettingsFile(folder).load().orElseThrow());
+        SettingsFile reopenedFile = new SettingsFile(directory);
+        assertThrows(IOException.class, reopenedFile::load);
+        Path setAsideFile = reopenedFile.save(saved).orElseThrow();
+        assertEquals("{", Files.readString(setAsideFile));
+        assertEquals(saved, new SettingsFile(directory).load().orElseThrow());
     }
 }
--- a/src/test/java/rosespread/settings/SettingsTest.java
+++ b/src/test/java/rosespread/settings/SettingsTest.java
@@ -45,7 +45,7 @@
                 "\"drainGraceMs\":2000|\"drainGraceMs\":2000,\"drainGraceMs\":1|(whole)|line 5",
                 "\"zones\"|zones|(whole)|line 1, column"
             })
-    void invalidFieldIsReportedWithWhatIsAllowed(
+    void invalidFieldIsReportedWithValueAndAllowedValues(
             String from, String to, String field, String value) {
         SettingsException error =
                 assertThrows(
