--- a/src/main/java/rosespread/fleet/AuditEntry.java
+++ b/src/main/java/rosespread/fleet/AuditEntry.java
@@ -8,10 +8,10 @@
 /**
  * One line of a controller's audit log as {@code GET /v1/acts} reports it.
  *
- * @param at when the controller wrote it, by its wall clock
- * @param operator who made the request; not authenticated
- * @param action what was requested
- * @param outcome how it ended, or that it was begun
+ * @param at the time at which the controller wrote the line, by its wall clock
+ * @param operator the operator who made the request; not authenticated
+ * @param action the requested action
+ * @param outcome the outcome of the request, or a note that the request was begun
  */
 public record AuditEntry(Instant at, String operator, String action, String outcome) {
     /** Reads the body of a response to {@code GET /v1/acts}. */
--- a/src/main/java/rosespread/fleet/Completion.java
+++ b/src/main/java/rosespread/fleet/Completion.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** How much of a fleet an operation reached. */
+/** Whether an operation succeeded at every controller of a fleet, at some or at none. */
 public enum Completion {
-    /** Every controller did it. */
+    /** The operation succeeded at every controller. */
     ALL,
-    /** At least one controller did it and at least one did not. */
+    /** The operation succeeded at one or more controllers, but not at every one. */
     SOME,
-    /** No controller did it. */
+    /** The operation succeeded at no controller. */
     NONE;
 
-    /** The completion of a request by its responses: those with success count as done. */
+    /** Returns the completion of a request, given the responses of all controllers. */
     public static Completion of(List<FleetResponse> responses) {
         long done = responses.stream().filter(FleetResponse::isOk).count();
         return of(done, responses.size());
--- a/src/main/java/rosespread/fleet/ControllerSummary.java
+++ b/src/main/java/rosespread/fleet/ControllerSummary.java
@@ -15,16 +15,16 @@
  * empty or 0.
  *
  * @param name the controller's name
- * @param phase what the controller is doing, {@value #SERVING} in normal operation
- * @param proxies connected proxies
- * @param subscribedProxies proxies that follow at least one table
+ * @param phase the controller's phase, {@value #SERVING} in normal operation
+ * @param proxies the number of connected proxies
+ * @param subscribedProxies the number of proxies that are subscribed to a table
  * @param nodesByState listed nodes by the name of their state, in the document's order
- * @param queuedEntries weight entries that wait for the channel
+ * @param queuedEntries the number of weight entries that wait for the channel
  * @param settings the settings in effect, empty before any were applied
  * @param tables the number of tables
  * @param heldTables the number of tables that an operator pinned or rolled back
- * @param drainedNodes names of nodes that operators drain
- * @param faults what the controller reports as not working, a sentence each
+ * @param drainedNodes the names of nodes that operators drain
+ * @param faults the faults that the controller reports, a sentence each
  */
 public record ControllerSummary(
         String name,
@@ -44,10 +44,10 @@
             List.of("listTrouble", "settingsTrouble", "storageTrouble", "auditTrouble");
 
     /**
-     * The settings that a controller works with.
+     * The settings in effect at a controller.
      *
-     * @param revision rises with each change
-     * @param operator who applied them
+     * @param revision the revision of the settings, which increases with each change
+     * @param operator the operator who applied the settings
      */
     public record AppliedSettings(long revision, String operator) {}
 
@@ -67,12 +67,12 @@
                 faults(body));
     }
 
-    /** Whether the controller has settings and directs its proxies. */
+    /** Returns whether the controller has settings and directs its proxies. */
     public boolean isServing() {
         return phase.equals(SERVING);
     }
 
-    /** The number of nodes in any state. */
+    /** Returns the number of listed nodes in any state. */
     public int listedNodes() {
         return nodesByState.values().stream().mapToInt(Integer::intValue).sum();
     }
--- a/src/main/java/rosespread/fleet/DrainBlocker.java
+++ b/src/main/java/rosespread/fleet/DrainBlocker.java
@@ -1,35 +1,35 @@
 package rosespread.fleet;
 
-/** Why a drained node is not known to be empty yet, by what one controller reports. */
+/** A reason why a drained node may still receive traffic, as far as one controller can tell. */
 public sealed interface DrainBlocker {
-    /** The control address of the controller concerned. */
+    /** Returns the control address of the controller. */
     String address();
 
-    /** A sentence for the operator, without the node's name. */
+    /** Returns a sentence for the operator, without the node's name. */
     String describe();
 
     /**
      * The controller did not respond with success.
      *
-     * @param address its control address
-     * @param detail why, as far as known
+     * @param address the controller's control address
+     * @param detail the cause, as far as known
      */
     record NoResponse(String address, String detail) implements DrainBlocker {
         @Override
         public String describe() {
-            return address + " does not answer: " + detail;
+            return address + " returned no node list: " + detail;
         }
     }
 
     /**
      * The controller does not drain the node.
      *
-     * @param address its control address
+     * @param address the controller's control address
      */
     record StillReady(String address) implements DrainBlocker {
         @Override
         public String describe() {
-            return address + " still lists it as ready";
+            return address + " still lists the node as ready";
         }
     }
 
@@ -37,25 +37,28 @@
      * A proxy reported an attempt at the node within the quiet period.
      *
      * @param address the controller's control address
-     * @param agoMillis time since that report
+     * @param agoMillis the time since that report in milliseconds
      */
     record RecentAttempt(String address, long agoMillis) implements DrainBlocker {
         @Override
         public String describe() {
-            return address + " heard of a try " + agoMillis + " ms ago";
+            return address + " received a report of an attempt " + agoMillis + " ms ago";
         }
     }
 
     /**
-     * Proxies have not reported lately and may go on sending to the node unseen.
+     * The reports of some proxies are overdue; these proxies may still send requests to the node.
      *
      * @param address the controller's control address
-     * @param proxies how many proxies' reports are overdue
+     * @param proxies the number of proxies with an overdue report
      */
     record OverdueReports(String address, int proxies) implements DrainBlocker {
         @Override
         public String describe() {
-            return address + " cannot know: " + proxies + " of its proxies have not reported";
+            return address
+                    + " has overdue reports: "
+                    + proxies
+                    + " of its proxies have not reported";
         }
     }
 }
--- a/src/main/java/rosespread/fleet/EmptyNodeCheck.java
+++ b/src/main/java/rosespread/fleet/EmptyNodeCheck.java
@@ -7,20 +7,20 @@
 import java.util.OptionalLong;
 
 /**
- * Decides from controllers' node lists whether a drained node receives no traffic any more: every
- * controller drains it, no proxy reported an attempt during the quiet period, and no proxy's report
- * is overdue, since such a proxy may go on sending unseen.
+ * Decides from controllers' node lists whether a drained node no longer receives traffic: every
+ * controller drains the node, no proxy reported an attempt during the quiet period, and no proxy's
+ * report is overdue, because such a proxy may still send requests to the node.
  *
- * @param node the node's name, or NAME@HOST:PORT where several nodes share a name
- * @param quietPeriod how long no attempt may have been reported
+ * @param node the node's name, or NAME@HOST:PORT if several nodes share a name
+ * @param quietPeriod the period before now in which no attempt may have been reported
  */
 public record EmptyNodeCheck(String node, Duration quietPeriod) {
     /**
-     * Judges responses to {@code GET /v1/nodes}. A controller that does not list the node blocks
-     * nothing.
+     * Evaluates responses to {@code GET /v1/nodes}. A controller that does not list the node causes
+     * no blocker.
      *
-     * @return what stands against the node being empty, in the responses' order; empty if it is
-     *     known to be empty
+     * @return the reasons why the node may still receive traffic, in the order of the responses;
+     *     empty if the node is known to receive no traffic
      */
     public List<DrainBlocker> blockers(List<FleetResponse> responses) {
         List<DrainBlocker> blockers = new ArrayList<>();
@@ -42,13 +42,14 @@
         if (listed.isReady()) {
             return Optional.of(new DrainBlocker.StillReady(address));
         }
-        OptionalLong agoMillis = listed.lastAttemptAgoMillis();
-        if (agoMillis.isPresent() && agoMillis.getAsLong() < quietPeriod.toMillis()) {
-            return Optional.of(new DrainBlocker.RecentAttempt(address, agoMillis.getAsLong()));
+        OptionalLong attemptAgoMillis = listed.lastAttemptAgoMillis();
+        if (attemptAgoMillis.isPresent() && attemptAgoMillis.getAsLong() < quietPeriod.toMillis()) {
+            return Optional.of(
+                    new DrainBlocker.RecentAttempt(address, attemptAgoMillis.getAsLong()));
         }
-        int overdue = listed.proxiesWithoutReport();
-        return overdue > 0
-                ? Optional.of(new DrainBlocker.OverdueReports(address, overdue))
+        int overdueProxies = listed.proxiesWithoutReport();
+        return overdueProxies > 0
+                ? Optional.of(new DrainBlocker.OverdueReports(address, overdueProxies))
                 : Optional.empty();
     }
 }
--- a/src/main/java/rosespread/fleet/FieldChange.java
+++ b/src/main/java/rosespread/fleet/FieldChange.java
@@ -13,7 +13,7 @@
 public record FieldChange(String path, Optional<String> before, Optional<String> after) {
     private static final String ABSENT = "none";
 
-    /** The change as {@code PATH: BEFORE -> AFTER}, with {@value #ABSENT} for an absent value. */
+    /** Returns {@code PATH: BEFORE -> AFTER}, with {@value #ABSENT} for an absent value. */
     public String describe() {
         return path + ": " + before.orElse(ABSENT) + " -> " + after.orElse(ABSENT);
     }
--- a/src/main/java/rosespread/fleet/Fleet.java
+++ b/src/main/java/rosespread/fleet/Fleet.java
@@ -14,9 +14,9 @@
 import rosespread.http.HttpMessage;
 
 /**
- * A client of several controllers' control APIs. A request to all of them is sent at once, and each
- * controller's response stands for itself: an error or a missing response is a {@link
- * FleetResponse}, never an exception.
+ * A client of the control APIs of several controllers. A request to all controllers is sent to them
+ * in parallel. Each controller has a result of its own: an error or a missing response is returned
+ * as a {@link FleetResponse}, never thrown as an exception.
  *
  * <p>May be used by several threads. Every request blocks the calling thread for at most the
  * timeout given to the constructor.
@@ -34,11 +34,12 @@
             new HttpClient(IO_THREADS, HttpLimits.LARGE, CONNECT_TIMEOUT_MILLIS, IDLE_SECONDS);
 
     /**
-     * Creates a client; connections are made as requests need them.
+     * Creates a client. Connections are opened on demand.
      *
      * @param controllers control addresses, in the order in which responses are returned
-     * @param operator the name that controllers write into their audit logs
-     * @param timeoutNanos how long one request may take, connecting included
+     * @param operator the operator's name that controllers write to their audit logs
+     * @param timeoutNanos the maximum time of one request, including the time to connect, in
+     *     nanoseconds
      */
     public Fleet(List<InetSocketAddress> controllers, String operator, long timeoutNanos) {
         this.controllers = List.copyOf(controllers);
@@ -46,26 +47,27 @@
         this.timeoutNanos = timeoutNanos;
     }
 
-    /** The control addresses, in the order given. */
+    /** Returns the control addresses, in the order given to the constructor. */
     public List<InetSocketAddress> controllers() {
         return controllers;
     }
 
     /**
-     * Sends one request to all controllers at once and waits for all responses.
+     * Sends one request to all controllers in parallel and waits for all responses.
      *
-     * @param verb the HTTP method
-     * @param path path and query
+     * @param httpMethod the HTTP method
+     * @param path the path and query
      * @param body the request's body, empty for none
-     * @param headers names and values in turn
+     * @param headers alternating names and values
      * @return a response for each controller, in the order of {@link #controllers()}
      */
-    public List<FleetResponse> request(String verb, String path, String body, String... headers) {
-        List<CompletableFuture<FleetResponse>> pending =
+    public List<FleetResponse> request(
+            String httpMethod, String path, String body, String... headers) {
+        List<CompletableFuture<FleetResponse>> pendingResponses =
                 controllers.stream()
-                        .map(controller -> send(controller, verb, path, body, headers))
+                        .map(controller -> send(controller, httpMethod, path, body, headers))
                         .toList();
-        return pending.stream().map(CompletableFuture::join).toList();
+        return pendingResponses.stream().map(CompletableFuture::join).toList();
     }
 
     /**
@@ -73,38 +75,40 @@
      * for its response.
      *
      * @param controller the control address
-     * @param verb the HTTP method
-     * @param path path and query
+     * @param httpMethod the HTTP method
+     * @param path the path and query
      * @param body the request's body, empty for none
-     * @param headers names and values in turn
+     * @param headers alternating names and values
      */
     public FleetResponse request(
             InetSocketAddress controller,
-            String verb,
+            String httpMethod,
             String path,
             String body,
             String... headers) {
-        return send(controller, verb, path, body, headers).join();
+        return send(controller, httpMethod, path, body, headers).join();
     }
 
     private CompletableFuture<FleetResponse> send(
             InetSocketAddress controller,
-            String verb,
+            String httpMethod,
             String path,
             String body,
             String... headers) {
         HttpHeaders allHeaders =
-                HttpHeaders.of(headers).add("host", text(controller)).add("x-operator", operator);
+                HttpHeaders.of(headers)
+                        .add("host", hostAndPort(controller))
+                        .add("x-operator", operator);
         HttpMessage.Request request =
                 new HttpMessage.Request(
-                        verb, path, allHeaders, body.getBytes(StandardCharsets.UTF_8));
+                        httpMethod, path, allHeaders, body.getBytes(StandardCharsets.UTF_8));
         ResponseFuture future = new ResponseFuture(controller);
         http.call(controller, request, timeoutNanos, future);
         return future.response;
     }
 
-    /** A control address as HOST:PORT, with the host as it was given. */
-    static String text(InetSocketAddress controller) {
+    /** Returns a control address as HOST:PORT, with the host as it was given. */
+    static String hostAndPort(InetSocketAddress controller) {
         return controller.getHostString() + ":" + controller.getPort();
     }
 
@@ -113,7 +117,7 @@
         http.close();
     }
 
-    /** Completes a future with a call's outcome, on the HTTP client's threads. */
+    /** Completes a future with the outcome of an HTTP request, on a thread of the HTTP client. */
     private static final class ResponseFuture implements HttpClient.ResponseHandler {
         private final InetSocketAddress controller;
         private final CompletableFuture<FleetResponse> response = new CompletableFuture<>();
@@ -123,9 +127,10 @@
         }
 
         @Override
-        public void onResponse(HttpMessage.Response answer) {
+        public void onResponse(HttpMessage.Response httpResponse) {
             response.complete(
-                    FleetResponse.received(controller, answer.status(), parse(answer.body())));
+                    FleetResponse.received(
+                            controller, httpResponse.status(), parse(httpResponse.body())));
         }
 
         @Override
@@ -139,7 +144,7 @@
                 JsonNode parsed = JSON.readTree(body);
                 return parsed == null ? MissingNode.getInstance() : parsed;
             } catch (IOException e) {
-                // The status alone says how the request ended.
+                // A body that is not JSON is ignored: the status says how the request ended.
                 return MissingNode.getInstance();
             }
         }
--- a/src/main/java/rosespread/fleet/FleetDifference.java
+++ b/src/main/java/rosespread/fleet/FleetDifference.java
@@ -6,23 +6,24 @@
 
 /** One respect in which the controllers of a fleet disagree. */
 public sealed interface FleetDifference {
-    /** A sentence for the operator. */
+    /** Returns a sentence for the operator. */
     String describe();
 
     /**
      * Controllers report different values of something that should be the same everywhere.
      *
-     * @param subject what differs, in the plural
+     * @param subject the name of the value that differs, in the plural
      * @param addressesByValue the control addresses that report each value, at least two values
      */
     record Value(String subject, SortedMap<String, List<String>> addressesByValue)
             implements FleetDifference {
         @Override
         public String describe() {
-            List<String> parts = new ArrayList<>();
+            List<String> valuesWithAddresses = new ArrayList<>();
             addressesByValue.forEach(
-                    (value, addresses) -> parts.add(value + " at " + String.join(", ", addresses)));
-            return subject + " differ: " + String.join("; ", parts);
+                    (value, addresses) ->
+                            valuesWithAddresses.add(value + " at " + String.join(", ", addresses)));
+            return subject + " differ: " + String.join("; ", valuesWithAddresses);
         }
     }
 
--- a/src/main/java/rosespread/fleet/FleetDifferences.java
+++ b/src/main/java/rosespread/fleet/FleetDifferences.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import java.util.function.Function;
 
-/** Compares the status of a fleet's controllers in what they should have in common. */
+/** Compares the parts of the controllers' statuses that should be the same in a whole fleet. */
 public final class FleetDifferences {
     /** A controller's status with the address it came from. */
     private record Status(String address, ControllerSummary summary) {}
@@ -17,10 +17,10 @@
     private FleetDifferences() {}
 
     /**
-     * Compares responses to {@code GET /v1/status}; those without success are left out.
+     * Compares responses to {@code GET /v1/status}; unsuccessful responses are ignored.
      *
-     * @return the differences: settings, number of nodes, then drains by the node's name; empty if
-     *     the controllers agree
+     * @return the differences in the order settings, number of nodes, drains sorted by the node's
+     *     name; empty if the controllers agree
      */
     public static List<FleetDifference> between(List<FleetResponse> responses) {
         List<Status> statuses =
@@ -30,7 +30,10 @@
                         .toList();
         List<FleetDifference> differences = new ArrayList<>();
         compare("settings", statuses, FleetDifferences::settings).ifPresent(differences::add);
-        compare("nodes listed", statuses, summary -> String.valueOf(summary.listedNodes()))
+        compare(
+                        "numbers of listed nodes",
+                        statuses,
+                        summary -> String.valueOf(summary.listedNodes()))
                 .ifPresent(differences::add);
         differences.addAll(missingDrains(statuses));
         return differences;
--- a/src/main/java/rosespread/fleet/FleetResponse.java
+++ b/src/main/java/rosespread/fleet/FleetResponse.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * The response of one controller, or the reason why there is none.
+ * The response of one controller, or the reason why no response was received.
  *
  * @param controller the control address that the request was sent to
  * @param status the HTTP status, {@link #NO_RESPONSE} if no response arrived
@@ -36,23 +36,23 @@
                 controller, NO_RESPONSE, MissingNode.getInstance(), reason, mayHaveRun);
     }
 
-    /** Whether the controller executed the request and reported success. */
+    /** Returns whether the controller executed the request and reported success. */
     public boolean isOk() {
         return status == OK;
     }
 
-    /** Whether the controller responded that what was asked for does not exist. */
+    /** Returns whether the controller responded that the requested resource does not exist. */
     public boolean isNotFound() {
         return status == NOT_FOUND;
     }
 
-    /** Whether a response arrived, whatever its status. */
+    /** Returns whether a response arrived, regardless of its status. */
     public boolean isReceived() {
         return status != NO_RESPONSE;
     }
 
-    /** The control address as HOST:PORT, the way the operator gave it. */
+    /** Returns the control address as HOST:PORT, as the operator gave it. */
     public String address() {
-        return Fleet.text(controller);
+        return Fleet.hostAndPort(controller);
     }
 }
--- a/src/main/java/rosespread/fleet/JsonDiff.java
+++ b/src/main/java/rosespread/fleet/JsonDiff.java
@@ -13,10 +13,10 @@
     private JsonDiff() {}
 
     /**
-     * Lists the leaves that differ, sorted by path. Values are compared as JSON text; an object or
-     * array without content has no leaves.
+     * Lists the leaves that differ, sorted by path. Values are compared as JSON text, so that 1 and
+     * 1.0 differ. An empty object or array has no leaves.
      *
-     * @param before the former document; a missing node stands for none
+     * @param before the former document; a missing node stands for no document
      * @param after the new document
      */
     public static List<FieldChange> between(JsonNode before, JsonNode after) {
--- a/src/main/java/rosespread/fleet/NodeSummary.java
+++ b/src/main/java/rosespread/fleet/NodeSummary.java
@@ -14,11 +14,12 @@
  * @param address HOST:PORT
  * @param zone the node's zone
  * @param machineType the node's machine type
- * @param state the name of the node's state, {@value #READY} if it may be used
- * @param drainedBy the operator who drains the node, empty if none does
- * @param lastAttemptAgoMillis time since a proxy last reported an attempt at the node, empty if
- *     none was ever reported
- * @param proxiesWithoutReport proxies whose reports are overdue, which may be using the node unseen
+ * @param state the name of the node's state, {@value #READY} if the node may receive traffic
+ * @param drainedBy the operator who drains the node, empty if no operator does
+ * @param lastAttemptAgoMillis the time in milliseconds since a proxy last reported an attempt at
+ *     the node, empty if no attempt was ever reported
+ * @param proxiesWithoutReport the number of proxies whose reports are overdue; these proxies may
+ *     still send requests to the node
  */
 public record NodeSummary(
         String name,
@@ -51,12 +52,12 @@
                 node.path("unheard").asInt());
     }
 
-    /** Whether an operator's argument means this node: its name, or NAME@HOST:PORT. */
+    /** Returns whether an operator's argument, NAME or NAME@HOST:PORT, matches this node. */
     public boolean isNamed(String nameOrQualifiedName) {
         return nameOrQualifiedName.equals(name) || nameOrQualifiedName.equals(name + "@" + address);
     }
 
-    /** Whether the controller may direct traffic to the node. */
+    /** Returns whether the controller may direct traffic to the node. */
     public boolean isReady() {
         return state.equals(READY);
     }
--- a/src/main/java/rosespread/fleet/RolloutEvent.java
+++ b/src/main/java/rosespread/fleet/RolloutEvent.java
@@ -1,18 +1,18 @@
 package rosespread.fleet;
 
-/** What happened during a {@link StagedSettingsRollout}. */
+/** An event of a {@link StagedSettingsRollout}. */
 public sealed interface RolloutEvent {
-    /** The control address of the controller concerned. */
+    /** Returns the control address of the controller. */
     String address();
 
-    /** A sentence for the operator. */
+    /** Returns a sentence for the operator. */
     String describe();
 
     /**
-     * The controller refuses the settings in a dry run, so that no controller got them.
+     * The dry run failed at the controller; the settings were applied at no controller.
      *
-     * @param address its control address
-     * @param reason why it refuses
+     * @param address the controller's control address
+     * @param reason the reason for the failure
      */
     record DryRunFailed(String address, String reason) implements RolloutEvent {
         @Override
@@ -22,10 +22,10 @@
     }
 
     /**
-     * The controller works with the settings now.
+     * The controller applied the settings.
      *
-     * @param address its control address
-     * @param revision the settings' revision there
+     * @param address the controller's control address
+     * @param revision the revision of the settings at this controller
      */
     record Applied(String address, long revision) implements RolloutEvent {
         @Override
@@ -35,29 +35,33 @@
     }
 
     /**
-     * The controller did not apply the settings; it and the later ones keep what they have.
+     * The controller did not apply the settings. This controller and the remaining ones keep their
+     * former settings.
      *
-     * @param address its control address
-     * @param reason why it did not
+     * @param address the controller's control address
+     * @param reason the reason for the failure
      */
     record ApplyFailed(String address, String reason) implements RolloutEvent {
         @Override
         public String describe() {
-            return address + ": " + reason + "; stopped here";
+            return address + ": " + reason + "; rollout stopped";
         }
     }
 
     /**
-     * The controller applied the settings, but its proxies did not subscribe again in time; the
-     * later ones keep what they have.
+     * The controller applied the settings, but its proxies did not subscribe again in time. The
+     * remaining controllers keep their former settings.
      *
-     * @param address its control address
-     * @param proxies how many proxies were subscribed before
+     * @param address the controller's control address
+     * @param proxies the number of proxies that were subscribed before
      */
     record ProxiesMissing(String address, int proxies) implements RolloutEvent {
         @Override
         public String describe() {
-            return address + ": its " + proxies + " proxies are not back in time; stopped here";
+            return address
+                    + ": its "
+                    + proxies
+                    + " proxies did not subscribe again in time; rollout stopped";
         }
     }
 }
--- a/src/main/java/rosespread/fleet/StagedSettingsRollout.java
+++ b/src/main/java/rosespread/fleet/StagedSettingsRollout.java
@@ -8,12 +8,13 @@
 import java.util.function.Consumer;
 
 /**
- * Applies settings to one controller after the other. All controllers check them first, in a dry
- * run. After each controller the rollout waits until that controller serves as many proxies as
- * before; if they do not return in time, or a controller refuses, the remaining controllers keep
- * what they have.
+ * Applies settings to the controllers one by one, after all controllers have checked the settings
+ * in a dry run. After each controller except the last, the rollout waits until that controller
+ * operates normally and as many proxies as before are subscribed to its tables. If the proxies do
+ * not subscribe again in time or a controller rejects the settings, the rollout stops and the
+ * remaining controllers keep their former settings.
  *
- * <p>Runs on the calling thread, events included.
+ * <p>Runs on the calling thread and calls the listener there.
  */
 public final class StagedSettingsRollout {
     private static final long POLL_MILLIS = 100;
@@ -26,8 +27,8 @@
      * Creates a rollout.
      *
      * @param fleet the controllers, in the order of the rollout
-     * @param resubscribeTimeout how long a controller's proxies may take to return
-     * @param listener is called with each event as it happens
+     * @param resubscribeTimeout how long a controller's proxies may take to subscribe again
+     * @param listener receives each event when it happens
      */
     public StagedSettingsRollout(
             Fleet fleet, Duration resubscribeTimeout, Consumer<RolloutEvent> listener) {
@@ -40,9 +41,12 @@
      * Runs the rollout to its end or to the first failure.
      *
      * @param settings the settings, as JSON text
-     * @param idempotencyKey makes a repeated rollout do nothing where it already succeeded
-     * @return how many controllers applied the settings; the last event says why it stopped
-     * @throws InterruptedException if interrupted while waiting for proxies; what was applied stays
+     * @param idempotencyKey the key by which a controller recognizes a repeated rollout, so that
+     *     the rollout has no effect where it already succeeded
+     * @return whether all, some or no controllers applied the settings; if the rollout stopped
+     *     early, the last event gives the reason
+     * @throws InterruptedException if interrupted while waiting for proxies; settings that were
+     *     applied stay in effect
      */
     public Completion run(String settings, String idempotencyKey) throws InterruptedException {
         List<InetSocketAddress> controllers = fleet.controllers();
@@ -57,7 +61,7 @@
             }
             applied++;
             boolean isLast = applied == controllers.size();
-            if (!isLast && !proxiesReturn(controller, before.subscribedProxies())) {
+            if (!isLast && !proxiesResubscribe(controller, before.subscribedProxies())) {
                 break;
             }
         }
@@ -80,7 +84,7 @@
             String settings,
             String idempotencyKey,
             ControllerSummary before) {
-        // If-Match, so that settings which another operator applied just now are not overwritten.
+        // If-Match prevents overwriting settings that another operator applied in the meantime.
         long revision =
                 before.settings().map(ControllerSummary.AppliedSettings::revision).orElse(0L);
         FleetResponse response =
@@ -101,7 +105,7 @@
         return response.isOk();
     }
 
-    private boolean proxiesReturn(InetSocketAddress controller, int proxies)
+    private boolean proxiesResubscribe(InetSocketAddress controller, int proxies)
             throws InterruptedException {
         long deadline = System.nanoTime() + resubscribeTimeout.toNanos();
         while (deadline - System.nanoTime() > 0) {
@@ -111,7 +115,7 @@
             }
             Thread.sleep(POLL_MILLIS);
         }
-        listener.accept(new RolloutEvent.ProxiesMissing(Fleet.text(controller), proxies));
+        listener.accept(new RolloutEvent.ProxiesMissing(Fleet.hostAndPort(controller), proxies));
         return false;
     }
 
--- a/src/main/java/rosespread/fleet/TableSummary.java
+++ b/src/main/java/rosespread/fleet/TableSummary.java
@@ -15,9 +15,9 @@
  * @param number the table's number
  * @param version the number of the version in use
  * @param weights the weight of each node, by the node's name, in the document's order
- * @param hold the name of the table's state: not held, pinned or rolled back
- * @param rejectedChanges how many changes the validator rejected, for any reason
- * @param rejections why the latest change was rejected, empty if it was not
+ * @param hold the name of the table's hold state: not held, pinned or rolled back
+ * @param rejectedChanges the number of changes that the validator rejected, for any reason
+ * @param rejections the reasons why the latest change was rejected, empty if it was accepted
  * @param versions the stored versions, in the document's order
  */
 public record TableSummary(
@@ -32,11 +32,11 @@
      * A version that the controller has stored.
      *
      * @param number the version's number
-     * @param cause what made it
-     * @param at when it was committed, by the controller's wall clock
-     * @param entries the number of its weight entries
-     * @param changedEntries in how many entries it differs from the version before
-     * @param digest the digest of its entries, in hexadecimal digits
+     * @param cause the name of the cause of the version, such as a rollback
+     * @param at the time at which the version was committed, by the controller's wall clock
+     * @param entries the number of weight entries
+     * @param changedEntries the number of entries that differ from the version before
+     * @param digest the digest of the entries, in hexadecimal digits
      */
     public record Version(
             long number, String cause, Instant at, int entries, int changedEntries, String digest) {
--- a/src/main/java/rosespread/fleet/WeightChange.java
+++ b/src/main/java/rosespread/fleet/WeightChange.java
@@ -8,8 +8,8 @@
  * The weight of one node in two versions of a table, as {@code GET /v1/tables/N/diff} reports it.
  *
  * @param node the node's name
- * @param before the weight in the earlier version, 0 if it has no entry of the node
- * @param after the weight in the later version, 0 if it has no entry of the node
+ * @param before the weight in the earlier version, 0 if that version has no entry for the node
+ * @param after the weight in the later version, 0 if that version has no entry for the node
  */
 public record WeightChange(String node, double before, double after) {
     /** Reads the body of a response to {@code GET /v1/tables/N/diff}. */
@@ -25,12 +25,12 @@
         return List.copyOf(changes);
     }
 
-    /** Whether only the later version has an entry of the node. */
+    /** Returns whether only the later version has an entry for the node. */
     public boolean isAdded() {
         return before == 0;
     }
 
-    /** Whether only the earlier version has an entry of the node. */
+    /** Returns whether only the earlier version has an entry for the node. */
     public boolean isRemoved() {
         return before != 0 && after == 0;
     }
--- a/src/test/java/rosespread/fleet/EmptyNodeCheckTest.java
+++ b/src/test/java/rosespread/fleet/EmptyNodeCheckTest.java
@@ -28,14 +28,14 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "READY|-1|0|10.0.0.1:1 still lists it as ready",
-                "READY|5|3|10.0.0.1:1 still lists it as ready",
-                "DRAINING|0|0|10.0.0.1:1 heard of a try 0 ms ago",
-                "DRAINING|1999|3|10.0.0.1:1 heard of a try 1999 ms ago",
-                "DRAINING|2000|3|10.0.0.1:1 cannot know: 3 of its proxies have not reported",
-                "DRAINING|-1|1|10.0.0.1:1 cannot know: 1 of its proxies have not reported"
+                "READY|-1|0|10.0.0.1:1 still lists the node as ready",
+                "READY|5|3|10.0.0.1:1 still lists the node as ready",
+                "DRAINING|0|0|10.0.0.1:1 received a report of an attempt 0 ms ago",
+                "DRAINING|1999|3|10.0.0.1:1 received a report of an attempt 1999 ms ago",
+                "DRAINING|2000|3|10.0.0.1:1 has overdue reports: 3 of its proxies have not reported",
+                "DRAINING|-1|1|10.0.0.1:1 has overdue reports: 1 of its proxies have not reported"
             })
-    void namesTheFirstReasonThatStandsAgainstANode(
+    void reportsFirstReasonWhyNodeMayReceiveTraffic(
             String state, int attemptAgoMillis, int overdueReports, String reason) {
         assertEquals(
                 List.of(reason), reasons(CHECK, node(state, attemptAgoMillis, overdueReports)));
@@ -43,24 +43,24 @@
 
     @ParameterizedTest
     @CsvSource({"DRAINING,2000", "DRAINING,-1", "GONE,60000"})
-    void aDrainedNodeWithoutRecentAttemptsIsEmpty(String state, int attemptAgoMillis) {
+    void drainedNodeWithoutRecentAttemptsIsEmpty(String state, int attemptAgoMillis) {
         assertEquals(List.of(), reasons(CHECK, node(state, attemptAgoMillis, 0)));
     }
 
     @Test
-    void aControllerThatDoesNotListTheNodeBlocksNothing() {
+    void controllerThatDoesNotListNodeCausesNoBlocker() {
         assertEquals(List.of(), reasons(CHECK, FleetResponses.ok(1, "[{\"name\":\"n2\"}]")));
     }
 
     @Test
-    void aMissingResponseBlocks() {
+    void missingResponseCausesBlocker() {
         assertEquals(
-                List.of("10.0.0.1:2 does not answer: refused"),
+                List.of("10.0.0.1:2 returned no node list: refused"),
                 reasons(CHECK, FleetResponses.ok(1, "[]"), FleetResponses.missing(2, "refused")));
     }
 
     @Test
-    void aQualifiedNameMeansOneOfSeveralNodesWithTheSameName() {
+    void qualifiedNameSelectsOneOfSeveralNodesWithSameName() {
         FleetResponse nodes =
                 FleetResponses.ok(
                         1,
@@ -68,7 +68,7 @@
                                 + "{\"name\":\"n1\",\"address\":\"h:2\",\"state\":\"DRAINING\"}]");
         Duration quietPeriod = Duration.ofSeconds(2);
         assertEquals(
-                List.of("10.0.0.1:1 still lists it as ready"),
+                List.of("10.0.0.1:1 still lists the node as ready"),
                 reasons(new EmptyNodeCheck("n1@h:1", quietPeriod), nodes));
         assertEquals(List.of(), reasons(new EmptyNodeCheck("n1@h:2", quietPeriod), nodes));
     }
--- a/src/test/java/rosespread/fleet/FakeController.java
+++ b/src/test/java/rosespread/fleet/FakeController.java
@@ -12,7 +12,7 @@
 import rosespread.http.HttpMessage;
 import rosespread.http.HttpServer;
 
-/** A control API with prepared responses that records the requests. */
+/** A control API that returns prepared responses and records the requests. */
 final class FakeController implements AutoCloseable {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
 
@@ -22,11 +22,11 @@
     private final InetSocketAddress address;
 
     FakeController() throws IOException {
-        server = new HttpServer(1, HttpLimits.DEFAULT, this::answer);
+        server = new HttpServer(1, HttpLimits.DEFAULT, this::respond);
         address = new InetSocketAddress("127.0.0.1", server.listen(ANY_PORT).getPort());
     }
 
-    private void answer(HttpMessage.Request request, HttpServer.Exchange exchange) {
+    private void respond(HttpMessage.Request request, HttpServer.Exchange exchange) {
         String key = request.method() + " " + request.target();
         String condition = request.headers().first("if-match").map(r -> " if " + r).orElse("");
         requests.add(key + condition);
@@ -38,8 +38,8 @@
                 status, HttpHeaders.of(), body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Prepares the response to a request, given as method, space and target. */
-    FakeController on(String request, int status, String body) {
+    /** Prepares the response to a request, given as HTTP method, space and target. */
+    FakeController respondTo(String request, int status, String body) {
         responses.put(request, response(status, body));
         return this;
     }
@@ -49,10 +49,10 @@
     }
 
     String addressText() {
-        return Fleet.text(address);
+        return Fleet.hostAndPort(address);
     }
 
-    /** The requests so far, each with its revision if it has a condition. */
+    /** Returns the requests so far; a request with an if-match header ends with its value. */
     List<String> requests() {
         return List.copyOf(requests);
     }
--- a/src/test/java/rosespread/fleet/FleetResponses.java
+++ b/src/test/java/rosespread/fleet/FleetResponses.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.InetSocketAddress;
 
-/** Responses of controllers on 10.0.0.1, as the package's tests need them. */
+/** Creates responses of controllers at 10.0.0.1 for the tests of this package. */
 final class FleetResponses {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /** A response with status 200; the port tells controllers apart. */
+    /** Returns a response with status 200; the port identifies the controller. */
     static FleetResponse ok(int port, String body) {
         return FleetResponse.received(address(port), 200, json(body));
     }
--- a/src/test/java/rosespread/fleet/JsonDiffTest.java
+++ b/src/test/java/rosespread/fleet/JsonDiffTest.java
@@ -27,7 +27,7 @@
                 "{\"a\":1,\"b\":2}|{\"a\":1}|b: 2 -> none",
                 "{\"a\":1}|{\"a\":1.0}|a: 1 -> 1.0"
             })
-    void aChangeHasThePathAndBothValues(String before, String after, String change) {
+    void changeHasPathAndBothValues(String before, String after, String change) {
         assertEquals(List.of(change), changes(before, after));
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void everyLeafIsNewAgainstAMissingDocument() {
+    void everyLeafIsNewIfFormerDocumentIsMissing() {
         List<FieldChange> changes =
                 JsonDiff.between(
                         MissingNode.getInstance(), FleetResponses.json("{\"a\":1,\"b\":[2]}"));
--- a/src/test/java/rosespread/fleet/StagedSettingsRolloutTest.java
+++ b/src/test/java/rosespread/fleet/StagedSettingsRolloutTest.java
@@ -25,15 +25,15 @@
 
     @BeforeEach
     void startControllers() throws IOException {
-        first = willingController();
-        second = willingController();
+        first = acceptingController();
+        second = acceptingController();
     }
 
-    private static FakeController willingController() throws IOException {
+    private static FakeController acceptingController() throws IOException {
         return new FakeController()
-                .on(DRY_RUN, 200, "{}")
-                .on(STATUS, 200, SERVING)
-                .on(APPLY, 200, "{\"revision\":8}");
+                .respondTo(DRY_RUN, 200, "{}")
+                .respondTo(STATUS, 200, SERVING)
+                .respondTo(APPLY, 200, "{\"revision\":8}");
     }
 
     @AfterEach
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void appliesToOneControllerAfterTheOther() throws InterruptedException {
+    void appliesSettingsToControllersOneByOne() throws InterruptedException {
         assertEquals(Completion.ALL, rollOut());
         assertEquals(
                 List.of(
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void appliesOnlyOverTheRevisionThatItHasSeen() throws InterruptedException {
-        first.on(STATUS, 200, SERVING.replace("}", ",\"settingsRevision\":7}"));
+    void appliesOnlyIfRevisionIsUnchanged() throws InterruptedException {
+        first.respondTo(STATUS, 200, SERVING.replace("}", ",\"settingsRevision\":7}"));
         assertEquals(Completion.ALL, rollOut());
         assertEquals(APPLY + " if 7", first.requests().get(2));
     }
@@ -74,7 +74,7 @@
     @Test
     void appliesNothingIfOneControllerFailsTheDryRun() throws InterruptedException {
         String fault = "{\"field\":\"zones\",\"value\":\"[]\",\"allowed\":\"1 to 64\"}";
-        second.on(DRY_RUN, 422, "{\"detail\":\"1 fault\",\"faults\":[" + fault + "]}");
+        second.respondTo(DRY_RUN, 422, "{\"detail\":\"1 fault\",\"faults\":[" + fault + "]}");
         assertEquals(Completion.NONE, rollOut());
         assertEquals(
                 List.of(
@@ -87,32 +87,33 @@
     }
 
     @Test
-    void stopsAtTheControllerThatRefuses() throws InterruptedException {
-        first.on(APPLY, 412, "{}");
+    void stopsAtControllerThatRejectsSettings() throws InterruptedException {
+        first.respondTo(APPLY, 412, "{}");
         assertEquals(Completion.NONE, rollOut());
-        assertEquals(List.of(first.addressText() + ": status 412; stopped here"), events);
+        assertEquals(List.of(first.addressText() + ": status 412; rollout stopped"), events);
         assertEquals(List.of(DRY_RUN), second.requests());
     }
 
     @Test
-    void isPartlyDoneIfALaterControllerRefuses() throws InterruptedException {
-        second.on(APPLY, 412, "{\"detail\":\"changed since\"}");
+    void reportsPartialCompletionIfLaterControllerRejectsSettings() throws InterruptedException {
+        second.respondTo(APPLY, 412, "{\"detail\":\"changed since\"}");
         assertEquals(Completion.SOME, rollOut());
         assertEquals(
                 List.of(
                         first.addressText() + ": applied as revision 8",
-                        second.addressText() + ": changed since; stopped here"),
+                        second.addressText() + ": changed since; rollout stopped"),
                 events);
     }
 
     @Test
-    void stopsIfAControllersProxiesDoNotReturnInTime() throws InterruptedException {
-        first.on(STATUS, 200, SERVING.replace("serving", "waiting for settings"));
+    void stopsIfProxiesDoNotSubscribeAgainInTime() throws InterruptedException {
+        first.respondTo(STATUS, 200, SERVING.replace("serving", "waiting for settings"));
         assertEquals(Completion.SOME, rollOut());
         assertEquals(
                 List.of(
                         first.addressText() + ": applied as revision 8",
-                        first.addressText() + ": its 2 proxies are not back in time; stopped here"),
+                        first.addressText()
+                                + ": its 2 proxies did not subscribe again in time; rollout stopped"),
                 events);
         assertEquals(List.of(DRY_RUN), second.requests());
     }
