--- a/src/main/java/rosespread/cli/FleetNodeCommand.java
+++ b/src/main/java/rosespread/cli/FleetNodeCommand.java
@@ -34,7 +34,7 @@
         // has learned of from another one.
         String idempotencyKey = UUID.randomUUID().toString();
         List<FleetResponse> responses =
-                fleet.ask("POST", path, "", "idempotency-key", idempotencyKey);
+                fleet.request("POST", path, "", "idempotency-key", idempotencyKey);
         if (isJson()) {
             out().println(FleetJson.format(responses));
         } else {
--- a/src/test/java/rosespread/admin/OpenApiTest.java
+++ b/src/test/java/rosespread/admin/OpenApiTest.java
@@ -40,7 +40,7 @@
             for (Map.Entry<String, JsonNode> path : paths.properties()) {
                 described += checkPath(fleet, admin.address(), path.getKey(), path.getValue());
             }
-            String knownPaths = fleet.ask(admin.address(), "GET", "/v1/else", "").detail();
+            String knownPaths = fleet.request(admin.address(), "GET", "/v1/else", "").detail();
             checkKnownPaths(pathsWithoutParameters(paths), knownPaths);
         }
         assertTrue(described >= MIN_DESCRIBED_OPERATIONS, described + " described operations");
@@ -53,7 +53,7 @@
         for (String method : METHODS) {
             JsonNode operation = description.path(method.toLowerCase(Locale.ROOT));
             String target = target(path, operation);
-            FleetResponse response = fleet.ask(address, method, target, "");
+            FleetResponse response = fleet.request(address, method, target, "");
             String message =
                     method + " " + target + ": " + response.status() + " " + response.detail();
             if (operation.isMissingNode()) {
--- a/src/test/java/rosespread/admin/RaceTest.java
+++ b/src/test/java/rosespread/admin/RaceTest.java
@@ -54,7 +54,7 @@
     /** An operator and the client that sends its requests. */
     private record Operator(String name, Fleet fleet, InetSocketAddress address) {
         FleetResponse send(Change change, String target, String[] headers) {
-            return fleet.ask(address, change.method(), target, change.body(), headers);
+            return fleet.request(address, change.method(), target, change.body(), headers);
         }
     }
 
@@ -83,7 +83,7 @@
         int repeats = 0;
         try (HttpServer list = endpointList()) {
             int port = list.listen(AdminFixture.ANY_PORT).getPort();
-            String settings = SettingsTest.GOOD.replace("8500", String.valueOf(port));
+            String settings = SettingsTest.VALID_SETTINGS.replace("8500", String.valueOf(port));
             try (AuditLog audit = new AuditLog(log, System::currentTimeMillis);
                     AdminFixture admin = new AdminFixture("race", folder, audit);
                     Fleet anaFleet = fleet(admin, "ana");
--- a/src/test/java/rosespread/controller/ChannelBytesTest.java
+++ b/src/test/java/rosespread/controller/ChannelBytesTest.java
@@ -102,7 +102,7 @@
         state.applySettings(
                 now,
                 SettingsReader.read(
-                        SettingsTest.GOOD.replace(
+                        SettingsTest.VALID_SETTINGS.replace(
                                 "\"linesPerSecond\":1000", "\"linesPerSecond\":100000")));
         for (int i = 0; i < NODE_COUNT; i++) {
             nodes.add(node(i, EventHandler.NodeState.READY));
--- a/src/test/java/rosespread/controller/RecoveryTest.java
+++ b/src/test/java/rosespread/controller/RecoveryTest.java
@@ -33,7 +33,7 @@
 
     @BeforeEach
     void start() throws SettingsException {
-        start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        start(StoreSnapshot.EMPTY, SettingsTest.VALID_SETTINGS);
     }
 
     private void start(StoreSnapshot persisted, String settings) throws SettingsException {
@@ -152,7 +152,7 @@
         setWeights(1, 0.7, 1);
         long version = table().version();
         long versions = table().versions().size();
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         assertEquals(version, table().version());
         assertEquals(versions, table().versions().size());
         // Weights do not change until the list is known; then nodes no longer listed are removed.
@@ -250,14 +250,14 @@
         setWeights(1, 0.5, 0.5);
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
         fixture.advanceMillis(100);
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         listNodes(0, 1, 2);
         setWeights(0.2, 0.3, 1);
         joinAndSubscribe("p");
         assertEquals("PINNED", table().held());
         assertEquals(1.0, table().lines().get("n0"));
         assertEquals(TableActResult.DONE, fixture.release(TABLE));
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         assertEquals("RELEASING", table().held());
         listNodes(0, 1, 2);
         setWeights(0.2, 0.3, 1);
@@ -279,7 +279,7 @@
             proxy.session().recordMessageQueued(fixture.nowNanos());
         }
         assertEquals(TableActResult.DONE, fixture.rollback(TABLE, first));
-        restart(SettingsTest.GOOD);
+        restart(SettingsTest.VALID_SETTINGS);
         assertEquals("PINNED", table().held());
         listNodes(0, 1, 2);
         fixture.advanceMillis(50);
@@ -317,7 +317,7 @@
 
     @Test
     void versionsStartAboveThoseHeldByProxiesIfNothingWasPersisted() throws SettingsException {
-        start(StoreSnapshot.EMPTY, SettingsTest.GOOD);
+        start(StoreSnapshot.EMPTY, SettingsTest.VALID_SETTINGS);
         listNodes(0, 1);
         AcknowledgingProxy proxy =
                 new AcknowledgingProxy(fixture, "p", List.of(new Frame.Holding(TABLE, 700)));
@@ -342,9 +342,12 @@
         setWeights(1, 0.5);
         fixture.pin(TABLE);
         long version = table().version();
-        fixture.applySettings(SettingsTest.GOOD.replace("\"reportPeriod", "\"reportPeriod"));
+        fixture.applySettings(
+                SettingsTest.VALID_SETTINGS.replace("\"reportPeriod", "\"reportPeriod"));
         assertEquals("PINNED", table().held(), "the same settings must not drop the pin");
-        restart(SettingsTest.GOOD.replaceFirst("\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
+        restart(
+                SettingsTest.VALID_SETTINGS.replaceFirst(
+                        "\"zones\" *: *\\[\"a\"", "\"zones\":[\"z\",\"a\""));
         assertEquals("NONE", table().held());
         assertEquals(version, table().version());
         assertEquals(1, table().versions().size());
--- a/src/test/java/rosespread/controller/VersionsTest.java
+++ b/src/test/java/rosespread/controller/VersionsTest.java
@@ -34,7 +34,7 @@
     private static final int NODE_COUNT = 6;
     private static final int STEP_COUNT = 25;
     private static final String SETTINGS =
-            SettingsTest.GOOD
+            SettingsTest.VALID_SETTINGS
                     .replace("\"linesPerSecond\":1000", "\"linesPerSecond\":100000")
                     .replace("\"messageLimit\":30", "\"messageLimit\":0");
 
