--- a/src/main/java/rosespread/testbed/ConsulHealthCatalog.java
+++ b/src/main/java/rosespread/testbed/ConsulHealthCatalog.java
@@ -11,19 +11,19 @@
 import rosespread.testbed.TrafficRecorder.NodeListing;
 
 /**
- * The nodes that are registered now, and how Consul's health endpoint shows them. Confined to the
+ * The nodes registered at present and their JSON form at Consul's health endpoint. Confined to the
  * loop's thread.
  */
 final class ConsulHealthCatalog {
-    /** The service that all nodes belong to. */
+    /** Name of the service that all nodes belong to. */
     static final String SERVICE = "nodes";
 
     private static final String LOOPBACK = "127.0.0.1";
 
-    /** The catalogue as it was at one time: its JSON, and the same by the nodes' names. */
+    /** The catalogue at one time: its JSON, and the same listings by node name. */
     record Snapshot(long index, String body, Map<String, NodeListing> nodes) {}
 
-    /** A node and how it is registered; {@code startedMillis} since the epoch, 0 if always warm. */
+    /** A node's registration; {@code startedMillis} since the epoch, 0 if it was always warm. */
     private record Registration(FakeNode.Identity node, long startedMillis, boolean draining) {
         NodeListing toListing() {
             return new NodeListing(
@@ -44,14 +44,16 @@
         registrations.remove(name);
     }
 
-    /** Sets a node into maintenance or out of it, if it is registered. */
+    /** Puts a node into maintenance or takes it out, if it is registered. */
     void setDraining(String name, boolean draining) {
         registrations.computeIfPresent(
                 name,
                 (key, before) -> new Registration(before.node(), before.startedMillis(), draining));
     }
 
-    /** Where the nodes of a zone are, by name; an empty zone stands for all. */
+    /**
+     * Returns the addresses of a zone's nodes, or of all nodes if the zone is empty, by node name.
+     */
     Map<String, InetSocketAddress> addresses(Optional<String> zone) {
         Map<String, InetSocketAddress> addresses = new TreeMap<>();
         for (Registration registration : registrations.values()) {
@@ -63,13 +65,13 @@
         return addresses;
     }
 
-    /** The machine type of a node; empty if it is not registered. */
+    /** Returns the machine type of a node; empty if the node is not registered. */
     String machineType(String name) {
         Registration registration = registrations.get(name);
         return registration == null ? "" : registration.node().machineType();
     }
 
-    /** Renders the catalogue at the next index. */
+    /** Renders the catalogue and assigns it the next index. */
     Snapshot snapshot() {
         ArrayNode body = JsonNodeFactory.instance.arrayNode();
         Map<String, NodeListing> nodes = new TreeMap<>();
--- a/src/main/java/rosespread/testbed/FakeNode.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -12,25 +12,25 @@
 import rosespread.http.HttpServer;
 
 /**
- * A node whose work is timers: cores, a queue, a speed, a warm-up, and an overload that it does not
- * come back from when it is sent far more than it can do while warming up. Lives on the loop's
- * thread.
+ * A node that simulates its work with timers: it has cores, a queue, a speed and a warm-up. A node
+ * that is sent far more work than its capacity while it warms up is overloaded and accepts no RPC
+ * until it is restarted. Confined to the loop's thread.
  */
 final class FakeNode {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** What a repeat costs that has no effect. */
-    private static final double REPEAT_SECONDS = 0.001;
+    /** Processing time of a repeated RPC that has no effect. */
+    private static final double REPEATED_RPC_SECONDS = 0.001;
 
-    /** Utilization is reported to so many parts of 1. */
+    /** Reported utilization is rounded to a multiple of 1 divided by this number. */
     private static final double UTILIZATION_STEPS = 1000;
 
-    private static final String TEXT = "text/plain";
+    private static final String TEXT_PLAIN = "text/plain";
 
     /**
-     * Who a node is.
+     * A node's fixed properties.
      *
-     * @param machineType a name of the site's definition
+     * @param machineType name of a machine type of the site definition
      */
     record Identity(String name, String zone, String machineType, InetSocketAddress address) {}
 
@@ -46,7 +46,7 @@
     private final WarmUpLoad warmUpLoad;
     private final UtilizationMeter meter;
     private long warmUpStartNanos = Long.MIN_VALUE;
-    private boolean reachedWhileWarming;
+    private boolean receivedRpcWhileWarming;
     private boolean up;
     private boolean hung;
     private boolean overloaded;
@@ -54,14 +54,14 @@
     private double speedFactor = 1;
     private double reportFactor = 1;
 
-    /** An RPC that runs or waits. */
+    /** An RPC that runs or is queued. */
     private static final class Job {
         final SiteDefinition.Method method;
         final long rpc;
         final double workSeconds;
         final Optional<String> token;
         final HttpServer.Exchange exchange;
-        ScheduledFuture<?> end;
+        ScheduledFuture<?> completion;
 
         Job(SiteDefinition.Method method, HttpMessage.Request call, HttpServer.Exchange exchange) {
             this.method = method;
@@ -73,9 +73,9 @@
     }
 
     /**
-     * A node that is yet to be started.
+     * Creates a node that is not started yet.
      *
-     * @param zoneTokens shared with the nodes of its zone
+     * @param zoneTokens shared by all nodes of the zone
      */
     FakeNode(
             Identity identity,
@@ -103,32 +103,32 @@
         return up;
     }
 
-    /** A hung node takes RPCs and health checks and does not answer. */
+    /** Sets whether the node hangs: it accepts RPCs and health checks but does not answer. */
     void setHung(boolean isHung) {
         hung = isHung;
     }
 
-    /** Fails this share of RPCs and health checks at once, 0 to 1. */
+    /** Sets the ratio of RPCs and health checks that fail immediately, 0 to 1. */
     void setAbortRatio(double ratio) {
         abortRatio = ratio;
     }
 
-    /** Works so many times as fast as usual. */
+    /** Sets the factor on the node's speed; 1 is normal. */
     void setSpeedFactor(double factor) {
         speedFactor = factor;
     }
 
-    /** Reports so many times the utilization that it has. */
+    /** Sets the factor on the reported utilization; 1 reports the true value. */
     void setReportFactor(double factor) {
         reportFactor = factor;
     }
 
-    /** Starts the process; a cold one warms up from now on. */
+    /** Starts the process; a cold process warms up from now on. */
     void start(boolean cold) {
         up = true;
         hung = false;
         overloaded = false;
-        reachedWhileWarming = false;
+        receivedRpcWhileWarming = false;
         warmUpStartNanos = cold ? loop.now() : Long.MIN_VALUE;
         warmUpLoad.reset();
         if (cold) {
@@ -136,11 +136,11 @@
         }
     }
 
-    /** The process dies: what it had in hand is lost. */
+    /** Kills the process; running and queued RPCs are lost. */
     void stop() {
         up = false;
         meter.update(loop.now(), running.size());
-        running.forEach(job -> job.end.cancel(false));
+        running.forEach(job -> job.completion.cancel(false));
         running.clear();
         queue.clear();
     }
@@ -150,7 +150,7 @@
                 && loop.now() - warmUpStartNanos < site.warmUp().durationNanos();
     }
 
-    /** The part of its speed that a node has by now, 0 to 1. */
+    /** Returns the ratio of the current to the full speed of the node, 0 to 1. */
     private double warmUpRatio() {
         if (!isWarmingUp()) {
             return 1;
@@ -162,12 +162,12 @@
                         / warmUp.durationNanos();
     }
 
-    /** Work that a core does now, in seconds a second. */
+    /** Returns the work that a core does at present, in seconds of work per second. */
     private double coreSpeed() {
         return machine.speed() * speedFactor * warmUpRatio();
     }
 
-    /** Takes a call to the node's port. */
+    /** Handles an HTTP request to the node's port. */
     void handle(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!up) {
             exchange.abort();
@@ -181,7 +181,7 @@
     private void handleHealthCheck(HttpServer.Exchange exchange) {
         if (!hung) {
             int status = random.nextDouble() < abortRatio ? 500 : 200;
-            exchange.respond(HttpMessage.Response.of(status, TEXT, ""));
+            exchange.respond(HttpMessage.Response.of(status, TEXT_PLAIN, ""));
         }
     }
 
@@ -189,7 +189,7 @@
         String methodName = call.path().substring(call.path().lastIndexOf('/') + 1);
         SiteDefinition.Method method = site.method(methodName).orElse(null);
         if (method == null || !method.isServedBy(identity.machineType())) {
-            exchange.respond(HttpMessage.Response.of(404, TEXT, "no such method here"));
+            exchange.respond(HttpMessage.Response.of(404, TEXT_PLAIN, "no such method here"));
             return;
         }
         if (isWarmingUp()) {
@@ -200,7 +200,7 @@
         }
         if (random.nextDouble() < abortRatio) {
             recorder.effectApplied(loop.now(), identity.name(), rpcNumber(call), method);
-            exchange.respond(HttpMessage.Response.of(500, TEXT, "aborted"));
+            exchange.respond(HttpMessage.Response.of(500, TEXT_PLAIN, "aborted"));
             return;
         }
         admit(new Job(method, call, exchange));
@@ -214,11 +214,11 @@
         return Long.parseLong(call.headers().first("x-work-nanos").orElse("0")) / NANOS_PER_SECOND;
     }
 
-    /** Counts what a node that warms up is sent; with too much it is overloaded and stays so. */
+    /** Adds an RPC to the load of the warming node; too much load overloads it until a restart. */
     private void addWarmUpLoad(HttpMessage.Request call, SiteDefinition.Method method) {
         long now = loop.now();
-        if (!reachedWhileWarming) {
-            reachedWhileWarming = true;
+        if (!receivedRpcWhileWarming) {
+            receivedRpcWhileWarming = true;
             recorder.warmingNodeReached(now, identity.name());
         }
         warmUpLoad.add(now, workSeconds(call), call.headers().first("x-proxy").orElse(""));
@@ -236,7 +236,7 @@
         } else if (queue.size() < site.queuePerCore() * machine.cores()) {
             queue.addLast(job);
         } else {
-            job.exchange.respond(HttpMessage.Response.of(503, TEXT, "full; not begun"));
+            job.exchange.respond(HttpMessage.Response.of(503, TEXT_PLAIN, "full; not begun"));
             return;
         }
         job.exchange.onClosed(() -> loop.run(() -> cancel(job)));
@@ -253,8 +253,8 @@
         if (!isRepeat) {
             recorder.effectApplied(now, identity.name(), job.rpc, job.method);
         }
-        double seconds = isRepeat ? REPEAT_SECONDS : job.workSeconds / coreSpeed();
-        job.end = loop.after((long) (seconds * NANOS_PER_SECOND), () -> complete(job));
+        double seconds = isRepeat ? REPEATED_RPC_SECONDS : job.workSeconds / coreSpeed();
+        job.completion = loop.after((long) (seconds * NANOS_PER_SECOND), () -> complete(job));
     }
 
     private void complete(Job job) {
@@ -279,7 +279,7 @@
 
     private void cancel(Job job) {
         if (!queue.remove(job) && running.contains(job)) {
-            job.end.cancel(false);
+            job.completion.cancel(false);
             release(job);
         }
     }
--- a/src/main/java/rosespread/testbed/FakeNodeList.java
+++ b/src/main/java/rosespread/testbed/FakeNodeList.java
@@ -14,29 +14,30 @@
 import rosespread.http.HttpServer;
 
 /**
- * A server list that speaks Consul's {@code /v1/health/service/NAME} with blocking queries. Changes
- * are published late; on request it is silent, answers errors, or answers with an older list. Lives
- * on the loop's thread; {@link #address} and {@link #close} are for any.
+ * A node list that serves Consul's {@code /v1/health/service/NAME} with blocking queries. Changes
+ * are published after a delay. It can be set not to answer, to answer errors, or to answer with an
+ * older list. Used on the loop's thread; {@link #address} and {@link #close} may be called from any
+ * thread.
  */
 public final class FakeNodeList implements AutoCloseable {
-    /** How it answers. */
+    /** How the list answers queries. */
     public enum AnswerMode {
-        /** With what was published last. */
+        /** With the latest published list. */
         USUAL,
         /** Not at all. */
         SILENT,
-        /** With errors. */
+        /** With HTTP errors. */
         ERRORS,
-        /** At once, with the oldest list that it still has. */
+        /** Immediately, with the oldest published list still kept. */
         OLDER
     }
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int MAX_PUBLISHED_KEPT = 64;
+    private static final int MAX_KEPT_SNAPSHOTS = 64;
     private static final String PATH = "/v1/health/service/" + ConsulHealthCatalog.SERVICE;
-    private static final String TEXT = "text/plain";
+    private static final String TEXT_PLAIN = "text/plain";
 
-    /** A blocking query of a controller, named by its user agent. */
+    /** A blocking query of a controller, whose name is taken from the user agent. */
     private record Query(String controller, HttpServer.Exchange exchange) {}
 
     private final TestLoop loop;
@@ -46,14 +47,14 @@
     private final ConsulHealthCatalog catalog = new ConsulHealthCatalog();
     private final List<ConsulHealthCatalog.Snapshot> published = new ArrayList<>();
     private final List<Query> pending = new ArrayList<>();
-    private long delayNanos;
+    private long publishDelayNanos;
     private AnswerMode mode = AnswerMode.USUAL;
 
     /**
-     * An empty list that answers from now on.
+     * Creates an empty list that answers from now on.
      *
-     * @param port where it listens; 0: any free one
-     * @throws IOException if it cannot listen there
+     * @param port port to listen on; 0 for any free port
+     * @throws IOException if the list cannot listen on the port
      */
     public FakeNodeList(TestLoop loop, int port, TrafficRecorder recorder) throws IOException {
         this.loop = loop;
@@ -66,17 +67,17 @@
         this.address = http.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
-    /** Where it answers. */
+    /** Returns the address that the list listens on. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Changes are published so much later from now on. */
+    /** Sets the time from a change to its publication, for changes made from now on. */
     public void setDelay(long nanos) {
-        delayNanos = nanos;
+        publishDelayNanos = nanos;
     }
 
-    /** Answers in another way from now on. */
+    /** Sets how queries are answered from now on. */
     public void setMode(AnswerMode next) {
         mode = next;
         if (next == AnswerMode.OLDER) {
@@ -102,10 +103,10 @@
 
     private void publishLater() {
         ConsulHealthCatalog.Snapshot snapshot = catalog.snapshot();
-        loop.after(delayNanos, () -> publish(snapshot));
+        loop.after(publishDelayNanos, () -> publish(snapshot));
     }
 
-    /** Publishes what is listed now without delay, at the start. */
+    /** Publishes the current listings without delay, at the start. */
     void publish() {
         publish(catalog.snapshot());
     }
@@ -115,7 +116,7 @@
             return;
         }
         published.add(snapshot);
-        if (published.size() > MAX_PUBLISHED_KEPT) {
+        if (published.size() > MAX_KEPT_SNAPSHOTS) {
             published.remove(0);
         }
         answerPending();
@@ -131,9 +132,9 @@
 
     private void handle(HttpMessage.Request call, HttpServer.Exchange exchange) {
         if (!call.path().equals(PATH)) {
-            exchange.respond(HttpMessage.Response.of(404, TEXT, "no such service"));
+            exchange.respond(HttpMessage.Response.of(404, TEXT_PLAIN, "no such service"));
         } else if (mode == AnswerMode.ERRORS) {
-            exchange.respond(HttpMessage.Response.of(500, TEXT, "No cluster leader"));
+            exchange.respond(HttpMessage.Response.of(500, TEXT_PLAIN, "No cluster leader"));
         } else {
             handleQuery(call, exchange);
         }
@@ -153,7 +154,7 @@
         }
     }
 
-    /** A number of a query string, without a unit of {@code ms}; 0 if it is not there. */
+    /** Returns a number from a query string without its {@code ms} suffix; 0 if it is absent. */
     private static long parameter(String target, String name) {
         String prefix = name + "=";
         for (String part : target.substring(target.indexOf('?') + 1).split("&")) {
@@ -164,14 +165,15 @@
         return 0;
     }
 
-    /** Answers a query once; not while the list is silent. */
+    /** Answers a query unless it was answered already; does nothing while the list is silent. */
     private void answer(Query query) {
         if (mode == AnswerMode.SILENT || !pending.remove(query)) {
             return;
         }
-        ConsulHealthCatalog.Snapshot shown = mode == AnswerMode.OLDER ? published.get(0) : latest();
+        ConsulHealthCatalog.Snapshot served =
+                mode == AnswerMode.OLDER ? published.get(0) : latest();
         if (mode == AnswerMode.USUAL) {
-            recorder.nodeListServed(loop.now(), query.controller(), shown.nodes());
+            recorder.nodeListServed(loop.now(), query.controller(), served.nodes());
         }
         query.exchange()
                 .respond(
@@ -181,21 +183,21 @@
                                         "content-type",
                                         "application/json",
                                         "x-consul-index",
-                                        String.valueOf(shown.index())),
-                                shown.body().getBytes(StandardCharsets.UTF_8)));
+                                        String.valueOf(served.index())),
+                                served.body().getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Where all nodes are that are registered now, by name, for a proxy that starts. */
+    /** Returns the addresses of all nodes registered at present, by name, for starting proxies. */
     Map<String, InetSocketAddress> addresses() {
         return catalog.addresses(Optional.empty());
     }
 
-    /** The same for the nodes of a zone. */
+    /** Returns the addresses of a zone's nodes registered at present, by name. */
     Map<String, InetSocketAddress> addressesIn(String zone) {
         return catalog.addresses(Optional.of(zone));
     }
 
-    /** The machine type of a node; empty if it is not registered. */
+    /** Returns the machine type of a node; empty if the node is not registered. */
     String machineType(String name) {
         return catalog.machineType(name);
     }
--- a/src/main/java/rosespread/testbed/FakeNodes.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -14,8 +14,8 @@
 import rosespread.http.HttpServer;
 
 /**
- * All fake nodes of a process behind one HTTP server, each on a port of its own. Used on the loop's
- * thread; {@link #names()} and {@link #close} are for any.
+ * All fake nodes of a process behind one HTTP server, each on its own port. Used on the loop's
+ * thread; {@link #names()} and {@link #close} may be called from any thread.
  */
 public final class FakeNodes implements AutoCloseable {
     private static final long TOKEN_EXPIRY_PERIOD_NANOS = 1_000_000_000L;
@@ -26,7 +26,7 @@
     private final HttpServer http;
     private final FakeNodeList list;
 
-    /** Read by I/O threads. */
+    /** Nodes by port; read by I/O threads. */
     private final Map<Integer, FakeNode> byPort = new ConcurrentHashMap<>();
 
     private final Map<String, FakeNode> byName = new TreeMap<>();
@@ -92,12 +92,12 @@
         loop.after(TOKEN_EXPIRY_PERIOD_NANOS, this::expireTokens);
     }
 
-    /** The names of all nodes, in order. */
+    /** Returns the names of all nodes in alphabetical order. */
     public List<String> names() {
         return new ArrayList<>(byName.keySet());
     }
 
-    /** The names of a zone's nodes, in order. */
+    /** Returns the names of a zone's nodes in alphabetical order. */
     public List<String> names(String zone) {
         return byName.values().stream()
                 .map(FakeNode::identity)
@@ -107,7 +107,8 @@
     }
 
     /**
-     * The process of a node dies, if it runs, and its port with it; the list learns of it later.
+     * Kills a node's process, if it runs, and closes its port; the node list publishes the removal
+     * after its delay.
      */
     public void crash(String name) {
         FakeNode node = byName.get(name);
@@ -119,9 +120,9 @@
     }
 
     /**
-     * Starts the process of a node cold, if it does not run, and lists it.
+     * Starts a node's process cold, if it does not run, and lists the node.
      *
-     * @throws UncheckedIOException if its port was taken meanwhile
+     * @throws UncheckedIOException if the node's port has been taken meanwhile
      */
     public void restart(String name) {
         FakeNode node = byName.get(name);
@@ -136,27 +137,27 @@
         }
     }
 
-    /** Tells the list that a node drains, or ends that. */
+    /** Sets whether the node list shows a node as draining. */
     public void setDraining(String name, boolean draining) {
         list.setDraining(name, draining);
     }
 
-    /** Lets a node take calls without answering, or ends that. */
+    /** Sets whether a node accepts requests without answering them. */
     public void setHung(String name, boolean hung) {
         byName.get(name).setHung(hung);
     }
 
-    /** Lets a node fail this share of its calls at once, 0 to 1. */
+    /** Sets the ratio of requests that a node fails immediately, 0 to 1. */
     public void setAbortRatio(String name, double ratio) {
         byName.get(name).setAbortRatio(ratio);
     }
 
-    /** Lets a node work so many times as fast as usual. */
+    /** Sets the factor on a node's speed; 1 is normal. */
     public void setSpeedFactor(String name, double factor) {
         byName.get(name).setSpeedFactor(factor);
     }
 
-    /** Lets a node report so many times the utilization that it has. */
+    /** Sets the factor on a node's reported utilization; 1 reports the true value. */
     public void setReportFactor(String name, double factor) {
         byName.get(name).setReportFactor(factor);
     }
--- a/src/main/java/rosespread/testbed/IdempotencyTokens.java
+++ b/src/main/java/rosespread/testbed/IdempotencyTokens.java
@@ -4,24 +4,24 @@
 import java.util.Map;
 
 /**
- * The idempotency tokens that the nodes of a zone share: a repeat within the window has no effect.
- * Confined to the loop's thread; times in nanoseconds of the loop's clock.
+ * Idempotency tokens shared by the nodes of a zone: a repeated RPC within its token's window has no
+ * effect. Confined to the loop's thread; times in nanoseconds of the loop's clock.
  */
 final class IdempotencyTokens {
-    private final Map<String, Long> validUntil = new HashMap<>();
+    private final Map<String, Long> claimedUntilNanos = new HashMap<>();
 
-    /** Takes a token for a window; false if it is taken already. */
+    /** Claims a token for a window; returns false if the token is already claimed. */
     boolean claim(String token, long nanos, long windowNanos) {
-        Long until = validUntil.get(token);
+        Long until = claimedUntilNanos.get(token);
         if (until != null && until > nanos) {
             return false;
         }
-        validUntil.put(token, nanos + windowNanos);
+        claimedUntilNanos.put(token, nanos + windowNanos);
         return true;
     }
 
-    /** Drops tokens whose window is over. */
+    /** Removes tokens whose window has ended. */
     void removeExpired(long nanos) {
-        validUntil.values().removeIf(until -> until < nanos);
+        claimedUntilNanos.values().removeIf(until -> until < nanos);
     }
 }
--- a/src/main/java/rosespread/testbed/UtilizationMeter.java
+++ b/src/main/java/rosespread/testbed/UtilizationMeter.java
@@ -1,11 +1,11 @@
 package rosespread.testbed;
 
 /**
- * Measures how busy a node's cores are, over periods of half a second at least. Confined to the
- * loop's thread; times in nanoseconds of the loop's clock.
+ * Measures the utilization of a node's cores over periods of at least half a second. Confined to
+ * the loop's thread; times in nanoseconds of the loop's clock.
  */
 final class UtilizationMeter {
-    private static final long PERIOD_NANOS = 500_000_000L;
+    private static final long MIN_PERIOD_NANOS = 500_000_000L;
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final int cores;
@@ -21,18 +21,18 @@
     }
 
     /**
-     * Accounts for the time up to now; call it before the number of busy cores changes.
+     * Accounts for the time up to now. Must be called before the number of busy cores changes.
      *
-     * @param busyCores since the last call
+     * @param busyCores number of busy cores since the last call
      */
     void update(long nanos, int busyCores) {
         busyCoreSeconds += busyCores * (nanos - updatedNanos) / NANOS_PER_SECOND;
         updatedNanos = nanos;
     }
 
-    /** The utilization over the last full period, 0 to 1. */
+    /** Returns the utilization over the last completed period, 0 to 1. */
     double utilization(long nanos, int busyCores) {
-        if (nanos - periodStartNanos > PERIOD_NANOS) {
+        if (nanos - periodStartNanos > MIN_PERIOD_NANOS) {
             update(nanos, busyCores);
             double seconds = (nanos - periodStartNanos) / NANOS_PER_SECOND;
             utilization = Math.min(1, busyCoreSeconds / seconds / cores);
--- a/src/main/java/rosespread/testbed/WarmUpLoad.java
+++ b/src/main/java/rosespread/testbed/WarmUpLoad.java
@@ -5,16 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * Sums up the work that a node is sent while it warms up, over a sliding window, against what it
- * can bear. Confined to the loop's thread; times in nanoseconds of the loop's clock.
+ * Sums the work sent to a warming node over a sliding window and compares it with the limit at
+ * which the node is overloaded. Confined to the loop's thread; times in nanoseconds of the loop's
+ * clock.
  */
 final class WarmUpLoad {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The budget of a window has this much room for chance, in RPCs' mean work. */
+    /** Allowance in a window's budget for random variation, in RPCs of mean work. */
     private static final int SLACK_RPCS = 4;
 
-    /** Work in seconds at speed 1. */
+    /** An RPC's work, in seconds at speed 1. */
     private record Received(long nanos, double workSeconds, String proxy) {}
 
     private final SiteDefinition.WarmUp warmUp;
@@ -39,10 +40,10 @@
     }
 
     /**
-     * Whether the window's work is more than the node bears.
+     * Returns whether the window's work exceeds its budget.
      *
-     * @param capacity work that it can do now, in seconds a second
-     * @param meanWorkNanos of the method that was called last
+     * @param capacity work that the node can do at present, in seconds of work per second
+     * @param meanWorkNanos mean work of the latest RPC's method
      */
     boolean isOverload(double capacity, long meanWorkNanos) {
         double budgetSeconds =
@@ -51,7 +52,7 @@
         return windowWorkSeconds > budgetSeconds;
     }
 
-    /** Seconds of the window's work by the proxy that sent it. */
+    /** Returns the window's work in seconds, by the proxy that sent it. */
     Map<String, Double> workByProxy() {
         Map<String, Double> byProxy = new TreeMap<>();
         window.forEach(
--- a/src/test/java/rosespread/testbed/IdempotencyTokensTest.java
+++ b/src/test/java/rosespread/testbed/IdempotencyTokensTest.java
@@ -9,14 +9,14 @@
     private final IdempotencyTokens tokens = new IdempotencyTokens();
 
     @Test
-    void aTokenIsTakenForItsWindow() {
+    void rejectsClaimedTokenWithinItsWindow() {
         assertTrue(tokens.claim("t1", 100, 50));
         assertFalse(tokens.claim("t1", 149, 50));
         assertTrue(tokens.claim("t1", 150, 50));
     }
 
     @Test
-    void expiryLeavesTokensWhoseWindowLasts() {
+    void expiryRemovesOnlyTokensPastTheirWindow() {
         tokens.claim("t1", 100, 50);
         tokens.claim("t2", 100, 500);
         tokens.removeExpired(200);
