--- a/src/main/java/rosespread/testbed/ControllerConnector.java
+++ b/src/main/java/rosespread/testbed/ControllerConnector.java
@@ -15,8 +15,8 @@
 import rosespread.channel.FrameReader;
 
 /**
- * Connects proxies to controllers' channels. Called on the loop's thread; events of sessions are
- * brought there from the I/O threads.
+ * Connects proxies to controllers' channels. Called on the loop's thread; session events are handed
+ * over to that thread from the I/O threads.
  */
 final class ControllerConnector implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerConnector.class);
@@ -24,10 +24,10 @@
     private static final int IO_THREADS = 2;
     private static final String OWNER = "owner";
 
-    /** Of three draws, one goes past the proxy's own zone. */
-    private static final int ZONE_DRAWS = 3;
+    /** One in this many connection attempts does not prefer the proxy's own zone. */
+    private static final int ANY_ZONE_ONE_IN = 3;
 
-    /** The stream that a session was opened for. */
+    /** The stream that a session was opened for, and the generation of that connection. */
     private record Owner(ControllerStream stream, long generation) {}
 
     private final TestLoop loop;
@@ -53,19 +53,20 @@
         connector.setHandler(new SessionHandler());
     }
 
-    /** Whether there is a controller to connect to. */
+    /** Returns whether there is a controller to connect to. */
     boolean hasControllers() {
         return !controllers.isEmpty();
     }
 
     /**
-     * Dials a controller of the zone if there is one, else any; another one at each attempt.
+     * Starts to connect to a controller, preferably of the zone if it has one, else to any. Each
+     * attempt draws a controller anew.
      *
-     * @param generation comes back with each event of the session
+     * @param generation passed to the stream with each event of the session
      * @return the controller's name
      */
     String connect(ControllerStream stream, String zone, long generation) {
-        FakeProxies.ControllerTarget target = draw(zone);
+        FakeProxies.ControllerTarget target = drawController(zone);
         InetSocketAddress address = target.address();
         connector
                 .connect(
@@ -81,11 +82,11 @@
         return target.name();
     }
 
-    private FakeProxies.ControllerTarget draw(String zone) {
+    private FakeProxies.ControllerTarget drawController(String zone) {
         List<FakeProxies.ControllerTarget> inZone =
                 controllers.stream().filter(target -> zone.equals(target.zone())).toList();
-        boolean usesZone = !inZone.isEmpty() && random.nextInt(ZONE_DRAWS) > 0;
-        List<FakeProxies.ControllerTarget> candidates = usesZone ? inZone : controllers;
+        boolean prefersZone = !inZone.isEmpty() && random.nextInt(ANY_ZONE_ONE_IN) > 0;
+        List<FakeProxies.ControllerTarget> candidates = prefersZone ? inZone : controllers;
         return candidates.get(random.nextInt(candidates.size()));
     }
 
@@ -95,7 +96,7 @@
         connector.dispose();
     }
 
-    /** Brings events of sessions to the loop's thread. */
+    /** Hands session events over to the loop's thread. */
     private final class SessionHandler extends IoHandlerAdapter {
         private Owner owner(IoSession session) {
             return (Owner) session.getAttribute(OWNER);
--- a/src/main/java/rosespread/testbed/ControllerLinks.java
+++ b/src/main/java/rosespread/testbed/ControllerLinks.java
@@ -7,17 +7,17 @@
 import rosespread.channel.Frame;
 
 /**
- * The links over which controllers' messages reach proxies: each message takes a drawn time, and
- * while a controller's link is slow, its messages pass one after the other. Messages reach a proxy
- * in order. Confined to the loop's thread.
+ * Simulated network links from controllers to proxies. Each message has a random delay; while a
+ * controller's link is slowed down, its messages are sent one after the other. Messages reach a
+ * proxy in order. Confined to the loop's thread.
  */
 final class ControllerLinks {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** The link of one controller. */
+    /** Link from one controller to all proxies. */
     private static final class Link {
         double slowdown = 1;
-        long freeNanos;
+        long idleFromNanos;
         double entriesOnLink;
     }
 
@@ -26,8 +26,8 @@
     private final RandomGenerator random;
     private final TrafficRecorder recorder;
     private final Map<String, Link> links = new HashMap<>();
-    private final Map<String, Long> lastDueByProxy = new HashMap<>();
-    private final Map<String, ArrayDeque<Runnable>> onTheWayByProxy = new HashMap<>();
+    private final Map<String, Long> lastDueNanosByProxy = new HashMap<>();
+    private final Map<String, ArrayDeque<Runnable>> inTransitByProxy = new HashMap<>();
 
     ControllerLinks(
             TestLoop loop,
@@ -40,34 +40,40 @@
         this.recorder = recorder;
     }
 
-    /** A controller's link carries entries so many times slower from now on; 1 is as usual. */
+    /**
+     * Sets the factor by which a controller's link sends entries more slowly; 1 is normal speed.
+     */
     void setSlowdown(String controller, double factor) {
         link(controller).slowdown = factor;
     }
 
     /**
-     * Brings a message over the controller's link to a proxy.
+     * Sends a message over the controller's link to a proxy.
      *
-     * @param delivery run when the message has come, on the loop's thread
+     * @param delivery run on the loop's thread when the message reaches the proxy
      */
-    void carry(String proxy, String controller, Frame.Mark mark, Runnable delivery) {
+    void transmit(String proxy, String controller, Frame.Mark mark, Runnable delivery) {
         Link link = link(controller);
         long now = loop.now();
-        long leavesNanos = passLink(link, mark, now);
+        long sentNanos = scheduleOnLink(link, mark, now);
         recorder.messageArrived(now, proxy, controller, mark, link.entriesOnLink);
-        long due = Math.max(lastDueByProxy.getOrDefault(proxy, 0L), leavesNanos + drawDelayNanos());
-        lastDueByProxy.put(proxy, due);
-        // Two timers for one moment may fire in either order; the stream's order must hold all the
-        // same.
-        ArrayDeque<Runnable> inOrder =
-                onTheWayByProxy.computeIfAbsent(proxy, name -> new ArrayDeque<>());
-        inOrder.addLast(delivery);
-        loop.after(due - now, () -> inOrder.removeFirst().run());
+        long dueNanos =
+                Math.max(lastDueNanosByProxy.getOrDefault(proxy, 0L), sentNanos + drawDelayNanos());
+        lastDueNanosByProxy.put(proxy, dueNanos);
+        // Two timers due at the same time may fire in either order. Each timer delivers the oldest
+        // message in transit, which keeps the order of the stream.
+        ArrayDeque<Runnable> inTransit =
+                inTransitByProxy.computeIfAbsent(proxy, name -> new ArrayDeque<>());
+        inTransit.addLast(delivery);
+        loop.after(dueNanos - now, () -> inTransit.removeFirst().run());
     }
 
-    /** Returns when the message leaves the link; at once unless it is slow or has been till now. */
-    private long passLink(Link link, Frame.Mark mark, long now) {
-        if (link.slowdown <= 1 && link.freeNanos <= now) {
+    /**
+     * Returns the time at which the link has sent the message: now, unless the link is slow or
+     * still busy.
+     */
+    private long scheduleOnLink(Link link, Frame.Mark mark, long now) {
+        if (link.slowdown <= 1 && link.idleFromNanos <= now) {
             return now;
         }
         double nanos =
@@ -75,10 +81,10 @@
                         / proxies.entriesPerSecond()
                         * NANOS_PER_SECOND
                         * Math.max(1, link.slowdown);
-        link.freeNanos = Math.max(link.freeNanos, now) + (long) nanos;
+        link.idleFromNanos = Math.max(link.idleFromNanos, now) + (long) nanos;
         link.entriesOnLink += mark.lines();
-        loop.after(link.freeNanos - now, () -> link.entriesOnLink -= mark.lines());
-        return link.freeNanos;
+        loop.after(link.idleFromNanos - now, () -> link.entriesOnLink -= mark.lines());
+        return link.idleFromNanos;
     }
 
     private long drawDelayNanos() {
--- a/src/main/java/rosespread/testbed/ControllerStream.java
+++ b/src/main/java/rosespread/testbed/ControllerStream.java
@@ -10,23 +10,25 @@
 import rosespread.channel.FrameCompression;
 
 /**
- * A proxy's stream to a controller: dialling, joining, and gathering frames into messages. Each
- * connection has a generation; events of another one than the current are dropped. Confined to the
- * loop's thread.
+ * A proxy's stream to a controller: connects, joins, and collects frames into messages. Each
+ * connection has a generation; events of any generation but the current one are dropped. Confined
+ * to the loop's thread.
  */
 final class ControllerStream {
-    /** What the stream needs of its proxy. */
+    /** Callbacks of the stream to its proxy. */
     interface Owner {
-        /** A stream was opened; its tables are not those of the one before. */
+        /**
+         * Called when a stream was opened; tables of the previous stream do not belong to this one.
+         */
         void streamOpened();
 
-        /** The highest versions of tables that the proxy holds. */
+        /** Returns the highest version of each table that the proxy was sent. */
         List<Frame.Holding> heldVersions();
 
         /**
-         * Takes up a message, and answers for it with {@link ControllerStream#send}.
+         * Applies a message and answers it with {@link ControllerStream#send}.
          *
-         * @param frames all but the mark; the proxy may change the list
+         * @param frames all frames of the message except the mark; the proxy may change the list
          */
         void apply(String controller, Frame.Mark mark, List<Frame> frames);
     }
@@ -64,29 +66,29 @@
         this.recorder = context.recorder();
     }
 
-    /** Dials, and dials again from now on whenever there is no stream. */
+    /** Connects, and from now on reconnects after each failed or closed connection. */
     void start() {
         enabled = true;
         connect();
     }
 
-    /** Closes the stream and dials no more. */
+    /** Closes the stream and does not reconnect. */
     void stop() {
         enabled = false;
         disconnect();
     }
 
-    /** No controller can be reached; after a quiet cut neither end notices that. */
-    void cut(boolean quietly) {
+    /** Cuts the proxy off from all controllers; with a silent cut, neither end notices. */
+    void cut(boolean silently) {
         cut = true;
-        silent = quietly;
+        silent = silently;
         leave();
-        if (!quietly) {
+        if (!silently) {
             disconnect();
         }
     }
 
-    /** Ends a cut with a new stream. */
+    /** Ends a cut and opens a new stream. */
     void restore() {
         cut = false;
         silent = false;
@@ -118,13 +120,13 @@
         controller = context.connector().connect(this, zone, generation);
     }
 
-    /** Dials again after a drawn pause, unless another stream was begun by then. */
+    /** Reconnects after a random delay, unless another connection was started by then. */
     void reconnectLater() {
         SiteDefinition.Proxies proxies = context.site().proxies();
-        long rangeNanos = proxies.maxReconnectNanos() - proxies.minReconnectNanos();
+        long delayRangeNanos = proxies.maxReconnectNanos() - proxies.minReconnectNanos();
         long failedGeneration = generation;
         loop.after(
-                proxies.minReconnectNanos() + random.nextLong(rangeNanos + 1),
+                proxies.minReconnectNanos() + random.nextLong(delayRangeNanos + 1),
                 () -> {
                     if (failedGeneration == generation && session == null) {
                         connect();
@@ -132,26 +134,26 @@
                 });
     }
 
-    void opened(long ofGeneration, IoSession opened) {
-        if (ofGeneration != generation || !enabled || cut) {
-            opened.closeNow();
+    void opened(long sessionGeneration, IoSession openedSession) {
+        if (sessionGeneration != generation || !enabled || cut) {
+            openedSession.closeNow();
             return;
         }
-        session = opened;
+        session = openedSession;
         message = new ArrayList<>();
         owner.streamOpened();
         session.write(new Frame.Hello(Frame.VERSION, proxy, List.of()));
     }
 
-    void closed(long ofGeneration) {
-        if (ofGeneration == generation && !silent) {
+    void closed(long sessionGeneration) {
+        if (sessionGeneration == generation && !silent) {
             disconnect();
             reconnectLater();
         }
     }
 
-    void received(long ofGeneration, Frame frame) {
-        if (!isCurrent(ofGeneration)) {
+    void received(long sessionGeneration, Frame frame) {
+        if (!isCurrent(sessionGeneration)) {
             return;
         }
         if (frame instanceof Frame.Hello) {
@@ -162,7 +164,11 @@
             List<Frame> frames = message;
             message = new ArrayList<>();
             context.links()
-                    .carry(proxy, controller, mark, () -> deliver(ofGeneration, mark, frames));
+                    .transmit(
+                            proxy,
+                            controller,
+                            mark,
+                            () -> deliver(sessionGeneration, mark, frames));
         } else if (!(frame instanceof Frame.Close)) {
             message.add(frame);
         }
@@ -179,17 +185,17 @@
         recorder.proxyJoined(loop.now(), proxy, controller, versions);
     }
 
-    private void deliver(long ofGeneration, Frame.Mark mark, List<Frame> frames) {
-        if (isCurrent(ofGeneration)) {
+    private void deliver(long sessionGeneration, Frame.Mark mark, List<Frame> frames) {
+        if (isCurrent(sessionGeneration)) {
             owner.apply(controller, mark, frames);
         }
     }
 
-    private boolean isCurrent(long ofGeneration) {
-        return ofGeneration == generation && !silent && session != null;
+    private boolean isCurrent(long sessionGeneration) {
+        return sessionGeneration == generation && !silent && session != null;
     }
 
-    /** Writes to the stream; only while a message of it is applied. */
+    /** Writes to the stream; may only be called while a message of this stream is applied. */
     void send(Frame frame) {
         session.write(frame);
     }
@@ -198,13 +204,13 @@
         return joined;
     }
 
-    /** Writes after a delay, if it is the same stream then. */
+    /** Writes after a delay, if the connection is still the same by then. */
     void sendLater(long delayNanos, List<Frame> frames) {
-        long ofGeneration = generation;
+        long sessionGeneration = generation;
         loop.after(
                 delayNanos,
                 () -> {
-                    if (isCurrent(ofGeneration)) {
+                    if (isCurrent(sessionGeneration)) {
                         frames.forEach(session::write);
                     }
                 });
--- a/src/main/java/rosespread/testbed/FakeProxies.java
+++ b/src/main/java/rosespread/testbed/FakeProxies.java
@@ -10,15 +10,15 @@
 import rosespread.http.HttpLimits;
 
 /**
- * All fake proxies of a process and what they share. Made and used on the loop's thread; closed
- * from any.
+ * All fake proxies of a process and the objects they share. Created and used on the loop's thread;
+ * may be closed from any thread.
  */
 public final class FakeProxies implements AutoCloseable {
     /**
-     * A controller that proxies can dial.
+     * A controller that proxies can connect to.
      *
-     * @param address of its channel
-     * @param zone whose proxies prefer it; null: none do
+     * @param address address of its channel
+     * @param zone zone whose proxies prefer this controller; null if no zone does
      */
     public record ControllerTarget(String name, InetSocketAddress address, String zone) {}
 
@@ -29,18 +29,20 @@
     private final List<ControllerTarget> controllers;
     private final ControllerConnector connector;
     private final ControllerLinks links;
-    private final ProxyDisturbances disturbances = new ProxyDisturbances();
+    private final ProxyFaults faults = new ProxyFaults();
     private final HttpClient http =
             new HttpClient(
                     HTTP_THREADS, HttpLimits.DEFAULT, CONNECT_TIMEOUT_MILLIS, HTTP_IDLE_SECONDS);
     private final Map<String, FakeProxy> proxies = new TreeMap<>();
 
     /**
-     * Proxies that are yet to be started.
+     * Creates proxies that are not started yet.
      *
-     * @param controllers those that they can dial; with none, they keep their starting tables
-     * @param requestRates the usual RPCs a second of each proxy
-     * @param limitsAreShares whether admission limits are shares of RPCs, else rates
+     * @param controllers controllers that proxies can connect to; with none, proxies keep their
+     *     initial tables
+     * @param requestRates usual RPCs per second of each proxy
+     * @param limitsAreShares whether an admission limit is the ratio of RPCs to admit; otherwise it
+     *     is in RPCs per second
      */
     public FakeProxies(
             TestLoop loop,
@@ -63,7 +65,7 @@
                         connector,
                         links,
                         new NodeDirectory(list, site.proxies().initialEntries()),
-                        disturbances,
+                        faults,
                         http,
                         limitsAreShares);
         for (int i = 0; i < site.proxies().count(); i++) {
@@ -73,17 +75,17 @@
         }
     }
 
-    /** Starts all of them. */
+    /** Starts all proxies. */
     public void start() {
         proxies.values().forEach(FakeProxy::start);
     }
 
-    /** The names of all proxies, in order. */
+    /** Returns the names of all proxies in alphabetical order. */
     public List<String> names() {
         return new ArrayList<>(proxies.keySet());
     }
 
-    /** The names of a zone's proxies, in order. */
+    /** Returns the names of a zone's proxies in alphabetical order. */
     public List<String> names(String zone) {
         return proxies.values().stream()
                 .filter(proxy -> proxy.zone().equals(zone))
@@ -91,24 +93,24 @@
                 .toList();
     }
 
-    /** The proxy of a name; null if there is none. */
+    /** Returns the proxy with a name; null if there is none. */
     public FakeProxy proxy(String name) {
         return proxies.get(name);
     }
 
-    /** Whether each proxy is joined to a controller and was sent full tables. */
+    /** Returns whether each proxy is joined to a controller and was sent full tables. */
     public boolean allSubscribed() {
         return proxies.values().stream().allMatch(FakeProxy::isSubscribed);
     }
 
-    /** The process of a proxy dies, if it runs. */
+    /** Kills a proxy's process, if it runs. */
     public void crash(String name) {
         if (proxies.get(name).isUp()) {
             proxies.get(name).crash();
         }
     }
 
-    /** The process of a proxy starts, if it does not run. */
+    /** Starts a proxy's process, if it does not run. */
     public void restart(String name) {
         if (!proxies.get(name).isUp()) {
             proxies.get(name).start();
@@ -116,34 +118,35 @@
     }
 
     /**
-     * Cuts a proxy off from all controllers, or ends that; without controllers it does nothing.
+     * Cuts a proxy off from all controllers or ends the cut; does nothing if there are no
+     * controllers.
      *
-     * @param quietly whether neither end notices the cut
+     * @param silently whether neither end notices the cut
      */
-    public void setCut(String name, boolean cut, boolean quietly) {
+    public void setCut(String name, boolean cut, boolean silently) {
         if (controllers.isEmpty()) {
             return;
         }
         if (cut) {
-            proxies.get(name).cut(quietly);
+            proxies.get(name).cut(silently);
         } else {
             proxies.get(name).restore();
         }
     }
 
-    /** All links carry entries so many times slower from now on; 1 is as usual. */
+    /** Sets the factor by which all links send entries more slowly; 1 is normal speed. */
     public void setLinkSlowdown(double factor) {
         controllers.forEach(controller -> links.setSlowdown(controller.name(), factor));
     }
 
-    /** Load reports are sent so much later than usual from now on. */
+    /** Sets the extra delay of load reports from now on. */
     public void setReportDelay(long nanos) {
-        disturbances.setReportDelay(nanos);
+        faults.setReportDelay(nanos);
     }
 
-    /** This share of messages loses its table changes from now on, 0 to 1. */
+    /** Sets the ratio of messages that lose their deltas from now on, 0 to 1. */
     public void setDeltaLossRatio(double ratio) {
-        disturbances.setDeltaLossRatio(ratio);
+        faults.setDeltaLossRatio(ratio);
     }
 
     @Override
--- a/src/main/java/rosespread/testbed/FakeProxy.java
+++ b/src/main/java/rosespread/testbed/FakeProxy.java
@@ -8,8 +8,8 @@
 import rosespread.channel.Frame;
 
 /**
- * A plain proxy: follows the tables it is sent, judges no node, reports late. Lives on the loop's
- * thread.
+ * A simple proxy: uses the tables that controllers send, does not assess nodes itself, and sends
+ * load reports with a delay. Confined to the loop's thread.
  */
 public final class FakeProxy {
     private final String name;
@@ -23,13 +23,13 @@
     private final RpcForwarder forwarder;
     private final Map<MethodId, Boolean> availability = new HashMap<>();
     private ProxyTables tables;
-    private boolean subscribedOnce;
+    private boolean receivedFullTable;
     private boolean up;
 
     /**
-     * A proxy that is yet to be started.
+     * Creates a proxy that is not started yet.
      *
-     * @param requestsPerSecond its usual RPCs, as it reports on joining
+     * @param requestsPerSecond its usual RPCs per second, which it reports on joining
      */
     FakeProxy(String name, String zone, double requestsPerSecond, ProxyContext context) {
         this.name = name;
@@ -51,20 +51,24 @@
         return zone;
     }
 
-    /** Whether its process runs. */
+    /** Returns whether the proxy's process runs. */
     public boolean isUp() {
         return up;
     }
 
-    /** Whether it is joined to a controller and was sent full tables since its start. */
+    /**
+     * Returns whether the proxy is joined to a controller and was sent full tables since its start.
+     */
     public boolean isSubscribed() {
-        return stream.isJoined() && subscribedOnce;
+        return stream.isJoined() && receivedFullTable;
     }
 
-    /** Starts the process with tables drawn from the list; dials if there is a controller. */
+    /**
+     * Starts the process with nodes drawn from the node list; connects if there is a controller.
+     */
     void start() {
         up = true;
-        subscribedOnce = false;
+        receivedFullTable = false;
         tables = new ProxyTables(context.random());
         reporter.reset(loop.now());
         forwarder.start(tables);
@@ -82,19 +86,19 @@
         }
     }
 
-    /** The process dies. */
+    /** Kills the process. */
     void crash() {
         up = false;
         forwarder.stop();
         stream.stop();
     }
 
-    /** No controller can be reached; after a quiet cut neither end notices that. */
-    void cut(boolean quietly) {
-        stream.cut(quietly);
+    /** Cuts the proxy off from all controllers; with a silent cut, neither end notices. */
+    void cut(boolean silently) {
+        stream.cut(silently);
     }
 
-    /** Controllers can be reached again. */
+    /** Ends a cut; controllers can be reached again. */
     void restore() {
         stream.restore();
     }
@@ -102,8 +106,8 @@
     /**
      * Forwards an RPC of a client.
      *
-     * @param untilNanos when the client gives it up
-     * @param listener takes how it ended, once
+     * @param untilNanos time at which the client stops waiting
+     * @param listener called once with the result
      */
     void forward(OpenLoopClients.Arrival rpc, long untilNanos, Consumer<RpcResult> listener) {
         forwarder.forward(rpc, untilNanos, listener);
@@ -116,7 +120,7 @@
         loop.after(site.reportPeriodNanos(), this::report);
         LoadReporter.LoadReport report = reporter.report(loop.now());
         if (stream.isJoined()) {
-            long delayNanos = site.reportDelayNanos() + context.disturbances().reportDelayNanos();
+            long delayNanos = site.reportDelayNanos() + context.faults().reportDelayNanos();
             stream.sendLater(delayNanos, List.of(report.loads(), report.demand()));
         }
     }
@@ -131,7 +135,7 @@
         }
     }
 
-    /** Takes up what the stream brings. */
+    /** Applies the messages of the stream. */
     private final class StreamOwner implements ControllerStream.Owner {
         @Override
         public void streamOpened() {
@@ -145,8 +149,8 @@
 
         @Override
         public void apply(String controller, Frame.Mark mark, List<Frame> frames) {
-            noteNodesAndSubscription(frames);
-            if (context.disturbances().losesDeltas(context.random())) {
+            storeAddressesAndSubscription(frames);
+            if (context.faults().losesDeltas(context.random())) {
                 frames.removeIf(frame -> frame instanceof Frame.Lines);
             }
             ProxyTables.Applied applied = tables.apply(frames);
@@ -159,14 +163,14 @@
             applied.missed().forEach(stream::send);
         }
 
-        private void noteNodesAndSubscription(List<Frame> frames) {
+        private void storeAddressesAndSubscription(List<Frame> frames) {
             for (Frame frame : frames) {
                 if (frame instanceof Frame.Node node) {
                     String nodeName = context.directory().name(node.port());
                     tables.putAddress(
                             node.node(), NodeAddress.of(nodeName, node.host(), node.port()));
                 }
-                subscribedOnce |= frame instanceof Frame.Bind;
+                receivedFullTable |= frame instanceof Frame.Bind;
             }
         }
 
--- a/src/main/java/rosespread/testbed/ProxyContext.java
+++ b/src/main/java/rosespread/testbed/ProxyContext.java
@@ -7,10 +7,11 @@
 import rosespread.http.HttpClient;
 
 /**
- * What all proxies of a process share.
+ * Objects shared by all proxies of a process.
  *
- * @param random drawn from on the loop's thread only
- * @param limitsAreShares whether admission limits are shares of RPCs, else rates
+ * @param random used on the loop's thread only
+ * @param limitsAreShares whether an admission limit is the ratio of RPCs to admit; otherwise it is
+ *     in RPCs per second
  */
 record ProxyContext(
         TestLoop loop,
@@ -20,7 +21,7 @@
         ControllerConnector connector,
         ControllerLinks links,
         NodeDirectory directory,
-        ProxyDisturbances disturbances,
+        ProxyFaults faults,
         HttpClient http,
         boolean limitsAreShares) {
 
@@ -28,7 +29,7 @@
         return new MethodId(site.methods().indexOf(method));
     }
 
-    /** The ids of all methods in their order. */
+    /** Returns the ids of all methods in the order of the site definition. */
     List<MethodId> methodIds() {
         return IntStream.range(0, site.methods().size()).mapToObj(MethodId::new).toList();
     }
--- a/src/main/java/rosespread/testbed/ProxyDisturbances.java
+++ b/src/main/java/rosespread/testbed/ProxyFaults.java
@@ -2,17 +2,17 @@
 
 import java.util.random.RandomGenerator;
 
-/** What a scenario disturbs at all proxies at once. Confined to the loop's thread. */
-final class ProxyDisturbances {
+/** Faults that a scenario sets on all proxies at once. Confined to the loop's thread. */
+final class ProxyFaults {
     private long reportDelayNanos;
     private double deltaLossRatio;
 
-    /** Reports are sent so much later than usual. */
+    /** Sets the extra delay of load reports. */
     void setReportDelay(long nanos) {
         reportDelayNanos = nanos;
     }
 
-    /** This share of messages loses its table changes, 0 to 1. */
+    /** Sets the ratio of messages that lose their deltas, 0 to 1. */
     void setDeltaLossRatio(double ratio) {
         deltaLossRatio = ratio;
     }
@@ -21,7 +21,10 @@
         return reportDelayNanos;
     }
 
-    /** Whether a message loses its table changes; draws only while any do. */
+    /**
+     * Returns whether a message loses its deltas; draws a random number only if the ratio is above
+     * 0.
+     */
     boolean losesDeltas(RandomGenerator random) {
         return deltaLossRatio > 0 && random.nextDouble() < deltaLossRatio;
     }
--- a/src/main/java/rosespread/testbed/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -15,18 +15,20 @@
 import rosespread.channel.Frame;
 
 /**
- * What a plain proxy holds: a table for each method, the nodes that are excluded, and where nodes
- * are. What was held when a stream ended stays in use until the next stream brings other tables.
- * Confined to the loop's thread.
+ * State of a simple proxy: a table for each method, the excluded nodes, and the addresses of nodes.
+ * When a stream ends, this state stays in use until the next stream replaces the tables. Confined
+ * to the loop's thread.
  */
 final class ProxyTables {
     private static final double INITIAL_WEIGHT = 1;
 
     private final Map<NodeId, NodeAddress> addresses = new HashMap<>();
     private final Map<MethodId, WeightedTable> byMethod = new HashMap<>();
-    private final Map<TableId, WeightedTable> ofStream = new HashMap<>();
 
-    /** The highest versions that any stream brought. */
+    /** Tables received on the current stream. */
+    private final Map<TableId, WeightedTable> streamTables = new HashMap<>();
+
+    /** Highest version of each table received on any stream. */
     private final TreeMap<TableId, Long> highestVersions = new TreeMap<>();
 
     private final Set<NodeId> excluded = new TreeSet<>();
@@ -36,7 +38,7 @@
         this.random = random;
     }
 
-    /** Sets the table with which a method starts; all its nodes weigh the same. */
+    /** Sets the initial table of a method, with equal weights. */
     void putInitial(MethodId method, Map<NodeId, NodeAddress> nodes) {
         WeightedTable table = new WeightedTable(random);
         nodes.forEach(
@@ -47,20 +49,23 @@
         byMethod.put(method, table);
     }
 
-    /** A new stream: what is held stays in use, but its tables are not this controller's. */
+    /**
+     * Called when a new stream starts: the tables stay in use, but the controller of the new stream
+     * has not sent them.
+     */
     void streamStarted() {
-        ofStream.clear();
+        streamTables.clear();
     }
 
-    /** Takes up where a node is. */
+    /** Stores the address of a node. */
     void putAddress(NodeId node, NodeAddress address) {
         addresses.put(node, address);
     }
 
-    /** What applying a message did: how many entries it had, and what to answer for it. */
+    /** Result of applying a message: the number of its entries, and the frames to answer. */
     record Applied(int entries, List<Frame.Missed> missed) {}
 
-    /** Takes up a message as a whole. */
+    /** Applies all frames of a message. */
     Applied apply(List<Frame> message) {
         List<Frame.Missed> missed = new ArrayList<>();
         int entries = 0;
@@ -75,7 +80,7 @@
                 applyDelta(delta, missed);
                 entries += delta.lines().size();
             } else if (frame instanceof Frame.Levels limits && holds(limits.table())) {
-                limits.levels().forEach(ofStream.get(limits.table())::putAdmissionLimit);
+                limits.levels().forEach(streamTables.get(limits.table())::putAdmissionLimit);
             } else if (frame instanceof Frame.Withdraw exclusion) {
                 setExcluded(exclusion.node(), exclusion.out());
             }
@@ -90,28 +95,29 @@
         bind.methods().forEach(method -> byMethod.put(method, table));
         table.setVersion(bind.version());
         highestVersions.merge(bind.table(), table.version(), Math::max);
-        ofStream.put(bind.table(), table);
+        streamTables.put(bind.table(), table);
         if (table.digest() != bind.digest()) {
             missed.add(new Frame.Missed(bind.table(), table.version()));
         }
     }
 
     private void applyDelta(Frame.Lines delta, List<Frame.Missed> missed) {
-        WeightedTable table = ofStream.get(delta.table());
-        boolean follows = table.version() == delta.from();
+        WeightedTable table = streamTables.get(delta.table());
+        boolean startsFromHeldVersion = table.version() == delta.from();
         for (Frame.Line entry : delta.lines()) {
-            // A delta that does not follow may still take nodes out: that can only keep a drain.
+            // Removals are applied even if the delta starts from another version: a removal can
+            // only keep a drain in effect.
             if (entry.weight() == 0) {
                 table.remove(entry.node());
-            } else if (follows) {
+            } else if (startsFromHeldVersion) {
                 table.put(entry.node(), entry.weight());
             }
         }
-        if (follows) {
+        if (startsFromHeldVersion) {
             table.setVersion(delta.to());
         }
         highestVersions.merge(delta.table(), table.version(), Math::max);
-        if (!follows || table.digest() != delta.digest()) {
+        if (!startsFromHeldVersion || table.digest() != delta.digest()) {
             missed.add(new Frame.Missed(delta.table(), table.version()));
         }
     }
@@ -124,21 +130,21 @@
         }
     }
 
-    /** Whether this stream brought a table. */
+    /** Returns whether a table was received on the current stream. */
     boolean holds(TableId table) {
-        return ofStream.containsKey(table);
+        return streamTables.containsKey(table);
     }
 
-    /** The highest versions that any stream brought, in order of tables. */
+    /** Returns the highest versions received on any stream, in order of table id. */
     List<Frame.Holding> highestVersions() {
         return highestVersions.entrySet().stream()
                 .map(entry -> new Frame.Holding(entry.getKey(), entry.getValue()))
                 .toList();
     }
 
-    /** A table that this stream brought, by the nodes' names. */
+    /** Returns a snapshot of a table received on the current stream, by node name. */
     TrafficRecorder.TableSnapshot snapshot(TableId id) {
-        WeightedTable table = ofStream.get(id);
+        WeightedTable table = streamTables.get(id);
         Map<String, Double> weights = new TreeMap<>();
         table.nodes().forEach(node -> weights.put(name(node), table.weight(node)));
         return new TrafficRecorder.TableSnapshot(
@@ -150,7 +156,7 @@
         return address == null ? Long.toHexString(node.value()) : address.name();
     }
 
-    /** Whether there is a node to pick for a method. */
+    /** Returns whether there is a node to pick for a method. */
     boolean isAvailable(MethodId method) {
         WeightedTable table = byMethod.get(method);
         return table != null && table.nodes().stream().anyMatch(this::isUsable);
@@ -160,21 +166,24 @@
         return !excluded.contains(node) && addresses.containsKey(node);
     }
 
-    /** The admission limit of a method; empty if all is admitted and retries are as usual. */
+    /**
+     * Returns the admission limit of a method; empty if all RPCs are admitted and the default retry
+     * rule applies.
+     */
     Optional<Frame.Level> admissionLimit(MethodId method) {
         WeightedTable table = byMethod.get(method);
         return table == null ? Optional.empty() : table.admissionLimit(method);
     }
 
-    /** Where a node is that {@link #pick} returned. */
+    /** Returns the address of a node that {@link #pick} returned. */
     NodeAddress address(NodeId node) {
         return addresses.get(node);
     }
 
     /**
-     * Picks a node that is not excluded, nor among the avoided as long as there are others.
+     * Picks a node that is not excluded; picks an avoided node only if there is no other.
      *
-     * @param inFlight RPCs at each node now
+     * @param inFlight number of RPCs in flight at each node
      * @return empty if there is no node to pick
      */
     Optional<NodeId> pick(
@@ -204,8 +213,8 @@
 
     private static NodeId pickBestOfTwo(
             WeightedTable table, List<NodeId> candidates, Map<NodeId, Integer> inFlight) {
-        NodeId one = table.pickRandom(candidates);
-        NodeId two = table.pickRandom(candidates);
-        return inFlight.getOrDefault(two, 0) < inFlight.getOrDefault(one, 0) ? two : one;
+        NodeId first = table.pickRandom(candidates);
+        NodeId second = table.pickRandom(candidates);
+        return inFlight.getOrDefault(second, 0) < inFlight.getOrDefault(first, 0) ? second : first;
     }
 }
