--- a/src/main/java/rosespread/testbed/AdmissionLimiter.java
+++ b/src/main/java/rosespread/testbed/AdmissionLimiter.java
@@ -9,8 +9,8 @@
 import rosespread.channel.Frame;
 
 /**
- * Applies admission limits as a plain proxy does: as a share of RPCs, or as a rate with a token
- * bucket for each method. Confined to the loop's thread.
+ * Applies admission limits as a simple proxy does: either as the ratio of RPCs to admit, or as RPCs
+ * per second with a token bucket for each method. Confined to the loop's thread.
  */
 final class AdmissionLimiter {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -27,7 +27,7 @@
         this.random = random;
     }
 
-    /** Whether an RPC is admitted; one that is uses up a token. */
+    /** Returns whether an RPC is admitted; with limits as rates, an admitted RPC takes a token. */
     boolean admits(MethodId method, ProxyTables tables, long nanos) {
         double limit = limit(method, tables);
         if (Double.isInfinite(limit)) {
@@ -53,11 +53,11 @@
             tokens.merge(
                     method,
                     seconds * perSecond,
-                    (held, gained) -> Math.min(Math.max(1, perSecond), held + gained));
+                    (available, added) -> Math.min(Math.max(1, perSecond), available + added));
         }
     }
 
-    /** Infinite if there is none. */
+    /** Returns the admission limit of a method; infinite if the tables have none. */
     private static double limit(MethodId method, ProxyTables tables) {
         Optional<Frame.Level> limit = tables.admissionLimit(method);
         return limit.isPresent() ? limit.get().admitted() : Double.POSITIVE_INFINITY;
--- a/src/main/java/rosespread/testbed/LoadReporter.java
+++ b/src/main/java/rosespread/testbed/LoadReporter.java
@@ -9,14 +9,14 @@
 import rosespread.channel.Frame;
 
 /**
- * Sums up what a proxy measured since its last load report. Confined to the loop's thread; all
+ * Aggregates a proxy's measurements since its last load report. Confined to the loop's thread; all
  * times in nanoseconds of the loop's clock.
  */
 final class LoadReporter {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long NANOS_PER_MICRO = 1_000L;
 
-    /** What was measured at a node; no utilization is NaN, as on the channel. */
+    /** Measurements of one node; a missing utilization is NaN, as on the channel. */
     private static final class NodeLoad {
         int attempts;
         int failedAttempts;
@@ -29,29 +29,29 @@
         }
     }
 
-    /** The two frames of a report. */
+    /** The load report and demand report of one period. */
     record LoadReport(Frame.Sums loads, Frame.Offered demand) {}
 
     private final Map<NodeId, NodeLoad> loads = new TreeMap<>();
     private final Map<MethodId, Integer> demand = new TreeMap<>();
     private long reportedNanos;
 
-    /** Forgets everything; the next report covers the time from here on. */
+    /** Discards all measurements; the next report covers the time from now on. */
     void reset(long nanos) {
         loads.clear();
         demand.clear();
         reportedNanos = nanos;
     }
 
-    /** An RPC came from a client. */
+    /** Counts an RPC received from a client. */
     void requestReceived(MethodId method) {
         demand.merge(method, 1, Integer::sum);
     }
 
     /**
-     * A node answered an attempt with success.
+     * Counts an attempt that a node answered with success.
      *
-     * @param utilization as the node reported it; NaN if it did not
+     * @param utilization utilization that the node reported; NaN if it reported none
      */
     void attemptSucceeded(NodeId node, long latencyNanos, double utilization) {
         NodeLoad load = load(node);
@@ -62,7 +62,7 @@
         }
     }
 
-    /** An attempt at a node had no good answer. */
+    /** Counts an attempt that failed at a node. */
     void attemptFailed(NodeId node) {
         NodeLoad load = load(node);
         load.attempts++;
@@ -73,7 +73,7 @@
         return loads.computeIfAbsent(node, id -> new NodeLoad());
     }
 
-    /** The report of the time since the last one, from which the next one counts. */
+    /** Returns the report for the time since the last report, and starts the next period. */
     LoadReport report(long nanos) {
         long coversMicros = (nanos - reportedNanos) / NANOS_PER_MICRO;
         reportedNanos = nanos;
@@ -90,7 +90,7 @@
         loads.clear();
         List<Frame.Count> counts = new ArrayList<>();
         demand.forEach((method, count) -> counts.add(new Frame.Count(method, count)));
-        // A method that was once asked for is reported on, also if nobody asks any more.
+        // A method stays in the reports after its first RPC, with count 0 when there is no demand.
         demand.replaceAll((method, count) -> 0);
         return new LoadReport(
                 new Frame.Sums(coversMicros, sums), new Frame.Offered(coversMicros, counts));
--- a/src/main/java/rosespread/testbed/NodeAvoidance.java
+++ b/src/main/java/rosespread/testbed/NodeAvoidance.java
@@ -8,20 +8,20 @@
 import rosespread.api.NodeId;
 
 /**
- * A proxy's own memory of nodes that failed several times in a row, which it avoids for a while as
- * long as there are others. Confined to the loop's thread.
+ * A proxy's own record of nodes with several consecutive failures. The proxy avoids these nodes for
+ * some seconds as long as others are available. Confined to the loop's thread.
  */
 final class NodeAvoidance {
-    private static final long MIN_AVOIDED_NANOS = 2_000_000_000L;
-    private static final long MAX_EXTRA_NANOS = 4_000_000_000L;
+    private static final long MIN_AVOIDANCE_NANOS = 2_000_000_000L;
+    private static final long MAX_EXTRA_AVOIDANCE_NANOS = 4_000_000_000L;
 
     private final int maxFailures;
     private final RandomGenerator random;
-    private final Map<NodeId, Integer> failuresInRow = new HashMap<>();
-    private final Map<NodeId, Long> avoidedUntil = new HashMap<>();
+    private final Map<NodeId, Integer> consecutiveFailures = new HashMap<>();
+    private final Map<NodeId, Long> avoidedUntilNanos = new HashMap<>();
 
     /**
-     * @param maxFailures failures in a row after which a node is avoided; 0: it never is
+     * @param maxFailures consecutive failures after which a node is avoided; 0 to avoid none
      */
     NodeAvoidance(int maxFailures, RandomGenerator random) {
         this.maxFailures = maxFailures;
@@ -29,26 +29,27 @@
     }
 
     void reset() {
-        failuresInRow.clear();
-        avoidedUntil.clear();
+        consecutiveFailures.clear();
+        avoidedUntilNanos.clear();
     }
 
     void attemptSucceeded(NodeId node) {
-        failuresInRow.remove(node);
+        consecutiveFailures.remove(node);
     }
 
     void attemptFailed(NodeId node, long nanos) {
-        int failures = failuresInRow.merge(node, 1, Integer::sum);
+        int failures = consecutiveFailures.merge(node, 1, Integer::sum);
         if (maxFailures > 0 && failures >= maxFailures) {
-            failuresInRow.remove(node);
-            avoidedUntil.put(node, nanos + MIN_AVOIDED_NANOS + random.nextLong(MAX_EXTRA_NANOS));
+            consecutiveFailures.remove(node);
+            avoidedUntilNanos.put(
+                    node, nanos + MIN_AVOIDANCE_NANOS + random.nextLong(MAX_EXTRA_AVOIDANCE_NANOS));
         }
     }
 
-    /** A new set of the nodes that are avoided at a time. */
+    /** Returns the nodes avoided at a time, as a new set that the caller may change. */
     Set<NodeId> avoidedAt(long nanos) {
         Set<NodeId> avoided = new HashSet<>();
-        avoidedUntil.forEach(
+        avoidedUntilNanos.forEach(
                 (node, until) -> {
                     if (until > nanos) {
                         avoided.add(node);
--- a/src/main/java/rosespread/testbed/NodeDirectory.java
+++ b/src/main/java/rosespread/testbed/NodeDirectory.java
@@ -13,20 +13,20 @@
 import rosespread.discovery.ListedNode;
 
 /**
- * What proxies know of nodes without a controller: names by port, and the nodes with which they
- * start. Confined to the loop's thread.
+ * Node information that proxies have without a controller: node names by port, and the nodes of a
+ * proxy's initial tables. Confined to the loop's thread.
  */
 final class NodeDirectory {
     private static final String LOOPBACK = "127.0.0.1";
 
-    /** A zone with fewer nodes than this is too small to start with. */
+    /** With fewer nodes than this in a zone, initial tables are drawn from all zones. */
     private static final int MIN_ZONE_NODES = 3;
 
     private final FakeNodeList list;
     private final int initialEntries;
     private final Map<Integer, String> namesByPort = new HashMap<>();
 
-    /** Takes the names of the nodes that are listed now. */
+    /** Creates a directory with the names of the nodes listed at present. */
     NodeDirectory(FakeNodeList list, int initialEntries) {
         this.list = list;
         this.initialEntries = initialEntries;
@@ -37,7 +37,7 @@
         return namesByPort.getOrDefault(port, "port-" + port);
     }
 
-    /** Draws the nodes with which a proxy of a zone starts for a method. */
+    /** Draws the nodes of the initial table of a method, for a proxy of a zone. */
     Map<NodeId, NodeAddress> drawInitial(
             String zone, SiteDefinition.Method method, RandomGenerator random) {
         Map<String, InetSocketAddress> inZone = list.addressesIn(zone);
--- a/src/main/java/rosespread/testbed/OpenLoopClients.java
+++ b/src/main/java/rosespread/testbed/OpenLoopClients.java
@@ -4,23 +4,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Open-loop clients: RPCs come at the times drawn for them, whatever became of those before, and
- * latency counts from the time an RPC was due. A client repeats by itself what may be repeated.
- * Lives on the loop's thread.
+ * Open-loop clients: each RPC is sent at the time drawn for it, regardless of the outcome of
+ * earlier RPCs, and its latency counts from its due time. A client retries an RPC where that is
+ * safe. Confined to the loop's thread.
  */
 public final class OpenLoopClients {
-    /** Clients still find a dead proxy once in so many times. */
-    private static final int DEAD_PROXY_DRAWS = 4;
+    /** One in this many RPCs for a dead proxy is still sent to it. */
+    private static final int DEAD_PROXY_ONE_IN = 4;
 
     /**
-     * One RPC, drawn ahead.
+     * One RPC, drawn in advance.
      *
-     * @param dueNanos since the start of the day; negative in the warm-up
-     * @param proxyPosition spreads the RPCs over the zone's proxies, from 0 to 1
-     * @param hotProxy the proxy that it goes to whatever its zone; null if there is none
-     * @param workNanos at speed 1
-     * @param retries how often its client sends it again at most
-     * @param deadlineRatio the part of the deadline for which its client waits for an attempt
+     * @param dueNanos time from the start of the day; negative in the warm-up
+     * @param proxyPosition position among the zone's proxies, from 0 to 1; spreads RPCs over them
+     * @param hotProxy proxy that receives the RPC regardless of zone; null if there is none
+     * @param workNanos work of the RPC at speed 1
+     * @param retries maximum number of retries by the client
+     * @param deadlineRatio ratio of the deadline for which the client waits for an attempt
      */
     public record Arrival(
             long number,
@@ -34,14 +34,14 @@
             long retryDelayNanos,
             double deadlineRatio) {}
 
-    /** Takes how each RPC ended, on the loop's thread. */
+    /** Receives the result of each RPC, on the loop's thread. */
     @FunctionalInterface
     public interface OutcomeListener {
         /**
-         * An RPC has ended.
+         * Called when an RPC has ended.
          *
-         * @param latencyNanos from when it was due
-         * @param attempts how often its client sent it
+         * @param latencyNanos time since the RPC was due
+         * @param attempts how often the client sent the RPC
          */
         void rpcEnded(Arrival rpc, RpcResult result, long latencyNanos, int attempts);
     }
@@ -55,7 +55,7 @@
     private int next;
     private int pending;
 
-    /** Clients that are yet to play a day. */
+    /** Creates clients that send no RPCs until {@link #play} is called. */
     public OpenLoopClients(
             TestLoop loop, FakeProxies proxies, RandomGenerator random, OutcomeListener listener) {
         this.loop = loop;
@@ -65,10 +65,10 @@
     }
 
     /**
-     * Plays a day; arrivals before it warm up what is there.
+     * Sends the RPCs of a day; RPCs due before the start of the day are the warm-up.
      *
-     * @param dayArrivals in order of time
-     * @param startNanos when the day starts, on the loop's clock
+     * @param dayArrivals RPCs in order of due time
+     * @param startNanos start of the day on the loop's clock
      */
     public void play(List<Arrival> dayArrivals, long startNanos) {
         arrivals = dayArrivals;
@@ -77,7 +77,7 @@
         sendDue();
     }
 
-    /** How many RPCs have been sent and not ended. */
+    /** Returns the number of RPCs that have been sent and have not ended. */
     public int pending() {
         return pending;
     }
@@ -112,7 +112,7 @@
         long now = loop.now();
         long deadlineNanos = dueNanos(rpc) + rpc.method().deadlineNanos();
         boolean retries =
-                mayRepeat(rpc, result)
+                mayRetry(rpc, result)
                         && attempt <= rpc.retries()
                         && now + rpc.retryDelayNanos() < deadlineNanos;
         if (retries) {
@@ -123,7 +123,7 @@
         }
     }
 
-    private static boolean mayRepeat(Arrival rpc, RpcResult result) {
+    private static boolean mayRetry(Arrival rpc, RpcResult result) {
         return switch (result) {
             case OK -> false;
             case REJECTED, UNREACHABLE -> true;
@@ -132,8 +132,8 @@
     }
 
     /**
-     * The front layer spreads over the zone's proxies; it passes over dead ones once it has
-     * noticed.
+     * Chooses a proxy as the load balancer in front of the proxies does: spreads RPCs over the
+     * zone's proxies, and bypasses a dead proxy once the balancer has noticed.
      */
     private FakeProxy chooseProxy(Arrival rpc) {
         if (rpc.hotProxy() != null && proxies.proxy(rpc.hotProxy()).isUp()) {
@@ -142,7 +142,7 @@
         List<String> inZone = proxies.names(rpc.zone());
         int position = (int) (rpc.proxyPosition() * inZone.size());
         FakeProxy first = proxies.proxy(inZone.get(position));
-        if (first.isUp() || random.nextInt(DEAD_PROXY_DRAWS) == 0) {
+        if (first.isUp() || random.nextInt(DEAD_PROXY_ONE_IN) == 0) {
             return first;
         }
         List<FakeProxy> alive =
--- a/src/main/java/rosespread/testbed/RpcForwarder.java
+++ b/src/main/java/rosespread/testbed/RpcForwarder.java
@@ -15,15 +15,15 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Forwards RPCs of clients to nodes as a plain proxy does: admits by the limits it was sent, picks
- * by weight, and retries once where that was allowed. Confined to the loop's thread; the HTTP
- * client's outcomes are brought there.
+ * Forwards clients' RPCs to nodes as a simple proxy does: applies the admission limits of its
+ * tables, picks nodes by weight, and retries once where the retry rule allows it. Confined to the
+ * loop's thread; results of the HTTP client are handed over to that thread.
  */
 final class RpcForwarder {
-    private static final long MIN_ATTEMPT_NANOS = 1_000_000L;
+    private static final long MIN_ATTEMPT_TIMEOUT_NANOS = 1_000_000L;
 
-    /** A retry is not worth while with less time left than this. */
-    private static final long MIN_RETRY_NANOS = 20_000_000L;
+    /** A retry is not worthwhile with less time left than this. */
+    private static final long MIN_TIME_FOR_RETRY_NANOS = 20_000_000L;
 
     private static final int FIRST_ERROR_STATUS = 400;
     private static final int UNAVAILABLE_STATUS = 503;
@@ -55,7 +55,7 @@
                         context.limitsAreShares(), context.methodIds(), context.random());
     }
 
-    /** The proxy's process starts with these tables. */
+    /** Starts forwarding for a new process of the proxy, with its initial tables. */
     void start(ProxyTables startingTables) {
         running = true;
         tables = startingTables;
@@ -63,14 +63,14 @@
         avoidance.reset();
     }
 
-    /** The proxy's process dies, and with it all attempts. */
+    /** Stops forwarding when the proxy's process dies, and cancels all attempts. */
     void stop() {
         running = false;
         List.copyOf(cancellations).forEach(Runnable::run);
         cancellations.clear();
     }
 
-    /** Applying a message blocks the proxy for so long. */
+    /** Holds up RPCs for the time that applying a message takes. */
     void stall(long nanos) {
         stalledUntilNanos = Math.max(loop.now(), stalledUntilNanos) + nanos;
     }
@@ -78,8 +78,8 @@
     /**
      * Forwards an RPC.
      *
-     * @param untilNanos when its client gives it up
-     * @param listener takes how it ended, once
+     * @param untilNanos time at which the client stops waiting
+     * @param listener called once with the result
      */
     void forward(OpenLoopClients.Arrival rpc, long untilNanos, Consumer<RpcResult> listener) {
         long now = loop.now();
@@ -100,7 +100,7 @@
         attemptFirst(new Call(rpc, method, untilNanos, listener));
     }
 
-    /** An RPC on its way. */
+    /** An RPC in progress. */
     private record Call(
             OpenLoopClients.Arrival rpc,
             MethodId method,
@@ -136,7 +136,10 @@
         return tables.pick(call.method(), context.site().proxies().pick(), avoided, inFlight);
     }
 
-    /** No connection, and a rejection before any work, prove that an attempt had no effect. */
+    /**
+     * Returns whether a result permits a retry. A failed connection or a rejection before any work
+     * proves that the attempt had no effect.
+     */
     private boolean mayRetry(MethodId method, RpcResult result) {
         if (result == RpcResult.OK) {
             return false;
@@ -171,7 +174,7 @@
             OpenLoopClients.Arrival rpc = call.rpc();
             recorder.attemptStarted(startNanos, proxy, address.name(), rpc.number(), rpc.method());
             inFlight.merge(node, 1, Integer::sum);
-            long timeoutNanos = Math.max(MIN_ATTEMPT_NANOS, call.untilNanos() - startNanos);
+            long timeoutNanos = Math.max(MIN_ATTEMPT_TIMEOUT_NANOS, call.untilNanos() - startNanos);
             cancellation = context.http().call(address.address(), request(rpc), timeoutNanos, this);
             cancellations.add(cancellation);
         }
@@ -195,8 +198,8 @@
         }
 
         @Override
-        public void onResponse(HttpMessage.Response answer) {
-            loop.run(() -> ended(toResult(answer.status()), answer));
+        public void onResponse(HttpMessage.Response response) {
+            loop.run(() -> ended(toResult(response.status()), response));
         }
 
         @Override
@@ -204,14 +207,14 @@
             loop.run(() -> ended(toResult(failure), null));
         }
 
-        private void ended(RpcResult result, HttpMessage.Response answer) {
+        private void ended(RpcResult result, HttpMessage.Response response) {
             cancellations.remove(cancellation);
             inFlight.merge(node, -1, Integer::sum);
             if (running && result == RpcResult.OK) {
-                recordSuccess(answer);
+                recordSuccess(response);
             } else if (running) {
                 recordFailure();
-                boolean inTime = call.untilNanos() - loop.now() > MIN_RETRY_NANOS;
+                boolean inTime = call.untilNanos() - loop.now() > MIN_TIME_FOR_RETRY_NANOS;
                 if (!isRetry && inTime && mayRetry(call.method(), result)) {
                     retry(call, node);
                     return;
@@ -220,9 +223,9 @@
             call.end(result);
         }
 
-        private void recordSuccess(HttpMessage.Response answer) {
+        private void recordSuccess(HttpMessage.Response response) {
             avoidance.attemptSucceeded(node);
-            reporter.attemptSucceeded(node, loop.now() - startNanos, utilization(answer));
+            reporter.attemptSucceeded(node, loop.now() - startNanos, utilization(response));
         }
 
         private void recordFailure() {
@@ -250,15 +253,16 @@
     }
 
     /**
-     * The utilization that a node reported in ORCA's text form, 0 to 1; NaN if it reported none.
+     * Returns the utilization that a node reported in ORCA's text format, 0 to 1; NaN if it
+     * reported none.
      */
-    private static double utilization(HttpMessage.Response answer) {
-        String metrics = answer.headers().first("endpoint-load-metrics").orElse("");
-        int at = metrics.indexOf(UTILIZATION_FIELD);
-        if (at < 0) {
+    private static double utilization(HttpMessage.Response response) {
+        String metrics = response.headers().first("endpoint-load-metrics").orElse("");
+        int index = metrics.indexOf(UTILIZATION_FIELD);
+        if (index < 0) {
             return Double.NaN;
         }
-        String value = metrics.substring(at + UTILIZATION_FIELD.length()).split("[, ]")[0];
+        String value = metrics.substring(index + UTILIZATION_FIELD.length()).split("[, ]")[0];
         return Double.parseDouble(value);
     }
 }
--- a/src/main/java/rosespread/testbed/RpcResult.java
+++ b/src/main/java/rosespread/testbed/RpcResult.java
@@ -1,19 +1,19 @@
 package rosespread.testbed;
 
-/** How an RPC, or one attempt of it, ended. */
+/** Result of an RPC or of one attempt of an RPC. */
 public enum RpcResult {
-    /** It was answered with success. */
+    /** Answered with success. */
     OK,
 
-    /** It was refused before any work was done, by the proxy or by a node. */
+    /** Rejected by the proxy or by a node before any work was done. */
     REJECTED,
 
-    /** It failed after it may have taken effect. */
+    /** Failed; the RPC may have taken effect. */
     FAILED,
 
-    /** It was not answered before its time was over; it may have taken effect. */
+    /** Not answered within its time limit; the RPC may have taken effect. */
     TIMED_OUT,
 
-    /** No connection was made, so it had no effect. */
+    /** No connection was made, so the RPC had no effect. */
     UNREACHABLE
 }
--- a/src/main/java/rosespread/testbed/SiteDefinition.java
+++ b/src/main/java/rosespread/testbed/SiteDefinition.java
@@ -5,14 +5,15 @@
 import java.util.Optional;
 
 /**
- * What the fakes of a site are like. Controllers learn nothing of it this way.
+ * Properties of the simulated nodes and proxies of a site. Controllers have no access to the
+ * definition.
  *
- * @param zones names of zones, over which nodes and proxies are spread in turn
- * @param machineTypes by name
- * @param methods in the order of their numbers on the channel
- * @param queuePerCore how many RPCs may wait at a node for each of its cores
- * @param reportPeriodNanos the time between two load reports of a proxy
- * @param reportDelayNanos how late a load report is sent
+ * @param zones names of the zones; nodes and proxies are assigned to zones in turn
+ * @param machineTypes machine types by name
+ * @param methods methods in the order of their numbers on the channel
+ * @param queuePerCore how many RPCs a node queues at most, per core
+ * @param reportPeriodNanos time between two load reports of a proxy
+ * @param reportDelayNanos time from the end of a report's period until the report is sent
  */
 public record SiteDefinition(
         List<String> zones,
@@ -24,41 +25,43 @@
         long reportPeriodNanos,
         long reportDelayNanos) {
 
-    /** The method of a name; empty if the site has none. */
+    /** Returns the method with a name; empty if the site has none. */
     public Optional<Method> method(String name) {
         return methods.stream().filter(method -> method.name().equals(name)).findFirst();
     }
 
     /**
-     * A type of machine.
+     * A machine type.
      *
-     * @param speed work done in a second by a core
-     * @param nodes how many nodes of the type there are
+     * @param speed work that a core does per second, in seconds at speed 1
+     * @param nodes number of nodes of the type
      */
     public record MachineType(int cores, double speed, int nodes) {}
 
-    /** What a repeated call of a method does. The names are read from scenario files. */
+    /** Effect of a repeated RPC of a method. The names are read from scenario files. */
     public enum Effect {
-        /** No more than a single one. */
+        /** A repeat has no further effect. */
         IDEMPOTENT,
-        /** Nothing more within a time, if it carries the token of the first. */
+        /**
+         * A repeat with the same idempotency token has no further effect within the token window.
+         */
         TOKENED,
-        /** It takes effect again. */
+        /** A repeat takes effect again. */
         NON_IDEMPOTENT
     }
 
     /**
      * A method and its contract.
      *
-     * @param share of all RPCs, relative to the other methods
+     * @param share share of all RPCs, relative to the other methods
      * @param workNanos mean work of an RPC at speed 1
-     * @param latencyObjectiveNanos an answer by then is worth its full weight
-     * @param deadlineNanos an answer after this is worth nothing
-     * @param priorityWeight what an RPC is worth
-     * @param lateValueRatio the part of the weight that an answer between objective and deadline is
-     *     worth
-     * @param tokenWindowNanos how long the nodes of a zone drop a repeat of a token
-     * @param machineTypes the types that serve it; empty: all
+     * @param latencyObjectiveNanos latency up to which an answer counts with its full weight
+     * @param deadlineNanos latency beyond which an answer is worth nothing
+     * @param priorityWeight weight of an RPC
+     * @param lateValueRatio fraction of the weight with which an answer between objective and
+     *     deadline counts
+     * @param tokenWindowNanos how long a repeated token has no effect at the nodes of a zone
+     * @param machineTypes machine types that serve the method; empty for all
      */
     public record Method(
             String name,
@@ -71,24 +74,24 @@
             Effect effect,
             long tokenWindowNanos,
             List<String> machineTypes) {
-        /** Whether nodes of a machine type serve it. */
+        /** Returns whether nodes of a machine type serve the method. */
         public boolean isServedBy(String machineType) {
             return machineTypes.isEmpty() || machineTypes.contains(machineType);
         }
     }
 
     /**
-     * What proxies are like.
+     * Properties of the proxies.
      *
-     * @param avoidAfterFailures failures in a row after which a proxy avoids a node by itself; 0:
-     *     it never does
-     * @param stallPerEntryNanos how long taking up a table's entry holds a proxy up
-     * @param meanDelayNanos mean time of a message to a proxy
-     * @param maxDelayNanos the longest such time
-     * @param initialEntries how many nodes the tables have with which a proxy starts
-     * @param minReconnectNanos the least pause before a proxy dials again
-     * @param maxReconnectNanos the greatest such pause
-     * @param entriesPerSecond what a controller's link carries
+     * @param avoidAfterFailures consecutive failures after which a proxy avoids a node by itself; 0
+     *     to avoid none
+     * @param stallPerEntryNanos how long a proxy is blocked by applying one weight entry
+     * @param meanDelayNanos mean delay of a message to a proxy
+     * @param maxDelayNanos maximum delay of a message to a proxy
+     * @param initialEntries maximum number of nodes in a proxy's initial tables
+     * @param minReconnectNanos minimum delay before a proxy reconnects
+     * @param maxReconnectNanos maximum delay before a proxy reconnects
+     * @param entriesPerSecond capacity of a controller's link, in weight entries per second
      */
     public record Proxies(
             int count,
@@ -106,18 +109,20 @@
     public enum Pick {
         /** Weighted round robin. */
         ROUND,
-        /** At random by weight. */
+        /** Weighted random choice. */
         RANDOM,
-        /** The one with fewer RPCs in flight of two that were drawn by weight. */
+        /** Of two nodes drawn by weight, the one with fewer RPCs in flight. */
         BEST_OF_TWO
     }
 
     /**
-     * How a node warms up and what it bears meanwhile.
+     * Warm-up of a node and the load that overloads a warming node.
      *
-     * @param initialRatio the part of its capacity that a node starts with
-     * @param windowNanos the time over which the work that it is sent is summed up
-     * @param overloadFactor a node is overloaded by so many times of what it can do in a window
+     * @param durationNanos duration of the warm-up
+     * @param initialRatio ratio of its capacity that a node starts with
+     * @param windowNanos length of the sliding window over which the work sent to the node is
+     *     summed
+     * @param overloadFactor multiple of a window's capacity beyond which the node is overloaded
      */
     public record WarmUp(
             long durationNanos, double initialRatio, long windowNanos, double overloadFactor) {}
--- a/src/main/java/rosespread/testbed/TestLoop.java
+++ b/src/main/java/rosespread/testbed/TestLoop.java
@@ -6,14 +6,16 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread on which all fakes of a process live, and its clock. Safe for any thread. */
+/**
+ * The single thread that runs all fakes of a process, and its clock. Safe for use by any thread.
+ */
 public final class TestLoop implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TestLoop.class);
 
     private final ScheduledThreadPoolExecutor executor =
             new ScheduledThreadPoolExecutor(1, TestLoop::newThread);
 
-    /** Starts the loop; its thread does not keep the process alive. */
+    /** Creates the loop; its thread is a daemon and does not keep the process alive. */
     public TestLoop() {
         executor.setRemoveOnCancelPolicy(true);
     }
@@ -24,21 +26,21 @@
         return thread;
     }
 
-    /** The loop's clock in nanoseconds, from an arbitrary origin. */
+    /** Returns the time of the loop's clock in nanoseconds, from an arbitrary origin. */
     public long now() {
         return System.nanoTime();
     }
 
-    /** Runs a task on the loop's thread, after those that were handed over before. */
+    /** Runs a task on the loop's thread, after the tasks submitted to {@code run} before. */
     public void run(Runnable task) {
         after(0, task);
     }
 
     /**
-     * Runs a task on the loop's thread after so many nanoseconds. A task that fails is logged, and
-     * the loop goes on.
+     * Runs a task on the loop's thread after a delay in nanoseconds. A failure of the task is
+     * logged, and the loop continues.
      *
-     * @return cancels the task
+     * @return a handle that cancels the task
      */
     public ScheduledFuture<?> after(long nanos, Runnable task) {
         return executor.schedule(() -> runLogged(task), Math.max(0, nanos), TimeUnit.NANOSECONDS);
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Ends the loop; tasks that have not begun are dropped. */
+    /** Stops the loop; tasks that have not started are dropped. */
     @Override
     public void close() {
         executor.shutdownNow();
--- a/src/main/java/rosespread/testbed/TrafficRecorder.java
+++ b/src/main/java/rosespread/testbed/TrafficRecorder.java
@@ -5,74 +5,76 @@
 import rosespread.channel.Frame;
 
 /**
- * Takes what the fakes' ends of the sockets see, as it happens and in order of time, on the loop's
- * thread. Times in nanoseconds of the loop's clock unless a name says otherwise.
+ * Receives the events that the fakes observe at their ends of the sockets, as they happen and in
+ * order of time, on the loop's thread. Times are in nanoseconds of the loop's clock unless a name
+ * says otherwise.
  */
 public interface TrafficRecorder {
     /**
-     * How a node is listed.
+     * Listing of a node in the node list.
      *
-     * @param startedMillis when its process started, since the epoch; 0 if it was always warm
+     * @param startedMillis start time of the node's process, in milliseconds since the epoch; 0 if
+     *     it was always warm
      */
     record NodeListing(NodeState state, long startedMillis, String machineType) {}
 
     /**
-     * What a proxy holds of a table.
+     * A proxy's copy of a table.
      *
-     * @param digest over its entries, as the channel defines it
-     * @param weights by the nodes' names
+     * @param digest digest over the entries, as the channel defines it
+     * @param weights weights by node name
      */
     record TableSnapshot(int table, long version, long digest, Map<String, Double> weights) {}
 
-    /** The list has answered a controller with these nodes, by name. */
+    /** The node list answered a controller's query with these nodes, by name. */
     default void nodeListServed(long nanos, String controller, Map<String, NodeListing> nodes) {}
 
-    /** A proxy asks to be joined and says which versions it was sent of tables before. */
+    /** A proxy asked to join and reported the highest version of each table that it was sent. */
     default void proxyJoined(
             long nanos, String proxy, String controller, Map<Integer, Long> heldVersions) {}
 
-    /** The proxy has no stream any more, or none that works. */
+    /** The proxy no longer has a working stream. */
     default void proxyLeft(long nanos, String proxy) {}
 
     /**
-     * A message has come.
+     * A message from a controller arrived, before the delay of its link.
      *
-     * @param onLink entries on their way over a slow link, those of the message included
+     * @param entriesOnLink entries in transit over a slow link, including those of the message
      */
     default void messageArrived(
-            long nanos, String proxy, String controller, Frame.Mark mark, double onLink) {}
+            long nanos, String proxy, String controller, Frame.Mark mark, double entriesOnLink) {}
 
-    /** A message has been applied. */
+    /** The proxy applied a message. */
     default void messageApplied(long nanos, String proxy, String controller, Frame.Mark mark) {}
 
-    /** A message changed a table that the proxy holds. */
+    /** A message changed a table of the proxy. */
     default void tableChanged(long nanos, String proxy, String controller, TableSnapshot held) {}
 
-    /** From now on the proxy has, or lacks, a node to pick for a method. */
+    /** The proxy now has a node to pick for a method, or no longer has one. */
     default void availabilityChanged(long nanos, String proxy, String method, boolean available) {}
 
-    /** A proxy sends an RPC to a node. */
+    /** A proxy started an attempt at a node. */
     default void attemptStarted(
             long nanos, String proxy, String node, long rpc, SiteDefinition.Method method) {}
 
-    /** An attempt had no good answer. */
+    /** An attempt failed. */
     default void attemptFailed(
             long nanos, String proxy, String node, long rpc, SiteDefinition.Method method) {}
 
-    /** An RPC takes effect at a node. */
+    /** An RPC took effect at a node. */
     default void effectApplied(long nanos, String node, long rpc, SiteDefinition.Method method) {}
 
-    /** A node has begun to warm up. */
+    /** A node started to warm up. */
     default void warmUpStarted(long nanos, String node) {}
 
-    /** The first RPC came to a node that warms up. */
+    /** A warming node received its first RPC. */
     default void warmingNodeReached(long nanos, String node) {}
 
     /**
-     * A node that warms up was overloaded.
+     * A warming node became overloaded.
      *
-     * @param startedNanos when its process started
-     * @param workByProxy seconds of work that each proxy sent it in the window before
+     * @param startedNanos start time of the node's process
+     * @param workByProxy seconds of work that each proxy sent the node in the preceding window
      */
     default void nodeOverloaded(
             long nanos, String node, long startedNanos, Map<String, Double> workByProxy) {}
--- a/src/main/java/rosespread/testbed/WeightedTable.java
+++ b/src/main/java/rosespread/testbed/WeightedTable.java
@@ -14,18 +14,18 @@
 import rosespread.table.TableDigest;
 
 /**
- * A table as a proxy holds it: nodes with weights, admission limits, and the turns of weighted
+ * A proxy's copy of a table: nodes with weights, admission limits, and the schedule of weighted
  * round robin. Confined to the loop's thread.
  */
 final class WeightedTable {
-    /** A node's weight and when, by the table's own clock, its next turn is due. */
+    /** A node's weight and the virtual time at which its next turn is due. */
     private static final class Entry {
         final double weight;
-        double due;
+        double dueTime;
 
-        Entry(double weight, double due) {
+        Entry(double weight, double dueTime) {
             this.weight = weight;
-            this.due = due;
+            this.dueTime = dueTime;
         }
 
         double period() {
@@ -36,7 +36,10 @@
     private final TreeMap<NodeId, Entry> entries = new TreeMap<>();
     private final Map<MethodId, Frame.Level> admissionLimits = new HashMap<>();
     private final RandomGenerator random;
-    private double clock;
+
+    /** Virtual time of weighted round robin: due time of the last picked entry. */
+    private double virtualTime;
+
     private long version;
 
     WeightedTable(RandomGenerator random) {
@@ -44,17 +47,17 @@
     }
 
     /**
-     * Adds a node or changes its weight. Each proxy begins an entry anywhere in its turn, and a new
-     * weight leaves it at the same part of its turn, so that proxies that get the same change do
-     * not move in step.
+     * Adds a node or changes its weight. A new entry starts at a random phase of its turn, and a
+     * new weight keeps the phase, so that proxies that receive the same change do not pick the same
+     * nodes in lockstep.
      */
     void put(NodeId node, double weight) {
         Entry before = entries.get(node);
-        double untilDue =
+        double timeUntilDue =
                 before == null
                         ? random.nextDouble() / weight
-                        : Math.max(0, before.due - clock) * before.weight / weight;
-        entries.put(node, new Entry(weight, clock + untilDue));
+                        : Math.max(0, before.dueTime - virtualTime) * before.weight / weight;
+        entries.put(node, new Entry(weight, virtualTime + timeUntilDue));
     }
 
     void remove(NodeId node) {
@@ -73,12 +76,12 @@
         version = newVersion;
     }
 
-    /** The version that the entries come from; 0 for a table that no controller sent. */
+    /** Returns the version of the entries; 0 for a table that no controller sent. */
     long version() {
         return version;
     }
 
-    /** A view of the nodes, in order of their ids. */
+    /** Returns a read-only view of the nodes, in order of their ids. */
     Set<NodeId> nodes() {
         return Collections.unmodifiableSet(entries.keySet());
     }
@@ -87,7 +90,7 @@
         return entries.get(node).weight;
     }
 
-    /** The digest over all entries, as the channel defines it. */
+    /** Returns the digest over all entries, as the channel defines it. */
     long digest() {
         long sum = 0;
         for (Map.Entry<NodeId, Entry> entry : entries.entrySet()) {
@@ -97,8 +100,8 @@
     }
 
     /**
-     * Takes the node whose turn is due first. One that was left out meanwhile starts its turn
-     * again.
+     * Picks the node whose turn is due first. A node whose turn passed while it was not a candidate
+     * restarts at a random phase.
      *
      * @param candidates nodes of this table, at least one
      */
@@ -106,14 +109,14 @@
         NodeId first = null;
         for (NodeId node : candidates) {
             Entry entry = entries.get(node);
-            if (entry.due < clock) {
-                entry.due = clock + random.nextDouble() / entry.weight;
+            if (entry.dueTime < virtualTime) {
+                entry.dueTime = virtualTime + random.nextDouble() / entry.weight;
             }
-            first = first == null || entry.due < entries.get(first).due ? node : first;
+            first = first == null || entry.dueTime < entries.get(first).dueTime ? node : first;
         }
         Entry entry = entries.get(first);
-        clock = entry.due;
-        entry.due += entry.period();
+        virtualTime = entry.dueTime;
+        entry.dueTime += entry.period();
         return first;
     }
 
--- a/src/test/java/rosespread/testbed/WeightedTableTest.java
+++ b/src/test/java/rosespread/testbed/WeightedTableTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void roundRobinPicksInProportionToWeights() {
+    void picksRoundRobinInProportionToWeights() {
         long heavy =
                 IntStream.range(0, 400)
                         .mapToObj(i -> table.pickRoundRobin(BOTH))
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void randomPicksFollowWeights() {
+    void picksRandomlyInProportionToWeights() {
         long heavy =
                 IntStream.range(0, 4000)
                         .mapToObj(i -> table.pickRandom(BOTH))
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void onlyCandidatesArePicked() {
+    void picksOnlyCandidates() {
         assertEquals(LIGHT, table.pickRoundRobin(List.of(LIGHT)));
         assertEquals(LIGHT, table.pickRandom(List.of(LIGHT)));
     }
 
     @Test
-    void digestIsTheSumOverItsEntries() {
+    void digestIsSumOverEntries() {
         assertEquals(TableDigest.of(LIGHT, 1) + TableDigest.of(HEAVY, 3), table.digest());
         table.remove(LIGHT);
         assertEquals(TableDigest.of(HEAVY, 3), table.digest());
