--- a/src/main/java/rosespread/cli/ScenarioCommand.java
+++ b/src/main/java/rosespread/cli/ScenarioCommand.java
@@ -74,6 +74,6 @@
             Files.writeString(reportFile, report.json());
         }
         out().print(report.text());
-        return report.kept() ? ExitCodes.DONE : ExitCodes.INVARIANT_VIOLATED;
+        return report.hasPassed() ? ExitCodes.DONE : ExitCodes.INVARIANT_VIOLATED;
     }
 }
--- a/src/main/java/rosespread/scenario/InvariantChecker.java
+++ b/src/main/java/rosespread/scenario/InvariantChecker.java
@@ -30,7 +30,8 @@
     private final ChangeLatency changeLatency;
 
     /**
-     * @param startNanos from when on times in texts count, until {@link #setDayStart} is called
+     * @param startNanos from when on times in texts count, until {@link #setMeasurementStart} is
+     *     called
      */
     InvariantChecker(Scenario scenario, long startNanos) {
         timeline = new RunTimeline(scenario.channel(), startNanos);
@@ -88,8 +89,8 @@
     }
 
     /** Times in texts count from here on. */
-    void setDayStart(long nanos) {
-        timeline.setDayStart(nanos);
+    void setMeasurementStart(long nanos) {
+        timeline.setMeasurementStart(nanos);
     }
 
     /** The controller's process is gone: it knows nothing any more. */
--- a/src/main/java/rosespread/scenario/JsonReportWriter.java
+++ b/src/main/java/rosespread/scenario/JsonReportWriter.java
@@ -98,7 +98,7 @@
         out.put("messagesPerProxyMost", report.invariant("messagesPerProxy").worst())
                 .put("linesWaitingMost", report.invariant("shortQueue").worst())
                 .put("conductorCpuSeconds", round(cpuSeconds))
-                .put("conductorCpuPerSecond", round(cpuSeconds / report.daySeconds()))
+                .put("conductorCpuPerSecond", round(cpuSeconds / report.measuredSeconds()))
                 .put("conductorRssMb", Math.round(report.usage().peakResidentMegabytes()));
     }
 
--- a/src/main/java/rosespread/scenario/Report.java
+++ b/src/main/java/rosespread/scenario/Report.java
@@ -38,8 +38,8 @@
     private final Map<String, Long> refusals = new TreeMap<>();
     private final ProcessUsage usage = new ProcessUsage();
     private RunDurations durations;
-    private long dayStartNanos;
-    private double daySeconds;
+    private long measurementStartNanos;
+    private double measuredSeconds;
 
     Report(Scenario scenario, long seed) {
         this.scenario = scenario;
@@ -48,8 +48,8 @@
     }
 
     /** The day, and with it the time of events, counts from this time of the loop's clock. */
-    void setDayStart(long nanos) {
-        dayStartNanos = nanos;
+    void setMeasurementStart(long nanos) {
+        measurementStartNanos = nanos;
     }
 
     /** CPU time counts from here on. */
@@ -59,7 +59,7 @@
 
     /** Adds an event at a time of the loop's clock. */
     void event(long nanos, String description) {
-        double seconds = (nanos - dayStartNanos) / NANOS_PER_SECOND;
+        double seconds = (nanos - measurementStartNanos) / NANOS_PER_SECOND;
         events.add(
                 new Event(
                         Math.round(seconds * EVENT_TIME_DIGITS) / (double) EVENT_TIME_DIGITS,
@@ -88,7 +88,7 @@
 
     /** The day is over: takes over what the checker found. */
     void complete(InvariantChecker checker, long nanos, List<ControllerProcess> controllers) {
-        daySeconds = (nanos - dayStartNanos) / NANOS_PER_SECOND;
+        measuredSeconds = (nanos - measurementStartNanos) / NANOS_PER_SECOND;
         usage.sample(controllers);
         checker.results().forEach(result -> invariants.put(result.name(), result));
         durations = RunDurations.of(checker);
@@ -106,11 +106,13 @@
     /** Says where the controllers' logs were left. */
     void addLogFolder(Path folder) {
         events.add(
-                new Event(daySeconds, "a rule was broken; the conductors' logs are in " + folder));
+                new Event(
+                        measuredSeconds,
+                        "a rule was broken; the conductors' logs are in " + folder));
     }
 
     /** Whether the day was played to its end and no rule was broken. */
-    public boolean kept() {
+    public boolean hasPassed() {
         return !invariants.isEmpty()
                 && invariants.values().stream()
                         .noneMatch(result -> result.verdict() == Verdict.BROKEN);
@@ -204,7 +206,7 @@
         return durations;
     }
 
-    double daySeconds() {
-        return daySeconds;
+    double measuredSeconds() {
+        return measuredSeconds;
     }
 }
--- a/src/main/java/rosespread/scenario/RunEnvironment.java
+++ b/src/main/java/rosespread/scenario/RunEnvironment.java
@@ -10,7 +10,7 @@
  * The parts of a run that faults and operators act on. Fakes, checker and report are touched on the
  * loop's thread only; {@link #hasEnded} and {@link #elapsedNanos} are for any thread.
  *
- * @param dayStartNanos on the loop's clock
+ * @param measurementStartNanos on the loop's clock
  */
 record RunEnvironment(
         Scenario scenario,
@@ -22,7 +22,7 @@
         List<ControllerProcess> controllers,
         InvariantChecker checker,
         Report report,
-        long dayStartNanos,
+        long measurementStartNanos,
         RunEnd end) {
 
     /** Adds an event to the report, now. On the loop's thread. */
@@ -37,7 +37,7 @@
 
     /** Nanoseconds since the day began. */
     long elapsedNanos() {
-        return loop.now() - dayStartNanos;
+        return loop.now() - measurementStartNanos;
     }
 
     boolean hasEnded() {
--- a/src/main/java/rosespread/scenario/RunTimeline.java
+++ b/src/main/java/rosespread/scenario/RunTimeline.java
@@ -22,25 +22,25 @@
     private final Map<String, Long> stoppedSince = new HashMap<>();
     private final List<Delay> stalls = new ArrayList<>();
     private final List<Delay> slowLinks = new ArrayList<>();
-    private long dayStartNanos;
+    private long measurementStartNanos;
 
     /**
      * @param channel its queue limit bounds how long entries that queued up on a slow link stay in
      *     it
      */
-    RunTimeline(Scenario.Channel channel, long dayStartNanos) {
+    RunTimeline(Scenario.Channel channel, long measurementStartNanos) {
         this.backlogNanos = channel.queueLimit() / channel.entriesPerSecond() * NANOS_PER_SECOND;
-        this.dayStartNanos = dayStartNanos;
+        this.measurementStartNanos = measurementStartNanos;
     }
 
     /** Times in texts count from here on. */
-    void setDayStart(long nanos) {
-        dayStartNanos = nanos;
+    void setMeasurementStart(long nanos) {
+        measurementStartNanos = nanos;
     }
 
     /** A time as seconds of the day. */
     String describe(long nanos) {
-        return String.format("%.2f s", (nanos - dayStartNanos) / NANOS_PER_SECOND);
+        return String.format("%.2f s", (nanos - measurementStartNanos) / NANOS_PER_SECOND);
     }
 
     /** How long before {@code now} an event was, if it was. */
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -61,7 +61,7 @@
     private FakeNodes nodes;
     private FakeProxies proxies;
     private OpenLoopClients clients;
-    private long dayStartNanos;
+    private long measurementStartNanos;
 
     private ScenarioRun(Scenario scenario, Options options) {
         this.scenario = scenario;
@@ -87,7 +87,7 @@
         } finally {
             run.close();
         }
-        if (run.report.kept()) {
+        if (run.report.hasPassed()) {
             deleteTree(folder);
         } else {
             run.report.addLogFolder(folder);
@@ -174,11 +174,11 @@
                         random.split(),
                         checker);
         clients = new OpenLoopClients(loop, proxies, random.split(), report::rpcEnded);
-        dayStartNanos = loop.now() + scenario.warmUpNanos();
-        report.setDayStart(dayStartNanos);
-        checker.setDayStart(dayStartNanos);
+        measurementStartNanos = loop.now() + scenario.warmUpNanos();
+        report.setMeasurementStart(measurementStartNanos);
+        checker.setMeasurementStart(measurementStartNanos);
         proxies.start();
-        clients.play(arrivals, dayStartNanos);
+        clients.play(arrivals, measurementStartNanos);
     }
 
     /** Several controllers are spread over the zones; one alone is for all. */
@@ -238,12 +238,12 @@
                 controllers,
                 checker,
                 report,
-                dayStartNanos,
+                measurementStartNanos,
                 end);
     }
 
     private void awaitAnswers(CompletableFuture<Void> done) {
-        long lateNanos = loop.now() - dayStartNanos - scenario.durationNanos();
+        long lateNanos = loop.now() - measurementStartNanos - scenario.durationNanos();
         if (clients.pending() == 0 || lateNanos > MAX_ANSWER_WAIT_NANOS) {
             done.complete(null);
         } else {
--- a/src/test/java/rosespread/scenario/ReportKeysTest.java
+++ b/src/test/java/rosespread/scenario/ReportKeysTest.java
@@ -299,7 +299,7 @@
         Scenario scenario = ScenarioReader.load("short-day");
         Report report = new Report(scenario, 3);
         InvariantChecker checker = new InvariantChecker(scenario, 0);
-        report.setDayStart(0);
+        report.setMeasurementStart(0);
         report.startCpuMeasurement(List.of());
         for (SiteDefinition.Method method : scenario.site().methods()) {
             report.rpcEnded(
--- a/src/test/java/rosespread/scenario/RunTimelineTest.java
+++ b/src/test/java/rosespread/scenario/RunTimelineTest.java
@@ -49,7 +49,7 @@
 
     @Test
     void timesAreShownAsSecondsOfTheDay() {
-        timeline.setDayStart(10 * SECOND);
+        timeline.setMeasurementStart(10 * SECOND);
         assertEquals(String.format("%.2f s", -1.5), timeline.describe(8_500_000_000L));
         assertEquals("never", RunTimeline.describeAge(SECOND, Long.MIN_VALUE));
         assertEquals("250 ms ago", RunTimeline.describeAge(SECOND, 750_000_000L));
--- a/src/test/java/rosespread/scenario/ScenarioRunTest.java
+++ b/src/test/java/rosespread/scenario/ScenarioRunTest.java
@@ -32,7 +32,7 @@
     @Test
     void keepsAllRulesOnAShortDay() throws Exception {
         Report report = play("short-day", Main.class.getName());
-        assertTrue(report.kept(), report.text());
+        assertTrue(report.hasPassed(), report.text());
         for (String rule :
                 List.of("noProxyWithoutNode", "noEffectTwice", "drainsKept", "shortQueue")) {
             assertTrue(report.checked(rule) > 0, rule + " was not seen\n" + report.text());
@@ -57,7 +57,7 @@
     void namesTheRuleThatAFaultyPolicyBreaks(String fault, String rule, String words)
             throws Exception {
         Report report = play("bad-planner", FaultyController.class.getName(), fault);
-        assertFalse(report.kept(), report.text());
+        assertFalse(report.hasPassed(), report.text());
         assertTrue(
                 report.violations(rule).stream()
                         .anyMatch(text -> text.contains(words) && text.matches("(?s).*[0-9] s.*")),
@@ -79,7 +79,7 @@
     @CsvSource({"IGNORES_DRAINS", "FLOODS_COLD", "EMPTIES", "BAD_TABLES"})
     void tableValidatorKeepsWrongTablesFromProxies(String fault) throws Exception {
         Report report = play("bad-planner", FaultyController.class.getName(), fault, "gated");
-        assertTrue(report.kept(), report.text());
+        assertTrue(report.hasPassed(), report.text());
     }
 
     @Test
