--- a/src/main/java/rosespread/scenario/ProcessUsage.java
+++ b/src/main/java/rosespread/scenario/ProcessUsage.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** CPU time and memory of the controllers' processes. Confined to the loop's thread. */
+/** CPU time and memory of the controller processes. Confined to the loop's thread. */
 final class ProcessUsage {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private double cpuSeconds;
-    private double cpuSecondsBefore;
+    private double cpuSecondsAtStart;
     private double peakResidentMegabytes;
 
-    /** CPU time counts from here on. */
+    /** Starts the measurement of CPU time; earlier CPU time is not counted. */
     void start(List<ControllerProcess> controllers) {
         sample(controllers);
-        cpuSecondsBefore = cpuSeconds;
+        cpuSecondsAtStart = cpuSeconds;
     }
 
     void sample(List<ControllerProcess> controllers) {
@@ -27,16 +27,16 @@
                 controllers.stream()
                         .mapToDouble(c -> c.cpuTime().toNanos() / NANOS_PER_SECOND)
                         .sum();
-        // A process that is ending may show less than it did before.
+        // The CPU time read for a process that is ending can be lower than an earlier reading.
         cpuSeconds = Math.max(cpuSeconds, sum);
     }
 
-    /** CPU time of all controllers together since the start. */
+    /** Total CPU time of all controllers since {@link #start}. */
     double cpuSeconds() {
-        return cpuSeconds - cpuSecondsBefore;
+        return cpuSeconds - cpuSecondsAtStart;
     }
 
-    /** The most that one process had resident. */
+    /** The largest resident memory of any one process, in megabytes. */
     double peakResidentMegabytes() {
         return peakResidentMegabytes;
     }
--- a/src/main/java/rosespread/scenario/Report.java
+++ b/src/main/java/rosespread/scenario/Report.java
@@ -15,17 +15,17 @@
 import rosespread.testbed.RpcResult;
 
 /**
- * What a scenario run showed, as JSON with stable names and as text for people. Written on the
- * loop's thread while the run lasts; its public methods are for the time after.
+ * The results of a scenario run, as JSON with stable names and as text for people. Written on the
+ * loop's thread during the run; the public methods are for use after the run.
  */
 public final class Report {
-    /** Service is shown for each slot of the day of this length. */
+    /** Length of the time slots for which service is reported separately. */
     static final int SLOT_SECONDS = 5;
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final int EVENT_TIME_DIGITS = 100;
+    private static final int EVENT_TIME_STEPS_PER_SECOND = 100;
 
-    /** Something that happened, in seconds of the day. */
+    /** A fault or operator action; the time is in seconds since the start of the measurement. */
     record Event(double atSeconds, String description) {}
 
     private final Scenario scenario;
@@ -47,46 +47,47 @@
         scenario.site().methods().forEach(m -> byMethod.put(m.name(), new ServiceTally()));
     }
 
-    /** The day, and with it the time of events, counts from this time of the loop's clock. */
+    /** Sets the start of the measurement, from which event times count, on the loop's clock. */
     void setMeasurementStart(long nanos) {
         measurementStartNanos = nanos;
     }
 
-    /** CPU time counts from here on. */
+    /** Starts the measurement of CPU time; earlier CPU time is not counted. */
     void startCpuMeasurement(List<ControllerProcess> controllers) {
         usage.start(controllers);
     }
 
-    /** Adds an event at a time of the loop's clock. */
+    /** Adds an event; {@code nanos} is a time of the loop's clock. */
     void event(long nanos, String description) {
         double seconds = (nanos - measurementStartNanos) / NANOS_PER_SECOND;
         events.add(
                 new Event(
-                        Math.round(seconds * EVENT_TIME_DIGITS) / (double) EVENT_TIME_DIGITS,
+                        Math.round(seconds * EVENT_TIME_STEPS_PER_SECOND)
+                                / (double) EVENT_TIME_STEPS_PER_SECOND,
                         description));
     }
 
-    /** Counts an RPC, unless it was due before the day. */
+    /** Counts an RPC, unless it was due before the start of the measurement. */
     void rpcEnded(OpenLoopClients.Arrival rpc, RpcResult result, long latencyNanos, int tries) {
         if (rpc.dueNanos() < 0) {
             return;
         }
         String method = rpc.method().name();
         int slot = (int) (rpc.dueNanos() / NANOS_PER_SECOND / SLOT_SECONDS);
-        ServiceTally inSlot =
+        ServiceTally slotTally =
                 bySlot.computeIfAbsent(slot, s -> new TreeMap<>())
                         .computeIfAbsent(method, m -> new ServiceTally());
         overall.add(rpc.method(), result, latencyNanos, tries);
         byMethod.get(method).add(rpc.method(), result, latencyNanos, tries);
-        inSlot.add(rpc.method(), result, latencyNanos, tries);
+        slotTally.add(rpc.method(), result, latencyNanos, tries);
     }
 
-    /** Measures the controllers' processes; called often. */
+    /** Samples CPU time and memory of the controller processes; called periodically. */
     void sampleProcesses(List<ControllerProcess> controllers) {
         usage.sample(controllers);
     }
 
-    /** The day is over: takes over what the checker found. */
+    /** Ends the measurement and takes the checker's results. */
     void complete(InvariantChecker checker, long nanos, List<ControllerProcess> controllers) {
         measuredSeconds = (nanos - measurementStartNanos) / NANOS_PER_SECOND;
         usage.sample(controllers);
@@ -94,7 +95,7 @@
         durations = RunDurations.of(checker);
     }
 
-    /** Adds how often a controller's validator refused a table, by reason, from its tables. */
+    /** Adds the refusals of a controller's table validator, by reason, from its table status. */
     void addRefusals(JsonNode tables) {
         for (JsonNode table : tables) {
             for (Map.Entry<String, JsonNode> count : table.path("refused").properties()) {
@@ -103,50 +104,50 @@
         }
     }
 
-    /** Says where the controllers' logs were left. */
+    /** Adds an event that names the folder of the controllers' logs. */
     void addLogFolder(Path folder) {
         events.add(
-                new Event(
-                        measuredSeconds,
-                        "a rule was broken; the conductors' logs are in " + folder));
+                new Event(measuredSeconds, "invariant violated; controller logs are in " + folder));
     }
 
-    /** Whether the day was played to its end and no rule was broken. */
+    /** Whether the run was completed and no invariant was violated. */
     public boolean hasPassed() {
         return !invariants.isEmpty()
                 && invariants.values().stream()
                         .noneMatch(result -> result.verdict() == Verdict.BROKEN);
     }
 
-    /** Service over the whole day, 0 to 1. */
+    /** Service over the whole measurement, 0 to 1; 1 if there were no RPCs. */
     public double service() {
         return overall.service();
     }
 
     /**
-     * How often a rule could have been broken.
+     * How often an invariant was checked.
      *
-     * @param rule its name in the JSON
+     * @param invariant the invariant's name in the JSON
      */
-    public long checked(String rule) {
-        return invariants.get(rule).checked();
+    public long checked(String invariant) {
+        return invariants.get(invariant).checked();
     }
 
     /**
-     * How a rule was broken, first cases first; empty if it was not.
+     * The first violations of an invariant, in order of time; empty if there were none.
      *
-     * @param rule its name in the JSON
+     * @param invariant the invariant's name in the JSON
      */
-    public List<String> violations(String rule) {
-        return invariants.get(rule).violations();
+    public List<String> violations(String invariant) {
+        return invariants.get(invariant).violations();
     }
 
-    /** How often tables were refused, by reason, over all controllers as they were at the end. */
+    /**
+     * Number of refused tables by reason, from the counters of the controllers alive at the end.
+     */
     public Map<String, Long> refusals() {
         return Collections.unmodifiableMap(refusals);
     }
 
-    /** The faults and operators' acts as they came, without times. */
+    /** Descriptions of the faults and operator actions in the order in which they were added. */
     public List<String> events() {
         return events.stream().map(Event::description).toList();
     }
@@ -154,13 +155,13 @@
     /**
      * The report as JSON with stable names, ending with a line feed.
      *
-     * @throws IOException if it cannot be written as JSON
+     * @throws IOException if the report cannot be written as JSON
      */
     public String json() throws IOException {
         return new JsonReportWriter(this).write();
     }
 
-    /** The same for people. */
+    /** The report as text for people. */
     public String text() {
         return new TextReportWriter(this).write();
     }
@@ -181,7 +182,7 @@
         return Collections.unmodifiableMap(byMethod);
     }
 
-    /** Tallies by slot of the day and by method; see {@link #SLOT_SECONDS}. */
+    /** Tallies by time slot and by method; see {@link #SLOT_SECONDS}. */
     Map<Integer, Map<String, ServiceTally>> bySlot() {
         return Collections.unmodifiableMap(bySlot);
     }
--- a/src/main/java/rosespread/scenario/RunDurations.java
+++ b/src/main/java/rosespread/scenario/RunDurations.java
@@ -2,7 +2,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** How long drains, rollbacks and changes of a run took; all in milliseconds. */
+/** How long drains, rollbacks and changes took during a run; all in milliseconds. */
 record RunDurations(
         Histogram drains,
         Histogram operatorDrains,
@@ -20,12 +20,12 @@
                 checker.pacedMillis());
     }
 
-    /** A percentile of one of them in seconds; 0 if it has no values. */
+    /** A percentile of one of the histograms in seconds; 0 if the histogram is empty. */
     static double seconds(Histogram millis, double percentile) {
         return millis.getValueAtPercentile(percentile) / MILLIS_PER_SECOND;
     }
 
-    /** The greatest value of one of them in seconds. */
+    /** The greatest value of one of the histograms in seconds. */
     static double maxSeconds(Histogram millis) {
         return millis.getMaxValue() / MILLIS_PER_SECOND;
     }
--- a/src/main/java/rosespread/scenario/RunEnd.java
+++ b/src/main/java/rosespread/scenario/RunEnd.java
@@ -1,6 +1,6 @@
 package rosespread.scenario;
 
-/** Whether a run is over. Safe for use by several threads. */
+/** A flag that marks the end of a run. Safe for use by several threads. */
 final class RunEnd {
     private volatile boolean ended;
 
--- a/src/main/java/rosespread/scenario/RunEnvironment.java
+++ b/src/main/java/rosespread/scenario/RunEnvironment.java
@@ -7,10 +7,10 @@
 import rosespread.testbed.TestLoop;
 
 /**
- * The parts of a run that faults and operators act on. Fakes, checker and report are touched on the
- * loop's thread only; {@link #hasEnded} and {@link #elapsedNanos} are for any thread.
+ * The parts of a run that faults and operators act on. Fakes, checker and report are used on the
+ * loop's thread only; {@link #hasEnded} and {@link #elapsedNanos} may be called on any thread.
  *
- * @param measurementStartNanos on the loop's clock
+ * @param measurementStartNanos the start of the measurement on the loop's clock
  */
 record RunEnvironment(
         Scenario scenario,
@@ -25,17 +25,17 @@
         long measurementStartNanos,
         RunEnd end) {
 
-    /** Adds an event to the report, now. On the loop's thread. */
+    /** Adds an event to the report at the current time. Called on the loop's thread. */
     void event(String description) {
         report.event(loop.now(), description);
     }
 
-    /** Adds an event to the report soon, from any thread. */
+    /** Adds an event to the report on the loop's thread, later. May be called on any thread. */
     void eventLater(String description) {
         loop.run(() -> event(description));
     }
 
-    /** Nanoseconds since the day began. */
+    /** Nanoseconds since the start of the measurement. */
     long elapsedNanos() {
         return loop.now() - measurementStartNanos;
     }
--- a/src/main/java/rosespread/scenario/RunTimeline.java
+++ b/src/main/java/rosespread/scenario/RunTimeline.java
@@ -7,15 +7,15 @@
 import java.util.OptionalLong;
 
 /**
- * When the day began, and while which times the scenario itself held up controllers or links.
- * Bounds on time are extended by these delays, since no controller can answer for them. All times
- * in nanoseconds of the loop's clock. Confined to the loop's thread.
+ * The start of the measurement, and the periods in which the scenario itself suspended controllers
+ * or slowed links. Time limits are extended for these periods, since no controller can prevent the
+ * delay. All times in nanoseconds of the loop's clock. Confined to the loop's thread.
  */
 final class RunTimeline {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** A time of delay; {@code untilNanos} is {@link Long#MAX_VALUE} while it lasts. */
+    /** A delay; {@code untilNanos} is {@link Long#MAX_VALUE} until the delay has ended. */
     private record Delay(long fromNanos, long untilNanos, double factor) {}
 
     private final double backlogNanos;
@@ -25,25 +25,25 @@
     private long measurementStartNanos;
 
     /**
-     * @param channel its queue limit bounds how long entries that queued up on a slow link stay in
-     *     it
+     * @param channel the channel; its queue limit and rate bound how long entries that were queued
+     *     for a slow link stay queued
      */
     RunTimeline(Scenario.Channel channel, long measurementStartNanos) {
         this.backlogNanos = channel.queueLimit() / channel.entriesPerSecond() * NANOS_PER_SECOND;
         this.measurementStartNanos = measurementStartNanos;
     }
 
-    /** Times in texts count from here on. */
+    /** Sets the time from which the times in texts count. */
     void setMeasurementStart(long nanos) {
         measurementStartNanos = nanos;
     }
 
-    /** A time as seconds of the day. */
+    /** Formats a time as seconds since the start of the measurement. */
     String describe(long nanos) {
         return String.format("%.2f s", (nanos - measurementStartNanos) / NANOS_PER_SECOND);
     }
 
-    /** How long before {@code now} an event was, if it was. */
+    /** Formats the age of an event; an event at {@link Long#MIN_VALUE} never happened. */
     static String describeAge(long nowNanos, long eventNanos) {
         return eventNanos == Long.MIN_VALUE ? "never" : toMillis(nowNanos - eventNanos) + " ms ago";
     }
@@ -53,15 +53,15 @@
         return (long) (nanos / NANOS_PER_MILLI);
     }
 
-    /** The process of a controller was suspended. */
+    /** Records that the process of a controller was suspended. */
     void controllerStopped(String controller, long nanos) {
         stoppedSince.put(controller, nanos);
     }
 
     /**
-     * The process of a controller runs again.
+     * Records that the process of a controller was resumed.
      *
-     * @return since when it had stood still; empty if it had not
+     * @return when the process was suspended; empty if it was not suspended
      */
     OptionalLong controllerResumed(String controller, long nanos) {
         Long since = stoppedSince.remove(controller);
@@ -72,7 +72,7 @@
         return OptionalLong.of(since);
     }
 
-    /** From now on entries pass links so many times slower; 1 ends it. */
+    /** Records that entries pass links slower by this factor from now on; 1 ends the slowdown. */
     void linksSlowed(long nanos, double factor) {
         int last = slowLinks.size() - 1;
         if (last >= 0 && slowLinks.get(last).untilNanos() == Long.MAX_VALUE) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * A bound on the time between two moments, multiplied by the factor of a slow channel and
-     * extended by the time that controllers stood still.
+     * A limit for the time from {@code fromNanos} to {@code untilNanos}, multiplied by the slowdown
+     * of the links and extended by the time for which controllers were suspended.
      */
     double extendedLimit(double limitNanos, long fromNanos, long untilNanos) {
         return limitNanos * slowdown(fromNanos, untilNanos) + stalledNanos(fromNanos, untilNanos);
@@ -95,12 +95,12 @@
     private double slowdown(long fromNanos, long untilNanos) {
         double factor = 1;
         for (Delay slow : slowLinks) {
-            // What queued up while the channel was slow is still in it for as long as the queue's
-            // limit allows.
-            boolean reaches =
+            // Entries queued while the links were slow delay later entries until the longest
+            // possible queue has been sent.
+            boolean stillQueued =
                     slow.untilNanos() == Long.MAX_VALUE
                             || slow.untilNanos() + backlogNanos > fromNanos;
-            if (slow.fromNanos() < untilNanos && reaches) {
+            if (slow.fromNanos() < untilNanos && stillQueued) {
                 factor = Math.max(factor, slow.factor());
             }
         }
--- a/src/main/java/rosespread/scenario/ServiceTally.java
+++ b/src/main/java/rosespread/scenario/ServiceTally.java
@@ -4,14 +4,14 @@
 import rosespread.testbed.RpcResult;
 import rosespread.testbed.SiteDefinition;
 
-/** How RPCs ended for the clients. Written on the loop's thread; read after the run. */
+/** Results of RPCs as seen by clients. Written on the loop's thread; read after the run. */
 final class ServiceTally {
     private static final int HISTOGRAM_DIGITS = 3;
     private static final long NANOS_PER_MICRO = 1_000L;
     private static final double MICROS_PER_MILLI = 1_000;
 
-    private double askedWeight;
-    private double earnedWeight;
+    private double totalWeight;
+    private double servedWeight;
     private long rpcs;
     private long succeeded;
     private long inTime;
@@ -23,19 +23,19 @@
     /**
      * Counts an RPC.
      *
-     * @param latencyNanos from when it was due to its end
-     * @param tries how often its client sent it
+     * @param latencyNanos time from when the RPC was due until it ended
+     * @param tries how often the client sent the RPC
      */
     void add(SiteDefinition.Method method, RpcResult result, long latencyNanos, int tries) {
         boolean ok = result == RpcResult.OK && latencyNanos <= method.deadlineNanos();
-        boolean timely = ok && latencyNanos <= method.latencyObjectiveNanos();
-        double value = timely ? 1 : ok ? method.lateValueRatio() : 0;
-        askedWeight += method.priorityWeight();
-        earnedWeight += method.priorityWeight() * value;
+        boolean onTime = ok && latencyNanos <= method.latencyObjectiveNanos();
+        double value = onTime ? 1 : ok ? method.lateValueRatio() : 0;
+        totalWeight += method.priorityWeight();
+        servedWeight += method.priorityWeight() * value;
         rpcs++;
         attempts += tries;
         succeeded += ok ? 1 : 0;
-        inTime += timely ? 1 : 0;
+        inTime += onTime ? 1 : 0;
         rejected += result == RpcResult.REJECTED ? 1 : 0;
         failed += !ok && result != RpcResult.REJECTED ? 1 : 0;
         if (ok) {
@@ -43,9 +43,12 @@
         }
     }
 
-    /** The share of the RPCs' weight that was served, 0 to 1; 1 if there were none. */
+    /**
+     * The weighted fraction of RPCs that were served, 0 to 1; 1 if there were no RPCs. An RPC
+     * served late counts only a fraction of its weight.
+     */
     double service() {
-        return askedWeight == 0 ? 1 : earnedWeight / askedWeight;
+        return totalWeight == 0 ? 1 : servedWeight / totalWeight;
     }
 
     long rpcs() {
--- a/src/main/java/rosespread/scenario/TextReportWriter.java
+++ b/src/main/java/rosespread/scenario/TextReportWriter.java
@@ -16,7 +16,7 @@
         this.report = report;
     }
 
-    /** The whole text; call it once. */
+    /** Writes the whole text; called once. */
     String write() {
         writeSummary();
         writeInvariants();
@@ -25,13 +25,13 @@
         if (!report.refusals().isEmpty()) {
             line("  tables refused before release: %s", report.refusals());
         }
-        writeDay();
+        writeTimeline();
         return out.toString();
     }
 
     private void writeSummary() {
         line(
-                "%s, seed %d: service %.4f, %d RPCs in %.0f s, conductors' CPU %.2f s, %.0f MB",
+                "%s, seed %d: service %.4f, %d RPCs in %.0f s, controllers' CPU %.2f s, %.0f MB",
                 report.scenario().name(),
                 report.seed(),
                 report.service(),
@@ -42,7 +42,7 @@
     }
 
     private void writeInvariants() {
-        line("%nrules");
+        line("%ninvariants");
         for (InvariantResult result : report.invariants()) {
             line(
                     "  %-22s %-9s worst %10.1f of %10.1f, checked %7d  %s",
@@ -70,8 +70,8 @@
                 .forEach(
                         (name, tally) ->
                                 line(
-                                        "  %-14s service %.4f, %d RPCs, %d in time, %d pushed back, "
-                                                + "%d aborted, p50 %.0f ms, p99 %.0f ms",
+                                        "  %-14s service %.4f, %d RPCs, %d in time, %d rejected, "
+                                                + "%d failed, p50 %.0f ms, p99 %.0f ms",
                                         name,
                                         tally.service(),
                                         tally.rpcs(),
@@ -85,7 +85,7 @@
     private void writeDurations() {
         Histogram drains = report.durations().drains();
         line(
-                "  drains: last send after p50 %.2f s, p99 %.2f s, most %.2f s (%d)",
+                "  drains: last attempt after p50 %.2f s, p99 %.2f s, max %.2f s (%d)",
                 RunDurations.seconds(drains, 50),
                 RunDurations.seconds(drains, 99),
                 RunDurations.maxSeconds(drains),
@@ -93,7 +93,7 @@
         Histogram changes = report.durations().changes();
         Histogram paced = report.durations().pacedChanges();
         line(
-                "  changes: at the last proxy after p50 %.2f s, p99 %.2f s; pace p50 %.2f s, p99 %.2f s",
+                "  changes: at the last proxy after p50 %.2f s, p99 %.2f s; pacing p50 %.2f s, p99 %.2f s",
                 RunDurations.seconds(changes, 50),
                 RunDurations.seconds(changes, 99),
                 RunDurations.seconds(paced, 50),
@@ -101,7 +101,7 @@
         Histogram operatorDrains = report.durations().operatorDrains();
         if (operatorDrains.getTotalCount() > 0) {
             line(
-                    "  tries at nodes that operators drain: %d, p50 %.2f s after, p99 %.2f s, last %.2f s",
+                    "  attempts at nodes drained by operators: %d, after p50 %.2f s, p99 %.2f s, max %.2f s",
                     operatorDrains.getTotalCount(),
                     RunDurations.seconds(operatorDrains, 50),
                     RunDurations.seconds(operatorDrains, 99),
@@ -109,8 +109,8 @@
         }
     }
 
-    private void writeDay() {
-        line("%nservice over time, and what happened");
+    private void writeTimeline() {
+        line("%nservice and events over time");
         report.bySlot().forEach(this::writeSlot);
     }
 
