--- a/src/main/java/rosespread/scenario/Scenario.java
+++ b/src/main/java/rosespread/scenario/Scenario.java
@@ -5,12 +5,14 @@
 import rosespread.testbed.SiteDefinition;
 
 /**
- * A scripted day. Load runs for the warm-up before the day, which counts from its end.
+ * A scripted run of load and faults against a site. Clients send load during the warm-up and the
+ * measurement; times count from the end of the warm-up.
  *
- * @param controllerCount how many controllers there are, each a process of its own
- * @param requestsPerSecond of all clients together
- * @param listDelayNanos how late the endpoint list shows a change
- * @param healthChecksAllowed whether controllers may check nodes by themselves
+ * @param durationNanos length of the measurement, without the warm-up
+ * @param controllerCount number of controllers, each in a process of its own
+ * @param requestsPerSecond total rate of all clients
+ * @param listDelayNanos how long after a change the endpoint list shows the change
+ * @param healthChecksAllowed whether controllers may send health checks to nodes
  */
 record Scenario(
         String name,
@@ -27,29 +29,32 @@
         List<Fault> faults) {
 
     /**
-     * How clients behave.
+     * Behaviour of the clients.
      *
-     * @param retries how often a client sends an RPC again at most
-     * @param deadlineRatio the part of a method's deadline for which a client waits for an attempt
+     * @param retries the maximum number of retries of an RPC by its client
+     * @param deadlineRatio the fraction of a method's deadline for which a client waits for the
+     *     result of an attempt
      */
     record Clients(int retries, long retryDelayNanos, double deadlineRatio) {}
 
     /**
-     * Bounds on time of the contract.
+     * Time limits of the contract.
      *
-     * @param noEndpointNanos how long a proxy may lack an entry to pick
-     * @param drainTimeoutNanos how long a proxy may send to a node that drains
+     * @param noEndpointNanos how long a proxy may have no entry to pick
+     * @param drainTimeoutNanos how long a proxy may send to a draining node
      */
     record Limits(long noEndpointNanos, long drainTimeoutNanos) {}
 
     /**
-     * What controllers may send.
+     * Limits on the messages of controllers.
      *
-     * @param entriesPerSecond of one controller to all its proxies
+     * @param entriesPerSecond rate of one controller to all its proxies
      * @param entriesPerMessage the overhead of a message, in entries
-     * @param queueLimit entries that may wait for a controller's channel
-     * @param messageLimit messages to a proxy within the window; 0: any number
-     * @param actionCost what an action costs a controller, as its settings take it
+     * @param queueLimit the maximum number of entries that wait for a controller's channel
+     * @param messageLimit the maximum number of messages to a proxy within the window; 0 for no
+     *     limit
+     * @param actionCost cost of an action for a controller, in the unit of the controller's
+     *     settings
      */
     record Channel(
             double entriesPerSecond,
@@ -60,13 +65,13 @@
             AdmissionMode admissionMode,
             double actionCost) {}
 
-    /** What proxies take admission limits for. The names are read from scenario files. */
+    /** Unit of the admission limits of proxies. The names are read from scenario files. */
     enum AdmissionMode {
-        /** The share of RPCs that is admitted, 0 to 1. */
+        /** The fraction of RPCs that is admitted, 0 to 1. */
         SHARE,
-        /** RPCs a second. */
+        /** RPCs per second. */
         RATE,
-        /** They know no limits. */
+        /** Proxies do not support admission limits. */
         NONE;
 
         /** The name in scenario files and in settings. */
@@ -76,9 +81,9 @@
     }
 
     /**
-     * The settings that a controller of this day is given, as an operator would.
+     * The settings given to each controller of this scenario, as an operator would give them.
      *
-     * @param peers addresses of all controllers' control APIs, as {@code host:port}
+     * @param peers addresses of the control APIs of all controllers, as {@code host:port}
      */
     String settings(long seed, int listPort, List<String> peers) {
         return new ControllerSettingsWriter(this).write(seed, listPort, peers);
--- a/src/main/java/rosespread/scenario/ScenarioException.java
+++ b/src/main/java/rosespread/scenario/ScenarioException.java
@@ -1,8 +1,8 @@
 package rosespread.scenario;
 
 /**
- * A scenario that cannot be played; the message has a line for each fault with file, line and
- * field.
+ * Thrown if a scenario is invalid or missing. For an invalid scenario, the message has one line for
+ * each invalid field, with file, line and field.
  */
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/rosespread/scenario/ScenarioFields.java
+++ b/src/main/java/rosespread/scenario/ScenarioFields.java
@@ -9,8 +9,9 @@
 import rosespread.testbed.SiteDefinition;
 
 /**
- * Reads the fields of one scenario with their bounds and defaults. Faults are gathered in the
- * fields, in the order of reading; a scenario with faults is made of defaults and not to be used.
+ * Reads the fields of one scenario, with their bounds and defaults. Invalid fields are collected by
+ * {@link JsonFields} in the order of reading; the scenario then holds defaults in their place and
+ * must not be used.
  */
 final class ScenarioFields {
     private static final double MINUTE_MILLIS = 60_000;
@@ -19,7 +20,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MICRO = 1e3;
     private static final double REQUIRED = Double.NaN;
-    private static final long REQUIRED_WHOLE = -1;
+    private static final long REQUIRED_INT = -1;
 
     private final JsonFields root;
 
@@ -27,12 +28,13 @@
         this.root = root;
     }
 
-    /** Reads all fields; call it once. */
+    /** Reads all fields; called once. */
     Scenario read() {
-        String name = root.string("name", null, "[a-z0-9-]{1,64}", "small letters, digits and -");
+        String name =
+                root.string("name", null, "[a-z0-9-]{1,64}", "lower-case letters, digits and -");
         long durationNanos = seconds(root, "seconds", REQUIRED, 1, DAY_SECONDS);
         long warmUpNanos = seconds(root, "warmUpSeconds", 15, 0.1, HOUR_SECONDS);
-        int controllerCount = whole(root, "conductors", 1, 1, 64);
+        int controllerCount = intValue(root, "conductors", 1, 1, 64);
         List<String> zones = root.strings("zones", 1, 64, null);
         Map<String, SiteDefinition.MachineType> machineTypes = readMachineTypes();
         List<SiteDefinition.Method> methods = readMethods(List.copyOf(machineTypes.keySet()));
@@ -68,19 +70,22 @@
                 readFaults(zones, methods, controllerCount));
     }
 
-    private static int whole(JsonFields fields, String name, long usual, long least, long most) {
-        return (int) fields.longValue(name, usual, least, most);
+    private static int intValue(JsonFields fields, String name, long absent, long min, long max) {
+        return (int) fields.longValue(name, absent, min, max);
     }
 
     private static long seconds(
-            JsonFields fields, String name, double usual, double least, double most) {
-        return Math.round(fields.doubleValue(name, usual, least, most) * NANOS_PER_SECOND);
+            JsonFields fields, String name, double absent, double min, double max) {
+        return Math.round(fields.doubleValue(name, absent, min, max) * NANOS_PER_SECOND);
     }
 
-    /** The constant of a name that may have blanks or dashes; the other one if it was faulty. */
-    private static <E extends Enum<E>> E constant(Class<E> type, String yamlName, E ifFaulty) {
+    /**
+     * The enum constant of a name that may have spaces or dashes; the default for the empty name
+     * that stands for an invalid field.
+     */
+    private static <E extends Enum<E>> E enumValue(Class<E> type, String yamlName, E defaultValue) {
         if (yamlName.isEmpty()) {
-            return ifFaulty;
+            return defaultValue;
         }
         String name = yamlName.toUpperCase(Locale.ROOT).replace(' ', '_').replace('-', '_');
         return Enum.valueOf(type, name);
@@ -88,19 +93,19 @@
 
     private Map<String, SiteDefinition.MachineType> readMachineTypes() {
         Map<String, SiteDefinition.MachineType> machineTypes = new LinkedHashMap<>();
-        JsonFields kinds = root.object("kinds");
-        for (String name : kinds.names()) {
-            JsonFields kind = kinds.object(name);
+        JsonFields typesByName = root.object("kinds");
+        for (String name : typesByName.names()) {
+            JsonFields type = typesByName.object(name);
             machineTypes.put(
                     name,
                     new SiteDefinition.MachineType(
-                            whole(kind, "cores", REQUIRED_WHOLE, 1, 1024),
-                            kind.doubleValue("speed", 1, 0.01, 100),
-                            whole(kind, "nodes", REQUIRED_WHOLE, 1, 10_000)));
-            kind.rejectUnknownFields();
+                            intValue(type, "cores", REQUIRED_INT, 1, 1024),
+                            type.doubleValue("speed", 1, 0.01, 100),
+                            intValue(type, "nodes", REQUIRED_INT, 1, 10_000)));
+            type.rejectUnknownFields();
         }
         if (machineTypes.isEmpty()) {
-            root.reject("kinds", "at least one kind");
+            root.reject("kinds", "at least one machine type");
         }
         return machineTypes;
     }
@@ -129,7 +134,7 @@
                 method.millisAsNanos("deadlineMs", REQUIRED, 1, MINUTE_MILLIS),
                 method.doubleValue("criticality", 1, 0, 1e6),
                 method.doubleValue("lateShare", 0.15, 0, 1),
-                constant(SiteDefinition.Effect.class, effect, SiteDefinition.Effect.IDEMPOTENT),
+                enumValue(SiteDefinition.Effect.class, effect, SiteDefinition.Effect.IDEMPOTENT),
                 method.millisAsNanos("windowMs", 2500, 0, MINUTE_MILLIS),
                 method.strings("onlyKinds", 0, 64, machineTypes));
     }
@@ -151,9 +156,9 @@
                         channel.doubleValue("linesPerSecond", REQUIRED, 1, 1e9),
                         channel.doubleValue("linesPerMessage", 8, 0, 1000),
                         channel.doubleValue("queueLimit", REQUIRED, 1, 1e9),
-                        whole(channel, "messageLimit", 30, 0, 100_000),
+                        intValue(channel, "messageLimit", 30, 0, 100_000),
                         channel.millisAsNanos("messageSpanMs", 10_000, 1, MINUTE_MILLIS),
-                        constant(
+                        enumValue(
                                 Scenario.AdmissionMode.class,
                                 channel.string(
                                         "levels", "rate", "share|rate|none", "share, rate or none"),
@@ -172,15 +177,15 @@
                         "round, random or best of two");
         SiteDefinition.Proxies read =
                 new SiteDefinition.Proxies(
-                        whole(proxies, "count", REQUIRED_WHOLE, 1, 10_000),
-                        constant(SiteDefinition.Pick.class, pick, SiteDefinition.Pick.ROUND),
-                        whole(proxies, "avoidAfterFailures", 8, 0, 1000),
+                        intValue(proxies, "count", REQUIRED_INT, 1, 10_000),
+                        enumValue(SiteDefinition.Pick.class, pick, SiteDefinition.Pick.ROUND),
+                        intValue(proxies, "avoidAfterFailures", 8, 0, 1000),
                         Math.round(
                                 proxies.doubleValue("stallPerLineUs", 30, 0, 1e6)
                                         * NANOS_PER_MICRO),
                         proxies.millisAsNanos("wayMs", 60, 0, MINUTE_MILLIS),
                         proxies.millisAsNanos("longestWayMs", 300, 0, MINUTE_MILLIS),
-                        whole(proxies, "standing", 5, 1, 10_000),
+                        intValue(proxies, "standing", 5, 1, 10_000),
                         proxies.millisAsNanos("redialLeastMs", 300, 1, MINUTE_MILLIS),
                         proxies.millisAsNanos("redialMostMs", 1200, 1, MINUTE_MILLIS),
                         entriesPerSecond);
@@ -194,7 +199,7 @@
     private static Scenario.Clients readClients(JsonFields clients) {
         Scenario.Clients read =
                 new Scenario.Clients(
-                        whole(clients, "retries", 2, 0, 10),
+                        intValue(clients, "retries", 2, 0, 10),
                         clients.millisAsNanos("retryWaitMs", 100, 0, MINUTE_MILLIS),
                         clients.doubleValue("patience", 1, 0.05, 1));
         clients.rejectUnknownFields();
@@ -220,31 +225,31 @@
             List<String> zones, List<SiteDefinition.Method> methods, int controllerCount) {
         List<String> methodNames = methods.stream().map(SiteDefinition.Method::name).toList();
         List<Fault> faults = new ArrayList<>();
-        for (JsonFields trouble : root.objects("troubles", 0, 1000)) {
+        for (JsonFields fault : root.objects("troubles", 0, 1000)) {
             String kinds = Fault.Kind.yamlNames();
-            String kind = trouble.string("kind", null, kinds, kinds.replace("|", ", "));
-            JsonFields what = trouble.object("what");
+            String kind = fault.string("kind", null, kinds, kinds.replace("|", ", "));
+            JsonFields parameters = fault.object("what");
             faults.add(
                     new Fault(
-                            seconds(trouble, "at", REQUIRED, 0, DAY_SECONDS),
-                            seconds(trouble, "for", REQUIRED, 0, DAY_SECONDS),
-                            constant(Fault.Kind.class, kind, Fault.Kind.HANG),
-                            what.doubleValue("share", 0.1, 0, 1),
-                            oneOf(what, "zone", zones, "one of " + String.join(", ", zones)),
-                            what.doubleValue("factor", 4, 0, 1000),
-                            what.millisAsNanos("ms", 2000, 0, MINUTE_MILLIS),
-                            oneOf(what, "method", methodNames, "a method's name"),
-                            whole(what, "which", 0, 0, controllerCount - 1)));
-            what.rejectUnknownFields();
-            trouble.rejectUnknownFields();
+                            seconds(fault, "at", REQUIRED, 0, DAY_SECONDS),
+                            seconds(fault, "for", REQUIRED, 0, DAY_SECONDS),
+                            enumValue(Fault.Kind.class, kind, Fault.Kind.HANG),
+                            parameters.doubleValue("share", 0.1, 0, 1),
+                            oneOf(parameters, "zone", zones, "one of " + String.join(", ", zones)),
+                            parameters.doubleValue("factor", 4, 0, 1000),
+                            parameters.millisAsNanos("ms", 2000, 0, MINUTE_MILLIS),
+                            oneOf(parameters, "method", methodNames, "a method's name"),
+                            intValue(parameters, "which", 0, 0, controllerCount - 1)));
+            parameters.rejectUnknownFields();
+            fault.rejectUnknownFields();
         }
         return faults;
     }
 
-    /** One of the names, by default the first. */
+    /** Reads a field whose value is one of the names; the default is the first name. */
     private static String oneOf(
             JsonFields fields, String name, List<String> names, String allowed) {
-        String usual = names.isEmpty() ? "" : names.get(0);
-        return fields.string(name, usual, String.join("|", names), allowed);
+        String absent = names.isEmpty() ? "" : names.get(0);
+        return fields.string(name, absent, String.join("|", names), allowed);
     }
 }
--- a/src/main/java/rosespread/scenario/ScenarioReader.java
+++ b/src/main/java/rosespread/scenario/ScenarioReader.java
@@ -12,20 +12,21 @@
 import rosespread.settings.JsonFields;
 import rosespread.settings.SettingsException;
 
-/** Reads scenarios: those in the jar by name, others by path. */
+/** Reads scenarios: built-in scenarios by name, others by path. */
 final class ScenarioReader {
-    private static final String SHIPPED_NAME = "[a-z0-9-]+";
+    private static final String BUILT_IN_NAME = "[a-z0-9-]+";
 
     private ScenarioReader() {}
 
     /**
      * Reads the scenario of a name or path.
      *
-     * @throws ScenarioException if there is none, or it is faulty, with file, line and field
+     * @throws ScenarioException if there is no such scenario, or if it is invalid; the message then
+     *     names file, line and field
      * @throws IOException if the file cannot be read
      */
     static Scenario load(String nameOrPath) throws IOException, ScenarioException {
-        if (nameOrPath.matches(SHIPPED_NAME)) {
+        if (nameOrPath.matches(BUILT_IN_NAME)) {
             String resource = "/scenarios/" + nameOrPath + ".yaml";
             try (InputStream in = ScenarioReader.class.getResourceAsStream(resource)) {
                 if (in != null) {
@@ -44,8 +45,9 @@
     /**
      * Reads a scenario from YAML.
      *
-     * @param file names the text in messages
-     * @throws ScenarioException if it is faulty, with a line for each fault
+     * @param file the name of the text in messages
+     * @throws ScenarioException if the text is not a valid scenario; the message has a line for
+     *     each invalid field
      */
     static Scenario parse(String file, String text) throws ScenarioException {
         try {
@@ -55,7 +57,7 @@
         } catch (JsonProcessingException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
             String reason = e.getOriginalMessage().lines().findFirst().orElse("");
-            throw new ScenarioException(file + ":" + line + ": not YAML: " + reason, e);
+            throw new ScenarioException(file + ":" + line + ": invalid YAML: " + reason, e);
         } catch (IOException e) {
             throw new ScenarioException(file + ": " + e.getMessage(), e);
         }
@@ -71,14 +73,14 @@
             throw new ScenarioException(
                     e.invalidFields().stream()
                             .map(
-                                    fault ->
+                                    field ->
                                             String.format(
                                                     "%s:%d: field %s is %s; allowed: %s",
                                                     file,
-                                                    locations.lineOf(fault.field()),
-                                                    fault.field(),
-                                                    fault.found(),
-                                                    fault.allowed()))
+                                                    locations.lineOf(field.field()),
+                                                    field.field(),
+                                                    field.found(),
+                                                    field.allowed()))
                             .collect(Collectors.joining("\n")),
                     e);
         }
--- a/src/main/java/rosespread/scenario/ScenarioRun.java
+++ b/src/main/java/rosespread/scenario/ScenarioRun.java
@@ -20,28 +20,29 @@
 import rosespread.testbed.TestLoop;
 
 /**
- * Plays a scenario on loopback: controllers as processes of their own, the fakes of all others in
- * this one, and an invariant checker at the fakes' sockets. Driven by the calling thread, which
- * waits while fakes and checker work on the loop's thread.
+ * Plays a scenario on the loopback interface. The controllers run as processes of their own; the
+ * fakes of proxies, clients, nodes and node list run in this process, and an invariant checker
+ * observes the traffic at the fakes' sockets. Driven by the calling thread, which waits while fakes
+ * and checker work on the loop's thread.
  */
 public final class ScenarioRun {
     /**
-     * How to play a scenario.
+     * Options of a scenario run.
      *
-     * @param seed draws arrivals, what faults strike, and the fakes' chances
-     * @param withController without one, proxies keep their starting tables
-     * @param mainClass what the controllers' processes run
-     * @param arguments go before the usual ones of a controller's process
+     * @param seed seeds the arrivals, the targets of faults, and the random draws of the fakes
+     * @param withController whether controllers run; without them proxies keep their initial tables
+     * @param mainClass the main class of the controller processes
+     * @param arguments put before the regular arguments of a controller process
      */
     public record Options(
             long seed, boolean withController, String mainClass, List<String> arguments) {}
 
     private static final long SAMPLE_PERIOD_NANOS = 50_000_000L;
 
-    /** How long after the day the last answers are waited for. */
-    private static final long MAX_ANSWER_WAIT_NANOS = 10_000_000_000L;
+    /** Longest wait for pending RPCs after the end of the measurement. */
+    private static final long MAX_PENDING_RPC_WAIT_NANOS = 10_000_000_000L;
 
-    /** Sets the proxies' and clients' chances apart from those of the nodes. */
+    /** Makes the random draws of proxies and clients differ from those of the nodes. */
     private static final long TRAFFIC_SEED_MASK = 0x5eed;
 
     private static final int HTTP_CONNECT_MILLIS = 300;
@@ -71,11 +72,12 @@
     }
 
     /**
-     * Plays the scenario of a name or path. Takes as long as its warm-up and its day.
+     * Plays the scenario of a name or path. Blocks for its warm-up and measurement, and until
+     * pending RPCs have ended or the wait for them has timed out.
      *
-     * @throws ScenarioException if the scenario is faulty, with file, line and field
-     * @throws IOException if a controller or fake cannot be started, or a controller does not take
-     *     its settings or the proxies in the warm-up
+     * @throws ScenarioException if the scenario is missing or invalid
+     * @throws IOException if a controller or fake cannot be started, a controller does not accept
+     *     its settings, or not all proxies are subscribed at the end of the warm-up
      */
     public static Report play(String nameOrPath, Options options)
             throws IOException, ScenarioException {
@@ -107,7 +109,7 @@
         runOnLoop(this::startNodes);
         startControllers(folder);
         warmUp();
-        playDay();
+        runMeasurement();
         for (ControllerProcess controller : controllers) {
             if (controller.isAlive()) {
                 report.addRefusals(json.readTree(controller.getWhenUp("/v1/tables").body()));
@@ -147,7 +149,7 @@
         }
     }
 
-    /** Starts proxies and clients, and waits until the warm-up is over. */
+    /** Starts proxies and clients, and waits for the end of the warm-up. */
     private void warmUp() throws IOException {
         List<OpenLoopClients.Arrival> arrivals =
                 ArrivalGenerator.arrivals(scenario, options.seed());
@@ -181,7 +183,7 @@
         clients.play(arrivals, measurementStartNanos);
     }
 
-    /** Several controllers are spread over the zones; one alone is for all. */
+    /** Spreads several controllers over the zones; a single controller serves all zones. */
     private List<FakeProxies.ControllerTarget> controllerTargets() {
         List<String> zones = scenario.site().zones();
         List<FakeProxies.ControllerTarget> targets = new ArrayList<>();
@@ -209,12 +211,12 @@
         } else {
             ready.completeExceptionally(
                     new IOException(
-                            "not all proxies were bound in the warm-up; see "
+                            "not all proxies are subscribed at the end of the warm-up; see "
                                     + controllers.get(0).logFile()));
         }
     }
 
-    private void playDay() throws IOException {
+    private void runMeasurement() throws IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
         runOnLoop(
                 () -> {
@@ -222,7 +224,7 @@
                     FaultInjector faults =
                             new FaultInjector(environment(), new FaultTargets(options.seed()));
                     scenario.faults().forEach(faults::schedule);
-                    loop.after(scenario.durationNanos(), () -> awaitAnswers(done));
+                    loop.after(scenario.durationNanos(), () -> awaitPendingRpcs(done));
                 });
         await(done);
     }
@@ -242,22 +244,22 @@
                 end);
     }
 
-    private void awaitAnswers(CompletableFuture<Void> done) {
-        long lateNanos = loop.now() - measurementStartNanos - scenario.durationNanos();
-        if (clients.pending() == 0 || lateNanos > MAX_ANSWER_WAIT_NANOS) {
+    private void awaitPendingRpcs(CompletableFuture<Void> done) {
+        long waitedNanos = loop.now() - measurementStartNanos - scenario.durationNanos();
+        if (clients.pending() == 0 || waitedNanos > MAX_PENDING_RPC_WAIT_NANOS) {
             done.complete(null);
         } else {
-            loop.after(SAMPLE_PERIOD_NANOS, () -> awaitAnswers(done));
+            loop.after(SAMPLE_PERIOD_NANOS, () -> awaitPendingRpcs(done));
         }
     }
 
-    /** A step on the loop's thread. */
+    /** An action to run on the loop's thread. */
     @FunctionalInterface
     private interface Step {
         void run() throws IOException;
     }
 
-    /** Runs a step on the loop's thread and waits for its end. */
+    /** Runs a step on the loop's thread and waits until the step has ended. */
     private void runOnLoop(Step step) throws IOException {
         CompletableFuture<Void> done = new CompletableFuture<>();
         loop.run(
--- a/src/main/java/rosespread/scenario/YamlLocations.java
+++ b/src/main/java/rosespread/scenario/YamlLocations.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** On which line of a YAML text each field is. Immutable. */
+/** The line of each field in a YAML text. Immutable. */
 final class YamlLocations {
     private final Map<String, Integer> linesByPath;
 
@@ -19,7 +19,7 @@
     /**
      * Finds the fields of a text.
      *
-     * @throws IOException if it is not YAML
+     * @throws IOException if the text is not valid YAML
      */
     static YamlLocations of(String text) throws IOException {
         Map<String, Integer> lines = new TreeMap<>();
@@ -49,9 +49,9 @@
     }
 
     /**
-     * The line of a field, from 1, or of the nearest thing round it that is there.
+     * The line of a field, from 1; for a missing field the line of the nearest enclosing field.
      *
-     * @param field as in {@code troubles[1].what.share}
+     * @param field a path such as {@code troubles[1].what.share}
      */
     int lineOf(String field) {
         String path = field;
