--- a/src/main/java/rosespread/scenario/QueueLengthInvariant.java
+++ b/src/main/java/rosespread/scenario/QueueLengthInvariant.java
@@ -3,8 +3,8 @@
 import rosespread.channel.Frame;
 
 /**
- * Never more entries wait for a controller's channel than its limit, those on their way over a slow
- * link included. Values in entries. Confined to the loop's thread.
+ * Checks that the entries queued for a controller's channel, including those in transit on a slow
+ * link, stay within the channel's queue limit. Values in entries. Confined to the loop's thread.
  */
 final class QueueLengthInvariant {
     private final InvariantResult result;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * A message came.
+     * Checks the queue length when a message arrives.
      *
-     * @param onLink entries on their way over the controller's link
+     * @param onLink entries in transit on the controller's link
      */
     void messageArrived(long nanos, String controller, Frame.Mark mark, double onLink) {
         result.countCheck();
@@ -30,7 +30,7 @@
         String where = controller + " at " + timeline.describe(nanos);
         result.recordValue(queued, where);
         if (queued > result.limit()) {
-            result.recordViolation(where + ": " + (long) queued + " lines waiting");
+            result.recordViolation(where + ": " + (long) queued + " entries waiting");
         }
     }
 }
--- a/src/main/java/rosespread/scenario/RollbackInvariant.java
+++ b/src/main/java/rosespread/scenario/RollbackInvariant.java
@@ -8,15 +8,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * All proxies that follow a table hold the weights of an operator's rollback within the drain
- * timeout. Values in milliseconds. Confined to the loop's thread; the histogram is read after the
- * run.
+ * Checks that all proxies subscribed to a table hold the weights of an operator's rollback within
+ * the drain timeout. Values in milliseconds. Confined to the loop's thread; the histogram is read
+ * after the run.
  */
 final class RollbackInvariant {
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int HISTOGRAM_DIGITS = 3;
 
-    /** A rollback on its way; {@code reached} names the proxies that have held its weights. */
+    /** An open rollback; {@code reached} names the proxies that have held its weights. */
     private record Rollback(
             long acceptedNanos,
             String controller,
@@ -47,16 +47,15 @@
         return result;
     }
 
-    /** How long each rollback took to reach the last proxy, or until it was late. */
+    /** How long each rollback took until it reached the last proxy or was found late. */
     Histogram millis() {
         return millis;
     }
 
     /**
-     * An operator's rollback was accepted; a later one of the same table takes the place of an
-     * earlier one.
+     * Starts the time of an accepted rollback, which replaces an open rollback of the same table.
      *
-     * @param weights what the controller goes back to, by node
+     * @param weights the weights that the rollback restores, by node
      */
     void rolledBack(long nanos, String controller, int table, Map<String, Double> weights) {
         pending.removeIf(
@@ -66,13 +65,16 @@
         check(nanos);
     }
 
-    /** A restarted controller goes on with what it had begun; see {@link #proxyJoined}. */
+    /**
+     * Interrupts the controller's open rollbacks until {@link #proxyJoined}, since a restarted
+     * controller continues them.
+     */
     void controllerDown(String controller) {
         pending.removeIf(
                 rollback -> rollback.controller().equals(controller) && interrupted.add(rollback));
     }
 
-    /** The time of an interrupted rollback runs from the first proxy that joins again. */
+    /** Restarts the time of interrupted rollbacks when the first proxy joins again. */
     void proxyJoined(long nanos, String controller) {
         interrupted.removeIf(
                 rollback ->
@@ -80,16 +82,16 @@
                                 && pending.add(rollback.restartedAt(nanos)));
     }
 
-    /** Closes the rollbacks that are done or late. */
+    /** Closes the rollbacks that are complete or late. */
     void check(long nanos) {
         pending.removeIf(rollback -> isClosed(nanos, rollback));
     }
 
     private boolean isClosed(long nanos, Rollback rollback) {
-        boolean done = hasReachedAll(rollback);
-        double tookNanos = nanos - rollback.acceptedNanos();
+        boolean complete = hasReachedAll(rollback);
+        double elapsedNanos = nanos - rollback.acceptedNanos();
         boolean late =
-                tookNanos > timeline.extendedLimit(limitNanos, rollback.acceptedNanos(), nanos);
+                elapsedNanos > timeline.extendedLimit(limitNanos, rollback.acceptedNanos(), nanos);
         String where =
                 "table "
                         + rollback.table()
@@ -97,18 +99,18 @@
                         + rollback.controller()
                         + " at "
                         + timeline.describe(nanos);
-        if (done || late) {
-            millis.recordValue(RunTimeline.toMillis(tookNanos));
-            result.recordValue(tookNanos / NANOS_PER_MILLI, where);
+        if (complete || late) {
+            millis.recordValue(RunTimeline.toMillis(elapsedNanos));
+            result.recordValue(elapsedNanos / NANOS_PER_MILLI, where);
         }
         if (late) {
             result.recordViolation(
                     where
-                            + ": not at all proxies after "
-                            + RunTimeline.toMillis(tookNanos)
+                            + ": has not reached all proxies after "
+                            + RunTimeline.toMillis(elapsedNanos)
                             + " ms");
         }
-        return done || late;
+        return complete || late;
     }
 
     private boolean hasReachedAll(Rollback rollback) {
@@ -125,7 +127,7 @@
         return reachedAll;
     }
 
-    /** Nodes that left since the rollback may be missing from what a proxy holds. */
+    /** Nodes that left since the rollback may be missing from the weights that a proxy holds. */
     private static boolean isSubset(Map<String, Double> held, Map<String, Double> weights) {
         return held.entrySet().stream()
                 .allMatch(entry -> entry.getValue().equals(weights.get(entry.getKey())));
--- a/src/main/java/rosespread/scenario/ServedNodeLists.java
+++ b/src/main/java/rosespread/scenario/ServedNodeLists.java
@@ -7,16 +7,16 @@
 import rosespread.testbed.TrafficRecorder.NodeListing;
 
 /**
- * The node lists as each controller was last answered: what a controller can know. Confined to the
- * loop's thread.
+ * The node list that each controller last received, and thus the nodes known to the controller.
+ * Confined to the loop's thread.
  */
 final class ServedNodeLists {
-    /** Takes changes of a node's state, in the order in which they were listed. */
+    /** Receives changes of node states in the order in which they were listed. */
     interface Listener {
-        /** The state of a node is about to change. */
+        /** Called before the state of a node changes. */
         void stateChanging(ObservedNode node);
 
-        /** A controller learned that a node is not to be used any more. */
+        /** Called when a controller learns that a node must not be used any more. */
         void nodeWithdrawn(String controller);
     }
 
@@ -27,7 +27,7 @@
         this.listener = listener;
     }
 
-    /** A controller was answered with this list. */
+    /** Records that a controller received this list. */
     void served(long nanos, String controller, Map<String, NodeListing> listings) {
         Map<String, ObservedNode> nodes =
                 byController.computeIfAbsent(controller, c -> new TreeMap<>());
@@ -63,17 +63,19 @@
         node.unlisted(nanos);
     }
 
-    /** The controller's process has ended: it knows nothing any more. */
+    /** Drops the list of a controller whose process has ended, since its knowledge is lost. */
     void forget(String controller) {
         byController.remove(controller);
     }
 
-    /** What a controller was sent while it stood still counts from its resumption on. */
+    /**
+     * Treats the lists sent to a controller while it was suspended as received when it was resumed.
+     */
     void deferKnowledge(String controller, long stoppedNanos, long resumedNanos) {
         nodes(controller).forEach(node -> node.deferKnowledge(stoppedNanos, resumedNanos));
     }
 
-    /** A node as a controller knows it; null if no list it was sent named it. */
+    /** A node as a controller knows it; null if no list that the controller received names it. */
     ObservedNode node(String controller, String name) {
         return byController.getOrDefault(controller, Map.of()).get(name);
     }
@@ -82,7 +84,7 @@
         return byController.getOrDefault(controller, Map.of()).values();
     }
 
-    /** Whether a controller was sent any node by now. */
+    /** Whether a controller has received a list with at least one node. */
     boolean isServed(String controller) {
         return !byController.getOrDefault(controller, Map.of()).isEmpty();
     }
--- a/src/main/java/rosespread/scenario/SingleEffectInvariant.java
+++ b/src/main/java/rosespread/scenario/SingleEffectInvariant.java
@@ -7,8 +7,8 @@
 import rosespread.testbed.SiteDefinition;
 
 /**
- * An RPC that is not idempotent takes effect once at most. Values in effects an RPC. Confined to
- * the loop's thread.
+ * Checks that an RPC that is not idempotent takes effect at most once. Values in effects per RPC.
+ * Confined to the loop's thread.
  */
 final class SingleEffectInvariant {
     private final InvariantResult result = new InvariantResult("noEffectTwice", 1);
@@ -24,7 +24,7 @@
         return result;
     }
 
-    /** A failed attempt is an occasion to try again what may have taken effect. */
+    /** Counts a check, since a retry after a failed attempt may repeat an effect. */
     void attemptFailed(SiteDefinition.Method method) {
         if (method.effect() != SiteDefinition.Effect.IDEMPOTENT) {
             result.countCheck();
--- a/src/main/java/rosespread/scenario/TableContentInvariant.java
+++ b/src/main/java/rosespread/scenario/TableContentInvariant.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 
 /**
- * Tables hold what a sound controller sends: at least one entry, only nodes that were listed, and
- * finite weights that are not out of all proportion. No rule of the contract says so. Confined to
- * the loop's thread.
+ * Checks that tables hold at least one entry, only nodes that were listed, and finite weights of at
+ * least 0 that are not far above the table's mean. The contract does not require these properties,
+ * but a correct controller's tables have them. Confined to the loop's thread.
  */
 final class TableContentInvariant {
-    /** A weight above so many times the table's mean is taken for a fault. */
+    /** Highest valid ratio of a weight to the table's mean weight. */
     private static final double MAX_WEIGHT_RATIO = 10;
 
     private final InvariantResult result = new InvariantResult("tablesInMeasure", 0);
@@ -26,31 +26,31 @@
 
     void tableChanged(long nanos, String proxy, String controller, Map<String, Double> weights) {
         result.countCheck();
-        String fault = findFault(controller, weights);
-        if (!fault.isEmpty()) {
+        String error = findError(controller, weights);
+        if (!error.isEmpty()) {
             String where = proxy + " at " + timeline.describe(nanos);
             result.recordValue(1, where);
-            result.recordViolation(where + ": " + fault);
+            result.recordViolation(where + ": " + error);
         }
     }
 
-    /** The last fault in order of nodes; empty if there is none. */
-    private String findFault(String controller, Map<String, Double> weights) {
+    /** The last error in node order; empty if there is none. */
+    private String findError(String controller, Map<String, Double> weights) {
         boolean served = nodeLists.isServed(controller);
         double mean = weights.values().stream().mapToDouble(weight -> weight).average().orElse(0);
-        String fault = weights.isEmpty() ? "no line" : "";
+        String error = weights.isEmpty() ? "no entries" : "";
         for (Map.Entry<String, Double> entry : weights.entrySet()) {
             String node = entry.getKey();
-            if (!isSound(entry.getValue(), mean)) {
-                fault = "weight " + entry.getValue() + " of " + node;
+            if (!isValid(entry.getValue(), mean)) {
+                error = "weight " + entry.getValue() + " of " + node + ", mean " + mean;
             } else if (served && nodeLists.node(controller, node) == null) {
-                fault = "a node that was never listed, " + node;
+                error = "node was never listed: " + node;
             }
         }
-        return fault;
+        return error;
     }
 
-    private static boolean isSound(double weight, double mean) {
+    private static boolean isValid(double weight, double mean) {
         boolean excessive = weight > MAX_WEIGHT_RATIO * mean;
         return Double.isFinite(weight) && weight >= 0 && !excessive;
     }
--- a/src/main/java/rosespread/scenario/TableVersions.java
+++ b/src/main/java/rosespread/scenario/TableVersions.java
@@ -9,7 +9,7 @@
 final class TableVersions {
     private final Map<Integer, TreeMap<Long, Long>> digests = new TreeMap<>();
 
-    /** Adds a version; the digest that came first stays. */
+    /** Adds a version; the digest that was added first for a version stays. */
     void add(int table, long version, long digest) {
         digests.computeIfAbsent(table, id -> new TreeMap<>()).putIfAbsent(version, digest);
     }
@@ -24,13 +24,13 @@
         return Optional.ofNullable(versions(table).get(version));
     }
 
-    /** Whether a version is older than the oldest that is held of its table. */
+    /** Whether a version is older than the oldest held version of its table. */
     boolean isOlderThanHeld(int table, long version) {
         TreeMap<Long, Long> versions = versions(table);
         return !versions.isEmpty() && version < versions.firstKey();
     }
 
-    /** Passes on all tables in order of their numbers, with the versions of each. */
+    /** Passes each table's number and its digests by version to the consumer, in table order. */
     void forEach(BiConsumer<Integer, Map<Long, Long>> consumer) {
         digests.forEach(consumer);
     }
--- a/src/main/java/rosespread/scenario/VersionOrderInvariant.java
+++ b/src/main/java/rosespread/scenario/VersionOrderInvariant.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import rosespread.testbed.TrafficRecorder.TableSnapshot;
 
-/** Versions of a table never fall at a proxy. Confined to the loop's thread. */
+/** Checks that a table's version at a proxy never decreases. Confined to the loop's thread. */
 final class VersionOrderInvariant {
     private final InvariantResult result = new InvariantResult("versionsRise", 0);
     private final RunTimeline timeline;
@@ -18,7 +18,7 @@
         return result;
     }
 
-    /** A proxy joins and says which versions it holds. */
+    /** Records the versions that a proxy holds when it joins. */
     void proxyJoined(String proxy, Map<Integer, Long> heldVersions) {
         versionsByProxy.put(proxy, new TreeMap<>(heldVersions));
     }
@@ -32,7 +32,7 @@
         if (before != null && held.version() < before) {
             result.recordViolation(
                     String.format(
-                            "%s at %s: table %d goes from version %d to %d",
+                            "%s at %s: table %d went back from version %d to %d",
                             proxy, timeline.describe(nanos), held.table(), before, held.version()));
         }
     }
--- a/src/main/java/rosespread/scenario/WarmUpInvariant.java
+++ b/src/main/java/rosespread/scenario/WarmUpInvariant.java
@@ -3,16 +3,17 @@
 import java.util.Map;
 
 /**
- * No node that warms up is overloaded by proxies whose controller knew of its start. Broken if two
- * thirds of the work came from proxies whose last message was sent in knowledge of the start, or
- * whose controller had known of it for the drain timeout. Values are that share of the work.
- * Confined to the loop's thread.
+ * Checks that no node in its warm-up is overloaded by proxies whose controller knew of its start.
+ * Violated if at least two thirds of the work came from informed proxies. A proxy is informed if
+ * the last message to it was sent after its controller learned of the start, or if its controller
+ * has known of the start for longer than the drain timeout. Values are the fraction of the work
+ * from informed proxies. Confined to the loop's thread.
  */
 final class WarmUpInvariant {
-    private static final double INFORMED_SHARE = 2 / 3.0;
+    private static final double INFORMED_WORK_RATIO_LIMIT = 2 / 3.0;
 
     private final InvariantResult result;
-    private final long knowledgeNanos;
+    private final long drainTimeoutNanos;
     private final RunTimeline timeline;
     private final ObservedProxies proxies;
     private final ServedNodeLists nodeLists;
@@ -25,7 +26,7 @@
         this.result =
                 new InvariantResult(
                         "noColdNodePushedOver", scenario.site().warmUp().overloadFactor());
-        this.knowledgeNanos = scenario.limits().drainTimeoutNanos();
+        this.drainTimeoutNanos = scenario.limits().drainTimeoutNanos();
         this.timeline = timeline;
         this.proxies = proxies;
         this.nodeLists = nodeLists;
@@ -40,32 +41,33 @@
     }
 
     /**
-     * A node that warmed up was overloaded.
+     * Checks the sources of the work that overloaded a node in its warm-up.
      *
-     * @param workByProxy seconds of work that each proxy sent it in the window before
+     * @param workByProxy seconds of work that each proxy sent to the node in the preceding window
      */
     void nodeOverloaded(
             long nanos, String node, long startedNanos, Map<String, Double> workByProxy) {
         double informed = 0;
         for (Map.Entry<String, Double> work : workByProxy.entrySet()) {
-            boolean knew = knewOfStart(nanos, proxies.get(work.getKey()), node, startedNanos);
-            informed += knew ? work.getValue() : 0;
+            boolean fromInformedProxy =
+                    isInformed(nanos, proxies.get(work.getKey()), node, startedNanos);
+            informed += fromInformedProxy ? work.getValue() : 0;
         }
         double all = workByProxy.values().stream().mapToDouble(work -> work).sum();
         String where =
                 node
-                        + " fell over at "
+                        + " was overloaded at "
                         + timeline.describe(nanos)
                         + ", "
                         + Math.round(100 * informed / all)
                         + "% of the work from informed proxies";
         result.recordValue(informed / all, where);
-        if (informed >= INFORMED_SHARE * all) {
+        if (informed >= INFORMED_WORK_RATIO_LIMIT * all) {
             result.recordViolation(where);
         }
     }
 
-    private boolean knewOfStart(
+    private boolean isInformed(
             long nanos, ObservedProxy proxy, String nodeName, long startedNanos) {
         if (!proxy.isJoined()) {
             return false;
@@ -76,6 +78,6 @@
         }
         long since = node.sinceNanos();
         return proxy.lastMessageSentNanos() > since
-                || nanos - since > timeline.extendedLimit(knowledgeNanos, since, nanos);
+                || nanos - since > timeline.extendedLimit(drainTimeoutNanos, since, nanos);
     }
 }
--- a/src/test/java/rosespread/scenario/FaultyController.java
+++ b/src/test/java/rosespread/scenario/FaultyController.java
@@ -10,35 +10,35 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * A real controller process round a policy that is wrong in one way, so that the invariant checker
- * can be seen to fail.
+ * A controller process whose policy has one fault, to test that the invariant checker detects the
+ * fault.
  */
 public final class FaultyController {
-    /** What the policy does wrong. The names are arguments of the process. */
+    /** The fault of the policy. The names are arguments of the process. */
     enum Fault {
-        /** Does not see that nodes drain. */
+        /** Ignores that nodes drain. */
         IGNORES_DRAINS,
-        /** Sends a thousand times the weight to nodes that warm up. */
-        FLOODS_COLD,
-        /** Lets proxies retry after any failure. */
-        REPEATS,
-        /** Empties all tables after a while. */
-        EMPTIES,
-        /** Changes all weights in every round after a while. */
+        /** Gives nodes that were listed with a start 1000 times their weight. */
+        OVERLOADS_WARMING_NODES,
+        /** Allows proxies to retry after any failure. */
+        ALLOWS_ALL_RETRIES,
+        /** Empties all tables 4 s after the first round. */
+        EMPTIES_TABLES,
+        /** Changes all weights in every round from 4 s after the first round. */
         FLOODS_CHANNEL,
-        /** Sends tables that no sound controller sends. */
-        BAD_TABLES,
-        /** Makes changes that are too large or too many. */
-        BAD_MOVES,
-        /** Nothing. */
+        /** Sends invalid weights; see {@link WrongWeights}. */
+        INVALID_WEIGHTS,
+        /** Sends changes that are too large or too many; see {@link WrongWeights}. */
+        EXCESSIVE_CHANGES,
+        /** No fault. */
         NONE
     }
 
-    private static final String VALIDATED = "gated";
+    private static final String VALIDATED = "validated";
 
     private FaultyController() {}
 
-    /** Lets everything pass, so that the invariant checker and not the validator is tried. */
+    /** Accepts all changes, so that the faults reach the proxies and the invariant checker. */
     private static final class AcceptingValidator extends TableChangeValidator {
         @Override
         public ValidationResult validate(
@@ -52,7 +52,7 @@
     /**
      * Runs the controller.
      *
-     * @param args the fault, "gated" if its tables are to be validated, then the subcommand and the
+     * @param args the fault, "validated" if tables are to be validated, then the subcommand and the
      *     options of the controller's command
      */
     public static void main(String[] args) throws Exception {
--- a/src/test/java/rosespread/scenario/FaultyEventHandler.java
+++ b/src/test/java/rosespread/scenario/FaultyEventHandler.java
@@ -7,7 +7,10 @@
 import rosespread.api.ProxyId;
 import rosespread.api.ZoneId;
 
-/** Passes events on to a policy, but for drains if it is to ignore them; notes the nodes. */
+/**
+ * Forwards events to a policy's handler and records the nodes. Hides drains or starts of nodes for
+ * the faults {@code IGNORES_DRAINS} and {@code OVERLOADS_WARMING_NODES}.
+ */
 record FaultyEventHandler(
         EventHandler handler,
         FaultyController.Fault fault,
@@ -22,18 +25,25 @@
 
     @Override
     public void nodeListed(
-            NodeId node, MachineTypeId kind, ZoneId zone, double weight, NodeState state, long up) {
-        if (up != Long.MIN_VALUE) {
-            nodes.started(node, up - firstRoundNanos);
+            NodeId node,
+            MachineTypeId machineType,
+            ZoneId zone,
+            double weight,
+            NodeState state,
+            long startedAt) {
+        if (startedAt != Long.MIN_VALUE) {
+            nodes.started(node, startedAt - firstRoundNanos);
         }
         nodes.setDraining(node, state != NodeState.READY);
         handler.nodeListed(
                 node,
-                kind,
+                machineType,
                 zone,
                 weight,
                 fault == FaultyController.Fault.IGNORES_DRAINS ? NodeState.READY : state,
-                fault == FaultyController.Fault.FLOODS_COLD ? Long.MIN_VALUE : up);
+                fault == FaultyController.Fault.OVERLOADS_WARMING_NODES
+                        ? Long.MIN_VALUE
+                        : startedAt);
     }
 
     @Override
@@ -42,8 +52,8 @@
     }
 
     @Override
-    public void proxyJoined(ProxyId proxy, ZoneId zone, double rate) {
-        handler.proxyJoined(proxy, zone, rate);
+    public void proxyJoined(ProxyId proxy, ZoneId zone, double usualRate) {
+        handler.proxyJoined(proxy, zone, usualRate);
     }
 
     @Override
@@ -52,30 +62,31 @@
     }
 
     @Override
-    public void acknowledged(ProxyId proxy, int mark, long took) {
-        handler.acknowledged(proxy, mark, took);
+    public void acknowledged(ProxyId proxy, int token, long latencyNanos) {
+        handler.acknowledged(proxy, token, latencyNanos);
     }
 
     @Override
     public void loadReported(
             NodeId node,
-            ZoneId zone,
-            int tries,
-            int unanswered,
+            ZoneId proxyZone,
+            int attempts,
+            int failures,
             double latency,
-            long covers,
+            long coveredNanos,
             double utilization) {
-        handler.loadReported(node, zone, tries, unanswered, latency, covers, utilization);
+        handler.loadReported(
+                node, proxyZone, attempts, failures, latency, coveredNanos, utilization);
     }
 
     @Override
-    public void demandReported(ProxyId proxy, MethodId method, int count, long covers) {
-        handler.demandReported(proxy, method, count, covers);
+    public void demandReported(ProxyId proxy, MethodId method, int requests, long coveredNanos) {
+        handler.demandReported(proxy, method, requests, coveredNanos);
     }
 
     @Override
-    public void healthChecked(NodeId node, HealthCheckResult verdict) {
-        handler.healthChecked(node, verdict);
+    public void healthChecked(NodeId node, HealthCheckResult result) {
+        handler.healthChecked(node, result);
     }
 
     @Override
--- a/src/test/java/rosespread/scenario/FaultyPolicy.java
+++ b/src/test/java/rosespread/scenario/FaultyPolicy.java
@@ -15,10 +15,10 @@
 import rosespread.controller.TableUpdateWriter;
 import rosespread.policy.RoutingPolicy;
 
-/** The routing policy with one fault between it and the controller. */
+/** The routing policy, with one fault added to its events or actions. */
 final class FaultyPolicy implements Policy {
-    private static final long FAULT_AFTER_NANOS = 4_000_000_000L;
-    private static final double FLOOD_FACTOR = 1000;
+    private static final long FAULT_DELAY_NANOS = 4_000_000_000L;
+    private static final double OVERLOAD_FACTOR = 1000;
 
     private final FaultyController.Fault fault;
     private final PolicySettings settings;
@@ -33,34 +33,35 @@
         this.fault = fault;
         this.settings = settings;
         this.policy = new RoutingPolicy(settings, new SplittableRandom(seed));
-        this.wrongWeights = new WrongWeights(fault == FaultyController.Fault.BAD_MOVES, nodes);
+        this.wrongWeights =
+                new WrongWeights(fault == FaultyController.Fault.EXCESSIVE_CHANGES, nodes);
     }
 
     @Override
     public void round(long now, EventSource events, TableUpdateWriter out) {
         firstRoundNanos = firstRoundNanos == Long.MIN_VALUE ? now : firstRoundNanos;
         long sinceFirst = now - firstRoundNanos;
-        boolean late = sinceFirst > FAULT_AFTER_NANOS;
-        boolean empties = fault == FaultyController.Fault.EMPTIES && late;
+        boolean faultStarted = sinceFirst > FAULT_DELAY_NANOS;
+        boolean emptiesTables = fault == FaultyController.Fault.EMPTIES_TABLES && faultStarted;
         Set<TableId> knownTables = Set.copyOf(nodesByTable.keySet());
         EventSource observed =
                 handler ->
                         events.deliverTo(
                                 new FaultyEventHandler(handler, fault, nodes, firstRoundNanos));
-        policy.round(now, observed, new FaultyActions(out, empties));
-        if (fault == FaultyController.Fault.REPEATS) {
+        policy.round(now, observed, new FaultyActions(out, emptiesTables));
+        if (fault == FaultyController.Fault.ALLOWS_ALL_RETRIES) {
             allowAllRetries(knownTables, out);
         }
-        if (empties && !emptied) {
+        if (emptiesTables && !emptied) {
             setAllWeights(0, out);
             emptied = true;
         }
-        if (fault == FaultyController.Fault.FLOODS_CHANNEL && late) {
+        if (fault == FaultyController.Fault.FLOODS_CHANNEL && faultStarted) {
             setAllWeights(1 + now % 1000 / 1e4, out);
         }
-        if (fault == FaultyController.Fault.BAD_TABLES
-                || fault == FaultyController.Fault.BAD_MOVES) {
-            wrongWeights.play(sinceFirst, nodesByTable, out);
+        if (fault == FaultyController.Fault.INVALID_WEIGHTS
+                || fault == FaultyController.Fault.EXCESSIVE_CHANGES) {
+            wrongWeights.update(sinceFirst, nodesByTable, out);
         }
     }
 
@@ -81,7 +82,7 @@
                 (table, members) -> members.forEach(node -> out.setWeight(table, node, weight)));
     }
 
-    /** Passes actions on, with the fault in their weights. */
+    /** Forwards actions, with faulty weights. */
     private final class FaultyActions extends ForwardingActions {
         private final boolean dropsWeights;
 
@@ -93,10 +94,12 @@
         @Override
         public void setWeight(TableId table, NodeId node, double weight) {
             nodesByTable.computeIfAbsent(table, id -> new HashSet<>()).add(node);
-            wrongWeights.noteRight(table, node, weight);
-            boolean floods = fault == FaultyController.Fault.FLOODS_COLD && nodes.hasStarted(node);
+            wrongWeights.recordCorrect(table, node, weight);
+            boolean overloads =
+                    fault == FaultyController.Fault.OVERLOADS_WARMING_NODES
+                            && nodes.hasStarted(node);
             if (!dropsWeights) {
-                super.setWeight(table, node, floods ? weight * FLOOD_FACTOR : weight);
+                super.setWeight(table, node, overloads ? weight * OVERLOAD_FACTOR : weight);
             }
         }
     }
--- a/src/test/java/rosespread/scenario/ForwardingActions.java
+++ b/src/test/java/rosespread/scenario/ForwardingActions.java
@@ -8,7 +8,7 @@
 import rosespread.api.TableId;
 import rosespread.controller.TableUpdateWriter;
 
-/** Passes a policy's actions on as they are. */
+/** Forwards a policy's actions unchanged. */
 class ForwardingActions implements PolicyActions {
     private final TableUpdateWriter out;
 
--- a/src/test/java/rosespread/scenario/NodeObservations.java
+++ b/src/test/java/rosespread/scenario/NodeObservations.java
@@ -7,7 +7,10 @@
 import java.util.TreeSet;
 import rosespread.api.NodeId;
 
-/** What the list showed of nodes; starts in nanoseconds since the policy's first round. */
+/**
+ * Drains and starts of nodes as shown by the node list; starts in nanoseconds since the policy's
+ * first round.
+ */
 final class NodeObservations {
     private final Set<NodeId> draining = new TreeSet<>();
     private final Map<NodeId, Long> startedNanos = new TreeMap<>();
@@ -24,7 +27,7 @@
         }
     }
 
-    /** Whether a start of the node was listed. */
+    /** Whether the node was listed with a start. */
     boolean hasStarted(NodeId node) {
         return startedNanos.containsKey(node);
     }
@@ -33,7 +36,7 @@
         return draining.stream().findFirst();
     }
 
-    /** The first node that started less than so long ago and does not drain. */
+    /** The first node that started within this time before {@code now} and does not drain. */
     Optional<NodeId> firstStartedWithin(long nanos, long now) {
         return startedNanos.entrySet().stream()
                 .filter(started -> now - started.getValue() < nanos)
--- a/src/test/java/rosespread/scenario/ScenarioRunTest.java
+++ b/src/test/java/rosespread/scenario/ScenarioRunTest.java
@@ -15,7 +15,7 @@
 import rosespread.cli.Main;
 
 class ScenarioRunTest {
-    private static final List<String> RULES =
+    private static final List<String> INVARIANTS =
             List.of(
                     "noProxyWithoutNode",
                     "noEffectTwice",
@@ -30,41 +30,46 @@
     }
 
     @Test
-    void keepsAllRulesOnAShortDay() throws Exception {
+    void keepsInvariantsInShortScenario() throws Exception {
         Report report = play("short-day", Main.class.getName());
         assertTrue(report.hasPassed(), report.text());
-        for (String rule :
+        for (String invariant :
                 List.of("noProxyWithoutNode", "noEffectTwice", "drainsKept", "shortQueue")) {
-            assertTrue(report.checked(rule) > 0, rule + " was not seen\n" + report.text());
+            assertTrue(
+                    report.checked(invariant) > 0,
+                    invariant + " was not checked\n" + report.text());
         }
         assertTrue(report.service() > 0.8, report.text());
         assertTrue(report.events().size() >= 9, report.text());
-        // Two that come close together may change places on a busy machine.
+        // Two events in close succession may swap places on a busy machine.
         assertEquals(
                 report.events().stream().sorted().toList(),
                 play("short-day", Main.class.getName()).events().stream().sorted().toList(),
-                "the same day twice");
+                "the same events in both runs");
     }
 
     @ParameterizedTest
     @CsvSource({
         "IGNORES_DRAINS,drainsKept,DRAINING",
-        "FLOODS_COLD,noColdNodePushedOver,fell over",
-        "REPEATS,noEffectTwice,took effect again",
-        "EMPTIES,noProxyWithoutNode,no line to pick",
-        "FLOODS_CHANNEL,shortQueue,lines waiting"
+        "OVERLOADS_WARMING_NODES,noColdNodePushedOver,was overloaded",
+        "ALLOWS_ALL_RETRIES,noEffectTwice,took effect again",
+        "EMPTIES_TABLES,noProxyWithoutNode,no line to pick",
+        "FLOODS_CHANNEL,shortQueue,entries waiting"
     })
-    void namesTheRuleThatAFaultyPolicyBreaks(String fault, String rule, String words)
+    void reportsInvariantBrokenByFaultyPolicy(String fault, String invariant, String expectedText)
             throws Exception {
         Report report = play("bad-planner", FaultyController.class.getName(), fault);
         assertFalse(report.hasPassed(), report.text());
         assertTrue(
-                report.violations(rule).stream()
-                        .anyMatch(text -> text.contains(words) && text.matches("(?s).*[0-9] s.*")),
+                report.violations(invariant).stream()
+                        .anyMatch(
+                                text ->
+                                        text.contains(expectedText)
+                                                && text.matches("(?s).*[0-9] s.*")),
                 report.text());
         if (!fault.equals("FLOODS_CHANNEL")) {
-            RULES.stream()
-                    .filter(other -> !other.equals(rule))
+            INVARIANTS.stream()
+                    .filter(other -> !other.equals(invariant))
                     .forEach(
                             other ->
                                     assertEquals(
@@ -73,17 +78,18 @@
     }
 
     /**
-     * The same wrong tables, validated before rollout: none reaches a proxy, and the rules hold.
+     * Runs the same faults with table validation: no wrong table reaches a proxy, and no invariant
+     * is violated.
      */
     @ParameterizedTest
-    @CsvSource({"IGNORES_DRAINS", "FLOODS_COLD", "EMPTIES", "BAD_TABLES"})
-    void tableValidatorKeepsWrongTablesFromProxies(String fault) throws Exception {
-        Report report = play("bad-planner", FaultyController.class.getName(), fault, "gated");
+    @CsvSource({"IGNORES_DRAINS", "OVERLOADS_WARMING_NODES", "EMPTIES_TABLES", "INVALID_WEIGHTS"})
+    void validatorKeepsWrongTablesFromProxies(String fault) throws Exception {
+        Report report = play("bad-planner", FaultyController.class.getName(), fault, "validated");
         assertTrue(report.hasPassed(), report.text());
     }
 
     @Test
-    void drawsTheSameDayFromTheSameSeed() throws Exception {
+    void drawsSameArrivalsFromSameSeed() throws Exception {
         Scenario scenario = ScenarioReader.load("bad-day");
         assertEquals(
                 ArrivalGenerator.arrivals(scenario, 5), ArrivalGenerator.arrivals(scenario, 5));
@@ -102,7 +108,7 @@
                 "zones: [north|zones: [[north|bad:",
                 "cores: 2, speed: 1.0|cores: -2, speed: 1.0|bad:6: field kinds.large.cores is -2"
             })
-    void namesLineAndFieldOfAFault(String from, String to, String expectedMessage)
+    void errorNamesLineAndFieldOfInvalidValue(String from, String to, String expectedMessage)
             throws Exception {
         String good =
                 new String(
@@ -116,7 +122,7 @@
     }
 
     @Test
-    void saysWhereAScenarioIsMissing() {
+    void rejectsMissingScenario() {
         assertThrows(ScenarioException.class, () -> ScenarioReader.load("no-such-day"));
     }
 }
