--- a/src/test/java/rosespread/scenario/InvariantResultTest.java
+++ b/src/test/java/rosespread/scenario/InvariantResultTest.java
@@ -10,13 +10,13 @@
     private final InvariantResult result = new InvariantResult("shortQueue", 5);
 
     @Test
-    void withoutAnOccasionNothingWasSeen() {
+    void verdictIsNotSeenWithoutChecks() {
         result.recordValue(4, "c0");
         assertEquals(Verdict.NOT_SEEN, result.verdict());
     }
 
     @Test
-    void checksWithoutViolationKeepTheInvariant() {
+    void verdictIsKeptWithoutViolations() {
         result.countCheck();
         result.countChecks(2);
         assertEquals(Verdict.KEPT, result.verdict());
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void aViolationBreaksTheInvariantEvenIfNoCheckWasCounted() {
+    void verdictIsBrokenByViolationWithoutChecks() {
         result.recordViolation("too long");
         assertEquals(Verdict.BROKEN, result.verdict());
         assertEquals(List.of("too long"), result.violations());
     }
 
     @Test
-    void onlyTheFirstTwentyViolationsAreKept() {
+    void storesOnlyFirstTwentyViolations() {
         for (int i = 0; i < 25; i++) {
             result.recordViolation("violation " + i);
         }
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void theWorstValueKeepsItsPlace() {
+    void storesPlaceOfFirstWorstValue() {
         result.recordValue(3, "first");
         result.recordValue(7, "second");
         result.recordValue(7, "third");
--- a/src/test/java/rosespread/scenario/ReportKeysTest.java
+++ b/src/test/java/rosespread/scenario/ReportKeysTest.java
@@ -20,14 +20,14 @@
 import rosespread.testbed.SiteDefinition;
 
 /**
- * The names in a report and in scenario files, which others read and write, stay as they were
- * recorded.
+ * Guards against changes of the names in reports and scenario files, which other programs and
+ * people read and write: a renamed key would break these uses.
  */
 class ReportKeysTest {
-    private static final List<String> SHIPPED =
+    private static final List<String> BUILT_IN =
             List.of("bad-day", "drain-day", "full-size", "kill-day", "quiet-day", "rollback-day");
 
-    /** Paths of all names in the JSON of a report of the short day. */
+    /** Paths of all names in the JSON report of the scenario {@code short-day}. */
     private static final String REPORT_KEYS =
             """
             byMethod
@@ -178,7 +178,7 @@
             tablesRefused
             tablesRefused.LEAVING_NODE""";
 
-    /** Paths of all names in the shipped scenarios. */
+    /** Paths of all names in the built-in scenarios. */
     private static final String SCENARIO_KEYS =
             """
             channel
@@ -235,7 +235,7 @@
             troubles[].what.zone
             zones""";
 
-    /** Every name that a scenario may have, each with another value than if it were left out. */
+    /** Every name that a scenario may have, each with a value other than its default. */
     private static final String ALL_NAMES =
             """
             name: all-names
@@ -265,25 +265,25 @@
                  method: quote, which: 1}}
             """;
 
-    /** Paths of all names below a node; places in arrays count as one. */
+    /** Paths of all names below a node; all elements of an array share one path. */
     private static Set<String> keys(JsonNode node) {
         Set<String> all = new TreeSet<>();
-        gather("", node, all);
+        collectKeys("", node, all);
         return all;
     }
 
-    private static void gather(String at, JsonNode node, Set<String> all) {
+    private static void collectKeys(String at, JsonNode node, Set<String> all) {
         if (node.isArray()) {
-            node.forEach(each -> gather(at + "[]", each, all));
+            node.forEach(each -> collectKeys(at + "[]", each, all));
         }
         for (Map.Entry<String, JsonNode> field : node.properties()) {
             String path = at.isEmpty() ? field.getKey() : at + "." + field.getKey();
             all.add(path);
-            gather(path, field.getValue(), all);
+            collectKeys(path, field.getValue(), all);
         }
     }
 
-    private static JsonNode shipped(String name) throws IOException {
+    private static JsonNode builtIn(String name) throws IOException {
         try (InputStream in =
                 ReportKeysTest.class.getResourceAsStream("/scenarios/" + name + ".yaml")) {
             return new YAMLMapper().readTree(in);
@@ -295,7 +295,7 @@
     }
 
     @Test
-    void reportHasItsRecordedKeys() throws Exception {
+    void reportHasRecordedKeys() throws Exception {
         Scenario scenario = ScenarioReader.load("short-day");
         Report report = new Report(scenario, 3);
         InvariantChecker checker = new InvariantChecker(scenario, 0);
@@ -325,22 +325,22 @@
                 "quiet-day",
                 "rollback-day"
             })
-    void shippedScenarioIsRead(String name) throws Exception {
+    void readsBuiltInScenario(String name) throws Exception {
         assertEquals(name, ScenarioReader.load(name).name());
     }
 
     @Test
-    void shippedScenariosHaveTheirRecordedKeys() throws Exception {
+    void builtInScenariosHaveRecordedKeys() throws Exception {
         Set<String> all = new TreeSet<>();
-        for (String name : SHIPPED) {
-            all.addAll(keys(shipped(name)));
+        for (String name : BUILT_IN) {
+            all.addAll(keys(builtIn(name)));
         }
         assertEquals(recorded(SCENARIO_KEYS), all);
     }
 
-    /** A name that is no longer known is a fault; the settings show what came of most. */
+    /** An unknown name makes the scenario invalid; the settings show the values of most names. */
     @Test
-    void everyScenarioFieldIsRead() throws Exception {
+    void readsEveryScenarioField() throws Exception {
         Scenario scenario = ScenarioReader.parse("all-names.yaml", ALL_NAMES);
         assertEquals(1, scenario.faults().size());
         assertTrue(keys(new YAMLMapper().readTree(ALL_NAMES)).size() > 50);
--- a/src/test/java/rosespread/scenario/RunTimelineTest.java
+++ b/src/test/java/rosespread/scenario/RunTimelineTest.java
@@ -8,19 +8,19 @@
 class RunTimelineTest {
     private static final long SECOND = 1_000_000_000L;
 
-    /** A queue of 1000 entries at 500 a second: a backlog passes in 2 s. */
+    /** A queue of 1000 entries at 500 entries per second: a full queue is sent in 2 s. */
     private static final Scenario.Channel CHANNEL =
             new Scenario.Channel(500, 8, 1000, 30, 10 * SECOND, Scenario.AdmissionMode.RATE, 0.05);
 
     private final RunTimeline timeline = new RunTimeline(CHANNEL, 0);
 
     @Test
-    void limitIsUnchangedWhileNothingIsHeldUp() {
+    void limitIsUnchangedWithoutDelays() {
         assertEquals(3 * SECOND, timeline.extendedLimit(3 * SECOND, SECOND, 5 * SECOND));
     }
 
     @Test
-    void limitGrowsByTheTimeThatAControllerStoodStill() {
+    void limitGrowsBySuspendedTime() {
         timeline.controllerStopped("c0", 2 * SECOND);
         assertEquals(OptionalLong.of(2 * SECOND), timeline.controllerResumed("c0", 3 * SECOND));
         assertEquals(4 * SECOND, timeline.extendedLimit(3 * SECOND, SECOND, 5 * SECOND));
@@ -28,18 +28,18 @@
     }
 
     @Test
-    void limitGrowsWhileAControllerStillStandsStill() {
+    void limitGrowsWhileControllerIsSuspended() {
         timeline.controllerStopped("c0", 2 * SECOND);
         assertEquals(6 * SECOND, timeline.extendedLimit(3 * SECOND, SECOND, 5 * SECOND));
     }
 
     @Test
-    void resumptionOfARunningControllerIsEmpty() {
+    void resumingRunningControllerReturnsEmpty() {
         assertEquals(OptionalLong.empty(), timeline.controllerResumed("c0", SECOND));
     }
 
     @Test
-    void slowLinksMultiplyTheLimitUntilTheirBacklogHasPassed() {
+    void slowLinksMultiplyLimitUntilBacklogIsSent() {
         timeline.linksSlowed(2 * SECOND, 3);
         assertEquals(9 * SECOND, timeline.extendedLimit(3 * SECOND, SECOND, 5 * SECOND));
         timeline.linksSlowed(4 * SECOND, 1);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void timesAreShownAsSecondsOfTheDay() {
+    void describesTimesSinceStartOfMeasurement() {
         timeline.setMeasurementStart(10 * SECOND);
         assertEquals(String.format("%.2f s", -1.5), timeline.describe(8_500_000_000L));
         assertEquals("never", RunTimeline.describeAge(SECOND, Long.MIN_VALUE));
