--- a/src/test/java/rosespread/scenario/FaultyController.java
+++ b/src/test/java/rosespread/scenario/FaultyController.java
@@ -18,7 +18,7 @@
     enum Fault {
         /** Ignores that nodes drain. */
         IGNORES_DRAINS,
-        /** Gives nodes that were listed with a start 1000 times their weight. */
+        /** Gives nodes in their warm-up 1000 times their weight. */
         OVERLOADS_WARMING_NODES,
         /** Allows proxies to retry after any failure. */
         ALLOWS_ALL_RETRIES,
