--- a/src/main/java/rosespread/channel/Frame.java
+++ b/src/main/java/rosespread/channel/Frame.java
@@ -128,7 +128,7 @@
     record Sums(long coversMicros, List<Sum> sums) implements Frame {}
 
     /** The number of RPCs of a method that arrived at a proxy. */
-    record Count(MethodId method, int came) {}
+    record Count(MethodId method, int rpcs) {}
 
     /**
      * A proxy's demand report.
--- a/src/main/java/rosespread/channel/FrameBodyWriter.java
+++ b/src/main/java/rosespread/channel/FrameBodyWriter.java
@@ -95,7 +95,7 @@
         out.writeByte(offered.counts().size());
         for (Frame.Count count : offered.counts()) {
             out.writeByte(count.method().value());
-            out.writeInt(count.came());
+            out.writeInt(count.rpcs());
         }
     }
 
--- a/src/main/java/rosespread/controller/ProxyFrameHandler.java
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -117,7 +117,7 @@
                                     policy.demandReported(
                                             session.proxy(),
                                             count.method(),
-                                            count.came(),
+                                            count.rpcs(),
                                             coversNanos));
         }
     }
--- a/src/main/java/rosespread/policy/DepartedNodes.java
+++ b/src/main/java/rosespread/policy/DepartedNodes.java
@@ -14,7 +14,7 @@
     }
 
     /** The nodes of the shard's delivered entries that are not ready, once for each table. */
-    Stream<Node> heldBy(ProxyShard shard) {
+    Stream<Node> deliveredTo(ProxyShard shard) {
         return shard.tables().stream()
                 .flatMap(table -> table.delivered().keySet().stream())
                 .map(nodes::find)
@@ -23,6 +23,6 @@
 
     /** When the first of these nodes left, {@code now} if there is none. */
     long earliestDeparture(ProxyShard shard, long now) {
-        return heldBy(shard).mapToLong(Node::leftAt).min().orElse(now);
+        return deliveredTo(shard).mapToLong(Node::leftAt).min().orElse(now);
     }
 }
--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -162,7 +162,7 @@
     private boolean acceptsWaitingProxies(ProxyShard shard, double maxEntries) {
         return shard.withoutFollowers()
                 || shard.deliveredEntries() <= maxEntries
-                        && departed.heldBy(shard).findAny().isEmpty();
+                        && departed.deliveredTo(shard).findAny().isEmpty();
     }
 
     /**
@@ -176,7 +176,7 @@
         Map<ProxyShard, Long> removals = new LinkedHashMap<>();
         shards.shards().stream()
                 .filter(shard -> !shard.withoutFollowers() && !shard.abandoned())
-                .forEach(shard -> removals.put(shard, departed.heldBy(shard).count()));
+                .forEach(shard -> removals.put(shard, departed.deliveredTo(shard).count()));
         removals.values().removeIf(entries -> entries == 0);
         double removalEntries =
                 removals.entrySet().stream()
--- a/src/test/java/rosespread/controller/ControllerChannelTest.java
+++ b/src/test/java/rosespread/controller/ControllerChannelTest.java
@@ -52,10 +52,10 @@
     void closesOnlyStreamThatSentGarbage() throws Exception {
         ChannelClient good = loopback.connect().join("good");
         good.await(Frame.Mark.class);
-        ChannelClient bad = loopback.connect().join("bad");
-        bad.await(Frame.Hello.class);
-        bad.write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-        Frame.Close close = bad.await(Frame.Close.class);
+        ChannelClient malformedClient = loopback.connect().join("bad");
+        malformedClient.await(Frame.Hello.class);
+        malformedClient.write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        Frame.Close close = malformedClient.await(Frame.Close.class);
         assertEquals(Frame.Reason.BAD_FRAME, close.reason());
         assertTrue(close.text().contains("byte"), close.text());
         good.await(Frame.KeepAlive.class);
--- a/src/test/java/rosespread/platform/DrainChecker.java
+++ b/src/test/java/rosespread/platform/DrainChecker.java
@@ -45,7 +45,7 @@
             return;
         }
         if (reported.add(proxy.id() + "/" + proxy.joinedNanos() + "/" + node)) {
-            findings.addLateHolder(
+            findings.addDrainTimeoutViolation(
                     "%s holds %s at %d ms, joined at %d ms, draining since %d ms"
                             .formatted(
                                     proxy.id(),
--- a/src/test/java/rosespread/platform/FleetFindings.java
+++ b/src/test/java/rosespread/platform/FleetFindings.java
@@ -6,9 +6,9 @@
 
 /** Rule violations, maxima and the duration of rounds in a simulation so far. */
 final class FleetFindings {
-    private int lateHolders;
+    private int drainTimeoutViolations;
     private long maxLateNanos;
-    private String firstLateHolder = "";
+    private String firstDrainTimeoutViolation = "";
     private double maxQueuedEntries;
     private int maxMessagesInWindow;
     private long actionsDigest;
@@ -20,9 +20,10 @@
     private double maxColdLoad;
 
     /** Adds a proxy that is found for the first time to hold a node after its drain timeout. */
-    void addLateHolder(String description) {
-        lateHolders++;
-        firstLateHolder = firstLateHolder.isEmpty() ? description : firstLateHolder;
+    void addDrainTimeoutViolation(String description) {
+        drainTimeoutViolations++;
+        firstDrainTimeoutViolation =
+                firstDrainTimeoutViolation.isEmpty() ? description : firstDrainTimeoutViolation;
     }
 
     /** Records for how long after its drain timeout a node is held. */
@@ -61,8 +62,8 @@
         }
     }
 
-    int lateHolders() {
-        return lateHolders;
+    int drainTimeoutViolations() {
+        return drainTimeoutViolations;
     }
 
     double maxQueuedEntries() {
@@ -82,8 +83,8 @@
     public String toString() {
         return "late holders %d (%s), by at most %d ms; queued at most %.1f entries; "
                         .formatted(
-                                lateHolders,
-                                firstLateHolder,
+                                drainTimeoutViolations,
+                                firstDrainTimeoutViolation,
                                 maxLateNanos / FleetModel.MILLI,
                                 maxQueuedEntries)
                 + "messages in window at most %d; rounds %d, of %d us, at most %d us; "
--- a/src/test/java/rosespread/platform/MassReconnectTest.java
+++ b/src/test/java/rosespread/platform/MassReconnectTest.java
@@ -53,7 +53,7 @@
 
     private static void assertRulesKept(FleetModel model, double queueLimit) {
         FleetFindings findings = model.findings();
-        assertEquals(0, findings.lateHolders(), findings.toString());
+        assertEquals(0, findings.drainTimeoutViolations(), findings.toString());
         assertTrue(findings.maxQueuedEntries() <= queueLimit, findings.toString());
     }
 
--- a/src/test/java/rosespread/platform/ServeTest.java
+++ b/src/test/java/rosespread/platform/ServeTest.java
@@ -150,24 +150,25 @@
     void rejectsOrClosesBadClientWithoutAffectingProxies(String text, boolean expectRejection)
             throws IOException {
         FakePeer proxy = joinProxy(4);
-        FakePeer bad = connect();
-        bad.sendBytes(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
-        await().atMost(Duration.ofSeconds(3)).until(() -> bad.isEnded());
+        FakePeer malformedPeer = connect();
+        malformedPeer.sendBytes(text.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
+        await().atMost(Duration.ofSeconds(3)).until(() -> malformedPeer.isEnded());
         assertEquals(
                 expectRejection,
-                bad.received().stream().anyMatch(message -> message.get(0).equals("reject")));
+                malformedPeer.received().stream()
+                        .anyMatch(message -> message.get(0).equals("reject")));
         proxy.send("hb");
         proxy.awaitMessage("hb_ok");
     }
 
     @Test
     void ignoresMessagesAfterRejectedOne() throws IOException {
-        FakePeer bad = connect();
-        bad.sendBytes(
+        FakePeer malformedPeer = connect();
+        malformedPeer.sendBytes(
                 ("*3~$6~attach~$4~node~$2~99~*9~$6~attach~$4~node~$1~8~$8~locality~$1~a~$1~w~$1~5~$4~cold~$1~1~")
                         .replace("~", "\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        bad.awaitMessage("reject");
+        malformedPeer.awaitMessage("reject");
         joinProxy(9);
         await().atMost(TIMEOUT).until(() -> log().contains("proxy joined proxy=\"9\""));
         assertEquals(false, log().contains("proxy joined proxy=\"8\""));
