--- a/src/main/java/rosespread/channel/FieldReader.java
+++ b/src/main/java/rosespread/channel/FieldReader.java
@@ -46,7 +46,13 @@
     /** Fails unless at least {@code bytes} bytes of the frame remain. */
     void require(int bytes, String fieldName) throws FrameException {
         if (frame.remaining() < bytes) {
-            throw error(fieldName + " is cut short by the frame's end");
+            throw error(
+                    fieldName
+                            + ": expected "
+                            + bytes
+                            + " bytes, found "
+                            + frame.remaining()
+                            + " before the end of the frame");
         }
     }
 
@@ -90,7 +96,7 @@
     /** Checks the number of entries of an array before memory is allocated for them. */
     int entryCount(int count, int bytesEach, String fieldName) throws FrameException {
         if (count < 0 || count > FrameLimits.MAX_ENTRIES) {
-            throw error(count + " " + fieldName + "; at most " + FrameLimits.MAX_ENTRIES);
+            throw error(count + " " + fieldName + ", expected at most " + FrameLimits.MAX_ENTRIES);
         }
         require(count * bytesEach, fieldName);
         return count;
@@ -100,7 +106,13 @@
     long micros(String fieldName) throws FrameException {
         long micros = i64();
         if (micros < 0 || micros > Long.MAX_VALUE / MICROS_TO_NANOS) {
-            throw error(fieldName + " of " + micros + " us is out of bounds");
+            throw error(
+                    fieldName
+                            + " is "
+                            + micros
+                            + " us, expected 0 to "
+                            + Long.MAX_VALUE / MICROS_TO_NANOS
+                            + " us");
         }
         return micros;
     }
@@ -108,7 +120,7 @@
     boolean flag(String fieldName) throws FrameException {
         int value = u8();
         if (value > 1) {
-            throw error(fieldName + " is " + value + ", not 0 or 1");
+            throw error(fieldName + " is " + value + ", expected 0 or 1");
         }
         return value == 1;
     }
@@ -128,7 +140,7 @@
         double value = frame.getDouble();
         boolean isMissing = allowsNaN && Double.isNaN(value);
         if (!(value >= 0) && !isMissing) {
-            throw error(fieldName + " is " + value);
+            throw error(fieldName + " is " + value + ", expected at least 0");
         }
         return value;
     }
@@ -164,7 +176,7 @@
     MethodId method() throws FrameException {
         int value = u8();
         if (value >= FrameLimits.MAX_METHODS) {
-            throw error("method " + value + "; below " + FrameLimits.MAX_METHODS);
+            throw error("method is " + value + ", expected less than " + FrameLimits.MAX_METHODS);
         }
         return new MethodId(value);
     }
--- a/src/main/java/rosespread/channel/FrameBodyReader.java
+++ b/src/main/java/rosespread/channel/FrameBodyReader.java
@@ -50,7 +50,8 @@
                     case PACKED -> throw new IllegalArgumentException(type.name());
                 };
         if (fields.remaining() > 0) {
-            throw fields.error(type + " frame has " + fields.remaining() + " bytes too many");
+            throw fields.error(
+                    type + " frame has " + fields.remaining() + " bytes after its last field");
         }
         return frame;
     }
@@ -95,7 +96,7 @@
     private List<String> methodNames() throws FrameException {
         int count = fields.u8();
         if (count > FrameLimits.MAX_METHODS) {
-            throw fields.error(count + " methods; at most " + FrameLimits.MAX_METHODS);
+            throw fields.error(count + " methods, expected at most " + FrameLimits.MAX_METHODS);
         }
         List<String> names = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -138,7 +139,7 @@
         double admitted = fields.nonNegative("level");
         int tries = fields.u8();
         if (tries >= TRIES.length) {
-            throw fields.error("tries " + tries + " are unknown");
+            throw fields.error("tries is " + tries + ", expected less than " + TRIES.length);
         }
         return new Frame.Level(method, admitted, TRIES[tries]);
     }
@@ -171,7 +172,8 @@
         int tries = fields.count("tries");
         int unanswered = fields.count("unanswered");
         if (unanswered > tries) {
-            throw fields.error(unanswered + " of " + tries + " tries unanswered");
+            throw fields.error(
+                    "unanswered is " + unanswered + ", expected at most tries, which is " + tries);
         }
         double latencySeconds = fields.nonNegativeOrNaN("latency");
         double utilization = fields.nonNegativeOrNaN("utilization");
@@ -190,7 +192,7 @@
     private Frame.Reason reason() throws FrameException {
         int code = fields.u8();
         if (code >= REASONS.length) {
-            throw fields.error("reason " + code + " is unknown");
+            throw fields.error("reason is " + code + ", expected less than " + REASONS.length);
         }
         return REASONS[code];
     }
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -101,13 +101,12 @@
             // unchanged.
             throw new FrameException(
                     offset + fields.position(),
-                    "a frame of "
+                    "frame of "
                             + Integer.toUnsignedString(length)
-                            + " bytes; "
+                            + " bytes, expected "
                             + MIN_FRAME_BYTES
                             + " to "
-                            + maxFrameBytes
-                            + " are allowed");
+                            + maxFrameBytes);
         }
         offset += LENGTH_BYTES;
         buffer.clear();
@@ -128,7 +127,7 @@
         FrameType type = FrameType.of(code);
         if (type == null) {
             if ((flags & FrameType.OPTIONAL_FLAG) == 0) {
-                throw fields.error("frame kind " + code + " is unknown and not optional");
+                throw fields.error("frame type " + code + " is unknown and not optional");
             }
         } else if (type == FrameType.PACKED) {
             unpack();
@@ -146,15 +145,18 @@
         if (unpackedBytes > maxUnpackedBytes) {
             throw fields.error(
                     maxUnpackedBytes == 0
-                            ? "a packed frame is not taken here"
-                            : "a packed frame of "
+                            ? "packed frame found where none is accepted"
+                            : "packed frame of "
                                     + unpackedBytes
-                                    + " bytes; at most "
+                                    + " unpacked bytes, expected at most "
                                     + maxUnpackedBytes);
         }
         Optional<byte[]> frames = FrameCompression.decompress(fields.rest(), unpackedBytes);
         if (frames.isEmpty()) {
-            throw fields.error("a packed frame does not unpack to " + unpackedBytes + " bytes");
+            throw fields.error(
+                    "packed frame does not unpack to its announced length of "
+                            + unpackedBytes
+                            + " bytes");
         }
         FrameReader inner = new FrameReader(maxFrameBytes, out);
         try {
@@ -163,7 +165,7 @@
             throw fields.error("in a packed frame: " + e.getMessage());
         }
         if (inner.isWithinFrame()) {
-            throw fields.error("a packed frame ends within a frame");
+            throw fields.error("content of a packed frame ends within a frame");
         }
     }
 
--- a/src/test/java/rosespread/channel/FrameReaderTest.java
+++ b/src/test/java/rosespread/channel/FrameReaderTest.java
@@ -111,18 +111,18 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "an unknown type|00000002 6300|frame kind 99 is unknown and not optional (byte 6)",
-                "an empty frame|00000000|a frame of 0 bytes; 2 to 65536 are allowed (byte 0)",
-                "a frame too long|00010001|a frame of 65537 bytes; 2 to 65536 are allowed (byte 0)",
-                "a length below zero|ffffffff|a frame of 4294967295 bytes; 2 to 65536 are allowed (byte 0)",
-                "a cut number|00000004 0900 0000|a number is cut short by the frame's end (byte 6)",
-                "bytes too many|0000000b 0900 0000000000000001 ff|INSTALLED frame has 1 bytes too many (byte 14)",
-                "a level below zero|0000000e 0700 0001 01 00 bff0000000000000 00|level is -1.0 (byte 18)",
-                "missing lines|00000020 0500 0001 $V 00007fff|lines is cut short by the frame's end (byte 36)",
-                "too many lines|00000020 0500 0001 $V 00010000|65536 lines; at most 32768 (byte 36)",
+                "an unknown type|00000002 6300|frame type 99 is unknown and not optional (byte 6)",
+                "an empty frame|00000000|frame of 0 bytes, expected 2 to 65536 (byte 0)",
+                "a frame too long|00010001|frame of 65537 bytes, expected 2 to 65536 (byte 0)",
+                "a length below zero|ffffffff|frame of 4294967295 bytes, expected 2 to 65536 (byte 0)",
+                "a cut number|00000004 0900 0000|a number: expected 8 bytes, found 2 before the end of the frame (byte 6)",
+                "bytes too many|0000000b 0900 0000000000000001 ff|INSTALLED frame has 1 bytes after its last field (byte 14)",
+                "a level below zero|0000000e 0700 0001 01 00 bff0000000000000 00|level is -1.0, expected at least 0 (byte 18)",
+                "missing lines|00000020 0500 0001 $V 00007fff|lines: expected 524272 bytes, found 0 before the end of the frame (byte 36)",
+                "too many lines|00000020 0500 0001 $V 00010000|65536 lines, expected at most 32768 (byte 36)",
                 "a name not in UTF-8|00000005 0d00 00 01 ff|text is not UTF-8 (byte 9)",
-                "an unknown reason|00000004 0d00 ff 00|reason 255 is unknown (byte 7)",
-                "a flag of two|0000000b 0600 0000000000000001 02|out is 2, not 0 or 1 (byte 15)"
+                "an unknown reason|00000004 0d00 ff 00|reason is 255, expected less than 9 (byte 7)",
+                "a flag of two|0000000b 0600 0000000000000001 02|out is 2, expected 0 or 1 (byte 15)"
             })
     void reportsErrorAndByteOffset(String description, String hex, String message) {
         FrameReader reader = new FrameReader(MAX_FRAME_BYTES, f -> {});
@@ -155,14 +155,14 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "a reader that accepts none|NOT_TAKEN|a packed frame is not taken here (byte 10)",
-                "a megabyte of zeros in few bytes|OVERSIZED|a packed frame of 1048576 bytes; at most 65536 (byte 10)",
-                "more bytes than announced|LENGTH_TOO_SMALL|a packed frame does not unpack to 10 bytes",
-                "fewer bytes than announced|LENGTH_TOO_LARGE|a packed frame does not unpack to 5000 bytes",
-                "noise|NOISE|a packed frame does not unpack to 100 bytes",
-                "a packed frame within|NESTED|in a packed frame: a packed frame is not taken here (byte 10)",
-                "a truncated frame within|TRUNCATED|a packed frame ends within a frame",
-                "an unknown type within|UNKNOWN_TYPE|in a packed frame: frame kind 99 is unknown"
+                "a reader that accepts none|NOT_TAKEN|packed frame found where none is accepted (byte 10)",
+                "a megabyte of zeros in few bytes|OVERSIZED|packed frame of 1048576 unpacked bytes, expected at most 65536 (byte 10)",
+                "more bytes than announced|LENGTH_TOO_SMALL|packed frame does not unpack to its announced length of 10 bytes",
+                "fewer bytes than announced|LENGTH_TOO_LARGE|packed frame does not unpack to its announced length of 5000 bytes",
+                "noise|NOISE|packed frame does not unpack to its announced length of 100 bytes",
+                "a packed frame within|NESTED|in a packed frame: packed frame found where none is accepted (byte 10)",
+                "a truncated frame within|TRUNCATED|content of a packed frame ends within a frame",
+                "an unknown type within|UNKNOWN_TYPE|in a packed frame: frame type 99 is unknown"
             })
     void rejectsMalformedPackedFrames(String description, String fault, String message) {
         byte[] good = FrameWriter.bytes(new Frame.Close(Frame.Reason.SLOW, "x".repeat(200)));
