--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -189,7 +189,7 @@
     /** Tells all proxies that the controller stops, and closes their streams. */
     public void stop(long nowNanos) {
         clock.advanceTo(nowNanos);
-        sessions.closeAll(Frame.Reason.STOPPING, "the conductor stops");
+        sessions.closeAll(Frame.Reason.STOPPING, "the controller is stopping");
     }
 
     /** Returns the status as of the last event. */
--- a/src/main/java/rosespread/controller/KeepAliveMonitor.java
+++ b/src/main/java/rosespread/controller/KeepAliveMonitor.java
@@ -52,15 +52,26 @@
             sessions.close(
                     session,
                     Frame.Reason.SILENT,
-                    "nothing heard for " + silentNanos / NANOS_PER_MILLI + " ms");
+                    "no frame received for "
+                            + silentNanos / NANOS_PER_MILLI
+                            + " ms, expected one within "
+                            + MAX_MISSED_INTERVALS * intervalNanos / NANOS_PER_MILLI
+                            + " ms");
         } else if (!session.isJoined() && nowNanos - session.openedAtNanos() > JOIN_TIMEOUT_NANOS) {
-            sessions.close(session, Frame.Reason.SILENT, "not joined in time");
+            sessions.close(
+                    session,
+                    Frame.Reason.SILENT,
+                    "no Join frame received within "
+                            + JOIN_TIMEOUT_NANOS / NANOS_PER_MILLI
+                            + " ms");
         } else if (session.transport().writeBufferBytes() > MAX_WRITE_BUFFER_BYTES) {
             counters.increment(Counter.SLOW_SESSIONS);
             sessions.close(
                     session,
                     Frame.Reason.SLOW,
-                    session.transport().writeBufferBytes() + " bytes were not read");
+                    session.transport().writeBufferBytes()
+                            + " bytes sent but not read, expected at most "
+                            + MAX_WRITE_BUFFER_BYTES);
         } else if (session.isJoined()
                 && nowNanos - session.lastKeepAliveSentAtNanos() >= intervalNanos) {
             session.recordKeepAliveSent(nowNanos);
--- a/src/main/java/rosespread/controller/PolicyRunner.java
+++ b/src/main/java/rosespread/controller/PolicyRunner.java
@@ -134,6 +134,6 @@
     @Override
     public void roundFailed(Throwable failure) {
         LOG.error("routing policy failed; restarting it", failure);
-        restart("the decision module begins anew");
+        restart("the routing policy failed and is restarted");
     }
 }
--- a/src/main/java/rosespread/controller/ProxyFrameHandler.java
+++ b/src/main/java/rosespread/controller/ProxyFrameHandler.java
@@ -75,7 +75,7 @@
             sessions.close(
                     session,
                     Frame.Reason.BAD_FRAME,
-                    frame.getClass().getSimpleName() + " is not a proxy's to send");
+                    "a proxy must not send a " + frame.getClass().getSimpleName() + " frame");
         }
     }
 
@@ -108,7 +108,10 @@
                 sessions.close(
                         session,
                         Frame.Reason.BAD_FRAME,
-                        "method " + count.method().value() + " of " + methods);
+                        "method in Offered is "
+                                + count.method().value()
+                                + ", expected less than "
+                                + methods);
                 return;
             }
             context.rounds()
--- a/src/main/java/rosespread/controller/SessionHandshake.java
+++ b/src/main/java/rosespread/controller/SessionHandshake.java
@@ -47,15 +47,17 @@
     void handleHello(ProxySession session, Frame frame) {
         Optional<FleetSettings> settings = policyRunner.settings();
         if (!(frame instanceof Frame.Hello hello)) {
-            sessions.close(session, Frame.Reason.BAD_FRAME, "the first frame must be Hello");
+            sessions.close(
+                    session,
+                    Frame.Reason.BAD_FRAME,
+                    "first frame is " + frame.getClass().getSimpleName() + ", expected Hello");
         } else if (hello.version() != Frame.VERSION) {
             sessions.close(
                     session,
                     Frame.Reason.BAD_VERSION,
-                    "version " + hello.version() + "; this conductor speaks " + Frame.VERSION);
+                    "protocol version is " + hello.version() + ", expected " + Frame.VERSION);
         } else if (settings.isEmpty()) {
-            sessions.close(
-                    session, Frame.Reason.NO_SETTINGS, "the conductor waits for its settings");
+            sessions.close(session, Frame.Reason.NO_SETTINGS, "the controller has no settings yet");
         } else {
             session.markHelloAccepted();
             session.transport()
@@ -71,7 +73,10 @@
     /** Handles the second frame of a session, which must be Join. */
     void handleJoin(ProxySession session, Frame frame) {
         if (!(frame instanceof Frame.Join join)) {
-            sessions.close(session, Frame.Reason.BAD_FRAME, "the second frame must be Join");
+            sessions.close(
+                    session,
+                    Frame.Reason.BAD_FRAME,
+                    "second frame is " + frame.getClass().getSimpleName() + ", expected Join");
             return;
         }
         FleetSettings settings = policyRunner.settings().orElseThrow();
@@ -81,7 +86,7 @@
                     Frame.Reason.BAD_JOIN,
                     "zone \""
                             + join.zone()
-                            + "\"; known are "
+                            + "\" is unknown, expected one of "
                             + String.join(", ", settings.zones()));
             return;
         }
@@ -91,10 +96,13 @@
                         sessions.close(
                                 previous,
                                 Frame.Reason.REPLACED,
-                                "a newer stream of proxy " + join.proxy()));
+                                "replaced by a newer stream of proxy " + join.proxy()));
         ProxyId freeId = sessions.lowestFreeId();
         if (freeId.value() >= MAX_PROXIES) {
-            sessions.close(session, Frame.Reason.FULL, MAX_PROXIES + " proxies are joined");
+            sessions.close(
+                    session,
+                    Frame.Reason.FULL,
+                    "the limit of " + MAX_PROXIES + " joined proxies is reached");
             return;
         }
         accept(session, join, replaced.map(ProxySession::proxy).orElse(freeId));
--- a/src/test/java/rosespread/controller/ControllerStateTest.java
+++ b/src/test/java/rosespread/controller/ControllerStateTest.java
@@ -68,7 +68,9 @@
                     throw new IllegalStateException("thrown by the test");
                 },
                 15);
-        assertTrue(transport.closed().contains("begins anew"), transport.closed());
+        assertTrue(
+                transport.closed().contains("the routing policy failed and is restarted"),
+                transport.closed());
         fixture.join(new RecordingTransport(), "p");
         fixture.advanceMillis(1200);
         assertEquals(
