--- a/src/main/java/rosespread/admin/AdminServer.java
+++ b/src/main/java/rosespread/admin/AdminServer.java
@@ -114,7 +114,12 @@
         try {
             worker.execute(() -> exchange.respond(respond(request)));
         } catch (RejectedExecutionException e) {
-            exchange.respond(ProblemDetails.of(503, "too many calls at once"));
+            exchange.respond(
+                    ProblemDetails.of(
+                            503,
+                            "request queue is full: "
+                                    + MAX_QUEUED_REQUESTS
+                                    + " requests are waiting"));
         }
     }
 
@@ -130,7 +135,7 @@
                     .setCause(e)
                     .addKeyValue("request", request.method() + " " + request.path())
                     .log("admin request failed");
-            return ProblemDetails.of(500, "see the conductor's log");
+            return ProblemDetails.of(500, "request failed; the cause is in the controller's log");
         }
     }
 }
--- a/src/main/java/rosespread/admin/NodesResource.java
+++ b/src/main/java/rosespread/admin/NodesResource.java
@@ -41,7 +41,7 @@
         if (!action.matches()) {
             return ProblemDetails.of(
                     404,
-                    "not /v1/nodes, /v1/nodes/NAME/drain or /v1/nodes/NAME/undrain: "
+                    "expected /v1/nodes, /v1/nodes/NAME/drain or /v1/nodes/NAME/undrain, found "
                             + request.target());
         }
         if (!request.hasMethod("POST")) {
@@ -76,7 +76,9 @@
             case NO_NODE -> ProblemDetails.of(404, "No such node", reasons);
             case AMBIGUOUS ->
                     ProblemDetails.of(
-                            409, "Several nodes have this name", "name one of " + reasons);
+                            409,
+                            "Several nodes have this name",
+                            "expected one of the qualified names " + reasons);
             case STALE ->
                     ProblemDetails.of(
                             412,
--- a/src/main/java/rosespread/admin/ProblemDetails.java
+++ b/src/main/java/rosespread/admin/ProblemDetails.java
@@ -33,7 +33,13 @@
      * @param allowed the methods that the path supports, as text
      */
     static HttpMessage.Response methodNotAllowed(String allowed, AdminRequest request) {
-        return of(405, "only " + allowed + " " + request.path());
+        return of(
+                405,
+                request.path()
+                        + " supports only "
+                        + allowed
+                        + ", found "
+                        + request.http().method());
     }
 
     static HttpMessage.Response of(int status, String title, String detail) {
--- a/src/main/java/rosespread/admin/RequestContext.java
+++ b/src/main/java/rosespread/admin/RequestContext.java
@@ -39,14 +39,18 @@
     private static void requireToken(String header, String value) {
         if (!TOKEN.matcher(value).matches()) {
             throw new IllegalArgumentException(
-                    "header " + header + " is not 1 to 64 visible characters");
+                    "header "
+                            + header
+                            + " is \""
+                            + value
+                            + "\", expected 1 to 64 visible ASCII characters");
         }
     }
 
     private static long parseRevision(String value) {
         if (!REVISION.matcher(value).matches()) {
             throw new IllegalArgumentException(
-                    "header if-match is " + value + ", not a revision as a number or *");
+                    "header if-match is " + value + ", expected a revision number or *");
         }
         return value.equals("*") ? ANY_REVISION : Long.parseLong(value.replace("\"", ""));
     }
--- a/src/main/java/rosespread/admin/Router.java
+++ b/src/main/java/rosespread/admin/Router.java
@@ -43,6 +43,7 @@
             }
         }
         String knownPaths = routes.stream().map(Route::path).collect(Collectors.joining(", "));
-        return ProblemDetails.of(404, "no " + request.path() + "; there are " + knownPaths);
+        return ProblemDetails.of(
+                404, "unknown path " + request.path() + "; known paths are " + knownPaths);
     }
 }
--- a/src/main/java/rosespread/admin/SettingsResource.java
+++ b/src/main/java/rosespread/admin/SettingsResource.java
@@ -44,7 +44,8 @@
         if (!query.isEmpty()) {
             // A mistyped dry run must not apply the settings.
             return ProblemDetails.of(
-                    400, "query " + query + " is not " + DRY_RUN_QUERY + "; nothing was applied");
+                    400,
+                    "query is " + query + ", expected " + DRY_RUN_QUERY + "; nothing was applied");
         }
         return audit.record(request, () -> apply(request));
     }
@@ -103,7 +104,9 @@
 
     private static HttpMessage.Response changedSince(Controller.Applied applied) {
         String change =
-                applied.inForce().map(SettingsResource::describe).orElse("there are no settings");
+                applied.inForce()
+                        .map(SettingsResource::describe)
+                        .orElse("no settings are in force");
         return ProblemDetails.of(412, "Changed since", change, List.of(change), revision(applied));
     }
 
--- a/src/main/java/rosespread/admin/TablesResource.java
+++ b/src/main/java/rosespread/admin/TablesResource.java
@@ -72,9 +72,9 @@
     private static HttpMessage.Response notFound(AdminRequest request) {
         return ProblemDetails.of(
                 404,
-                "not /v1/tables/N, /v1/tables/N/diff?from=V&to=V, "
+                "expected /v1/tables/N, /v1/tables/N/diff?from=V&to=V, "
                         + "/v1/tables/N/rollback?version=V, /v1/tables/N/pin "
-                        + "or /v1/tables/N/release: "
+                        + "or /v1/tables/N/release, found "
                         + request.target());
     }
 
@@ -107,7 +107,10 @@
         boolean needsVersion = act == Controller.TableAct.ROLLBACK;
         if (needsVersion != (version != null)) {
             return ProblemDetails.of(
-                    400, "version is " + version + "; a rollback, and only that, names one");
+                    400,
+                    "version is "
+                            + version
+                            + "; rollback requires a version, pin and release accept none");
         }
         long target = version == null ? 0 : Long.parseLong(version);
         return audit.record(
--- a/src/main/java/rosespread/audit/AuditChain.java
+++ b/src/main/java/rosespread/audit/AuditChain.java
@@ -81,7 +81,10 @@
             return Optional.of("not JSON");
         }
         if (!(line instanceof ObjectNode object) || !object.path("chain").isTextual()) {
-            return Optional.of("not a line of an audit log");
+            return Optional.of(
+                    "expected a JSON object with the text field chain, of at most "
+                            + MAX_LINE_CHARS
+                            + " characters");
         }
         String storedChain = object.remove("chain").asText();
         if (object.path("n").asLong() != lines + 1) {
