--- a/src/main/java/rosespread/platform/MessageFields.java
+++ b/src/main/java/rosespread/platform/MessageFields.java
@@ -49,13 +49,15 @@
         this.names = names;
         this.proxies = proxies;
         if (strings.size() % 2 == 0) {
-            throw new MalformedMessageException(Reason.PAIRS, "a name without a value");
+            throw new MalformedMessageException(
+                    Reason.PAIRS,
+                    "field " + quotable(strings.get(strings.size() - 1)) + " has no value");
         }
         for (int i = 1; i < strings.size(); i += 2) {
             String field = strings.get(i);
             if (values.put(field, strings.get(i + 1)) != null) {
                 throw new MalformedMessageException(
-                        Reason.PAIRS, field, quotable(field) + " is told twice");
+                        Reason.PAIRS, field, "field " + quotable(field) + " is repeated");
             }
         }
     }
@@ -93,7 +95,9 @@
         double value = Double.parseDouble(text);
         if (!(value >= min && value <= max)) {
             throw new MalformedMessageException(
-                    Reason.RANGE, field, field + " " + quotable(text) + " is out of range");
+                    Reason.RANGE,
+                    field,
+                    field + " is " + quotable(text) + ", expected " + min + " to " + max);
         }
         return value;
     }
@@ -102,7 +106,7 @@
         double value = number(field, min, max);
         if (value != Math.rint(value)) {
             throw new MalformedMessageException(
-                    Reason.TYPE, field, field + " is not a whole number");
+                    Reason.TYPE, field, field + " is " + value + ", expected a whole number");
         }
         return (int) value;
     }
@@ -125,7 +129,8 @@
     long periodNanos() throws MalformedMessageException {
         double millis = millis("interval");
         if (millis == 0) {
-            throw new MalformedMessageException(Reason.RANGE, "interval", "interval is 0");
+            throw new MalformedMessageException(
+                    Reason.RANGE, "interval", "interval is 0 ms, expected more than 0 ms");
         }
         return Math.round(millis * NANOS_PER_MILLI);
     }
@@ -134,7 +139,9 @@
         String zone = text("locality");
         if (!names.isConfiguredZone(zone)) {
             throw new MalformedMessageException(
-                    Reason.UNKNOWN, "locality", "no zone \"" + quotable(zone) + "\"");
+                    Reason.UNKNOWN,
+                    "locality",
+                    "locality \"" + quotable(zone) + "\" is not a known zone");
         }
         return names.zone(zone);
     }
@@ -142,7 +149,10 @@
     ProxyId proxy() throws MalformedMessageException {
         int proxy = integer("node", 0, Integer.MAX_VALUE);
         if (proxy >= proxies) {
-            throw new MalformedMessageException(Reason.UNKNOWN, "node", "no proxy " + proxy);
+            throw new MalformedMessageException(
+                    Reason.UNKNOWN,
+                    "node",
+                    "node is " + proxy + ", expected a proxy number less than " + proxies);
         }
         return new ProxyId(proxy);
     }
@@ -154,6 +164,6 @@
 
     private static MalformedMessageException unknownMethod(String route) {
         return new MalformedMessageException(
-                Reason.UNKNOWN, "route", "no method \"" + quotable(route) + "\"");
+                Reason.UNKNOWN, "route", "route \"" + quotable(route) + "\" is not a known method");
     }
 }
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -66,7 +66,7 @@
 
     private static MalformedMessageException unknownKind(String kind) {
         return new MalformedMessageException(
-                Reason.KIND, "a message of kind \"" + MessageFields.quotable(kind) + "\"");
+                Reason.KIND, "message kind \"" + MessageFields.quotable(kind) + "\" is unknown");
     }
 
     private static Message proxyJoin(MessageFields fields) throws MalformedMessageException {
@@ -88,7 +88,10 @@
         int attempts = fields.integer("total", 0, MAX_COUNT);
         int failures = fields.integer("errors", 0, MAX_COUNT);
         if (failures > attempts) {
-            throw new MalformedMessageException(Reason.RANGE, "errors", "more errors than tries");
+            throw new MalformedMessageException(
+                    Reason.RANGE,
+                    "errors",
+                    "errors is " + failures + ", expected at most total, which is " + attempts);
         }
         double latencySeconds = latencySeconds(fields, attempts > failures);
         return new Message.LoadReport(
@@ -123,7 +126,9 @@
                 throw new MalformedMessageException(
                         Reason.TYPE,
                         "metrics",
-                        "metrics \"" + MessageFields.quotable(pair) + "\" is not a pair");
+                        "metrics contains \""
+                                + MessageFields.quotable(pair)
+                                + "\", expected name:value");
             }
             boolean isUtilization = UTILIZATION_NAMES.contains(pair.substring(0, colon));
             double max = isUtilization ? MAX_UTILIZATION : MAX_METRIC;
--- a/src/main/java/rosespread/platform/PeerMessageHandler.java
+++ b/src/main/java/rosespread/platform/PeerMessageHandler.java
@@ -120,7 +120,9 @@
 
     private static void requireAllowed(boolean allowed) throws MalformedMessageException {
         if (!allowed) {
-            throw new MalformedMessageException(Reason.PLACE, "this has no place here");
+            throw new MalformedMessageException(
+                    Reason.PLACE,
+                    "this peer may not send this kind of message, or not at this time");
         }
     }
 
--- a/src/test/java/rosespread/platform/FleetFindings.java
+++ b/src/test/java/rosespread/platform/FleetFindings.java
@@ -81,7 +81,7 @@
 
     @Override
     public String toString() {
-        return "late holders %d (%s), by at most %d ms; queued at most %.1f entries; "
+        return "drain timeout violations %d (%s), by at most %d ms; queued at most %.1f entries; "
                         .formatted(
                                 drainTimeoutViolations,
                                 firstDrainTimeoutViolation,
