--- a/src/main/java/rosespread/audit/AuditChain.java
+++ b/src/main/java/rosespread/audit/AuditChain.java
@@ -82,9 +82,9 @@
         }
         if (!(line instanceof ObjectNode object) || !object.path("chain").isTextual()) {
             return Optional.of(
-                    "expected a JSON object with the text field chain, of at most "
+                    "expected a JSON object of at most "
                             + MAX_LINE_CHARS
-                            + " characters");
+                            + " characters whose field chain is a string");
         }
         String storedChain = object.remove("chain").asText();
         if (object.path("n").asLong() != lines + 1) {
--- a/src/test/java/rosespread/controller/StoredStateDamageTest.java
+++ b/src/test/java/rosespread/controller/StoredStateDamageTest.java
@@ -192,7 +192,7 @@
             quoteCharacter = '`',
             value = {
                 "garbage|line 29, byte 6018: not JSON",
-                "{}|line 29, byte 6018: expected a JSON object with the text field chain, of at most 1048576 characters",
+                "{}|line 29, byte 6018: expected a JSON object of at most 1048576 characters whose field chain is a string",
                 "{\"n\":30,\"chain\":\"0\"}|line 29, byte 6018: field n is 30, expected 29",
                 "{\"n\":29,\"chain\":\"0\"}|line 29, byte 6018: field chain does not match the hash of this line and the chain before it"
             })
