--- a/src/main/java/rosespread/api/EventHandler.java
+++ b/src/main/java/rosespread/api/EventHandler.java
@@ -35,7 +35,7 @@
         FAILED,
         /** The node rejected the check because it is overloaded; says nothing about its health. */
         REJECTED,
-        /** The node did not answer in time. */
+        /** The node did not answer before the check timed out. */
         TIMED_OUT,
         /** No connection to the node. */
         UNREACHABLE
@@ -82,7 +82,7 @@
      *
      * @param proxy the proxy's identity
      * @param token the token given to {@link PolicyActions#requestAcknowledgement}
-     * @param latencyNanos time from writing the message until it took effect
+     * @param latencyNanos time from writing the message until the message took effect
      */
     void acknowledged(ProxyId proxy, int token, long latencyNanos);
 
--- a/src/main/java/rosespread/api/PolicyEvent.java
+++ b/src/main/java/rosespread/api/PolicyEvent.java
@@ -11,7 +11,8 @@
     String text();
 
     /**
-     * A node was ejected for its high failure ratio; it gets little traffic from now on.
+     * A node was ejected for its high failure ratio; it gets only a small fraction of its weight
+     * until it is readmitted.
      *
      * @param failureRatio ratio of failed attempts to all attempts in the node's recent past
      * @param attempts the node's recent attempts, older attempts weighted less
@@ -53,8 +54,8 @@
     }
 
     /**
-     * A table starts or stops counting ejected nodes as healthy; it does so while too much of its
-     * capacity is ejected.
+     * Panic mode of a table started or ended. In panic mode, ejected nodes count as healthy,
+     * because the ejected fraction of the table's capacity is above the panic threshold.
      *
      * @param started whether panic mode started (true) or ended (false)
      * @param ejectedCapacity capacity of the table's ejected nodes, in units of listed weight
@@ -94,7 +95,8 @@
     }
 
     /**
-     * Proxies did not acknowledge a delivery in time; they are sent the full table again.
+     * Proxies did not acknowledge a delivery within the timeout; they are sent the full table
+     * again.
      *
      * @param version the table's version, as counted by the policy
      * @param missingAcknowledgements the number of proxies that have not acknowledged
--- a/src/main/java/rosespread/api/PolicySettings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -13,15 +13,17 @@
  * @param listOnDemand whether the node list is sent only on request
  * @param healthChecksAllowed whether nodes may be health-checked
  * @param throttle unit of admission limits
- * @param entriesPerSecond capacity of the channel, for all proxies together
+ * @param entriesPerSecond channel capacity in entries per second, for all proxies together
  * @param messageOverheadEntries cost of a message header, in entries
  * @param queueLimitEntries maximum number of entries queued in the channel
  * @param channelCost cost of the channel at its usual rate, as a fraction of the whole service
  * @param messageLimit maximum number of messages to a proxy within the window; 0 for no limit
  * @param messageWindowNanos window of the message limit
- * @param maxPropagationDelayNanos maximum time from leaving the channel until an entry takes effect
+ * @param maxPropagationDelayNanos maximum time from when an entry leaves the channel until the
+ *     entry takes effect
  * @param reportPeriodNanos interval between a node's load reports
- * @param drainTimeoutNanos time after a node leaves from which no table may name the node
+ * @param drainTimeoutNanos time that may pass after a node leaves before no table may name the node
+ *     any more
  * @param warmUpNanos time from a node's start until it has its full capacity
  * @param coldCapacityRatio fraction of its full capacity that a node has at its start
  * @param coldOverloadNanos time for which a node that warms up can be overloaded before it fails
--- a/src/main/java/rosespread/policy/AcknowledgementTracker.java
+++ b/src/main/java/rosespread/policy/AcknowledgementTracker.java
@@ -15,16 +15,22 @@
  * unacknowledged past the timeout; the proxies that have not acknowledged it are subscribed again.
  */
 final class AcknowledgementTracker {
-    /** Least acknowledgement timeout. */
+    /** Lower bound of the acknowledgement timeout. */
     private static final long MIN_TIMEOUT_NANOS = 2 * TimeUnits.SECOND;
 
     /** Time constant of the mean acknowledgement latency. */
     private static final long LATENCY_WINDOW_NANOS = 10 * TimeUnits.SECOND;
 
-    /** Factor applied to the mean latency in the timeout, as some proxies take longer. */
+    /**
+     * Factor of the mean acknowledgement latency in the timeout, as some proxies take longer than
+     * the mean.
+     */
     private static final double LATENCY_MULTIPLE = 3;
 
-    /** Factor applied to the queueing delay, as the channel may be slower than stated. */
+    /**
+     * Factor of the estimated queueing delay in the timeout, as the channel may be slower than the
+     * settings state.
+     */
     private static final double QUEUE_MULTIPLE = 4;
 
     private final PolicySettings settings;
@@ -49,8 +55,9 @@
     }
 
     /**
-     * Records a proxy's acknowledgement. The stream is ordered, so a token also acknowledges all
-     * messages sent before it. A token that matches no unacknowledged message is ignored.
+     * Records a proxy's acknowledgement. The stream is ordered, so a token acknowledges its own
+     * message and all messages sent earlier. A token that matches no unacknowledged message is
+     * ignored.
      *
      * @param latency acknowledgement latency in nanoseconds
      * @param now clock reading in nanoseconds
@@ -73,9 +80,9 @@
     }
 
     /**
-     * Closes deliveries whose acknowledgement has timed out and marks the proxies that need full
-     * tables because of it. For proxies without a subscription, messages older than the timeout no
-     * longer count as queued.
+     * Closes deliveries that have not been acknowledged within the timeout. Marks the proxies that
+     * need full tables because their acknowledgement is missing. For proxies without a
+     * subscription, messages written longer ago than the timeout no longer count as queued.
      */
     void handleTimeouts(RoundContext round) {
         long now = round.now();
@@ -109,7 +116,10 @@
         table.closeDelivery();
     }
 
-    /** The acknowledgement timeout; it grows with the measured latency and the channel's queue. */
+    /**
+     * The acknowledgement timeout in nanoseconds; the timeout grows with the mean acknowledgement
+     * latency and with the number of entries queued in the channel.
+     */
     private long timeoutNanos(long now) {
         double meanLatency = latencyNanos.read(now) / Math.max(1, acknowledgements.read(now));
         double queue = budget.queuedEntries() / settings.entriesPerSecond() * TimeUnits.SECOND;
--- a/src/main/java/rosespread/policy/AdmissionController.java
+++ b/src/main/java/rosespread/policy/AdmissionController.java
@@ -18,19 +18,25 @@
  * of the lowest priority first.
  */
 final class AdmissionController {
-    /** Interval between limit updates; the effect of a limit appears in reports only later. */
+    /**
+     * Interval between updates of the admission limits; load reports show the effect of a limit
+     * only after a delay.
+     */
     private static final long INTERVAL_NANOS = TimeUnits.SECOND / 2;
 
-    /** Fraction of the available capacity that admission limits keep the load to. */
+    /** Fraction of the available capacity that the admitted load may use. */
     private static final double TARGET_LOAD = 0.85;
 
-    /** Relative change above which a limit is set again. */
+    /** Relative difference from the current admission limit above which a new one replaces it. */
     private static final double LIMIT_TOLERANCE = 0.1;
 
-    /** A limit below this fraction of the previous one does not wait for other deliveries. */
+    /**
+     * A new admission limit below this fraction of the previous one is urgent: it is sent without
+     * waiting until the proxies have acknowledged the table's delivery in flight.
+     */
     private static final double URGENT_LIMIT_RATIO = 0.75;
 
-    /** A method is not limited if at least this share of its demand fits. */
+    /** A method gets no admission limit if at least this fraction of its demand can be admitted. */
     private static final double UNLIMITED_SHARE = 0.98;
 
     /** Ratios of offered load to available capacity at which shedding starts and ends. */
@@ -39,8 +45,8 @@
     private static final double SHED_END_LOAD = 0.78;
 
     /**
-     * Utilization that shedding needs to start, and below which it ends, however high the offered
-     * load.
+     * Mean utilization of the nodes below which shedding does not start, however high the offered
+     * load is; below {@link #SHED_END_UTILIZATION}, shedding ends.
      */
     private static final double SHED_START_UTILIZATION = 0.6;
 
@@ -105,8 +111,8 @@
 
     /**
      * Mean recent utilization of the nodes that are not warming up, weighted by capacity; NaN if no
-     * such node reports its utilization. Those that have not reported count as idle, because the
-     * first few reports after a start may come from the busiest nodes.
+     * such node reports its utilization. Nodes without a report count as idle, because the first
+     * few reports after a start may come from the busiest nodes.
      */
     private double utilization(long now) {
         List<Node> warmNodes =
@@ -124,10 +130,10 @@
 
     /**
      * Starts or ends load shedding. The offered load includes retries of rejected requests and
-     * rises at once when proxies join, while capacity is learned slowly; by the ratio of the two
-     * alone, shedding would sustain itself. It therefore also depends on the utilization that nodes
-     * report, and on a reliable capacity estimate, which takes some time after a start. Shedding
-     * starts late if reports are late.
+     * rises at once when proxies join, while the capacity estimate changes slowly; if the ratio of
+     * offered load to capacity alone decided, shedding would sustain itself. Shedding therefore
+     * also depends on the utilization that nodes report, and on a reliable capacity estimate, which
+     * exists only some time after the controller starts. Shedding starts late if reports are late.
      */
     private void updateShedding(RoundContext round) {
         long now = round.now();
@@ -156,8 +162,9 @@
     }
 
     /**
-     * The share of a method's demand that fits after all methods of higher priority are admitted in
-     * full. Methods of equal priority get the same share.
+     * The fraction of a method's demand that can be admitted within {@link #TARGET_LOAD} after all
+     * methods of higher priority are admitted in full. Methods of equal priority get the same
+     * share.
      */
     private double admittedShare(MethodId limited, long now) {
         double priority = settings.methods().get(limited.value()).priorityWeight();
@@ -174,7 +181,8 @@
 
     /**
      * The admission limit in the unit that proxies apply: the share of requests to admit, or the
-     * requests per second at each proxy, which limits the busiest proxies first.
+     * maximum requests per second at each proxy. As this maximum is the same for all proxies, it
+     * limits the busiest proxies first.
      */
     private double limit(MethodId method, double share, long now) {
         if (settings.throttle() == PolicySettings.Throttle.SHARE) {
--- a/src/main/java/rosespread/policy/CapacityEstimator.java
+++ b/src/main/java/rosespread/policy/CapacityEstimator.java
@@ -11,19 +11,31 @@
  * and the fraction of all capacity that is spare.
  */
 final class CapacityEstimator {
-    /** Answers per node over which load is averaged; fewer make the average vary by a fifth. */
+    /**
+     * Mean number of answers per node over which load is averaged; with fewer answers, the average
+     * varies by a fifth.
+     */
     private static final double WINDOW_ANSWERS = 80;
 
-    /** Weight of the machine type's measurements, in answers of the node itself. */
+    /**
+     * Number of answers of a node at which its own measurements and those of its machine type have
+     * equal weight in the node's capacity.
+     */
     private static final double PRIOR_ANSWERS = 25;
 
-    /** Interval between adjustments, long enough to see the effect of the previous one. */
+    /** Interval between capacity adjustments, long enough to see the effect of the previous one. */
     private static final long ADJUSTMENT_INTERVAL_NANOS = TimeUnits.SECOND;
 
-    /** Exponent that damps each correction of a capacity, as several controllers adjust. */
+    /**
+     * Exponent of the ratio of measured to current capacity. It is less than 1 to damp each
+     * adjustment, as several controllers adjust.
+     */
     private static final double ADJUSTMENT_EXPONENT = 0.6;
 
-    /** Relative deviation that counts as noise and leaves the capacity as it is. */
+    /**
+     * Relative deviation of the measured capacity from the current one up to which the deviation
+     * counts as noise and the capacity is not changed.
+     */
     private static final double ADJUSTMENT_TOLERANCE = 0.08;
 
     /** Bounds of a node's capacity relative to its listed weight. */
@@ -31,10 +43,14 @@
 
     private static final double MAX_CAPACITY_FACTOR = 3;
 
-    /** Largest capacity of a node relative to its machine type, at the type's mean latency. */
+    /**
+     * Upper bound of the measured capacity of a node that is not busy and has the mean latency of
+     * its machine type, as a multiple of the capacity measured for that type. At other latencies,
+     * the bound is inversely proportional to the node's latency.
+     */
     private static final double MAX_CAPACITY_AT_TYPE_LATENCY = 1.3;
 
-    /** Lower bound of the load taken from a reported utilization. */
+    /** Lower bound of a node's load if the load is taken from its reported utilization. */
     private static final double MIN_LOAD = 0.02;
 
     /** Largest increase of the spare capacity ratio in one adjustment. */
--- a/src/main/java/rosespread/policy/CapacityUnits.java
+++ b/src/main/java/rosespread/policy/CapacityUnits.java
@@ -18,7 +18,7 @@
         return !Double.isNaN(unit);
     }
 
-    /** The unit over all nodes, NaN while it is not known. */
+    /** The capacity unit over all nodes, NaN while it is not known. */
     double unit() {
         return unit;
     }
@@ -38,7 +38,10 @@
                 type, rpcsPerSecond, (previous, measured) -> measured > 0 ? measured : previous);
     }
 
-    /** Mean latency in seconds of a machine type in {@link #types}, NaN while it is not known. */
+    /**
+     * Mean latency in seconds of a machine type, NaN while the latency is not known. The type must
+     * be one of {@link #types}.
+     */
     double latency(MachineTypeId type) {
         return latencyByType.get(type);
     }
--- a/src/main/java/rosespread/policy/ChannelBudget.java
+++ b/src/main/java/rosespread/policy/ChannelBudget.java
@@ -5,21 +5,30 @@
 import rosespread.stats.InFlightMessages;
 
 /**
- * The number of entries and messages that the channel and the message limit still allow. The
- * channel carries the entries of all proxies in the order in which they are written, so each entry
- * waits behind all entries written before it.
+ * Computes how many more entries may be written to the channel, and how many more messages to a
+ * proxy under the message limit. The channel sends the entries of all proxies in the order in which
+ * they are written, so each entry waits behind all entries written before it.
  */
 final class ChannelBudget {
-    /** Fraction of the queue limit and of the message limit for ordinary deliveries. */
+    /** Fraction of the queue limit and of the message limit that ordinary deliveries may use. */
     static final double ORDINARY_SHARE = 0.5;
 
-    /** Fraction of the limits for urgent deliveries and for full tables in a mass reconnect. */
+    /**
+     * Fraction of the queue limit that urgent deliveries and, in a mass reconnect, full tables may
+     * use; for urgent deliveries also the fraction of the message limit.
+     */
     static final double URGENT_SHARE = 0.7;
 
-    /** Fraction of the limits for removals; other traffic must not use up what they need. */
+    /**
+     * Fraction of the queue limit and of the message limit that removals may use; higher than for
+     * other traffic, which must not use up what removals need.
+     */
     static final double REMOVAL_SHARE = 0.9;
 
-    /** Fraction of a drain timeout's entries that may be queued, as a removal waits behind them. */
+    /**
+     * Fraction of the entries that the channel can send within a drain timeout that may be queued,
+     * as a removal waits behind all queued entries.
+     */
     private static final double QUEUED_TIMEOUT_FRACTION = 0.667;
 
     /** Fraction of a drain timeout that a removal may wait before it is sent. */
@@ -35,7 +44,10 @@
         this.outgoing = outgoing;
     }
 
-    /** Unacknowledged entries: an upper bound of the queue, however slow the channel is. */
+    /**
+     * Number of unacknowledged entries, including those of the current round: an upper bound of the
+     * number of entries queued in the channel, however slow the channel is.
+     */
     double queuedEntries() {
         return inFlight.entries() + outgoing.entries();
     }
@@ -46,9 +58,12 @@
     }
 
     /**
-     * The entries that may be written besides those queued, at a fraction of the limits. A removal
-     * waits behind all queued entries, so these must leave the channel well within the drain
-     * timeout, whatever the queue limit allows.
+     * The number of entries that may be written in addition to those queued. A removal waits behind
+     * all queued entries, so the queued entries must leave the channel well within the drain
+     * timeout, even if the queue limit allows more of them.
+     *
+     * @param share fraction of the queue limit, and of the entries that can leave the channel in
+     *     time for a removal, that may be queued
      */
     double capacity(double share) {
         double deliverableInTime =
@@ -57,26 +72,26 @@
         return Math.min(share * settings.queueLimitEntries(), deliverableInTime) - queuedEntries();
     }
 
-    /** The entries that removals may take besides those queued. */
+    /** The number of entries that may be written for removals in addition to those queued. */
     double capacityForRemovals() {
         return REMOVAL_SHARE * Math.min(settings.queueLimitEntries(), entriesWithinDrainTimeout())
                 - queuedEntries();
     }
 
-    /** Entries that may have left the channel without being acknowledged yet. */
+    /** Maximum number of entries that have left the channel and are not acknowledged yet. */
     double propagatingEntries() {
         return settings.entriesPerSecond() * settings.maxPropagationDelayNanos() / TimeUnits.SECOND;
     }
 
     /**
-     * Entries that the channel carries within a drain timeout, after which no table may hold a node
-     * that left.
+     * Number of entries that the channel can send within a drain timeout. When a drain timeout has
+     * passed since a node left, no table may contain an entry of that node.
      */
     private double entriesWithinDrainTimeout() {
         return settings.entriesPerSecond() * settings.drainTimeoutNanos() / TimeUnits.SECOND;
     }
 
-    /** Entries that the channel carries within half a drain timeout. */
+    /** Number of entries that the channel can send within half a drain timeout. */
     double entriesWithinHalfDrainTimeout() {
         return entriesWithinDrainTimeout() / 2;
     }
@@ -91,7 +106,11 @@
         return proxy.messages(now, settings.messageWindowNanos());
     }
 
-    /** Whether a fraction of the message limit allows writing to the proxy in this round. */
+    /**
+     * Whether the proxy can be written to in this round without exceeding the fraction {@code
+     * share} of the message limit. Always true if there is no message limit or if this round has a
+     * message for the proxy already.
+     */
     boolean allowsMessage(Proxy proxy, double share, long now) {
         return settings.messageLimit() == 0
                 || outgoing.hasMessageFor(proxy)
--- a/src/main/java/rosespread/policy/DeliveryInterval.java
+++ b/src/main/java/rosespread/policy/DeliveryInterval.java
@@ -6,24 +6,39 @@
 import rosespread.policy.state.ProxyRegistry;
 import rosespread.policy.state.ShardTable;
 
-/** Least interval between two deliveries of a shard. */
+/** Computes the least interval between two deliveries of a shard. */
 final class DeliveryInterval {
     /** Least interval of ordinary deliveries. */
     private static final long ORDINARY_NANOS = TimeUnits.SECOND / 2;
 
-    /** Fraction of the channel for message overhead if few entries are pending. */
+    /**
+     * Maximum fraction of the channel capacity used for message overhead if few entries are
+     * pending.
+     */
     private static final double USUAL_OVERHEAD_SHARE = 0.12;
 
-    /** Fraction of the channel for message overhead if many entries are pending or are urgent. */
+    /**
+     * Maximum fraction of the channel capacity used for message overhead if many entries are
+     * pending or the delivery is urgent.
+     */
     private static final double MAX_OVERHEAD_SHARE = 0.4;
 
-    /** Fraction of the channel for message overhead if a removal would be late otherwise. */
+    /**
+     * Maximum fraction of the channel capacity used for message overhead if a removal would
+     * otherwise wait longer than {@link ChannelBudget#maxRemovalWaitNanos}.
+     */
     private static final double REMOVAL_OVERHEAD_SHARE = 0.8;
 
-    /** Many entries are pending if they exceed this multiple of a message's overhead. */
+    /**
+     * Many entries are pending if their number in all due tables exceeds this multiple of a
+     * message's overhead, which is also counted in entries.
+     */
     private static final double MANY_ENTRIES_MULTIPLE = 1.5;
 
-    /** Messages are spaced once a proxy has received more than its limit divided by this. */
+    /**
+     * Deliveries are spread over the window of the message limit once a proxy was sent more
+     * messages within the window than the message limit divided by this number.
+     */
     private static final int SPACING_START_DIVISOR = 4;
 
     private final PolicySettings settings;
@@ -37,11 +52,12 @@
     }
 
     /**
-     * The interval in nanoseconds. It bounds the fraction of the channel that message overhead
-     * takes, and spreads messages over the window of the message limit. A removal waits a third of
-     * its drain timeout at most.
+     * The interval in nanoseconds. It bounds the fraction of the channel capacity that is used for
+     * message overhead, and spreads messages over the window of the message limit. A removal waits
+     * a third of its drain timeout at most.
      *
-     * @param share the fraction of the limits that the delivery may use; it reflects the urgency
+     * @param share the fraction of the queue limit and of the message limit that the delivery may
+     *     use; higher for urgent deliveries, highest for removals
      */
     long nanos(double share, List<ShardTable> due, List<Proxy> subscribed, long now) {
         boolean urgent = share > ChannelBudget.ORDINARY_SHARE;
--- a/src/main/java/rosespread/policy/DeliveryScheduler.java
+++ b/src/main/java/rosespread/policy/DeliveryScheduler.java
@@ -12,11 +12,14 @@
 /**
  * Sends each table's pending delivery if none is in flight; entries beyond the channel budget stay
  * pending. All deliveries of a shard are sent together and spaced, so that many small changes do
- * not fill the queue with message overhead or use up the message limit. A single change waits
- * because of it.
+ * not fill the queue with message overhead or use up the message limit. Therefore even a single
+ * small change waits for the next delivery of its shard.
  */
 final class DeliveryScheduler {
-    /** Least non-urgent entries allowed for a partial table, as a multiple of message overhead. */
+    /**
+     * Lower bound of the number of non-urgent entries allowed in a delivery of a partial table, as
+     * a multiple of a message's overhead.
+     */
     private static final double MIN_PARTIAL_OVERHEADS = 3;
 
     private final PolicySettings settings;
@@ -91,10 +94,12 @@
     }
 
     /**
-     * Whether removals wait for a mass reconnect, so that the earlier deadline goes first and later
-     * removals do not delay the reconnect. They wait while some unsubscribed proxy has been waiting
-     * since before the nodes left: at most a third of the drain timeout, and only while they can
-     * still leave in time behind the queued entries.
+     * Whether the shard's removals wait during a mass reconnect. Removals wait while some
+     * unsubscribed proxy has been waiting since before the nodes left: the full tables of that
+     * proxy have the earlier deadline, and later removals must not delay them. Removals wait at
+     * most a third of the drain timeout after the first of the nodes left, and only while they can
+     * still be sent after the queued entries and take effect within {@link
+     * ChannelBudget#REMOVAL_SHARE} of the drain timeout.
      */
     private boolean removalsMustWait(ProxyShard shard, long now) {
         long departure = departed.earliestDeparture(shard, now);
@@ -134,8 +139,9 @@
 
     /**
      * The number of pending entries that the channel has room for, with capacity reserved for
-     * removals of other shards. Urgent entries go first. They go alone during a mass reconnect and,
-     * from a partial table, while the queue is long.
+     * removals of other shards. Urgent entries are sent first. Only urgent entries are sent during
+     * a mass reconnect and, from a partial table, while more entries are queued than the channel
+     * sends in one second.
      */
     private int entriesThatFit(ShardTable table, double overhead, double members, long now) {
         int removals = changes.removals(table, now);
@@ -169,7 +175,10 @@
                 .sum();
     }
 
-    /** Entries allowed besides the urgent ones; the rest of a partial table follows slowly. */
+    /**
+     * Number of entries allowed besides the urgent ones; a partial table gets its remaining entries
+     * slowly, a limited number in each delivery.
+     */
     private double nonUrgentEntriesAllowed(ShardTable table, int fittingEntries) {
         boolean partial = table.parts() > 1;
         if (reconnects.inProgress()
@@ -185,7 +194,10 @@
                 : fittingEntries;
     }
 
-    /** The number of entries below which a delivery waits, as its overhead would be too high. */
+    /**
+     * The number of entries below which a delivery waits, as the message overhead would be too high
+     * for so few entries.
+     */
     private double entriesWorthSending(
             ShardTable table, double overhead, double members, long now) {
         int removals = changes.removals(table, now);
--- a/src/main/java/rosespread/policy/DemandEstimator.java
+++ b/src/main/java/rosespread/policy/DemandEstimator.java
@@ -16,7 +16,7 @@
         this.proxies = proxies;
     }
 
-    /** Clears the cache when time has passed or reports have come in. */
+    /** Clears the cached estimates; called when time has passed or reports have arrived. */
     void invalidate() {
         byMethod.clear();
     }
--- a/src/main/java/rosespread/policy/DepartedNodes.java
+++ b/src/main/java/rosespread/policy/DepartedNodes.java
@@ -5,7 +5,7 @@
 import rosespread.policy.state.NodeRegistry;
 import rosespread.policy.state.ProxyShard;
 
-/** Finds nodes that are no longer ready but that the followers of a shard still hold. */
+/** Finds nodes that are no longer ready but still have a delivered entry in a table of a shard. */
 final class DepartedNodes {
     private final NodeRegistry nodes;
 
@@ -13,7 +13,10 @@
         this.nodes = nodes;
     }
 
-    /** The nodes of the shard's delivered entries that are not ready, once for each table. */
+    /**
+     * The nodes that are not ready but have a delivered entry in the shard's tables. A node occurs
+     * once for each table that has such an entry.
+     */
     Stream<Node> heldBy(ProxyShard shard) {
         return shard.tables().stream()
                 .flatMap(table -> table.delivered().keySet().stream())
@@ -21,7 +24,10 @@
                 .filter(node -> !node.ready());
     }
 
-    /** When the first of these nodes left, {@code now} if there is none. */
+    /**
+     * Clock reading in nanoseconds at which the first of the nodes in {@link #heldBy} left; {@code
+     * now} if there is no such node.
+     */
     long earliestDeparture(ProxyShard shard, long now) {
         return heldBy(shard).mapToLong(Node::leftAt).min().orElse(now);
     }
--- a/src/main/java/rosespread/policy/EligibleNodes.java
+++ b/src/main/java/rosespread/policy/EligibleNodes.java
@@ -8,9 +8,9 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * The nodes that a table may name at the current time. They are the same for the corresponding
- * tables of all shards and are needed each time a proxy joins, so they are cached until the node
- * list changes or the round ends.
+ * Determines the nodes that a table may name at the current time. These nodes are the same for the
+ * corresponding tables of all shards and are needed each time a proxy joins, so the lists are
+ * cached until the node list changes or the round ends.
  */
 final class EligibleNodes {
     private final NodeRegistry nodes;
@@ -22,12 +22,12 @@
         this.slowStart = slowStart;
     }
 
-    /** Clears the cache when time has passed or the node list has changed. */
+    /** Clears the cached lists; called when time has passed or the node list has changed. */
     void invalidate() {
         byTable.clear();
     }
 
-    /** The nodes that the table may name, in the order of all nodes. */
+    /** The nodes that the table may name, sorted by identity. */
     List<Node> of(ShardTable table, long now) {
         return byTable.computeIfAbsent(
                 table.index(),
--- a/src/main/java/rosespread/policy/HealthCheckScheduler.java
+++ b/src/main/java/rosespread/policy/HealthCheckScheduler.java
@@ -6,18 +6,18 @@
 import rosespread.policy.state.Node;
 import rosespread.policy.state.NodeRegistry;
 
-/** Schedules health checks and adds their results to the evidence of a node's health. */
+/** Schedules health checks and counts their results as attempts in a node's failure ratio. */
 final class HealthCheckScheduler {
     /** Number of attempts that one health check counts as. */
     private static final double ATTEMPTS_PER_CHECK = 3;
 
-    /** Failure ratio above which a node is suspect. */
+    /** Failure ratio above which a node is suspect and is checked at the shorter interval. */
     private static final double SUSPECT_FAILURE_RATIO = 0.12;
 
     /** Check interval of suspect nodes, short so that their state is known soon. */
     private static final long SUSPECT_INTERVAL_NANOS = TimeUnits.SECOND;
 
-    /** Check interval of the other nodes, longer as checks take capacity. */
+    /** Check interval of the other nodes, longer as checks use capacity of the nodes. */
     private static final long INTERVAL_NANOS = 4 * TimeUnits.SECOND;
 
     /** Largest random reduction of an interval, so that nodes are not all checked at once. */
@@ -49,7 +49,10 @@
         }
     }
 
-    /** Adds a result to the evidence; a rejected check says nothing about the node's health. */
+    /**
+     * Counts a check as attempts, which failed unless the check passed. A rejected check is not
+     * counted, as it says nothing about the node's health.
+     */
     void addResult(Node node, HealthCheckResult result, long now) {
         if (result != HealthCheckResult.REJECTED) {
             double failed = result == HealthCheckResult.PASSED ? 0 : ATTEMPTS_PER_CHECK;
--- a/src/main/java/rosespread/policy/LoadEstimator.java
+++ b/src/main/java/rosespread/policy/LoadEstimator.java
@@ -39,10 +39,10 @@
     }
 
     /**
-     * The RPCs per second that nodes with a delivered weight entry can answer at present, in the
-     * table where they can answer most; NaN while the capacity unit is unknown. Nodes without an
-     * entry do not count, because a few nodes may carry all load while the entries of returned
-     * nodes wait for a slow channel.
+     * The RPCs per second that nodes with a delivered weight entry can answer at present, taken
+     * from the table for which this rate is highest; NaN while the capacity unit is unknown. Nodes
+     * without an entry do not count, because a few nodes may serve the whole load while the entries
+     * of returned nodes wait for a slow channel.
      */
     double availableCapacity(long now) {
         return units.unit()
@@ -61,7 +61,9 @@
                 .sum();
     }
 
-    /** Ratio of attempts per second to the available capacity; 0 while the unit is unknown. */
+    /**
+     * Ratio of attempts per second to the available capacity; 0 while the capacity unit is unknown.
+     */
     double loadRatio(long now) {
         double attempted =
                 nodes.all().stream().mapToDouble(node -> node.attemptedPerSecond(now)).sum();
--- a/src/main/java/rosespread/policy/NodeExclusions.java
+++ b/src/main/java/rosespread/policy/NodeExclusions.java
@@ -5,11 +5,14 @@
 import rosespread.policy.state.ShardRegistry;
 
 /**
- * Excludes nodes that left, for proxies that are not subscribed yet and may still hold them;
- * readmits a node once a table holds it again.
+ * Excludes nodes that left at the proxies that are not subscribed yet and may still have entries of
+ * these nodes; readmits a node once a table has an entry of the node again.
  */
 final class NodeExclusions {
-    /** Entries that an exclusion takes besides the message's overhead, with a reserve. */
+    /**
+     * Number of entries planned for an exclusion besides the message's overhead: the one that it
+     * occupies and one in reserve.
+     */
     private static final double EXCLUSION_ENTRIES = 2;
 
     private final ProxyRegistry proxies;
--- a/src/main/java/rosespread/policy/OutgoingRound.java
+++ b/src/main/java/rosespread/policy/OutgoingRound.java
@@ -33,7 +33,9 @@
         return messageOverhead;
     }
 
-    /** Counts entries written to a proxy, and the overhead of its message once. */
+    /**
+     * Counts entries written to a proxy, and, once per round, the overhead of the proxy's message.
+     */
     void add(Proxy proxy, double count) {
         entries += count + (entriesByProxy.containsKey(proxy.id()) ? 0 : messageOverhead);
         entriesByProxy.merge(proxy.id(), messageOverhead + count, (old, more) -> old + count);
--- a/src/main/java/rosespread/policy/OutlierDetector.java
+++ b/src/main/java/rosespread/policy/OutlierDetector.java
@@ -10,13 +10,13 @@
 /**
  * Ejects nodes whose failure ratio is much higher than that of the other nodes, and readmits them
  * once they answer again. While the ejected fraction of a table's capacity is above the panic
- * threshold, all its nodes count as healthy (panic mode).
+ * threshold, all nodes of the table count as healthy (panic mode).
  */
 final class OutlierDetector {
-    /** Time constant over which evidence of health decays. */
+    /** Time constant with which a node's counts of attempts and failures decay. */
     static final long HEALTH_WINDOW_NANOS = 3 * TimeUnits.SECOND;
 
-    /** Least number of attempts to eject a node, and to readmit it. */
+    /** Least number of recent attempts needed to eject a node, and to readmit it. */
     private static final double MIN_ATTEMPTS_TO_EJECT = 7;
 
     private static final double MIN_ATTEMPTS_TO_READMIT = 2;
@@ -24,10 +24,16 @@
     /** Failure ratio above which a node may be ejected. */
     private static final double MIN_FAILURE_RATIO = 0.35;
 
-    /** The same for a busy node that answers, as it is overloaded rather than failed. */
+    /**
+     * Failure ratio above which a busy node that answers may be ejected; higher than for other
+     * nodes, as such a node is overloaded rather than failed.
+     */
     private static final double MIN_FAILURE_RATIO_BUSY = 0.9;
 
-    /** A node is an outlier above this multiple of the others' failure ratio plus the margin. */
+    /**
+     * A node is an outlier if its failure ratio is above this multiple of the other nodes' failure
+     * ratio plus {@link #OTHERS_MARGIN}.
+     */
     private static final double OTHERS_MULTIPLE = 2;
 
     private static final double OTHERS_MARGIN = 0.15;
@@ -59,7 +65,10 @@
         this.windows = windows;
     }
 
-    /** Evaluates each node against the others, then the panic mode of each table. */
+    /**
+     * Ejects and readmits nodes by their failure ratio compared with that of the other nodes, then
+     * starts or ends the panic mode of each table.
+     */
     void evaluate(RoundContext round) {
         evaluateNodes(round);
         for (ShardTable table : shards.firstTables()) {
@@ -68,9 +77,10 @@
     }
 
     /**
-     * Ejects nodes that abort, hang or are lost before the node list shows it. A busy node that
-     * answers is overloaded, and ejecting it would overload the others too. Ejection misfires if a
-     * few RPCs cost far more at one node. An ejected node keeps its weight entries.
+     * Ejects nodes that abort requests, hang or are lost, before the node list shows the failure. A
+     * busy node that answers is overloaded, and ejecting it would overload the other nodes too. A
+     * healthy node may be ejected if a few RPCs cost far more at that node than at others. An
+     * ejected node keeps its weight entries.
      */
     private void evaluateNodes(RoundContext round) {
         long now = round.now();
--- a/src/main/java/rosespread/policy/PartialTables.java
+++ b/src/main/java/rosespread/policy/PartialTables.java
@@ -7,11 +7,13 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Writes tables with a part of their entries while no proxy follows them, which costs nothing in
- * the channel.
+ * Writes partial tables: each contains only a part of the committed entries. Only tables whose
+ * updates no proxy receives are written, so that writing uses no channel capacity.
  */
 final class PartialTables {
-    /** Least number of entries of a part; fewer nodes could not take the load of a proxy. */
+    /**
+     * Least number of entries in a partial table; fewer nodes could not serve the load of a proxy.
+     */
     static final int MIN_ENTRIES = 8;
 
     private final ShardRegistry shards;
@@ -20,7 +22,10 @@
         this.shards = shards;
     }
 
-    /** Rewrites the tables of all shards without followers. */
+    /**
+     * Rewrites the tables of all shards without followers, that is, without proxies that receive
+     * the updates of the shard's tables.
+     */
     void rewriteTablesWithoutFollowers(RoundContext round) {
         shards.tables().stream()
                 .filter(table -> table.shard().withoutFollowers())
--- a/src/main/java/rosespread/policy/PendingChanges.java
+++ b/src/main/java/rosespread/policy/PendingChanges.java
@@ -6,11 +6,14 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Counts the pending entries of a table that are urgent. Each shard reads the counts of all others
- * many times a round, so they are cached in the table until something changes.
+ * Counts the pending entries of a table that are urgent. Each shard reads the counts of all other
+ * shards many times a round, so the counts are cached in the table until they are invalidated.
  */
 final class PendingChanges {
-    /** Least fraction of its share of all weights that a table keeps when entries are removed. */
+    /**
+     * Least delivered weight that a table keeps when entries are removed, as a fraction of the
+     * table's committed weight divided by its number of parts.
+     */
     private static final double MIN_DELIVERED_FRACTION = 0.8;
 
     /**
@@ -27,15 +30,15 @@
         this.slowStart = slowStart;
     }
 
-    /** The number of entries to remove because their nodes are not ready. */
+    /** The number of pending entries that are removed because their nodes are not ready. */
     int removals(ShardTable table, long now) {
         count(table, now);
         return table.pendingRemovals();
     }
 
     /**
-     * The number of urgent entries: removals, nodes that are warming up at too high a weight, and
-     * entries that replace removed ones.
+     * The number of urgent entries: removals, entries of warming nodes whose delivered weight is
+     * too high, and entries that replace removed ones.
      */
     int urgentEntries(ShardTable table, long now) {
         count(table, now);
@@ -43,10 +46,11 @@
     }
 
     /**
-     * Whether a delivery must not wait for the one in flight. This is so for a node that left; for
-     * a node that is warming up but still has a far higher weight, as after a restart under its old
-     * entry; for a table without a ready node; and for an admission limit that falls or is lifted,
-     * as rejected requests come back.
+     * Whether the table's pending delivery is urgent: it must not wait until the delivery in flight
+     * is acknowledged. It is urgent if it removes a node that left; if it lowers the far too high
+     * weight of a node that is warming up, as after a restart under its old entry; if no delivered
+     * entry is of a ready node; or if an admission limit falls or is lifted, as rejected requests
+     * are sent again.
      */
     boolean urgent(ShardTable table, long now) {
         return urgentEntries(table, now) > 0
@@ -54,7 +58,10 @@
                 || table.delivered().keySet().stream().noneMatch(this::ready);
     }
 
-    /** Whether a node is warming up and its delivered weight is far above the pending one. */
+    /**
+     * Whether a node is warming up and its delivered weight is above {@link
+     * #MAX_WARM_UP_WEIGHT_MULTIPLE} times its pending weight.
+     */
     boolean warmUpWeightTooHigh(ShardTable table, NodeId id, long now) {
         return slowStart.warmingUp(nodes.find(id), now)
                 && table.delivered().getOrDefault(id, 0.0)
@@ -80,9 +87,10 @@
     }
 
     /**
-     * The number of entries that must follow the removals, so that a table's remaining nodes do not
-     * take the load of those removed. Without them, nodes that are warming up may be the only ones
-     * left in a partial table and get all requests of its proxies.
+     * The number of entries that must be delivered together with the removals, so that the load of
+     * the removed nodes does not shift to the table's few remaining nodes. Without these entries,
+     * nodes that are warming up may be the only ones left in a partial table and get all requests
+     * of its proxies.
      */
     private int replacements(ShardTable table) {
         double delivered = table.deliveredWeight(this::ready);
--- a/src/main/java/rosespread/policy/ProxySubscriber.java
+++ b/src/main/java/rosespread/policy/ProxySubscriber.java
@@ -10,18 +10,22 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Sends full tables to proxies that joined or did not acknowledge in time, the busiest first.
- * Proxies that have waited for a third of a drain timeout go before all others, so that a node that
- * left does not stay too long in the tables they have from another controller.
+ * Sends full tables to proxies that joined or did not acknowledge within the timeout, those with
+ * the highest usual rate first. Proxies that have waited for a third of a drain timeout are served
+ * before all others, so that a node that left does not stay too long in the tables that these
+ * proxies have from another controller.
  */
 final class ProxySubscriber {
-    /** Fraction of the queue limit and of the message limit for full tables. */
+    /** Fraction of the queue limit and of the message limit that full tables may use. */
     private static final double FULL_TABLE_SHARE = 0.8;
 
-    /** Fraction of the queue limit for full tables while a delivery or a removal waits. */
+    /** Fraction of the queue limit that full tables may use while a delivery or a removal waits. */
     private static final double SHARE_BESIDE_DELIVERIES = 0.35;
 
-    /** Channel time of the full tables that may be queued; further ones wait in this class. */
+    /**
+     * Limit of the queue for full tables, as the time in which the channel sends the queued
+     * entries; further full tables are not written until the queue is shorter.
+     */
     private static final long MAX_QUEUE_NANOS = TimeUnits.SECOND / 2;
 
     private final PolicySettings settings;
@@ -88,7 +92,10 @@
                 : now;
     }
 
-    /** The fraction of the queue limit for full tables; less while deliveries or removals wait. */
+    /**
+     * The fraction of the queue limit that full tables may use; less while deliveries or removals
+     * wait.
+     */
     private double fullTableShare(RoundContext round) {
         double queueEntries =
                 settings.entriesPerSecond()
--- a/src/main/java/rosespread/policy/ReconnectHandler.java
+++ b/src/main/java/rosespread/policy/ReconnectHandler.java
@@ -18,9 +18,9 @@
  * departed nodes stay in those tables until the proxies are subscribed here. If full tables for all
  * waiting proxies would occupy the channel for more than half a drain timeout, the proxies are
  * assigned to shards with partial tables, each with a different subset of the entries; the
- * remaining entries follow as ordinary deliveries. Partial tables prevent requests to departed
- * nodes when a whole fleet of proxies reconnects. Partial tables do harm if the nodes of one part
- * are slow.
+ * remaining entries are sent later in ordinary deliveries. Partial tables prevent requests to
+ * departed nodes when a whole fleet of proxies reconnects. Partial tables do harm if the nodes of
+ * one part are slow.
  */
 final class ReconnectHandler {
     /**
@@ -33,12 +33,15 @@
     private static final int MAX_PARTS = 25;
 
     /**
-     * Partial tables use this fraction of the entries that fit in the channel, as more proxies may
-     * be about to connect.
+     * Size of a partial table as a fraction of the entries per waiting proxy that the channel can
+     * send within half a drain timeout, as more proxies may be about to connect.
      */
     private static final double PARTIAL_SHARE = 0.5;
 
-    /** A shard counts as partial up to this multiple of the entries of a partial table. */
+    /**
+     * A shard with followers may accept waiting proxies if it has at most this multiple of the
+     * entries of a partial table.
+     */
     private static final double MAX_PARTIAL_SIZE_RATIO = 1.5;
 
     private final PolicySettings settings;
@@ -77,9 +80,9 @@
     }
 
     /**
-     * Whether the proxy may hold departed nodes and has waited more than a third of its drain
-     * timeout. While no node has started or left recently, there is no urgency and no proxy is
-     * overdue.
+     * Whether the proxy is not subscribed, may have entries of departed nodes and has waited more
+     * than a third of a drain timeout. If no node has started or left within the last {@link
+     * #RECENT_DRAIN_TIMEOUTS} drain timeouts, there is no urgency and no proxy is overdue.
      */
     boolean overdue(Proxy proxy, long now) {
         return nodesChangedRecently
@@ -88,8 +91,8 @@
     }
 
     /**
-     * Determines whether a mass reconnect is in progress, assigns its waiting proxies to partial
-     * shards, and sets the number of parts of each table.
+     * Determines whether a mass reconnect is in progress, assigns the waiting proxies to shards
+     * with partial tables, and sets the number of parts of each table.
      */
     void evaluate(long now) {
         nodesChangedRecently = nodesChangedRecently(now);
@@ -132,10 +135,12 @@
 
     /**
      * Distributes the proxies over as many shards as there are parts. With fewer shards, some parts
-     * would be in no table, and their nodes would be idle while the others carry the whole load. A
-     * partial shard accepts proxies until it has its share. Otherwise each small batch of
-     * subscribed proxies would leave the remaining ones to a new shard, and the work of a round
-     * grows with the number of shards. A shard that holds departed nodes accepts no more proxies.
+     * would be in no table, and their nodes would be idle while the other nodes serve the whole
+     * load. A shard with partial tables accepts proxies until it has its share: the number of
+     * proxies divided by the number of parts. Otherwise the remaining proxies would need a new
+     * shard after each small batch of subscribed proxies, and the work of a round grows with the
+     * number of shards. A shard whose followers still have entries of departed nodes accepts no
+     * more proxies.
      */
     private void assignToPartialShards(
             List<Proxy> waiting, int fullTableEntries, int parts, long now) {
@@ -166,11 +171,11 @@
     }
 
     /**
-     * Ends the subscriptions of shards that hold too many departed nodes if the channel cannot
-     * carry all removals within half a drain timeout; their proxies are then subscribed in other
-     * shards. A shard holds too many if their number exceeds the minimum entries of a partial
-     * table. The new subscriptions prevent late removals when a release replaces most nodes within
-     * one drain timeout.
+     * Ends the subscriptions of shards that hold too many departed nodes if the channel cannot send
+     * all removals within half a drain timeout; their proxies are then subscribed in other shards.
+     * A shard holds too many if its entries of departed nodes outnumber the minimum entries of a
+     * partial table. The new subscriptions prevent late removals when a release replaces most nodes
+     * within one drain timeout.
      */
     private void endSubscriptionsWithTooManyRemovals(long now) {
         Map<ProxyShard, Long> removals = new LinkedHashMap<>();
@@ -199,8 +204,8 @@
     }
 
     /**
-     * Ends the proxy's subscription and moves it to a shard without followers. The proxy follows
-     * the tables of its former shard until it is subscribed in the new one.
+     * Ends the proxy's subscription and moves it to a shard without followers. The proxy receives
+     * the updates of its former shard's tables until it is subscribed in the new shard.
      */
     private void moveToUnfollowedShard(Proxy proxy, long now) {
         proxy.endSubscription(departed.earliestDeparture(proxy.shard(), now));
--- a/src/main/java/rosespread/policy/ReportWindows.java
+++ b/src/main/java/rosespread/policy/ReportWindows.java
@@ -10,21 +10,27 @@
  * intake delivers reports at longer intervals, the windows grow with the interval.
  */
 final class ReportWindows {
-    /** Minimum number of reports over which load and answers are averaged; fewer vary too much. */
+    /**
+     * Minimum number of report periods over which load and answers are averaged; averages over
+     * fewer reports vary too much.
+     */
     private static final double LOAD_REPORTS = 20;
 
     /**
-     * Minimum number of reports over which demand is averaged; fewer than for load, as a change in
-     * demand must become visible sooner.
+     * Minimum number of report periods over which demand is averaged; fewer than for load, as a
+     * change in demand must become visible sooner.
      */
     private static final double DEMAND_REPORTS = 2.5;
 
-    /** Time constant of the mean interval between reports; covers a few reports at any rate. */
+    /**
+     * Decay time constant of the mean interval between load reports; long enough that the mean
+     * covers a few reports, however long the interval is.
+     */
     private static final long INTERVAL_WINDOW_NANOS = 5 * TimeUnits.SECOND;
 
     /**
-     * Number of report intervals after which a node without an answer, while other nodes have
-     * answers, is silent and not busy.
+     * A node counts as silent, not busy, if its last answer is at least this many report intervals
+     * older than the time it is compared with: the newest answer of any node, or the current time.
      */
     private static final double FRESH_REPORTS = 2.5;
 
@@ -66,8 +72,8 @@
     }
 
     /**
-     * Observed interval between a node's reports in nanoseconds. The intake may deliver reports far
-     * more slowly than they are collected.
+     * Observed mean interval between a node's reports in nanoseconds, at least the report period of
+     * the settings. The intake may deliver reports at far longer intervals than the report period.
      */
     private double reportIntervalNanos(long now) {
         return Math.max(
--- a/src/main/java/rosespread/policy/RoundContext.java
+++ b/src/main/java/rosespread/policy/RoundContext.java
@@ -2,7 +2,10 @@
 
 import rosespread.api.PolicyActions;
 
-/** Context of one round: the clock reading at which it is decided and the writer of its actions. */
+/**
+ * Context of one round: the clock reading at which the round is decided and the writer of the
+ * round's actions.
+ */
 final class RoundContext {
     private final long now;
     private final PolicyActions actions;
@@ -27,12 +30,15 @@
         return actions;
     }
 
-    /** Records that a delivery did not fit in this round. */
+    /** Records that a delivery did not fit in the channel budget of this round. */
     void deliveryWaits() {
         deliveryWaiting = true;
     }
 
-    /** Whether a delivery did not fit in this round, so that full tables must leave room for it. */
+    /**
+     * Whether a delivery did not fit in the channel budget of this round, so that full tables must
+     * leave room for the delivery.
+     */
     boolean deliveryWaiting() {
         return deliveryWaiting;
     }
--- a/src/main/java/rosespread/policy/RoundTriggers.java
+++ b/src/main/java/rosespread/policy/RoundTriggers.java
@@ -1,7 +1,8 @@
 package rosespread.policy;
 
 /**
- * Work of the next round besides deliveries. Set by events and by new shards, reset by the round.
+ * Records which work the next round must do besides deliveries. Events and new shards set these
+ * records, the round resets them.
  */
 final class RoundTriggers {
     private boolean planNeeded;
--- a/src/main/java/rosespread/policy/RoutingPolicy.java
+++ b/src/main/java/rosespread/policy/RoutingPolicy.java
@@ -23,7 +23,7 @@
  * Not thread-safe.
  */
 public final class RoutingPolicy {
-    /** Interval at which the policy evaluates load and health without events. */
+    /** Interval at which the policy evaluates load and health, even if no events arrive. */
     private static final long EVALUATION_INTERVAL_NANOS = TimeUnits.SECOND / 10;
 
     private final PolicySettings settings;
--- a/src/main/java/rosespread/policy/ShardAssigner.java
+++ b/src/main/java/rosespread/policy/ShardAssigner.java
@@ -8,11 +8,14 @@
 
 /**
  * Selects the shard that a proxy joins. In a large fleet, one delivery to all proxies does not fit
- * in half the queue; each shard's deliveries are therefore sent separately. A small fleet has one
- * shard.
+ * in half the queue limit; each shard's deliveries are therefore sent separately. A small fleet has
+ * one shard.
  */
 final class ShardAssigner {
-    /** Minimum size at which a shard counts as full, as each shard costs a pass over all nodes. */
+    /**
+     * Number of proxies below which no shard counts as full. Smaller shards would be more shards,
+     * and each shard costs a pass over all nodes.
+     */
     private static final double MIN_FULL_SIZE = 8;
 
     private final PolicySettings settings;
@@ -36,7 +39,7 @@
 
     /**
      * Returns the smallest of the candidate shards, or a new shard if all of them are so large that
-     * a delivery of every entry to one more proxy would not fit.
+     * a delivery of every entry would not fit in half the queue limit with one more proxy.
      */
     ProxyShard shardToJoin(Predicate<ProxyShard> candidates, long now) {
         double entries =
--- a/src/main/java/rosespread/policy/SlowStart.java
+++ b/src/main/java/rosespread/policy/SlowStart.java
@@ -33,8 +33,10 @@
 
     /**
      * Whether a table may name the node. A warming node stays out of all tables until the requests
-     * that earlier tables sent to it have ended. The delay protects nodes that restart when a lost
-     * site returns, and nodes in a flapping endpoint list. It leaves some nodes idle for seconds.
+     * that earlier tables sent to it have ended: a drain timeout plus the time for which a cold
+     * node can be overloaded, counted from the last removal of an entry of the node. The delay
+     * protects nodes that restart when a lost site returns, and nodes in a flapping endpoint list.
+     * The delay leaves some nodes idle for seconds.
      */
     boolean mayTakeLoad(Node node, long now) {
         return node.ready()
@@ -44,8 +46,8 @@
     }
 
     /**
-     * Ratio of its capacity that a node is assumed to have now, 1 once it is warm. Linear warm-up
-     * is assumed, which is the slowest case.
+     * Fraction of its full capacity that a node is assumed to have now, 1 once the node is warm.
+     * Linear warm-up is assumed, which is the slowest case.
      */
     double warmUpRatio(Node node, long now) {
         return warmingUp(node, now)
@@ -61,7 +63,7 @@
      * site from a retry storm, also if the controller has just started. It does harm if the warm
      * nodes are the overloaded ones.
      *
-     * @param loadRatio attempts relative to available capacity
+     * @param loadRatio attempts per second relative to the available capacity
      * @param capacityKnown whether a reported load has made the capacity known
      * @param utilizationKnown whether any node reports its utilization
      */
--- a/src/main/java/rosespread/policy/TablePlanner.java
+++ b/src/main/java/rosespread/policy/TablePlanner.java
@@ -14,24 +14,34 @@
 import rosespread.policy.state.ShardTable;
 
 /**
- * Computes the desired weights and commits those that differ significantly; each change becomes
- * part of the table's single pending delivery. Runs only at each evaluation and when the node list
- * or the shards change, as each run visits every node for every shard.
+ * Computes the desired weights and commits those that differ significantly from the committed
+ * weights; each change becomes part of the table's single pending delivery. Runs only at each
+ * evaluation and when the node list or the shards change, as each run visits every node for every
+ * shard.
  */
 final class TablePlanner {
-    /** Relative difference above which an entry is committed again. */
+    /**
+     * Relative difference between the desired and the committed weight of an entry above which the
+     * desired weight is committed, if sending full tables took no time.
+     */
     private static final double ENTRY_BAND = 0.07;
 
-    /** Growth of the band per second of channel time that new full tables for all proxies take. */
+    /**
+     * Relative growth of {@link #ENTRY_BAND} per second that the channel needs to send new full
+     * tables to all proxies.
+     */
     private static final double ENTRY_BAND_GROWTH = 0.5;
 
-    /** Bias towards larger nodes, multiplied by the ratio of spare capacity. */
+    /**
+     * Strength of the shift of weight to larger nodes, as a multiple of the ratio of spare
+     * capacity.
+     */
     private static final double LARGE_NODE_BIAS = 1.3;
 
-    /** Minimum ratio of its weight that the bias leaves to a small node. */
+    /** Least fraction of its weight that a small node keeps when weight shifts to larger nodes. */
     private static final double MIN_BIASED_RATIO = 0.25;
 
-    /** Minimum ratio of its capacity that more restricted tables leave to a node. */
+    /** Least fraction of a node's capacity that counts as not used by more restricted tables. */
     private static final double MIN_REMAINING_RATIO = 0.1;
 
     /** Minimum load ratio in the estimate of the capacity that more restricted tables use. */
@@ -71,7 +81,10 @@
         this.demands = demands;
     }
 
-    /** Commits the desired weights of all tables, starting with the tables of the fewest nodes. */
+    /**
+     * Commits the desired weights of all tables, starting with the tables that have the fewest
+     * eligible nodes.
+     */
     void commitAll(long now) {
         double loadRatio = load.loadRatio(now);
         List<ShardTable> fewestNodesFirst = new ArrayList<>(shards.firstTables());
--- a/src/main/java/rosespread/policy/TableUpdateSender.java
+++ b/src/main/java/rosespread/policy/TableUpdateSender.java
@@ -9,14 +9,17 @@
 import rosespread.policy.state.Proxy;
 import rosespread.policy.state.ShardTable;
 
-/** Sends a table's pending delivery, or as much of it as fits, to its subscribers. */
+/**
+ * Sends a table's pending delivery, or as many of its entries as the caller allows, to the table's
+ * subscribers.
+ */
 final class TableUpdateSender {
-    /** Maximum fraction of the channel for ordinary deliveries. */
+    /** Maximum fraction of the channel capacity that ordinary deliveries may use. */
     private static final double MAX_CHANNEL_SHARE = 0.85;
 
     /**
-     * Maximum cost of ordinary deliveries as a fraction of all service; an expensive channel is
-     * used less.
+     * Maximum cost of ordinary deliveries as a fraction of the whole service, like {@link
+     * PolicySettings#channelCost}; a channel with a high cost is used less.
      */
     private static final double MAX_CHANNEL_COST = 0.04;
 
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Clock reading in nanoseconds at which the fraction of the channel for ordinary deliveries has
-     * carried all updates sent so far.
+     * Clock reading in nanoseconds at which the channel has sent all updates so far, if it uses
+     * only the fraction of its capacity that ordinary deliveries may use.
      */
     long channelFreeAt() {
         return channelFreeAt;
@@ -53,8 +56,8 @@
 
     /**
      * Sends all pending admission limits and a limited number of pending entries: first the entries
-     * of nodes that are not ready, then those of warming nodes whose weight at the proxies is far
-     * too high, then the largest changes.
+     * of nodes that are not ready, then those of warming nodes whose delivered weight is far too
+     * high, then those whose weights change most.
      */
     void send(ShardTable table, int maxEntries, RoundContext round) {
         List<NodeId> entries = mostUrgentEntries(table, maxEntries, round.now());
--- a/src/main/java/rosespread/policy/state/Node.java
+++ b/src/main/java/rosespread/policy/state/Node.java
@@ -165,7 +165,7 @@
         return perSecond(answered, now);
     }
 
-    /** Answers within the window, to the proxies of all zones. */
+    /** Number of answers to the proxies of all zones, decayed over the load window. */
     public double answeredCount(long now) {
         return answered.values().stream().mapToDouble(rate -> rate.counted(now)).sum();
     }
@@ -184,7 +184,9 @@
         return byZone.values().stream().mapToDouble(rate -> rate.perSecond(now)).sum();
     }
 
-    /** Utilization over the window of answers, as a fraction of the node's cores. */
+    /**
+     * Utilization over the load window, the same as for answers, as a fraction of the node's cores.
+     */
     public WindowedRate utilization() {
         return utilization;
     }
--- a/src/main/java/rosespread/policy/state/Proxy.java
+++ b/src/main/java/rosespread/policy/state/Proxy.java
@@ -8,9 +8,9 @@
 import rosespread.stats.WindowedRate;
 
 /**
- * A joined proxy: its shard, the shard whose tables it follows, the messages sent to it and its
- * demand reports. A proxy is a member of exactly one shard; until it is subscribed there, it may
- * follow the tables of the shard that it was moved from.
+ * A joined proxy: its shard, the shard whose table updates it receives, the messages sent to it and
+ * its demand reports. A proxy is a member of exactly one shard; until it is subscribed there, it
+ * may still receive the table updates of the shard that it was moved from.
  */
 public final class Proxy {
     private final ProxyId id;
@@ -70,15 +70,18 @@
     }
 
     /**
-     * Makes the proxy a member of another shard. The proxy follows the tables of its former shard
-     * until it is subscribed in the new one.
+     * Makes the proxy a member of another shard. The proxy receives the updates of its former
+     * shard's tables until it is subscribed in the new shard.
      */
     public void moveTo(ProxyShard next) {
         shard.removeMember(this);
         join(next);
     }
 
-    /** Removes the proxy from its shard and from the followers, as its stream has ended. */
+    /**
+     * Removes the proxy from its shard and from the followers of the shard whose table updates it
+     * received, as the proxy's stream has ended.
+     */
     public void leave() {
         shard.removeMember(this);
         follow(null);
@@ -97,7 +100,7 @@
 
     /**
      * Subscribes the proxy to its shard's tables, which are sent to it in full. The proxy then
-     * follows no other shard.
+     * receives the table updates of no other shard.
      *
      * @param sequence sequence number of the message that carries the tables
      * @param now clock reading in nanoseconds
@@ -110,8 +113,8 @@
     }
 
     /**
-     * Ends the subscription so that the proxy can move to another shard; the proxy still follows
-     * the tables.
+     * Ends the subscription so that the proxy can move to another shard; until it is subscribed
+     * there, the proxy still receives the updates of the former shard's tables.
      *
      * @param departedAt clock reading in nanoseconds at which the first of the departed nodes in
      *     the proxy's tables left
--- a/src/main/java/rosespread/policy/state/ProxyShard.java
+++ b/src/main/java/rosespread/policy/state/ProxyShard.java
@@ -55,7 +55,7 @@
         return table;
     }
 
-    /** The shard's tables; counterparts have the same index in all shards. */
+    /** The shard's tables; tables for the same methods have the same index in all shards. */
     public List<ShardTable> tables() {
         return tablesView;
     }
@@ -91,7 +91,10 @@
         followers--;
     }
 
-    /** Copies the admission limits of the counterparts in another shard; the copies are pending. */
+    /**
+     * Copies the admission limits of another shard's tables to the tables with the same index in
+     * this shard; the copied limits are pending.
+     */
     public void copyAdmissionLimits(ProxyShard other) {
         for (int i = 0; i < tables.size(); i++) {
             tables.get(i).copyAdmissionLimits(other.tables.get(i));
@@ -99,15 +102,16 @@
     }
 
     /**
-     * Whether no proxy follows the tables, so that writing them again takes no channel capacity.
+     * Whether no proxy receives the updates of the tables, so that writing the tables again uses no
+     * channel capacity.
      */
     public boolean withoutFollowers() {
         return followers == 0;
     }
 
     /**
-     * Whether all members were moved to other shards while some still follow these tables. Until
-     * they are subscribed in their new shards, they receive the updates of these tables.
+     * Whether all members were moved to other shards while some of these proxies are not subscribed
+     * in their new shards yet and still receive the updates of this shard's tables.
      */
     public boolean abandoned() {
         return members.isEmpty() && !withoutFollowers();
--- a/src/main/java/rosespread/policy/state/ShardRegistry.java
+++ b/src/main/java/rosespread/policy/state/ShardRegistry.java
@@ -41,8 +41,8 @@
     }
 
     /**
-     * The tables of the first shard. They stand for their counterparts in all shards, which allow
-     * the same nodes and have the same desired weights.
+     * The tables of the first shard. They represent the tables with the same index in all shards,
+     * which allow the same nodes and have the same desired weights.
      */
     public List<ShardTable> firstTables() {
         return shards.get(0).tables();
--- a/src/main/java/rosespread/policy/state/ShardTable.java
+++ b/src/main/java/rosespread/policy/state/ShardTable.java
@@ -124,7 +124,10 @@
                 && (localZone == null || localZone.equals(node.zone()));
     }
 
-    /** Whether the table is one of the tables for the proxy. */
+    /**
+     * Whether the proxy uses the table: it is a member of the table's shard and, if the table is
+     * for one zone, runs in that zone.
+     */
     public boolean isFor(Proxy proxy) {
         return shard == proxy.shard() && (localZone == null || localZone.equals(proxy.zone()));
     }
@@ -180,8 +183,9 @@
     }
 
     /**
-     * Number of pending entries, in descending order of gain, whose gains add up to the given
-     * weight. If the sum of all gains is lower, this is the number of all entries that gain weight.
+     * Least number of pending entries whose increases in weight, the largest first, add up to the
+     * given weight. If the sum of all increases is lower, this is the number of all entries whose
+     * weight increases.
      */
     public int entriesToGain(double weight) {
         double[] losses =
@@ -251,7 +255,9 @@
         return changed;
     }
 
-    /** Number of parts into which the entries are split over shards; 1 unless it is partial. */
+    /**
+     * Number of parts into which the entries are split over shards; 1 unless the table is partial.
+     */
     public long parts() {
         return parts;
     }
@@ -359,7 +365,10 @@
         pendingCountsValid = false;
     }
 
-    /** Sets the counts of pending entries, which stay valid until something changes. */
+    /**
+     * Sets the counts of pending entries, which stay valid until a weight is committed or delivered
+     * or {@link #invalidatePendingCounts} is called.
+     */
     public void setPendingCounts(int removals, int urgent) {
         pendingRemovals = removals;
         urgentEntries = urgent;
@@ -371,17 +380,22 @@
         return pendingRemovals;
     }
 
-    /** Number of pending entries that cannot wait, including removals. */
+    /**
+     * Number of pending entries that must not wait for the delivery in flight, including removals.
+     */
     public int urgentEntries() {
         return urgentEntries;
     }
 
-    /** Whether so many nodes are ejected that all nodes count as healthy. */
+    /**
+     * Whether the table is in panic mode: so much of its capacity is ejected that all nodes count
+     * as healthy.
+     */
     public boolean panicking() {
         return panicking;
     }
 
-    /** Sets whether all nodes count as healthy. */
+    /** Sets whether the table is in panic mode, in which all nodes count as healthy. */
     public void setPanicking(boolean panic) {
         panicking = panic;
     }
--- a/src/main/java/rosespread/stats/InFlightMessages.java
+++ b/src/main/java/rosespread/stats/InFlightMessages.java
@@ -62,7 +62,10 @@
         }
     }
 
-    /** Removes the messages written to a proxy before this time, as no longer awaited. */
+    /**
+     * Removes the messages written to a proxy before this time; their acknowledgements are no
+     * longer awaited.
+     */
     public void expire(ProxyId proxy, long before) {
         ArrayDeque<Message> pending = unacknowledged.get(proxy);
         while (pending != null && !pending.isEmpty() && pending.peekFirst().writtenAt() < before) {
