--- a/src/main/java/rosespread/api/PolicySettings.java
+++ b/src/main/java/rosespread/api/PolicySettings.java
@@ -22,8 +22,7 @@
  * @param maxPropagationDelayNanos maximum time from when an entry leaves the channel until the
  *     entry takes effect
  * @param reportPeriodNanos interval between a node's load reports
- * @param drainTimeoutNanos time that may pass after a node leaves before no table may name the node
- *     any more
+ * @param drainTimeoutNanos time after a node leaves; once it has passed, no table may name the node
  * @param warmUpNanos time from a node's start until it has its full capacity
  * @param coldCapacityRatio fraction of its full capacity that a node has at its start
  * @param coldOverloadNanos time for which a node that warms up can be overloaded before it fails
--- a/src/main/java/rosespread/policy/CapacityEstimator.java
+++ b/src/main/java/rosespread/policy/CapacityEstimator.java
@@ -45,8 +45,8 @@
 
     /**
      * Upper bound of the measured capacity of a node that is not busy and has the mean latency of
-     * its machine type, as a multiple of the capacity measured for that type. At other latencies,
-     * the bound is inversely proportional to the node's latency.
+     * its machine type, as a multiple of the capacity that the measurements of that type give for
+     * the node. At other latencies, the bound is inversely proportional to the node's latency.
      */
     private static final double MAX_CAPACITY_AT_TYPE_LATENCY = 1.3;
 
--- a/src/main/java/rosespread/policy/ChannelBudget.java
+++ b/src/main/java/rosespread/policy/ChannelBudget.java
@@ -62,8 +62,8 @@
      * all queued entries, so the queued entries must leave the channel well within the drain
      * timeout, even if the queue limit allows more of them.
      *
-     * @param share fraction of the queue limit, and of the entries that can leave the channel in
-     *     time for a removal, that may be queued
+     * @param share fraction of the queue limit that may be used; the same fraction applies to the
+     *     number of entries that can leave the channel early enough for a removal
      */
     double capacity(double share) {
         double deliverableInTime =
--- a/src/main/java/rosespread/policy/DeliveryScheduler.java
+++ b/src/main/java/rosespread/policy/DeliveryScheduler.java
@@ -95,11 +95,11 @@
 
     /**
      * Whether the shard's removals wait during a mass reconnect. Removals wait while some
-     * unsubscribed proxy has been waiting since before the nodes left: the full tables of that
-     * proxy have the earlier deadline, and later removals must not delay them. Removals wait at
-     * most a third of the drain timeout after the first of the nodes left, and only while they can
-     * still be sent after the queued entries and take effect within {@link
-     * ChannelBudget#REMOVAL_SHARE} of the drain timeout.
+     * unsubscribed proxy has been waiting since before the first of the nodes left: the full tables
+     * of that proxy have the earlier deadline, and later removals must not delay them. Removals
+     * wait at most a third of the drain timeout after this departure, and only while they can still
+     * be sent after the queued entries and take effect within {@link ChannelBudget#REMOVAL_SHARE}
+     * of the drain timeout.
      */
     private boolean removalsMustWait(ProxyShard shard, long now) {
         long departure = departed.earliestDeparture(shard, now);
@@ -140,8 +140,8 @@
     /**
      * The number of pending entries that the channel has room for, with capacity reserved for
      * removals of other shards. Urgent entries are sent first. Only urgent entries are sent during
-     * a mass reconnect and, from a partial table, while more entries are queued than the channel
-     * sends in one second.
+     * a mass reconnect and, from a partial table, while more entries are unacknowledged than the
+     * channel sends in one second plus the maximum propagation delay.
      */
     private int entriesThatFit(ShardTable table, double overhead, double members, long now) {
         int removals = changes.removals(table, now);
--- a/src/main/java/rosespread/policy/HealthCheckScheduler.java
+++ b/src/main/java/rosespread/policy/HealthCheckScheduler.java
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Counts a check as attempts, which failed unless the check passed. A rejected check is not
-     * counted, as it says nothing about the node's health.
+     * Counts a check as {@link #ATTEMPTS_PER_CHECK} attempts, all of them failed unless the check
+     * passed. A rejected check is not counted, as it says nothing about the node's health.
      */
     void addResult(Node node, HealthCheckResult result, long now) {
         if (result != HealthCheckResult.REJECTED) {
--- a/src/main/java/rosespread/policy/NodeExclusions.java
+++ b/src/main/java/rosespread/policy/NodeExclusions.java
@@ -5,8 +5,8 @@
 import rosespread.policy.state.ShardRegistry;
 
 /**
- * Excludes nodes that left at the proxies that are not subscribed yet and may still have entries of
- * these nodes; readmits a node once a table has an entry of the node again.
+ * Tells the proxies that are not subscribed yet, and may still have entries of nodes that left, to
+ * exclude these nodes; readmits a node once a table has an entry of the node again.
  */
 final class NodeExclusions {
     /**
--- a/src/main/java/rosespread/policy/ShardAssigner.java
+++ b/src/main/java/rosespread/policy/ShardAssigner.java
@@ -13,8 +13,8 @@
  */
 final class ShardAssigner {
     /**
-     * Number of proxies below which no shard counts as full. Smaller shards would be more shards,
-     * and each shard costs a pass over all nodes.
+     * Number of proxies below which no shard counts as full. Smaller shards would mean more of
+     * them, and each shard costs a pass over all nodes.
      */
     private static final double MIN_FULL_SIZE = 8;
 
--- a/src/main/java/rosespread/policy/TablePlanner.java
+++ b/src/main/java/rosespread/policy/TablePlanner.java
@@ -22,7 +22,7 @@
 final class TablePlanner {
     /**
      * Relative difference between the desired and the committed weight of an entry above which the
-     * desired weight is committed, if sending full tables took no time.
+     * desired weight is committed, before {@link #ENTRY_BAND_GROWTH} increases this value.
      */
     private static final double ENTRY_BAND = 0.07;
 
