--- a/src/main/java/rosespread/controller/ChannelServer.java
+++ b/src/main/java/rosespread/controller/ChannelServer.java
@@ -20,8 +20,9 @@
  * Accepts streams of proxies and turns opened and closed streams, received frames and protocol
  * violations into events of the event loop.
  *
- * <p>The handler runs on MINA's I/O threads and only enqueues. Load and demand reports are dropped
- * while the queue is half full or more; for other events the I/O thread waits while it is full.
+ * <p>The handler runs on MINA's I/O threads and only adds events to the event loop's queue. Load
+ * and demand reports are dropped while the queue is half full or more; for other events the I/O
+ * thread waits while the queue is full.
  */
 final class ChannelServer implements AutoCloseable {
     private static final String SESSION_ATTRIBUTE = "session";
@@ -65,7 +66,7 @@
 
     /**
      * Stops listening and closes all streams. Frames already written are flushed first, as far as
-     * the peers read them within the close timeout, which is shared by all streams.
+     * the peers read them within the close timeout, which limits the wait for all streams together.
      */
     @Override
     public void close() {
--- a/src/main/java/rosespread/controller/Controller.java
+++ b/src/main/java/rosespread/controller/Controller.java
@@ -58,7 +58,10 @@
     private static final long DURABILITY_TIMEOUT_NANOS =
             TimeUnit.SECONDS.toNanos(EventLoopCaller.TIMEOUT_SECONDS);
 
-    /** Time limit for drains of other controllers, so that a dead one does not block the start. */
+    /**
+     * Maximum time to wait at startup for the other controllers to report their drains, so that a
+     * controller that is down does not block the start.
+     */
     private static final long PEER_TIMEOUT_NANOS = 500_000_000L;
 
     private static final int CHANNEL_THREADS = 2;
@@ -189,8 +192,9 @@
     }
 
     /**
-     * Applies settings, then polls peers for drains that this controller missed. At a start it
-     * waits for the drains up to a time limit, as they must be known before proxies can connect.
+     * Applies settings, then polls peers for drains that this controller missed. At startup this
+     * method waits for the peers' drains up to {@link #PEER_TIMEOUT_NANOS}, as drains must be known
+     * before proxies can connect.
      */
     private void applySettings(FleetSettings next) {
         applyOnEventLoop(next);
@@ -215,7 +219,10 @@
         ROLLBACK,
         /** Pins the table at the committed version. */
         PIN,
-        /** Lets the table follow the policy again, step by step. */
+        /**
+         * Unpins the table: its weights change in steps to those that the policy desires, and then
+         * follow the policy.
+         */
         RELEASE
     }
 
@@ -231,7 +238,8 @@
      * Performs an act on a table. Waits until the act is durable, unless the disk has a problem.
      *
      * @param version the version to roll back to; ignored by other acts
-     * @throws IOException if the event loop does not run the act in time
+     * @throws IOException if the event loop does not run the act within the time limit of {@link
+     *     EventLoopCaller}
      */
     public Outcome act(TableAct act, int table, long version) throws IOException {
         TableId id = new TableId(table);
@@ -275,7 +283,10 @@
         return eventLoop.call(now -> state.drains());
     }
 
-    /** A result, and the sequence number of the log entry that must be durable for it. */
+    /**
+     * The result of an operator's request, and the sequence number up to which the log must be
+     * durable for the request to be durable.
+     */
     private record Logged<T>(T result, long sequence) {}
 
     private <T> Logged<T> callLogged(LongFunction<T> call) throws IOException {
@@ -291,8 +302,9 @@
     }
 
     /**
-     * Returns the current status, or the last one read if the event loop does not answer in time.
-     * The status is gathered on request only, as its cost grows with the fleet.
+     * Returns the current status, or the last status read if the event loop does not answer within
+     * the time limit of {@link EventLoopCaller}. The status is gathered on request only, as its
+     * cost grows with the fleet.
      */
     public ControllerStatus status() {
         try {
--- a/src/main/java/rosespread/controller/ControllerCounters.java
+++ b/src/main/java/rosespread/controller/ControllerCounters.java
@@ -16,9 +16,15 @@
         UNKNOWN_NODE_REPORTS,
         /** Deltas that a proxy could not apply. */
         MISSED_DELTAS,
-        /** Sessions closed because nothing was received for too long. */
+        /**
+         * Sessions closed because no frame was received for more than 4 keep-alive intervals, see
+         * {@link KeepAliveMonitor}.
+         */
         SILENT_SESSIONS,
-        /** Sessions closed because the proxy did not read fast enough. */
+        /**
+         * Sessions closed because more than 4 MiB that the proxy had not read were buffered, see
+         * {@link KeepAliveMonitor}.
+         */
         SLOW_SESSIONS,
         /** Node lists received from discovery. */
         NODE_LISTS,
--- a/src/main/java/rosespread/controller/ControllerState.java
+++ b/src/main/java/rosespread/controller/ControllerState.java
@@ -35,10 +35,13 @@
          */
         Policy newPolicy(FleetSettings settings, long seed);
 
-        /** Starts a health check; {@link ControllerState#healthChecked} follows. */
+        /** Starts a health check; its result is passed to {@link ControllerState#healthChecked}. */
         void checkHealth(ListedNode node);
 
-        /** Starts following the node list; {@link ControllerState#nodesListed} follows. */
+        /**
+         * Starts to watch discovery's node list; each list is passed to {@link
+         * ControllerState#nodesListed}.
+         */
         void watchNodes();
     }
 
@@ -234,7 +237,10 @@
         return perform(nowNanos, writer -> writer.pin(table));
     }
 
-    /** Lets a pinned table follow the policy again, step by step. */
+    /**
+     * Unpins a table: its weights change in steps to those that the policy desires, and then follow
+     * the policy.
+     */
     public TableActResult release(long nowNanos, TableId table) {
         return perform(nowNanos, writer -> writer.release(table));
     }
--- a/src/main/java/rosespread/controller/ControllerStatusReader.java
+++ b/src/main/java/rosespread/controller/ControllerStatusReader.java
@@ -21,8 +21,9 @@
     private static final long NANOS_PER_MILLI_LONG = 1_000_000L;
 
     /**
-     * Report periods without a load report after which a proxy is counted as having made attempts
-     * that the controller may not know of.
+     * Number of report periods without a load report after which a proxy is counted in {@link
+     * ControllerStatus.Node#unheard()}, as the proxy may have made attempts that the controller
+     * does not know of.
      */
     private static final int MAX_MISSED_REPORTS = 3;
 
--- a/src/main/java/rosespread/controller/DeltaSelector.java
+++ b/src/main/java/rosespread/controller/DeltaSelector.java
@@ -9,8 +9,9 @@
 
 /**
  * Selects the weight changes to send now among those that the policy did not order in this round:
- * rollbacks, releases, and the validator's replacements for refused changes. They get the channel
- * capacity that the policy's own messages leave.
+ * rollbacks, releases, and the validator's replacements for refused changes. These changes may use
+ * only the channel capacity that is not reserved for the policy's own messages, see {@link
+ * RoundCapacity}.
  *
  * <p>Used on the event-loop thread.
  */
@@ -22,8 +23,9 @@
     }
 
     /**
-     * Returns as many of the changes as can be sent now: urgent ones first, then the largest; all
-     * of them if no proxy is subscribed to the table.
+     * Returns as many of the changes as the channel has capacity for now: first the urgent changes,
+     * then those that change a weight most. Returns none if the message limit does not allow a
+     * message to each subscribed proxy, and all changes if no proxy is subscribed to the table.
      */
     Map<NodeId, Double> select(
             ManagedTable table,
@@ -64,8 +66,9 @@
     }
 
     /**
-     * Whether a change must wait neither for channel capacity nor for the message limit: the node
-     * drains or is gone, or it is warming up and its weight decreases.
+     * Whether a change is urgent and may therefore use a larger share of the channel capacity and
+     * of the message limit: the node drains or is gone, or the node is warming up and its weight
+     * decreases.
      */
     private static boolean isUrgent(
             Map.Entry<NodeId, Double> change,
--- a/src/main/java/rosespread/controller/DrainResult.java
+++ b/src/main/java/rosespread/controller/DrainResult.java
@@ -7,7 +7,7 @@
  *
  * @param revision the revision of all drains after the request
  * @param details why the request was rejected; for {@link Kind#STALE} the drains that changed since
- *     its revision; empty if it was done
+ *     the request's revision; empty if the request was done
  */
 public record DrainResult(Kind kind, long revision, List<String> details) {
     /** How a request ended. */
@@ -20,10 +20,11 @@
         NO_NODE,
         /** Several listed nodes have the name. */
         AMBIGUOUS,
-        /** Drains changed since the revision that it names. */
+        /** Drains changed since the revision that the request names. */
         STALE,
         /**
-         * The drain guard rejected it: too little capacity, or no ready node of a zone, is left.
+         * The drain guard rejected the request: too little capacity, or no ready node of a zone,
+         * would be left.
          */
         GUARDED
     }
--- a/src/main/java/rosespread/controller/EventLoopCaller.java
+++ b/src/main/java/rosespread/controller/EventLoopCaller.java
@@ -10,7 +10,7 @@
 
 /** Lets other threads call the event loop and wait for the result; safe for use by any thread. */
 final class EventLoopCaller {
-    /** Time limit for a call's result. */
+    /** Maximum time for which a caller waits for a call's result. */
     static final long TIMEOUT_SECONDS = 2;
 
     private final EventQueue queue;
@@ -23,8 +23,8 @@
      * Runs a call on the event-loop thread and waits for its result.
      *
      * @param call takes the time of the event by {@link System#nanoTime()}
-     * @throws IOException if the event loop does not run the call in time, or the caller is
-     *     interrupted; the call may still run later
+     * @throws IOException if the event loop does not run the call within {@link #TIMEOUT_SECONDS},
+     *     or the caller is interrupted; the call may still run later
      */
     <T> T call(LongFunction<T> call) throws IOException {
         CompletableFuture<T> result = new CompletableFuture<>();
--- a/src/main/java/rosespread/controller/LoadReportAggregator.java
+++ b/src/main/java/rosespread/controller/LoadReportAggregator.java
@@ -11,15 +11,19 @@
 
 /**
  * Sums the proxies' load reports by zone and node until they are delivered to the policy, once per
- * report period. The time covered is the sum over all reports divided by the number of proxies that
- * reported, so that several late reports of one proxy arriving together cover as many periods.
+ * report period. The time that a zone's totals cover is the sum of the periods of all the zone's
+ * reports, divided by the number of proxies that reported. So several late reports of one proxy
+ * that arrive together cover several periods, not one.
  *
  * <p>Owned by the event-loop thread.
  */
 final class LoadReportAggregator {
     private static final long NANOS_PER_MICRO = 1000L;
 
-    /** Totals over the reports of one zone's proxies about one node. */
+    /**
+     * The attempts, failures, mean latency and last utilization in the reports of one zone's
+     * proxies about one node.
+     */
     private static final class NodeTotals {
         private int attempts;
         private int failures;
@@ -45,7 +49,9 @@
         }
     }
 
-    /** Totals over the reports of one zone's proxies. */
+    /**
+     * The totals by node in the reports of one zone's proxies, and the time that the reports cover.
+     */
     private static final class ZoneTotals {
         private final TreeMap<NodeId, NodeTotals> nodes = new TreeMap<>();
         private final TreeSet<ProxyId> proxies = new TreeSet<>();
@@ -81,7 +87,10 @@
         zones.computeIfAbsent(zone, key -> new ZoneTotals()).add(proxy, report);
     }
 
-    /** Delivers all totals to the policy, in the order of zones and, within a zone, of nodes. */
+    /**
+     * Delivers the totals of each zone and node to the policy, in the order of zones and, within a
+     * zone, of nodes.
+     */
     void deliverTo(EventHandler policy) {
         for (Map.Entry<ZoneId, ZoneTotals> zone : zones.entrySet()) {
             zone.getValue().deliverTo(policy, zone.getKey());
--- a/src/main/java/rosespread/controller/LoadReportHandler.java
+++ b/src/main/java/rosespread/controller/LoadReportHandler.java
@@ -11,10 +11,16 @@
  * <p>Used on the event-loop thread.
  */
 final class LoadReportHandler {
-    /** Failure ratio of a node above which large changes of tables are justified. */
+    /**
+     * Ratio of failed attempts to all attempts at a node in one load report; a higher ratio
+     * justifies large changes of tables.
+     */
     private static final double HIGH_FAILURE_RATIO = 0.3;
 
-    /** Number of attempts below which a failure ratio is not significant. */
+    /**
+     * Minimum number of attempts at a node in one load report; with fewer, the failure ratio is not
+     * significant and is ignored.
+     */
     private static final int MIN_ATTEMPTS = 5;
 
     private final PolicyRunner policyRunner;
--- a/src/main/java/rosespread/controller/LoopContext.java
+++ b/src/main/java/rosespread/controller/LoopContext.java
@@ -11,7 +11,8 @@
  * @param clock the time of the current event
  * @param rounds takes events and timers for the policy
  * @param counters counts events since the process started
- * @param modes takes changes in how the controller and its tables run
+ * @param modes logs changes of the policy's modes, and when tables are refused, pinned or follow
+ *     the policy again
  */
 record LoopContext(
         EventClock clock, RoundScheduler rounds, ControllerCounters counters, ModeLog modes) {}
--- a/src/main/java/rosespread/controller/ManagedTable.java
+++ b/src/main/java/rosespread/controller/ManagedTable.java
@@ -74,7 +74,10 @@
         return history.current();
     }
 
-    /** Sets the number after which versions begin; only for a table without a committed version. */
+    /**
+     * Sets the number above which the table's version numbers start; only for a table without a
+     * committed version.
+     */
     void startNumberingAfter(long number) {
         VersionHistory renumbered = new VersionHistory(id, number);
         renumbered.admissionLimits().putAll(history.admissionLimits());
@@ -186,7 +189,7 @@
      * Changes how the table is pinned.
      *
      * @param target the version that the table is rolled back to, 0 for none
-     * @param changes the pending changes that lead there
+     * @param changes the weight changes still to be sent to reach that version
      * @return whether persisted state changed
      */
     boolean setPin(PinState next, long target, Map<NodeId, Double> changes) {
@@ -222,7 +225,7 @@
         sentVersion = version;
     }
 
-    /** Returns the validator's totals of the committed weights. */
+    /** Returns the totals that the validator keeps over the committed weights. */
     AcceptedTotals acceptedTotals() {
         return acceptedTotals;
     }
@@ -232,15 +235,19 @@
         return refusals;
     }
 
-    /** Records a validation: after a refusal, accepted weights stay until the desired ones pass. */
+    /**
+     * Records the result of validating the desired weights. After a refusal, the table keeps
+     * accepted weights until the desired weights pass.
+     */
     void recordValidation(List<TableChangeValidator.Refusal> result) {
         refusals = result;
         pin = result.isEmpty() ? PinState.NONE : PinState.REFUSED;
     }
 
     /**
-     * Records that changes were held back: they are sent first, within the channel's capacity,
-     * before the policy's changes are committed as ordered again.
+     * Records that the channel lacked capacity for some of the table's changes. The remaining
+     * changes are committed in later rounds, as far as the channel has capacity; only then are the
+     * policy's changes committed as ordered again.
      */
     void deferCatchUp() {
         pin = PinState.REFUSED;
@@ -263,8 +270,9 @@
     }
 
     /**
-     * Whether a table that does not follow the policy has to be reviewed: while a rollback or other
-     * changes are still to be sent, after facts changed, and at an interval.
+     * Whether a table that does not follow the policy has to be reviewed: while a rollback is in
+     * progress or changes are still to be sent, after {@link NodeFacts} changed, and when the
+     * interval has passed since the last review.
      */
     boolean isReviewDue(long nowNanos, long intervalNanos, long factsVersion) {
         return rollbackTarget > 0
--- a/src/main/java/rosespread/controller/ModeLog.java
+++ b/src/main/java/rosespread/controller/ModeLog.java
@@ -8,9 +8,9 @@
 import rosespread.eventloop.PolicyEventLogger;
 
 /**
- * Logs changes in how the controller and its tables run, with the texts of the policy and of table
- * acts. The last change is part of the status ({@code lastMode}), so the texts belong to the
- * control API.
+ * Logs changes of the policy's modes, and when tables are refused, pinned or follow the policy
+ * again. The text of the last change is part of the status ({@code lastMode}), so the texts of the
+ * policy and of table acts belong to the control API.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -33,13 +33,13 @@
         events.log(event);
     }
 
-    /** Logs a change in how a table follows the policy. */
+    /** Logs that a table was refused or pinned, or follows the policy again. */
     void report(String change) {
         last = change;
         LOG.atInfo().addKeyValue("mode", true).log(change);
     }
 
-    /** Returns the last change, empty if there was none. */
+    /** Returns the text of the last change logged, empty if there was none. */
     String last() {
         return last;
     }
--- a/src/main/java/rosespread/controller/NodeClients.java
+++ b/src/main/java/rosespread/controller/NodeClients.java
@@ -66,7 +66,7 @@
                         new NodeListListener());
     }
 
-    /** Starts following the node list. */
+    /** Starts to watch discovery's node list; each list is added to the event loop as an event. */
     void watchNodes() {
         nodeList.start();
     }
--- a/src/main/java/rosespread/controller/PacedChannel.java
+++ b/src/main/java/rosespread/controller/PacedChannel.java
@@ -20,7 +20,8 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     /**
-     * Interval at which durability is checked again, unless the log wakes the event loop earlier.
+     * Interval at which the channel checks again whether the log entry that a message waits for is
+     * durable, unless the log wakes the event loop earlier.
      */
     private static final long DURABILITY_CHECK_INTERVAL_NANOS = 2_000_000L;
 
--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -7,8 +7,9 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Commits the changes of pinned tables: the pending changes of a rollback, and the steps of a
- * release from the pinned weights to the weights that the policy desires.
+ * Commits the changes of tables that an operator pinned, rolled back or released: the pending
+ * changes of a rollback, and the steps of a release from the pinned weights to the weights that the
+ * policy desires.
  *
  * <p>Used on the event-loop thread.
  */
@@ -32,8 +33,8 @@
     }
 
     /**
-     * Commits the changes of a rollback that can be sent now, and the removal of entries that must
-     * not stay.
+     * Commits the changes of a pinned table that the channel has capacity for now: those of a
+     * rollback in progress, and the removals and weight limits of {@link TableValidation#retain}.
      */
     TableVersion commitPinned(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
@@ -50,9 +51,11 @@
     }
 
     /**
-     * Commits one step towards the desired weights. If no step is due or the policy has not set a
-     * weight of the table yet, commits only the removal of entries that must not stay. Once the
-     * desired weights are reached, the table follows the policy again.
+     * Commits one step of a release towards the weights that the policy desires, as far as the
+     * channel has capacity. If less than {@link #RELEASE_STEP_INTERVAL_NANOS} passed since the last
+     * step, or the policy has not set a weight of the table yet, commits only the removals and
+     * weight limits of {@link TableValidation#retain}. Once the table has the desired weights, it
+     * follows the policy again.
      */
     TableVersion commitReleaseStep(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
--- a/src/main/java/rosespread/controller/RoundCapacity.java
+++ b/src/main/java/rosespread/controller/RoundCapacity.java
@@ -8,9 +8,10 @@
 import rosespread.validation.ChannelCapacity;
 
 /**
- * The remaining capacity of the channel in a round. Queued entries, entries that this round has
- * committed so far, and overdue entries reduce it; overdue entries count only if most proxies are
- * late to acknowledge.
+ * The remaining capacity of the channel in a round, in weight entries. The capacity is reduced by
+ * queued entries, by entries that this round has committed so far, and by the entries of messages
+ * whose acknowledgement is overdue. The overdue entries count only if more than half of the proxies
+ * have an overdue acknowledgement.
  *
  * <p>Owned by the event-loop thread.
  */
@@ -33,8 +34,8 @@
     }
 
     /**
-     * Starts a round. Counts the overhead of one message for each proxy whose acknowledgement the
-     * policy expects.
+     * Starts a round. Reduces the capacity by the overhead of one message for each proxy whose
+     * acknowledgement the policy expects.
      */
     void startRound(RoundActions actions, long nowNanos) {
         overdueEntries = overdueEntries(nowNanos);
@@ -71,7 +72,7 @@
     }
 
     /**
-     * Counts a committed delta.
+     * Reduces the capacity by a committed delta.
      *
      * @param entries the weight entries of the delta
      * @param messageCounted whether the overhead of its message was counted when the round started
@@ -83,8 +84,8 @@
 
     /**
      * Returns the number of a table's entries that the channel can deliver to each subscriber
-     * within the drain timeout; infinite without subscribers, negative if too many entries are
-     * queued.
+     * within the drain timeout; infinite without subscribers, negative if more entries are queued
+     * than the channel can deliver in that time.
      */
     double entriesWithinDrainTimeout(TableId table) {
         return ChannelCapacity.deliverableEntries(
@@ -97,11 +98,12 @@
     }
 
     /**
-     * Returns the number of entries, other than the policy's own, that can be sent to each proxy
-     * now.
+     * Returns the number of entries that can be sent to each proxy now in addition to those that
+     * the policy orders.
      *
      * @param proxies the number of proxies to send to
-     * @param urgent whether the entries may use a larger share of the queue limit
+     * @param urgent whether the entries may use the larger share of the queue limit that {@link
+     *     ChannelCapacity} allows for removals of draining nodes
      */
     int availableEntries(int proxies, boolean urgent) {
         return ChannelCapacity.availableEntries(
@@ -113,10 +115,11 @@
     }
 
     /**
-     * Returns whether the message limit allows one more message to a session, other than the
-     * policy's own.
+     * Returns whether the message limit allows one more message to a session in addition to those
+     * that the policy orders.
      *
-     * @param urgent whether the message may use a larger share of the message limit
+     * @param urgent whether the message may use the larger share of the message limit that {@link
+     *     ChannelCapacity} allows for removals of draining nodes
      */
     boolean allowsMessage(ProxySession session, long nowNanos, boolean urgent) {
         return ChannelCapacity.mayWriteMessage(
--- a/src/main/java/rosespread/controller/RoundFrames.java
+++ b/src/main/java/rosespread/controller/RoundFrames.java
@@ -25,10 +25,13 @@
  * <p>Used on the event-loop thread.
  */
 final class RoundFrames {
-    /** Size below which frames are sent uncompressed. */
+    /** Minimum plain size of frames to be compressed; smaller ones are sent uncompressed. */
     private static final int MIN_COMPRESSED_BYTES = 1024;
 
-    /** Largest ratio of compressed to plain size at which compressed frames are sent. */
+    /**
+     * Maximum ratio of a frame's compressed size to its plain size; above it, the frame is sent
+     * uncompressed.
+     */
     private static final double MAX_COMPRESSED_RATIO = 0.9;
 
     private record FullTableKey(
--- a/src/main/java/rosespread/controller/SessionRegistry.java
+++ b/src/main/java/rosespread/controller/SessionRegistry.java
@@ -33,7 +33,7 @@
         this.rounds = rounds;
     }
 
-    /** Sets the channel from which the messages of closed sessions are discarded. */
+    /** Sets the channel whose queued messages are discarded when their session is closed. */
     void setChannel(PacedChannel newChannel) {
         channel = newChannel;
     }
--- a/src/main/java/rosespread/controller/TableCommitter.java
+++ b/src/main/java/rosespread/controller/TableCommitter.java
@@ -75,9 +75,10 @@
     }
 
     /**
-     * Returns whether a review of a table is due, and marks the table as reviewed if so. A review
-     * is due if the policy changed the table. While the table does not follow the policy and the
-     * node list tells which entries must be removed, {@link ManagedTable#isReviewDue} decides too.
+     * Returns whether a table has to be reviewed, that is, validated again and its changes
+     * committed, and marks the table as reviewed if so. A review is due if the policy changed the
+     * table's weights, or if {@link #needsReviews} and {@link ManagedTable#isReviewDue} both return
+     * true.
      */
     private boolean isReviewDue(ManagedTable table, RoundActions actions, long nowNanos) {
         boolean due =
@@ -92,8 +93,9 @@
     }
 
     /**
-     * Returns whether a table needs reviews although the policy did not change it: the table does
-     * not follow the policy, and the node list is known.
+     * Returns whether a table needs reviews although the policy did not change its weights: the
+     * table does not follow the policy, and the node list, which tells the entries that must be
+     * removed, is known.
      */
     private boolean needsReviews(ManagedTable table) {
         return facts.isListKnown()
@@ -137,8 +139,9 @@
     }
 
     /**
-     * Returns the changes that can be sent now towards weights that the policy did not order in
-     * this round.
+     * Returns the changes from the committed weights to the given weights, which the policy did not
+     * order in this round, as far as the channel has capacity now. The remaining changes are left
+     * to later rounds.
      */
     private Map<NodeId, Double> replacement(
             ManagedTable table,
@@ -155,8 +158,8 @@
     }
 
     /**
-     * Commits only the removal of entries that must not stay, for a table whose weights the policy
-     * has not set yet.
+     * Commits only the removals and weight limits of {@link TableValidation#retain}, for a table
+     * whose weights the policy has not set yet.
      */
     private TableVersion commitRetained(
             ManagedTable table, TableChangeValidator.ValidationContext context, RoundTime time) {
--- a/src/main/java/rosespread/controller/TableOperations.java
+++ b/src/main/java/rosespread/controller/TableOperations.java
@@ -80,7 +80,10 @@
         return TableActResult.DONE;
     }
 
-    /** Lets a pinned table follow the policy again, step by step. */
+    /**
+     * Unpins a table: its weights change in steps to those that the policy desires, and then follow
+     * the policy.
+     */
     TableActResult release(TableId id) {
         Optional<ManagedTable> table = registry.existing(id).filter(ManagedTable::isPinned);
         if (table.isEmpty()) {
--- a/src/main/java/rosespread/controller/TableRegistry.java
+++ b/src/main/java/rosespread/controller/TableRegistry.java
@@ -22,21 +22,23 @@
 /**
  * Registry of all tables with their versions and pins, and of the drains that operators ordered. It
  * is kept when the policy restarts, and its log keeps it across restarts of the process: every
- * change is appended to the log before a message can depend on it, and {@link #lastSequence} is the
- * entry that such a message has to wait for.
+ * change is appended to the log before a message can depend on the change, and {@link
+ * #lastSequence} is the sequence number of the entry that such a message has to wait for.
  *
  * <p>Restored before the event loop starts; from then on owned by the event-loop thread.
  */
 public final class TableRegistry {
     /**
-     * Version numbers are raised to the next multiple of this number above the version that a proxy
-     * holds. Other proxies that hold versions of the same origin then need no further raise.
+     * When a proxy holds a higher version of a table than the controller, the table's version
+     * number is raised to the next multiple of this number above the proxy's. Other proxies that
+     * hold versions of the same origin then need no further raise.
      */
     private static final long NUMBER_MULTIPLE = 1024;
 
     /**
-     * Largest version number that is accepted from a proxy. No controller reaches larger numbers,
-     * so a proxy that claims to hold one is mistaken.
+     * Largest version number that is accepted from a proxy when a table's number is raised above
+     * it; a larger number is ignored. No controller reaches larger numbers, so a proxy that reports
+     * one is faulty.
      */
     private static final long MAX_VERSION_NUMBER = 1L << 53;
 
@@ -44,8 +46,8 @@
     private final TreeMap<TableId, ManagedTable> tables = new TreeMap<>();
 
     /**
-     * Numbers after which the versions of tables that do not exist yet begin, as proxies already
-     * hold versions of these tables.
+     * Numbers above which the version numbers of tables that do not exist yet start, as proxies
+     * already hold versions of these tables.
      */
     private final TreeMap<TableId, Long> minimumNumbers = new TreeMap<>();
 
@@ -196,7 +198,7 @@
         return changes;
     }
 
-    /** Returns all state to be persisted, for a log that begins a new file. */
+    /** Returns the tables, drains and layout to be persisted, for a log that begins a new file. */
     StoreSnapshot snapshot() {
         List<TableSnapshot> persisted = new ArrayList<>();
         for (ManagedTable table : tables.values()) {
--- a/src/main/java/rosespread/controller/TableUpdateWriter.java
+++ b/src/main/java/rosespread/controller/TableUpdateWriter.java
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Rolls a table back and closes the round, which queues the changes that can be sent now, see
-     * {@link TableOperations}.
+     * Rolls a table back and closes the round, which queues those of the rollback's changes that
+     * the channel has capacity for now, see {@link TableOperations}.
      */
     TableActResult rollback(TableId table, long version, RoundTime time) {
         TableActResult result = operations.rollback(table, version);
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -10,8 +10,9 @@
 import rosespread.validation.TableChangeValidator;
 
 /**
- * Validates a table's changes by the {@link TableChangeValidator} with the facts that apply to this
- * table, and reports when refusals begin, change and end.
+ * Validates the changes of a table: calls the {@link TableChangeValidator} with the node states and
+ * the channel capacity that apply to this table. Reports to the {@link ModeLog} when changes start
+ * to be refused, when the reasons change, and when the table passes again.
  *
  * <p>Used on the event-loop thread.
  */
@@ -79,8 +80,9 @@
     }
 
     /**
-     * Returns weights without the entries that must not stay, and with limited weights for nodes
-     * that are warming up.
+     * Returns the weights that a table may retain, without the entries that must be removed and
+     * with limited weights for nodes that are warming up, see {@link
+     * TableChangeValidator#retainableEntries}.
      */
     Map<NodeId, Double> retain(
             Map<NodeId, Double> weights, TableChangeValidator.ValidationContext context) {
