--- a/src/main/java/rosespread/validation/AcceptedTotals.java
+++ b/src/main/java/rosespread/validation/AcceptedTotals.java
@@ -9,9 +9,10 @@
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
 /**
- * Totals over all accepted entries of one table, so that the cost of validating a change depends on
- * the size of the change and not of the table. The totals apply to one version of the node facts:
- * the validator computes them again whenever {@link ValidationContext#factsVersion} differs.
+ * Sums of weights, counts of nodes and the set of nodes that are warming up, over all accepted
+ * entries of one table. With these totals, the cost of validating a change depends on the size of
+ * the change and not of the table. The totals apply to one version of the node facts: the validator
+ * computes them again whenever {@link ValidationContext#factsVersion} differs.
  *
  * <p>Not thread-safe: owned by the thread that validates the table. {@link TableChangeValidator}
  * alone reads and updates the totals; callers only {@link #invalidate} them.
@@ -27,14 +28,15 @@
     private int changesSinceComputed;
 
     /**
-     * Marks the totals as out of date. To be called when entries were changed without the
-     * validator, for example by a rollback; the next validation then checks the whole table.
+     * Marks these totals as out of date, so that the next validation checks the whole table. To be
+     * called when the table's entries were changed without the validator, for example by a
+     * rollback.
      */
     public void invalidate() {
         valid = false;
     }
 
-    /** Returns whether the totals match the entries in force. */
+    /** Returns whether the totals match the table's current entries. */
     boolean isValid() {
         return valid;
     }
@@ -44,14 +46,15 @@
         return factsVersion;
     }
 
-    /** Returns the sum of all weights. */
+    /** Returns the sum of the weights of all entries. */
     double weightSum() {
         return weightSum;
     }
 
     /** Returns the mean weight of the eligible nodes that have warmed up; infinite if none has. */
     double warmMean() {
-        // Infinity disables the comparison: after a restart of the whole site no node is warmed up.
+        // Infinity disables the weight limit of nodes that are warming up: after a restart of the
+        // whole site there is no warm node to compare them with.
         return warmNodes == 0 ? Double.POSITIVE_INFINITY : warmWeightSum / warmNodes;
     }
 
--- a/src/main/java/rosespread/validation/ChannelCapacity.java
+++ b/src/main/java/rosespread/validation/ChannelCapacity.java
@@ -3,24 +3,33 @@
 /**
  * Limits the messages that the controller sends in addition to those that the routing policy
  * orders: rollbacks, replacements of refused changes, and full tables for proxies that missed a
- * delta. These messages may use a share of the queue limit and of each proxy's message limit; the
- * rest is reserved for the policy. Removals of draining nodes may use a larger share, because they
- * must not wait. Entries are weight entries of tables, counted once for each receiving proxy.
+ * delta. These messages may use half of the queue limit and 70 % of each proxy's message limit; the
+ * rest is reserved for the policy. Removals of draining nodes may use 90 % of each limit, because
+ * such removals must not wait. Entries are weight entries of tables, counted once for each
+ * receiving proxy.
  *
  * <p>Stateless and therefore thread-safe.
  */
 public final class ChannelCapacity {
-    /** Share of the queue limit; the rest is reserved for the policy. */
+    /**
+     * Fraction of the queue limit up to which messages that the policy did not order may fill the
+     * queue; the rest is reserved for the policy's messages.
+     */
     private static final double QUEUE_SHARE = 0.5;
 
     private static final double QUEUE_SHARE_OF_DRAINS = 0.9;
 
-    /** Share of a proxy's message limit; the rest is reserved for the policy. */
+    /**
+     * Fraction of a proxy's message limit up to which messages that the policy did not order may be
+     * sent; the rest is reserved for the policy's messages.
+     */
     private static final double MESSAGE_SHARE = 0.7;
 
     private static final double MESSAGE_SHARE_OF_DRAINS = 0.9;
 
-    /** Time by which an acknowledgement may exceed the longest usual round trip. */
+    /**
+     * Time beyond the longest usual round trip after which a missing acknowledgement is overdue.
+     */
     private static final long ACKNOWLEDGEMENT_SLACK_NANOS = 300_000_000L;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -46,15 +55,17 @@
     /**
      * Returns how many entries of one table the channel can still deliver to each of the table's
      * proxies within the drain timeout and the queue limit. All tables share the channel, so this
-     * prevents changes that are each small from overloading it together.
+     * limit prevents many small changes from overloading the channel together.
      *
-     * @param entriesPerSecond the channel's rate
+     * @param entriesPerSecond the channel's rate in weight entries per second
      * @param drainTimeoutNanos the drain timeout
      * @param queueLimit the maximum number of queued entries
-     * @param queued entries in the queue and on their way to it
+     * @param queued the number of entries in the queue or committed in this round and not queued
+     *     yet
      * @param proxies the number of proxies that use the table
      * @param messageOverhead the cost of a message without entries, in entries
-     * @return infinite without proxies; negative if too many entries are queued already
+     * @return infinite without proxies; negative if the queued entries already exceed what can be
+     *     delivered
      */
     public static double deliverableEntries(
             double entriesPerSecond,
@@ -85,9 +96,9 @@
 
     /**
      * Returns how many entries of overdue messages count as queued: all of them if more than half
-     * of the proxies have an overdue acknowledgement, else none. If only a few proxies do not
-     * acknowledge, these proxies are slow and not the channel, and they must not delay messages to
-     * the others.
+     * of the proxies have an overdue acknowledgement, else none. If at most half of the proxies do
+     * not acknowledge, the cause is these proxies and not the channel, and the slow proxies must
+     * not delay messages to the others.
      *
      * @param entries the number of entries in all overdue messages
      * @param lateProxies the number of proxies with an overdue message
--- a/src/main/java/rosespread/validation/DurabilityTimeout.java
+++ b/src/main/java/rosespread/validation/DurabilityTimeout.java
@@ -11,7 +11,10 @@
  * <p>Not thread-safe: owned by the controller's event loop. Reads no clock.
  */
 public final class DurabilityTimeout {
-    /** Share of the drain timeout that a message may wait; the rest is for its delivery. */
+    /**
+     * Fraction of the drain timeout for which a message may wait for the disk; the rest is for the
+     * delivery of the message.
+     */
     private static final double DRAIN_TIMEOUT_SHARE = 0.1;
 
     private final long timeoutNanos;
@@ -19,7 +22,7 @@
     private long sentBeforeDurable;
 
     /**
-     * Creates a timeout for messages that may carry a drain.
+     * Creates a timeout for messages that may remove a draining node.
      *
      * @param drainTimeoutNanos the drain timeout
      */
--- a/src/main/java/rosespread/validation/EntryRetention.java
+++ b/src/main/java/rosespread/validation/EntryRetention.java
@@ -13,12 +13,14 @@
  * requests. Stateless.
  */
 final class EntryRetention {
-    /** Maximum share of the total weight that one step moves. */
+    /** Maximum fraction of the table's weight that one step of a release moves to other nodes. */
     private static final double STEP_SHARE = 0.15;
 
     private EntryRetention() {}
 
-    /** See {@link TableChangeValidator#retainableEntries}. */
+    /**
+     * Returns the entries that may be retained, see {@link TableChangeValidator#retainableEntries}.
+     */
     static Map<NodeId, Double> retain(Map<NodeId, Double> entries, ValidationContext context) {
         Map<NodeId, Double> retained = new TreeMap<>();
         double warmMean = EntryRules.warmMean(entries, context);
@@ -48,11 +50,15 @@
         return entries;
     }
 
-    /** See {@link TableChangeValidator#stepTowards}. */
+    /**
+     * Returns the entries after one step of a release, see {@link
+     * TableChangeValidator#stepTowards}.
+     */
     static Map<NodeId, Double> step(
             Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
         Map<NodeId, Double> from = retain(current, context);
-        // The step itself limits the size of the change, so the two size rules are not applied.
+        // The step itself limits the size of the change, so the rules on the share of moved weight
+        // and on the number of changed entries are not applied.
         ValidationContext contextWithoutSizeLimits =
                 new ValidationContext(
                         context.nodes(), context.factsVersion(), true, Double.POSITIVE_INFINITY);
--- a/src/main/java/rosespread/validation/EntryRules.java
+++ b/src/main/java/rosespread/validation/EntryRules.java
@@ -48,7 +48,8 @@
                         .mapToDouble(Map.Entry::getValue)
                         .average()
                         .orElse(Double.NaN);
-        // Infinity disables the comparison: after a restart of the whole site no node is warm.
+        // Infinity disables the weight limit of nodes that are warming up: after a restart of the
+        // whole site there is no warm node to compare them with.
         return Double.isNaN(mean) ? Double.POSITIVE_INFINITY : mean;
     }
 
--- a/src/main/java/rosespread/validation/TableChangeValidator.java
+++ b/src/main/java/rosespread/validation/TableChangeValidator.java
@@ -9,7 +9,7 @@
 
 /**
  * Decides which entries of a routing table are rolled out, given the table that the routing policy
- * requests and the table that proxies were last given. A change that breaks a rule is never sent.
+ * requests and the table that was last sent to proxies. A change that breaks a rule is never sent.
  * The last accepted entries are retained instead, without those of nodes that drain or are gone, so
  * that a refusal does not delay a drain. A table that would have no node left gets all eligible
  * nodes. docs/versions.md explains for each rule when it may misfire and when it is not applied.
@@ -31,13 +31,19 @@
         LEAVING_NODE,
         /** No entry has an eligible node although a warm eligible node is listed. */
         NO_NODE,
-        /** The weight of a node that is warming up is too large for its warmth. */
+        /**
+         * The weight of a node that is warming up exceeds a multiple of its warmth times the mean
+         * weight of warm nodes.
+         */
         COLD_TOO_HIGH,
         /**
-         * Too large a share of the weight would move at once although no large move is expected.
+         * More than half of the table's weight would move to other nodes in one change, although no
+         * large move is expected.
          */
         MOVES_TOO_MUCH,
-        /** More entries change than the channel can deliver in time. */
+        /**
+         * More entries change than the channel can deliver to each proxy within the drain timeout.
+         */
         TOO_MANY_LINES
     }
 
@@ -54,8 +60,8 @@
      * The facts about a node that the validator uses.
      *
      * @param state the state according to discovery and drains
-     * @param warmth the ratio of its capacity that the node has reliably reached in its warm-up, 0
-     *     to 1; 1 once the node is warm
+     * @param warmth the fraction of its full capacity that the node has reliably reached in its
+     *     warm-up, 0 to 1; 1 once the node is warm
      * @param allowed whether the table's methods and zones may use the node
      */
     public record NodeFact(NodeState state, double warmth, boolean allowed) {
@@ -96,8 +102,8 @@
     public record ValidationResult(Map<NodeId, Double> entries, List<Refusal> refusals) {}
 
     /**
-     * Number of changes after which the totals are computed again, because rounding errors in sums
-     * of weights accumulate.
+     * Number of accepted changes after which {@link AcceptedTotals} are computed again from the
+     * whole table, because rounding errors in the sums of weights accumulate.
      */
     private static final int MAX_INCREMENTAL_CHANGES = 10_000;
 
@@ -165,8 +171,8 @@
     }
 
     /**
-     * Returns whether all changed entries and all entries of cold nodes satisfy the entry rules,
-     * and at least one eligible node is left.
+     * Returns whether all changed entries and all entries of nodes that are warming up satisfy
+     * {@link EntryRules}, and at least one eligible node is left.
      */
     private static boolean entriesPass(
             AcceptedTotals next,
@@ -189,7 +195,10 @@
         return true;
     }
 
-    /** Returns whether the change satisfies the rules on its size. */
+    /**
+     * Returns whether the change satisfies the rules on the share of moved weight and on the number
+     * of changed entries.
+     */
     private static boolean changePasses(
             AcceptedTotals totals,
             AcceptedTotals next,
@@ -225,9 +234,9 @@
 
     /**
      * Returns the entries after one step from the entries of a released table towards those that
-     * the routing policy requests. Each step moves at most a fixed share of the weight, so that the
-     * release of a pinned table causes no large move. If the requested entries break a rule, the
-     * step only retains the current entries that may stay.
+     * the routing policy requests. Each step moves at most 15 % of the weight, so that the release
+     * of a pinned table causes no large move. If the requested entries break a rule, the step only
+     * retains the current entries that may stay.
      */
     public Map<NodeId, Double> stepTowards(
             Map<NodeId, Double> current, Map<NodeId, Double> desired, ValidationContext context) {
--- a/src/main/java/rosespread/validation/TableRules.java
+++ b/src/main/java/rosespread/validation/TableRules.java
@@ -12,12 +12,15 @@
 import rosespread.validation.TableChangeValidator.ValidationContext;
 
 /**
- * Applies every rule to a whole table. The rules on the size of a change are checked only if no
- * other rule is broken, so that a table with invalid entries is refused for these entries.
- * Stateless.
+ * Applies every rule to a whole table. The rules on the share of moved weight and on the number of
+ * changed entries are checked only if no other rule is broken, so that a table with invalid entries
+ * is refused for these entries. Stateless.
  */
 final class TableRules {
-    /** Maximum share of the weight sum that one change may move if no large move is expected. */
+    /**
+     * Maximum fraction of a table's weight that one change may move to other nodes if no large move
+     * is expected; a change that moves more is refused.
+     */
     static final double MAX_MOVED_SHARE = 0.5;
 
     private TableRules() {}
--- a/src/main/java/rosespread/validation/WeightShift.java
+++ b/src/main/java/rosespread/validation/WeightShift.java
@@ -32,8 +32,9 @@
     }
 
     /**
-     * Returns the fraction of weight that a change of a few entries moves. The proportions of the
-     * unchanged entries move as far as the weight sum changes.
+     * Returns the fraction of weight that a change of a few entries moves. If the weight sum
+     * changes, the unchanged entries' fractions of the weight change as well, and this counts as
+     * moved weight.
      *
      * @param fromSum the weight sum of the former table
      * @param toSum the weight sum of the new table
@@ -55,7 +56,7 @@
         return (moved + Math.max(0, unchanged) * Math.abs(1 / fromSum - 1 / toSum)) / 2;
     }
 
-    /** Returns the weight sum. */
+    /** Returns the sum of the weights of all entries. */
     static double sum(Map<NodeId, Double> entries) {
         return entries.values().stream().mapToDouble(weight -> weight).sum();
     }
