--- a/src/main/java/rosespread/store/LogFileWriter.java
+++ b/src/main/java/rosespread/store/LogFileWriter.java
@@ -20,10 +20,13 @@
     private final StoreFolder folder;
     private final LogOutput.Factory outputs;
 
-    /** Number of the current file; until the first is begun, the highest number in the folder. */
+    /**
+     * Number of the current file; until the first file is begun, the highest number of a file in
+     * the folder.
+     */
     private long number;
 
-    /** Null until the first file is begun. */
+    /** Output to the current file; null until the first file is begun. */
     private LogOutput output;
 
     private long snapshotBytes;
@@ -97,7 +100,10 @@
         output.force();
     }
 
-    /** Returns whether the file is larger than a limit in bytes and than twice its snapshot. */
+    /**
+     * Returns whether the current file should be replaced by a shorter one: whether it is larger
+     * than the limit in bytes and larger than twice its snapshot.
+     */
     boolean needsCompaction(long limit) {
         return bytes > limit && bytes > 2 * snapshotBytes;
     }
--- a/src/main/java/rosespread/store/LogOutput.java
+++ b/src/main/java/rosespread/store/LogOutput.java
@@ -10,7 +10,7 @@
  * by one thread at a time.
  */
 public interface LogOutput extends Closeable {
-    /** Files on the disk. */
+    /** Creates outputs that write to files on the disk. */
     Factory DISK = FileLogOutput::create;
 
     /**
@@ -27,7 +27,7 @@
      */
     void force() throws IOException;
 
-    /** Opens outputs. */
+    /** Creates the outputs of table files. */
     @FunctionalInterface
     interface Factory {
         /**
--- a/src/main/java/rosespread/store/LogReplay.java
+++ b/src/main/java/rosespread/store/LogReplay.java
@@ -13,8 +13,8 @@
 import rosespread.table.VersionHistory;
 
 /**
- * Applies the log entries after a snapshot to it, and checks that each entry is consistent with the
- * previous ones. Not thread-safe.
+ * Applies log entries to the snapshot that precedes them, and checks that each entry is consistent
+ * with the previous ones. Not thread-safe.
  */
 public final class LogReplay {
     /** The state of one table after the entries applied so far. */
@@ -40,7 +40,7 @@
     private final DrainRegistry drains = new DrainRegistry();
     private long layout;
 
-    /** Starts from a snapshot. */
+    /** Creates a replay that starts from a snapshot. */
     public LogReplay(StoreSnapshot snapshot) {
         layout = snapshot.layout();
         snapshot.tables().forEach(this::restore);
--- a/src/main/java/rosespread/store/StoreException.java
+++ b/src/main/java/rosespread/store/StoreException.java
@@ -4,9 +4,9 @@
 import rosespread.table.TableVersion;
 
 /**
- * Thrown if stored data is not as it was written, or if an entry is not consistent with the
- * previous ones. For callers outside the package, the message names file and byte offset if the
- * data comes from a file.
+ * Thrown if stored data is damaged, that is, not as it was written, or if a log entry is not
+ * consistent with the previous ones. For callers outside the package, the message names file and
+ * byte offset if the data comes from a file.
  */
 public final class StoreException extends IOException {
     private static final long serialVersionUID = 1;
--- a/src/main/java/rosespread/store/TableFileReader.java
+++ b/src/main/java/rosespread/store/TableFileReader.java
@@ -11,13 +11,16 @@
 import rosespread.table.TableSnapshot;
 
 /**
- * Reads one table file: a snapshot, then entries. An incomplete end after the snapshot, as a crash
- * can leave it, is discarded. Damage within the snapshot or before a valid line cannot come from a
- * crash; the file is then rejected with path and offset. One instance reads one file, on one
+ * Reads one table file: a snapshot, then entries. If a crash left the end of the entries
+ * incomplete, this end is discarded. Damage within the snapshot or before a valid line cannot come
+ * from a crash; the file is then rejected with path and offset. One instance reads one file, on one
  * thread.
  */
 final class TableFileReader {
-    /** Limit on a file's size; a new file is begun long before a file reaches it. */
+    /**
+     * Maximum size of a file in bytes; a larger file is rejected. {@link TableStore} begins a new
+     * file once the current one exceeds 4 MiB and twice its snapshot.
+     */
     private static final long MAX_BYTES = 1L << 30;
 
     /**
@@ -39,7 +42,7 @@
     private final Path path;
     private final byte[] bytes;
 
-    /** Offset of the current line. */
+    /** Offset of the current line in the file, in bytes. */
     private int position;
 
     private long sequence;
@@ -48,7 +51,7 @@
     private final List<TableSnapshot> tables = new ArrayList<>();
     private final List<Drain> drains = new ArrayList<>();
 
-    /** Null until the snapshot is complete. */
+    /** Replay of the entries after the snapshot; null until the whole snapshot has been read. */
     private LogReplay replay;
 
     private TableFileReader(Path path, byte[] bytes) {
@@ -78,7 +81,8 @@
             int end = LogLine.end(bytes, position);
             Optional<String> fault = LogLine.fault(bytes, position, end);
             if (fault.isPresent()) {
-                // A file is renamed with its snapshot complete: a crash only truncates entries.
+                // A file gets its final name only with a complete snapshot: a crash can truncate
+                // only the entries after it.
                 if (replay == null || hasValidLineAfter(end)) {
                     throw damaged(fault.get(), null);
                 }
--- a/src/main/java/rosespread/store/TableLog.java
+++ b/src/main/java/rosespread/store/TableLog.java
@@ -21,7 +21,10 @@
      */
     long durable();
 
-    /** Returns whether a snapshot is needed, to begin a shorter file or a new one after a fault. */
+    /**
+     * Returns whether the caller has to call {@link #writeSnapshot}: the log needs a snapshot to
+     * replace a large file by a shorter one, or to begin a new file after a fault.
+     */
     boolean needsSnapshot();
 
     /** Queues a snapshot to be written, which must hold every entry appended so far. */
--- a/src/main/java/rosespread/store/TableStore.java
+++ b/src/main/java/rosespread/store/TableStore.java
@@ -14,8 +14,9 @@
 /**
  * Persists versions, pins and drains in one append-only file: a snapshot of all tables, then
  * entries. The store's own thread writes all queued entries and then forces them to the disk, so
- * that one force serves all of them. A file that has grown is replaced by a shorter one with a
- * higher number, which gets its final name once it is complete.
+ * that one force serves all of them. A file that exceeds both a size limit and twice its snapshot
+ * is replaced by a shorter file with a higher number, which gets its final name once its snapshot
+ * is complete.
  *
  * <p>After a fault nothing more is appended to the current file: a new one is begun with a
  * snapshot, which is requested once a second until it is written. Meanwhile {@link #fault} names
@@ -43,7 +44,7 @@
     /** Begins a new file with a snapshot that holds all entries up to a sequence. */
     private record BeginFile(long sequence, StoreSnapshot snapshot) implements Command {}
 
-    /** Wakes the thread, so that it notices that the store is closed. */
+    /** Wakes the store's thread, so that the thread notices that the store is being closed. */
     private record Wake() implements Command {}
 
     private final Path path;
@@ -54,7 +55,10 @@
     private final LinkedBlockingQueue<Command> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final Thread thread = new Thread(this::run, "table-store");
 
-    /** Notified after progress or a fault. */
+    /**
+     * Monitor of the threads in {@link #await}; notified after entries became durable and after a
+     * fault.
+     */
     private final Object progress = new Object();
 
     private StoreFolder folder;
@@ -63,16 +67,25 @@
     /** Sequence of the last entry appended; used by the appending thread. */
     private long appended;
 
-    /** Whether the queue was full for an entry since the last snapshot; used by the same thread. */
+    /**
+     * Whether an entry did not fit into the queue since the last snapshot; used by the appending
+     * thread.
+     */
     private boolean overflowed;
 
     /** Sequence of the last entry written; used by the store's thread. */
     private long written;
 
-    /** Whether the current file must not be appended to; used by the store's thread. */
+    /**
+     * Whether no more entries may be appended to the current file, as a write failed; used by the
+     * store's thread.
+     */
     private boolean broken;
 
-    /** Next request for a snapshot, by {@link System#nanoTime}; used by the store's thread. */
+    /**
+     * Time of the next request for a snapshot during a fault, by {@link System#nanoTime}; used by
+     * the store's thread.
+     */
     private long retryAtNanos;
 
     private volatile long durable;
