--- a/src/main/java/rosespread/table/PinState.java
+++ b/src/main/java/rosespread/table/PinState.java
@@ -11,7 +11,10 @@
     REFUSED,
     /** An operator pinned the table or rolled it back. */
     PINNED,
-    /** The table changes in steps from the pinned weights to the routing policy's. */
+    /**
+     * An operator released the table: its weights change in steps from the pinned weights to those
+     * of the routing policy.
+     */
     RELEASING;
 
     /**
--- a/src/main/java/rosespread/table/VersionHistory.java
+++ b/src/main/java/rosespread/table/VersionHistory.java
@@ -56,7 +56,7 @@
 
     /**
      * Returns the table's admission limits by method, as a live map that the caller may change.
-     * They belong to no version and are not stored.
+     * Admission limits belong to no version and are not stored.
      */
     public NavigableMap<MethodId, Double> admissionLimits() {
         return admissionLimits;
@@ -122,8 +122,8 @@
 
     /**
      * Returns the changes from one version to another, weight 0 for a removed entry. Combines the
-     * changes of the versions in between if all of them are in the history, so that its cost does
-     * not grow with the table.
+     * changes of the versions in between if all of them are in the history, so that the cost does
+     * not grow with the table's size.
      *
      * @return empty if either version is not in the history
      */
@@ -139,7 +139,10 @@
                         .orElseGet(() -> first.changesTo(last.entries())));
     }
 
-    /** Returns the nodes whose entries changed between two versions; empty if one is missing. */
+    /**
+     * Returns the nodes whose entries changed between two versions; empty if one of the versions in
+     * between is missing.
+     */
     private Optional<TreeSet<NodeId>> changedNodesBetween(long low, long high) {
         TreeSet<NodeId> changedNodes = new TreeSet<>();
         TableVersion version = versions.get(high);
@@ -164,7 +167,8 @@
     }
 
     /**
-     * Drops surplus and old versions. Age counts from the newest version if the clock is set back.
+     * Drops versions above the maximum count, the oldest first, and versions above the maximum age.
+     * If the clock was set back, the age is measured from the newest version instead.
      */
     private void trim(long nowMillis) {
         long newest = Math.max(nowMillis, current.atMillis());
