--- a/src/main/java/rosespread/platform/ChannelCapacityCheck.java
+++ b/src/main/java/rosespread/platform/ChannelCapacityCheck.java
@@ -7,9 +7,9 @@
 import rosespread.api.PolicySettings;
 
 /**
- * Checks at startup for settings that make it impossible to drain nodes in time, whatever the
- * policy decides: a channel too slow for the number of proxies, a queue too short for one message,
- * or a message limit that is too low.
+ * Checks at startup for settings that make it impossible to drain nodes within the drain timeout,
+ * whatever the policy decides: a channel too slow for the number of proxies, a queue too short for
+ * one message, or a message limit that is too low.
  */
 final class ChannelCapacityCheck {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -36,7 +36,10 @@
 
     private ChannelCapacityCheck() {}
 
-    /** Returns one warning for each shortage if all these proxies connect to one controller. */
+    /**
+     * Returns one warning for each limit that is too low if the given number of proxies connect to
+     * one controller.
+     */
     static List<Warning> warnings(PolicySettings settings, int proxies) {
         List<Warning> warnings = new ArrayList<>();
         channelRate(settings, proxies).ifPresent(warnings::add);
--- a/src/main/java/rosespread/platform/DiscoveryWatch.java
+++ b/src/main/java/rosespread/platform/DiscoveryWatch.java
@@ -11,10 +11,10 @@
 import rosespread.http.HttpMessage;
 
 /**
- * Follows discovery's node list: requests the full list first, then a watch (a long poll for
- * changes), which the I/O thread renews as soon as it is answered. A poll that fails, times out or
- * returns an invalid list is retried with backoff and jitter; the listener keeps its list
- * meanwhile.
+ * Passes discovery's node list and its changes to a listener: requests the full list first, then a
+ * watch (a long poll for changes), which the I/O thread renews as soon as discovery answers. A poll
+ * that fails, times out or returns an invalid list is retried with backoff and jitter; the listener
+ * keeps its list meanwhile.
  *
  * <p>I/O, timer and signal threads call it; its state is guarded by its monitor.
  */
@@ -31,10 +31,14 @@
     private static final String FULL_LIST_PATH = "/api/targets";
     private static final int OK = 200;
 
-    /** Duration of a watch at discovery; short, so that a silent connection is noticed soon. */
+    /**
+     * Maximum time after which discovery answers a watch without changes; short, so that a
+     * connection without answers is noticed soon, within this time and {@link
+     * #ANSWER_TIMEOUT_MILLIS}.
+     */
     private static final long WATCH_MILLIS = 1_000;
 
-    /** Timeout of an answer, in addition to the duration of the watch. */
+    /** Timeout of a poll's answer, to which a watch adds {@link #WATCH_MILLIS}. */
     private static final long ANSWER_TIMEOUT_MILLIS = 700;
 
     private static final long MIN_BACKOFF_NANOS = 20_000_000L;
@@ -42,8 +46,9 @@
     private static final int MAX_DOUBLINGS = 4;
 
     /**
-     * How long full lists older than the accepted one are rejected; if they still come after that,
-     * their source must have restarted.
+     * Time, from the first older full list on, for which full lists older than the last accepted
+     * list are rejected. An older full list that is received later is accepted, as discovery must
+     * have restarted.
      */
     private static final long OLDER_LIST_REJECTION_NANOS = 1_000_000_000L;
 
@@ -61,7 +66,9 @@
     /** Version of the last accepted list; stays when the full list is requested again. */
     private long acceptedVersion = NO_VERSION;
 
-    /** When the first older full list came since the last accepted list; empty if none came. */
+    /**
+     * When the first older full list was received since the last accepted list; empty if none was.
+     */
     private OptionalLong olderSinceNanos = OptionalLong.empty();
 
     private int failures;
@@ -160,8 +167,8 @@
 
     /**
      * Accepts a list. A list older than the accepted one is rejected and the full list requested:
-     * after a change of address, the new agent may lag behind, and its list would undo newer
-     * changes.
+     * after a change of address, the discovery agent at the new address may lag behind, and its
+     * list would undo newer changes.
      */
     private synchronized void accept(Poll poll, NodeList list) {
         if (poll != current || closed) {
--- a/src/main/java/rosespread/platform/ExclusionTracker.java
+++ b/src/main/java/rosespread/platform/ExclusionTracker.java
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Adds a change if the proxy needs it. An exclusion goes to proxies whose tables contain the
-     * node, and to proxies that follow no table yet, as they may hold the node. A readmission goes
-     * to proxies that were sent the exclusion.
+     * Adds a change if the proxy needs it. An exclusion is sent to proxies whose tables contain the
+     * node, and to proxies that follow no table yet, as these proxies may still hold a table with
+     * the node. A readmission is sent to proxies that were sent the exclusion.
      */
     private void addChange(
             ProxyView view,
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Readmits each node in the table's update that the proxy may hold as excluded, by this
+     * Readmits each node in the table's update that may still be excluded at the proxy, by this
      * controller or by another one. Other controllers exclude only nodes that leave or restart.
      */
     private void addReadmissions(ProxyView view, TableId id, List<NodeId> toReadmit) {
--- a/src/main/java/rosespread/platform/MessageFields.java
+++ b/src/main/java/rosespread/platform/MessageFields.java
@@ -16,7 +16,10 @@
  * invalid field.
  */
 final class MessageFields {
-    /** Upper bound of a time, far above any real value. */
+    /**
+     * Upper bound of each time in a message, in milliseconds, far above any real value; a larger
+     * time is rejected.
+     */
     private static final double MAX_MILLIS = 600_000;
 
     private static final double NANOS_PER_MILLI = 1e6;
--- a/src/main/java/rosespread/platform/MessageReader.java
+++ b/src/main/java/rosespread/platform/MessageReader.java
@@ -19,7 +19,7 @@
      */
     private static final Set<String> UTILIZATION_NAMES = Set.of("util", "utilization");
 
-    // Upper bounds, far above any real value.
+    // Upper bounds of the fields' values, far above any real value; larger values are rejected.
     private static final int MAX_COUNT = 10_000_000;
     private static final double MAX_REQUESTS_PER_SECOND = 1e7;
     private static final double MAX_UTILIZATION = 16;
--- a/src/main/java/rosespread/platform/NodeDirectory.java
+++ b/src/main/java/rosespread/platform/NodeDirectory.java
@@ -47,8 +47,8 @@
 
     /**
      * Whether some controller may have excluded the node: it is leaving, or has restarted since it
-     * was listed. A recent start alone does not count: a rollout brings nodes under new names, and
-     * a needless readmission of each of them at each proxy would fill the channel.
+     * was listed. A recent start alone does not count: a rollout starts nodes under new names, and
+     * sending a needless readmission of each new node to each proxy would fill the channel.
      */
     private static boolean mayBeExcluded(NodeEntry entry, NodeEntry previous) {
         boolean leaving = entry.state() != NodeState.READY;
--- a/src/main/java/rosespread/platform/PendingAcknowledgements.java
+++ b/src/main/java/rosespread/platform/PendingAcknowledgements.java
@@ -6,7 +6,8 @@
 
 /**
  * The outstanding acknowledgements of one session, by the token sent with the update, the oldest
- * first. Bounded: at the limit, a new one replaces the oldest. Owned by the event-loop thread.
+ * first. Limited in number: at the limit, a new acknowledgement replaces the oldest. Owned by the
+ * event-loop thread.
  */
 final class PendingAcknowledgements {
     private static final int MAX_PENDING = 1024;
--- a/src/main/java/rosespread/platform/PlatformController.java
+++ b/src/main/java/rosespread/platform/PlatformController.java
@@ -28,7 +28,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(PlatformController.class);
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-    /** Unused connections are closed soon, as descriptors are scarce. */
+    /**
+     * Time after which the HTTP client closes an unused connection; short, as descriptors are
+     * scarce.
+     */
     private static final int IDLE_TIMEOUT_SECONDS = 1;
 
     private static final int HTTP_THREADS = 1;
--- a/src/main/java/rosespread/platform/PlatformMetrics.java
+++ b/src/main/java/rosespread/platform/PlatformMetrics.java
@@ -12,7 +12,7 @@
     enum ConnectionEvent {
         /** A connection was accepted. */
         OPENED("connectionsOpened"),
-        /** A connection was closed because it did not join in time. */
+        /** A connection was closed because its peer did not join within the join timeout. */
         JOIN_TIMEOUT("joinTimeouts"),
         /** A connection was closed before it joined, to make room for another. */
         EVICTED("connectionsEvicted"),
--- a/src/main/java/rosespread/platform/PlatformUpdateWriter.java
+++ b/src/main/java/rosespread/platform/PlatformUpdateWriter.java
@@ -70,7 +70,10 @@
         this.requests = requests;
     }
 
-    /** Starts a proxy's stream; the proxy follows no table on it yet, whatever it still holds. */
+    /**
+     * Starts a proxy's stream; the proxy follows no table on this stream yet, even if it still
+     * holds tables from an earlier stream.
+     */
     void proxyJoined(ProxyId proxy) {
         proxies.put(proxy, new ProxyView());
     }
--- a/src/main/java/rosespread/platform/ProxySessions.java
+++ b/src/main/java/rosespread/platform/ProxySessions.java
@@ -9,7 +9,8 @@
 
 /**
  * The registry of sessions: one for each joined proxy, in the order of proxy ids. Events of a
- * connection count only while it belongs to its proxy's session. Owned by the event-loop thread.
+ * connection count only while the connection belongs to its proxy's session. Owned by the
+ * event-loop thread.
  */
 final class ProxySessions {
     private final Map<ProxyId, ProxySession> sessions = new TreeMap<>();
@@ -51,7 +52,10 @@
         return session != null && session.connection() == connection;
     }
 
-    /** Clears all pending acknowledgements; those of earlier updates no longer count. */
+    /**
+     * Clears all pending acknowledgements; later acknowledgements of updates sent before this call
+     * count as unmatched.
+     */
     void clearPending() {
         sessions.values().forEach(session -> session.pending().clear());
     }
--- a/src/main/java/rosespread/platform/UpdateSender.java
+++ b/src/main/java/rosespread/platform/UpdateSender.java
@@ -15,8 +15,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(UpdateSender.class);
 
     /**
-     * Limit on the bytes queued for a proxy. A proxy with more is disconnected, as it can't follow
-     * the updates and its queue would grow without bound.
+     * Limit on the bytes queued for a proxy. A proxy with more queued bytes is disconnected, as it
+     * does not read updates as fast as they are sent and its queue would grow without bound.
      */
     private static final long MAX_WRITE_BUFFER_BYTES = 512L << 10;
 
--- a/src/main/java/rosespread/platform/package-info.java
+++ b/src/main/java/rosespread/platform/package-info.java
@@ -11,9 +11,9 @@
  *       alone calls the policy, and it never blocks.
  *   <li>MINA's I/O threads own {@link rosespread.platform.PeerConnection} and decode and validate
  *       messages; each valid message is passed to the event loop as one event.
- *   <li>The timer thread closes connections that did not join in time, and retries discovery;
- *       {@link rosespread.platform.DiscoveryWatch} and {@link rosespread.platform.ConfigReloader}
- *       guard their state by their own monitors.
+ *   <li>The timer thread closes connections that did not join within the join timeout, and retries
+ *       polls of discovery; {@link rosespread.platform.DiscoveryWatch} and {@link
+ *       rosespread.platform.ConfigReloader} guard their state by their own monitors.
  *   <li>{@link rosespread.platform.PlatformMetrics} may be written by any thread.
  * </ul>
  *
