--- a/src/main/java/rosespread/policy/DepartedNodes.java
+++ b/src/main/java/rosespread/policy/DepartedNodes.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Clock reading in nanoseconds at which the first of the nodes in {@link #deliveredTo} left; {@code
-     * now} if there is no such node.
+     * Clock reading in nanoseconds at which the first of the nodes in {@link #deliveredTo} left;
+     * {@code now} if there is no such node.
      */
     long earliestDeparture(ProxyShard shard, long now) {
         return deliveredTo(shard).mapToLong(Node::leftAt).min().orElse(now);
