--- a/src/main/java/rosespread/scenario/ArrivalGenerator.java
+++ b/src/main/java/rosespread/scenario/ArrivalGenerator.java
@@ -10,8 +10,8 @@
 
 /**
  * Generates all RPC arrivals of a run in advance from the seed, so that the same seed gives the
- * same arrivals whatever happens during the run. Faults of clients and traffic are part of the
- * arrivals.
+ * same arrivals whatever happens during the run. Faults of clients and traffic, such as retries
+ * without delay or RPCs that require more work, are applied to the arrivals.
  */
 final class ArrivalGenerator {
     private static final double NANOS_PER_SECOND = 1e9;
--- a/src/main/java/rosespread/scenario/ChangeLatency.java
+++ b/src/main/java/rosespread/scenario/ChangeLatency.java
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Returns the milliseconds that the channel's rate limit alone takes for each change's entries.
+     * Returns, for each change, the milliseconds in which the channel sends the change's weight
+     * entries at its rate limit, without any other delay.
      */
     Histogram pacedMillis() {
         Histogram millis = new Histogram(HISTOGRAM_DIGITS);
--- a/src/main/java/rosespread/scenario/ControllerFaults.java
+++ b/src/main/java/rosespread/scenario/ControllerFaults.java
@@ -85,8 +85,8 @@
 
     /**
      * Kills and starts a controller repeatedly until the fault ends, each time after a random pause
-     * of up to the fault's span, and compares the table versions that the controller restored with
-     * the versions that proxies acknowledged.
+     * of up to {@link Fault#spanNanos}, and compares the table versions that the controller
+     * restored with the versions that proxies acknowledged.
      */
     private void killRepeatedly(Fault fault, ControllerProcess controller)
             throws IOException, InterruptedException {
--- a/src/main/java/rosespread/scenario/ControllerProcess.java
+++ b/src/main/java/rosespread/scenario/ControllerProcess.java
@@ -125,7 +125,8 @@
     /**
      * Waits until the control API answers and sends it the settings.
      *
-     * @throws IOException if the process ended, did not answer in time or rejected the settings
+     * @throws IOException if the process ended, did not answer any of {@link #MAX_START_ATTEMPTS}
+     *     calls or rejected the settings
      */
     void putSettings(String json) throws IOException {
         HttpMessage.Response response = callWhenUp("PUT", "/v1/settings", json);
@@ -145,7 +146,8 @@
     /**
      * Sends a GET request to the control API, repeated until the API answers.
      *
-     * @throws IOException if the process ended or did not answer in time
+     * @throws IOException if the process ended or did not answer any of {@link #MAX_START_ATTEMPTS}
+     *     calls
      */
     HttpMessage.Response getWhenUp(String path) throws IOException {
         return callWhenUp("GET", path, "");
--- a/src/main/java/rosespread/scenario/DrainInvariant.java
+++ b/src/main/java/rosespread/scenario/DrainInvariant.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Returns, for each drain, the longest time for which a proxy kept sending after it had joined
-     * and its controller had learned of the drain.
+     * Returns, for each drain, the longest time for which a proxy kept sending to the node after
+     * the proxy had joined and its controller had learned of the drain.
      */
     Histogram drainMillis() {
         return drainMillis;
@@ -63,7 +63,10 @@
         result.countChecks(proxies.joinedTo(controller));
     }
 
-    /** Records the node's drain, if it has one, when the drain or the run ends. */
+    /**
+     * Adds to {@link #drainMillis} how long proxies kept sending to the node, if the node must not
+     * be used; called before its state changes and at the end of the run.
+     */
     void closeDrain(ObservedNode node) {
         if (node.isWithdrawn()) {
             drainMillis.recordValue(node.longestUseNanos() / NANOS_PER_MILLI);
@@ -71,8 +74,8 @@
     }
 
     /**
-     * Records that a controller accepted an operator's drain; the limit applies from now on as if
-     * the node list had shown the drain.
+     * Records that a controller accepted an operator's drain; the drain timeout applies from now on
+     * as if the node list had shown the drain.
      */
     void operatorDrained(long nanos, String controller, String node) {
         operatorDrains.computeIfAbsent(controller, c -> new TreeMap<>()).putIfAbsent(node, nanos);
--- a/src/main/java/rosespread/scenario/DurabilityInvariant.java
+++ b/src/main/java/rosespread/scenario/DurabilityInvariant.java
@@ -6,9 +6,9 @@
 import rosespread.testbed.TrafficRecorder.TableSnapshot;
 
 /**
- * Checks that a restarted controller still has the table versions that proxies acknowledged before,
- * with the same entries, unless they are older than the oldest version that the controller keeps.
- * Confined to the loop's thread.
+ * Checks that a restarted controller still has the table versions that proxies acknowledged before
+ * the restart, with the same entries, unless the versions are older than the oldest version that
+ * the controller keeps. Confined to the loop's thread.
  */
 final class DurabilityInvariant {
     private final InvariantResult result = new InvariantResult("answersKept", 0);
--- a/src/main/java/rosespread/scenario/Fault.java
+++ b/src/main/java/rosespread/scenario/Fault.java
@@ -7,12 +7,13 @@
 /**
  * A fault that a scenario injects. The kind determines which of the other values are used.
  *
- * @param startNanos since the start of the measured period
+ * @param startNanos the start of the fault, since the start of the measured period
  * @param share ratio of the nodes, proxies, RPCs or table changes that are affected, 0 to 1; for
  *     {@link Kind#CLIENTS_GIVE_UP} the ratio of the deadline for which clients wait
  * @param zone the zone that is affected as a whole, or that RPCs are moved to
  * @param factor the severity as a multiple of the value without the fault
- * @param spanNanos the severity as a time, such as a delay, half a period or the longest pause
+ * @param spanNanos the severity as a time, such as an added delay, half of the flapping period or
+ *     the longest pause between kills
  * @param method the method whose RPCs are affected
  * @param controllerIndex the index of the affected controller, from 0
  */
@@ -33,7 +34,7 @@
         NODE_CRASH,
         /** Nodes accept RPCs and never respond. */
         HANG,
-        /** Nodes fail RPCs immediately. */
+        /** Nodes fail a fraction of RPCs and health checks immediately. */
         FAST_ABORTS,
         /** Nodes restart and have to warm up. */
         COLD_START,
@@ -43,13 +44,13 @@
         ROLLING_DEPLOY,
         /** Nodes crash and restart in alternation. */
         FLAPPING,
-        /** Other load on their machines slows nodes down. */
+        /** Nodes are slowed down by other load on their machines. */
         NEIGHBOUR,
         /** RPCs of a method require more work. */
         COSTLY_RPCS,
-        /** RPCs arrive in another zone. */
+        /** A share of the RPCs arrives in the fault's zone instead of its usual zone. */
         SHIFT,
-        /** RPCs arrive at one proxy. */
+        /** A share of the RPCs arrives at one proxy, regardless of zone. */
         HOT_PROXY,
         /** Nodes and proxies of a zone crash. */
         ZONE_LOSS,
@@ -59,27 +60,29 @@
         STREAM_CUT,
         /** A controller process is killed, and started at the end of the fault. */
         CONDUCTOR_CRASH,
-        /** A controller process is stopped and started. */
+        /** A controller process is asked to end and is started again at once. */
         CONDUCTOR_RESTART,
-        /** A controller process is suspended. */
+        /** A controller process is suspended, and resumed at the end of the fault. */
         CONDUCTOR_STALL,
-        /** The links from controllers to proxies are slow. */
+        /** The links from controllers to proxies send weight entries more slowly than usual. */
         SLOW_CHANNEL,
         /** Load reports are delayed. */
         LATE_REPORTS,
         /** Nodes report a utilization that differs from the actual one. */
         FALSE_REPORTS,
-        /** The node list shows changes later. */
+        /** The node list shows changes with an additional delay. */
         LATE_LIST,
         /** The node list does not respond. */
         SILENT_LIST,
         /** The node list responds with an old state, then with errors. */
         WRONG_LIST,
-        /** Clients wait for only a fraction of the deadline. */
+        /** Clients wait for a result for only a fraction of the method's deadline. */
         CLIENTS_GIVE_UP,
-        /** Clients retry RPCs without delay, and more often. */
+        /**
+         * Clients retry RPCs without delay, and up to 3 times if the scenario allows fewer retries.
+         */
         IMPATIENT_CLIENTS,
-        /** Proxies lose table changes. */
+        /** Proxies lose the deltas of some messages. */
         MISSED_DELTAS,
         /** An operator rolls a table back. */
         ROLLBACK,
--- a/src/main/java/rosespread/scenario/FaultInjector.java
+++ b/src/main/java/rosespread/scenario/FaultInjector.java
@@ -107,7 +107,8 @@
         return switch (fault.kind()) {
             case PROXY_CRASH -> new Effect(proxies::crash, proxies::restart);
             case STREAM_CUT ->
-                    // About half of the proxies get no sign of the cut.
+                    // For about half of the proxies, the cut is silent: neither end of the stream
+                    // notices it.
                     new Effect(
                             p -> proxies.setCut(p, true, p.hashCode() % 2 == 0),
                             p -> proxies.setCut(p, false, false));
@@ -173,8 +174,9 @@
     }
 
     /**
-     * Redeploys nodes one after the other: each node is listed as draining, crashed after the drain
-     * timeout and restarted cold.
+     * Redeploys nodes one after the other: each node is listed as draining, crashed 1 s after the
+     * sum of list delay and drain timeout, and restarted cold 1 s later. The drains begin at equal
+     * intervals over the fault's duration.
      */
     private void rollingDeploy(Fault fault) {
         List<String> targetNames = targets.draw(nodes.names(), fault.share());
--- a/src/main/java/rosespread/scenario/InvariantChecker.java
+++ b/src/main/java/rosespread/scenario/InvariantChecker.java
@@ -30,7 +30,8 @@
     private final ChangeLatency changeLatency;
 
     /**
-     * @param startNanos the zero of times in texts until {@link #setMeasurementStart} is called
+     * @param startNanos the time that counts as 0 s in the texts of results until {@link
+     *     #setMeasurementStart} is called
      */
     InvariantChecker(Scenario scenario, long startNanos) {
         timeline = new RunTimeline(scenario.channel(), startNanos);
@@ -87,7 +88,7 @@
         return changeLatency.pacedMillis();
     }
 
-    /** Sets the zero of times in texts. */
+    /** Sets the time that counts as 0 s in the texts of results. */
     void setMeasurementStart(long nanos) {
         timeline.setMeasurementStart(nanos);
     }
@@ -116,7 +117,8 @@
     }
 
     /**
-     * Records that links carry entries slower by {@code factor} from now on; 1 ends the slowdown.
+     * Records that all links send entries {@code factor} times more slowly than usual from now on;
+     * 1 ends the slowdown.
      */
     void linksSlowed(long nanos, double factor) {
         timeline.linksSlowed(nanos, factor);
@@ -143,7 +145,8 @@
     }
 
     /**
-     * Compares the versions of a killed and restarted controller with those acknowledged before.
+     * Compares the versions of a killed and restarted controller with the versions that proxies had
+     * acknowledged before the kill.
      */
     void controllerRestored(
             long nanos, String controller, TableVersions before, TableVersions after) {
--- a/src/main/java/rosespread/scenario/NoEndpointInvariant.java
+++ b/src/main/java/rosespread/scenario/NoEndpointInvariant.java
@@ -7,13 +7,16 @@
 
 /**
  * Checks that a joined proxy has a weight entry to pick for each method while its controller knows
- * a ready, warm node that serves the method. The proxy may be without an entry for at most the
- * scenario's limit. Values in milliseconds. Confined to the loop's thread.
+ * a ready, warm node that serves the method. The proxy may be without such an entry for at most
+ * {@link Scenario.Limits#noEndpointNanos}. Values in milliseconds. Confined to the loop's thread.
  */
 final class NoEndpointInvariant {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** The methods for which a proxy has an entry, and since when (in nanoseconds) it has none. */
+    /**
+     * For each method, whether a proxy has a weight entry to pick, or since when (in nanoseconds)
+     * it has had none.
+     */
     private static final class Availability {
         final Map<String, Boolean> availableByMethod = new HashMap<>();
         final Map<String, Long> unavailableSince = new HashMap<>();
@@ -81,7 +84,7 @@
     /**
      * Checks one method of a proxy that has no entry for it.
      *
-     * @return the time from which the time without an entry counts at the next check
+     * @return the time from which the next check counts how long the proxy has had no entry
      */
     private long check(long nanos, ObservedProxy proxy, String method, long since) {
         if (!proxy.isJoined()) {
--- a/src/main/java/rosespread/scenario/ObservedNode.java
+++ b/src/main/java/rosespread/scenario/ObservedNode.java
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Moves a state change that the controller was sent while suspended to its resumption, since
-     * the controller learns of it only then.
+     * Sets the time of a state change that the controller was sent while suspended to the time of
+     * the controller's resumption, since the controller learns of the change only then.
      */
     void deferChangesUntilResume(long suspendedNanos, long resumedNanos) {
         if (stateSinceNanos > suspendedNanos) {
@@ -57,7 +57,8 @@
     /**
      * Records an attempt to a node that is not ready.
      *
-     * @param nanos the time since the controller knew the node's state and the proxy had joined
+     * @param nanos the time of the attempt, counted from when the controller knew the node's state
+     *     and the proxy had joined
      */
     void recordUseAfterDrain(long nanos) {
         longestUseNanos = Math.max(longestUseNanos, nanos);
@@ -93,7 +94,8 @@
     }
 
     /**
-     * Returns the longest time for which a joined proxy kept sending after the node's state change.
+     * Returns the longest time for which a joined proxy kept sending to the node after its state
+     * had changed.
      */
     long longestUseNanos() {
         return longestUseNanos;
--- a/src/main/java/rosespread/scenario/OperatorActions.java
+++ b/src/main/java/rosespread/scenario/OperatorActions.java
@@ -20,7 +20,10 @@
     private static final long DRAIN_RETRY_MILLIS = 300;
     private static final int HTTP_OK = 200;
 
-    /** Divides a draw before it chooses a version, so that other bits choose the table. */
+    /**
+     * Divides a random draw before the draw selects a version, so that the version depends on other
+     * bits of the draw than the table does.
+     */
     private static final int VERSION_DRAW_DIVISOR = 64;
 
     private final ObjectMapper json = new ObjectMapper();
@@ -33,8 +36,8 @@
     }
 
     /**
-     * Rolls a table back to one of the kept versions, and releases the table at the end of the
-     * fault.
+     * Rolls a table back to one of the versions that the controller keeps, and releases the table
+     * at the end of the fault.
      *
      * @param draw random number that chooses the table and the version
      */
--- a/src/main/java/rosespread/scenario/Report.java
+++ b/src/main/java/rosespread/scenario/Report.java
@@ -19,7 +19,10 @@
  * loop's thread during the run; the public methods are for use after the run.
  */
 public final class Report {
-    /** Length of the time slots for which service is reported separately. */
+    /**
+     * Length of the time slots for which the weighted fraction of served RPCs is reported
+     * separately.
+     */
     static final int SLOT_SECONDS = 5;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -87,7 +90,7 @@
         usage.sample(controllers);
     }
 
-    /** Ends the measurement and takes the checker's results. */
+    /** Ends the measurement and stores the checker's results. */
     void complete(InvariantChecker checker, long nanos, List<ControllerProcess> controllers) {
         measuredSeconds = (nanos - measurementStartNanos) / NANOS_PER_SECOND;
         usage.sample(controllers);
@@ -117,7 +120,10 @@
                         .noneMatch(result -> result.verdict() == Verdict.BROKEN);
     }
 
-    /** Service over the whole measurement, 0 to 1; 1 if there were no RPCs. */
+    /**
+     * The weighted fraction of RPCs that were served over the whole measurement, 0 to 1; 1 if there
+     * were no RPCs.
+     */
     public double service() {
         return overall.service();
     }
--- a/src/main/java/rosespread/scenario/RollbackInvariant.java
+++ b/src/main/java/rosespread/scenario/RollbackInvariant.java
@@ -16,7 +16,10 @@
     private static final double NANOS_PER_MILLI = 1e6;
     private static final int HISTOGRAM_DIGITS = 3;
 
-    /** An open rollback; {@code reached} names the proxies that have held its weights. */
+    /**
+     * An accepted rollback that is not complete; {@code reached} names the proxies that have held
+     * its weights.
+     */
     private record Rollback(
             long acceptedNanos,
             String controller,
@@ -47,13 +50,17 @@
         return result;
     }
 
-    /** How long each rollback took until it reached the last proxy or was found late. */
+    /**
+     * How long each rollback took until every subscribed proxy had held its weights or until the
+     * rollback was found to exceed the time limit.
+     */
     Histogram millis() {
         return millis;
     }
 
     /**
-     * Starts the time of an accepted rollback, which replaces an open rollback of the same table.
+     * Starts to measure how long an accepted rollback takes to reach all subscribed proxies; ends
+     * the measurement of an earlier, incomplete rollback of the same table.
      *
      * @param weights the weights that the rollback restores, by node
      */
@@ -66,15 +73,18 @@
     }
 
     /**
-     * Interrupts the controller's open rollbacks until {@link #proxyJoined}, since a restarted
-     * controller continues them.
+     * Interrupts the measurement of the controller's incomplete rollbacks until {@link
+     * #proxyJoined}, since the controller continues the rollbacks after its restart.
      */
     void controllerDown(String controller) {
         pending.removeIf(
                 rollback -> rollback.controller().equals(controller) && interrupted.add(rollback));
     }
 
-    /** Restarts the time of interrupted rollbacks when the first proxy joins again. */
+    /**
+     * Restarts the measurement of the controller's interrupted rollbacks when the first proxy joins
+     * the controller again.
+     */
     void proxyJoined(long nanos, String controller) {
         interrupted.removeIf(
                 rollback ->
@@ -82,7 +92,10 @@
                                 && pending.add(rollback.restartedAt(nanos)));
     }
 
-    /** Closes the rollbacks that are complete or late. */
+    /**
+     * Ends the measurement of rollbacks that have reached all subscribed proxies or exceeded the
+     * time limit.
+     */
     void check(long nanos) {
         pending.removeIf(rollback -> isClosed(nanos, rollback));
     }
@@ -127,7 +140,10 @@
         return reachedAll;
     }
 
-    /** Nodes that left since the rollback may be missing from the weights that a proxy holds. */
+    /**
+     * Whether every weight that a proxy holds equals the rollback's weight of that node. Nodes
+     * removed since the rollback may be missing from the held weights.
+     */
     private static boolean isSubset(Map<String, Double> held, Map<String, Double> weights) {
         return held.entrySet().stream()
                 .allMatch(entry -> entry.getValue().equals(weights.get(entry.getKey())));
--- a/src/main/java/rosespread/scenario/RunTimeline.java
+++ b/src/main/java/rosespread/scenario/RunTimeline.java
@@ -33,7 +33,7 @@
         this.measurementStartNanos = measurementStartNanos;
     }
 
-    /** Sets the time from which the times in texts count. */
+    /** Sets the time that counts as 0 s in the texts of results. */
     void setMeasurementStart(long nanos) {
         measurementStartNanos = nanos;
     }
@@ -72,7 +72,10 @@
         return OptionalLong.of(since);
     }
 
-    /** Records that entries pass links slower by this factor from now on; 1 ends the slowdown. */
+    /**
+     * Records that all links send entries {@code factor} times more slowly than usual from now on;
+     * 1 ends the slowdown.
+     */
     void linksSlowed(long nanos, double factor) {
         int last = slowLinks.size() - 1;
         if (last >= 0 && slowLinks.get(last).untilNanos() == Long.MAX_VALUE) {
@@ -85,8 +88,9 @@
     }
 
     /**
-     * A limit for the time from {@code fromNanos} to {@code untilNanos}, multiplied by the slowdown
-     * of the links and extended by the time for which controllers were suspended.
+     * A time limit that applies from {@code fromNanos} to {@code untilNanos}: {@code limitNanos}
+     * multiplied by the largest slowdown of the links that affects this period, plus the times for
+     * which controllers were suspended in it.
      */
     double extendedLimit(double limitNanos, long fromNanos, long untilNanos) {
         return limitNanos * slowdown(fromNanos, untilNanos) + stalledNanos(fromNanos, untilNanos);
--- a/src/main/java/rosespread/scenario/Scenario.java
+++ b/src/main/java/rosespread/scenario/Scenario.java
@@ -38,9 +38,9 @@
     record Clients(int retries, long retryDelayNanos, double deadlineRatio) {}
 
     /**
-     * Time limits of the contract.
+     * Time limits that controllers must keep; the invariants check them.
      *
-     * @param noEndpointNanos how long a proxy may have no entry to pick
+     * @param noEndpointNanos how long a proxy may have no weight entry to pick for a method
      * @param drainTimeoutNanos how long a proxy may send to a draining node
      */
     record Limits(long noEndpointNanos, long drainTimeoutNanos) {}
@@ -48,11 +48,12 @@
     /**
      * Limits on the messages of controllers.
      *
-     * @param entriesPerSecond rate of one controller to all its proxies
+     * @param entriesPerSecond rate of one controller to all its proxies together, in weight entries
+     *     per second
      * @param entriesPerMessage the overhead of a message, in entries
      * @param queueLimit the maximum number of entries that wait for a controller's channel
-     * @param messageLimit the maximum number of messages to a proxy within the window; 0 for no
-     *     limit
+     * @param messageLimit the maximum number of messages to a proxy within {@code
+     *     messageWindowNanos}; 0 for no limit
      * @param actionCost cost of an action for a controller, in the unit of the controller's
      *     settings
      */
--- a/src/main/java/rosespread/scenario/ServedNodeLists.java
+++ b/src/main/java/rosespread/scenario/ServedNodeLists.java
@@ -63,7 +63,10 @@
         node.unlisted(nanos);
     }
 
-    /** Drops the list of a controller whose process has ended, since its knowledge is lost. */
+    /**
+     * Drops the list of a controller whose process has ended, since the process's copy of the list
+     * is lost.
+     */
     void forget(String controller) {
         byController.remove(controller);
     }
--- a/src/main/java/rosespread/scenario/ServiceTally.java
+++ b/src/main/java/rosespread/scenario/ServiceTally.java
@@ -44,8 +44,9 @@
     }
 
     /**
-     * The weighted fraction of RPCs that were served, 0 to 1; 1 if there were no RPCs. An RPC
-     * served late counts only a fraction of its weight.
+     * The weighted fraction of RPCs that succeeded within their deadline, 0 to 1; 1 if there were
+     * no RPCs. An RPC that succeeded after its latency objective counts only a fraction of its
+     * weight.
      */
     double service() {
         return totalWeight == 0 ? 1 : servedWeight / totalWeight;
@@ -75,7 +76,9 @@
         return attempts;
     }
 
-    /** A percentile of the latency of RPCs that succeeded, in milliseconds. */
+    /**
+     * A percentile of the latency of RPCs that succeeded within their deadline, in milliseconds.
+     */
     double latencyMillis(double percentile) {
         return latencyMicros.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
     }
--- a/src/main/java/rosespread/scenario/StandaloneSite.java
+++ b/src/main/java/rosespread/scenario/StandaloneSite.java
@@ -36,7 +36,7 @@
     /**
      * Returns the settings for a controller of the scenario, as JSON.
      *
-     * @throws ScenarioException if the scenario is faulty, with file, line and field
+     * @throws ScenarioException if the scenario is missing or invalid, with file, line and field
      */
     public static String settings(String nameOrPath, long seed, int listPort)
             throws IOException, ScenarioException {
@@ -50,7 +50,7 @@
      * @param listPort port of the node list; 0 for any free port
      * @param controllers addresses of the controllers' channels
      * @param out receives a progress line every 5 s
-     * @throws ScenarioException if the scenario is faulty, with file, line and field
+     * @throws ScenarioException if the scenario is missing or invalid, with file, line and field
      * @throws IOException if a fake cannot be started
      */
     public static void run(
--- a/src/main/java/rosespread/scenario/TableContentInvariant.java
+++ b/src/main/java/rosespread/scenario/TableContentInvariant.java
@@ -4,8 +4,8 @@
 
 /**
  * Checks that tables hold at least one entry, only nodes that were listed, and finite weights of at
- * least 0 that are not far above the table's mean. The contract does not require these properties,
- * but a correct controller's tables have them. Confined to the loop's thread.
+ * least 0 that are at most 10 times the table's mean weight. The contract does not require these
+ * properties, but a correct controller's tables have them. Confined to the loop's thread.
  */
 final class TableContentInvariant {
     /** Highest valid ratio of a weight to the table's mean weight. */
--- a/src/main/java/rosespread/scenario/WarmUpInvariant.java
+++ b/src/main/java/rosespread/scenario/WarmUpInvariant.java
@@ -4,10 +4,10 @@
 
 /**
  * Checks that no node in its warm-up is overloaded by proxies whose controller knew of its start.
- * Violated if at least two thirds of the work came from informed proxies. A proxy is informed if
- * the last message to it was sent after its controller learned of the start, or if its controller
- * has known of the start for longer than the drain timeout. Values are the fraction of the work
- * from informed proxies. Confined to the loop's thread.
+ * Violated if at least two thirds of the work that overloaded a node came from informed proxies. A
+ * proxy is informed if the last message to it was sent after its controller learned of the start,
+ * or if its controller has known of the start for longer than the drain timeout. Values are the
+ * fraction of the work from informed proxies. Confined to the loop's thread.
  */
 final class WarmUpInvariant {
     private static final double INFORMED_WORK_RATIO_LIMIT = 2 / 3.0;
