--- a/src/main/java/rosespread/admin/ProblemDetails.java
+++ b/src/main/java/rosespread/admin/ProblemDetails.java
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Builds a response that also lists each reason.
+     * Builds a response that also lists each reason for the error and the revision in force.
      *
      * @param revision the revision in force
      */
@@ -53,7 +53,7 @@
         return response(members);
     }
 
-    /** Creates the standard members; the caller may add others. */
+    /** Creates a problem details object with the standard members; the caller may add others. */
     static ObjectNode members(int status, String title, String detail) {
         return JSON.createObjectNode()
                 .put("type", "about:blank")
--- a/src/main/java/rosespread/channel/Frame.java
+++ b/src/main/java/rosespread/channel/Frame.java
@@ -25,7 +25,7 @@
      */
     record Hello(int version, String name, List<String> methods) implements Frame {}
 
-    /** The version of a table that a proxy holds, from whichever controller. */
+    /** The version of a table that a proxy holds, regardless of the controller that sent it. */
     record Holding(TableId table, long version) {}
 
     /**
@@ -54,13 +54,14 @@
     /**
      * A method's admission limit and retry policy.
      *
-     * @param admitted the limit as a fraction or in RPCs per second, as the settings say; infinity
-     *     admits all
+     * @param admitted the limit as a fraction of the method's RPCs or in RPCs per second, as the
+     *     settings say; infinity admits all RPCs
      */
     record Level(MethodId method, double admitted, Tries tries) {}
 
     /**
-     * A full table and the methods that use it; replaces everything the proxy held for them.
+     * A full table and the methods that use it; replaces the weight entries, admission limits and
+     * retry policies that the proxy held for these methods.
      *
      * @param digest the digest of the lines, as docs/channel.md defines it
      */
@@ -176,9 +177,14 @@
         NO_SETTINGS,
         /** The registration was not acceptable. */
         BAD_JOIN,
-        /** Nothing was received for too long, or no registration in time. */
+        /**
+         * No frame was received for several keep-alive intervals, or no registration within the
+         * join timeout.
+         */
         SILENT,
-        /** The receiver did not read fast enough. */
+        /**
+         * The receiver read too slowly: the unread bytes exceeded the limit of the sender's buffer.
+         */
         SLOW,
         /** A later stream has the same name. */
         REPLACED,
--- a/src/main/java/rosespread/channel/FrameReader.java
+++ b/src/main/java/rosespread/channel/FrameReader.java
@@ -97,8 +97,8 @@
     private void readLength() throws FrameException {
         length = buffer.getInt(0);
         if (length < MIN_FRAME_BYTES || length > maxFrameBytes) {
-            // The offset also counts the bytes read of the previous frame. Close carries this text
-            // unchanged.
+            // The reported offset also counts the bytes that were read of the previous frame. The
+            // peer receives this text unchanged in a Close frame.
             throw new FrameException(
                     offset + fields.position(),
                     "a frame of "
--- a/src/main/java/rosespread/fleet/FleetDifferences.java
+++ b/src/main/java/rosespread/fleet/FleetDifferences.java
@@ -11,7 +11,7 @@
 
 /** Compares the parts of the controllers' statuses that should be the same in a whole fleet. */
 public final class FleetDifferences {
-    /** A controller's status with the address it came from. */
+    /** A controller's status with the control address of the controller. */
     private record Status(String address, ControllerSummary summary) {}
 
     private FleetDifferences() {}
--- a/src/main/java/rosespread/fleet/RolloutEvent.java
+++ b/src/main/java/rosespread/fleet/RolloutEvent.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * The controller applied the settings, but its proxies did not subscribe again in time. The
-     * remaining controllers keep their former settings.
+     * The controller applied the settings, but its proxies did not subscribe again within the
+     * rollout's resubscribe timeout. The remaining controllers keep their former settings.
      *
      * @param address the controller's control address
      * @param proxies the number of proxies that were subscribed before
--- a/src/main/java/rosespread/fleet/StagedSettingsRollout.java
+++ b/src/main/java/rosespread/fleet/StagedSettingsRollout.java
@@ -11,8 +11,8 @@
  * Applies settings to the controllers one by one, after all controllers have checked the settings
  * in a dry run. After each controller except the last, the rollout waits until that controller
  * operates normally and as many proxies as before are subscribed to its tables. If the proxies do
- * not subscribe again in time or a controller rejects the settings, the rollout stops and the
- * remaining controllers keep their former settings.
+ * not subscribe again within the resubscribe timeout or a controller rejects the settings, the
+ * rollout stops and the remaining controllers keep their former settings.
  *
  * <p>Runs on the calling thread and calls the listener there.
  */
--- a/src/main/java/rosespread/http/ClientExchange.java
+++ b/src/main/java/rosespread/http/ClientExchange.java
@@ -31,7 +31,7 @@
     private volatile boolean retryable;
 
     /**
-     * @param idleConnections receives the connection after a response
+     * @param idleConnections receives the connection after a response that permits its reuse
      * @param connector opens a new connection and calls {@link #send} or {@link #fail}
      */
     ClientExchange(
@@ -61,7 +61,10 @@
         timeout = timer;
     }
 
-    /** Sends the request on a reused connection, which the server may be about to close. */
+    /**
+     * Sends the request on a reused connection, which the server may be about to close; a request
+     * with a safe method is then resent once.
+     */
     void sendOnReused(IoSession reused) {
         retryable = SAFE_METHODS.contains(request.method());
         send(reused);
@@ -82,8 +85,9 @@
     }
 
     /**
-     * Retries or fails. Ignored unless {@code connection} is the current connection, so a repeated
-     * call has no effect.
+     * Handles the loss of a connection: opens a new connection for a retryable request, and fails
+     * any other. Ignored unless {@code connection} is the current connection, so a repeated call
+     * has no effect.
      */
     void connectionLost(IoSession connection, String detail) {
         if (!connection.equals(session)) {
@@ -104,7 +108,10 @@
         }
     }
 
-    /** Completes with the response and frees the connection. */
+    /**
+     * Ends the exchange with a response, which the handler receives. The connection is kept for
+     * reuse if the response permits it, else closed. Ignored after an earlier outcome.
+     */
     void complete(HttpMessage.Response response) {
         if (!completed.compareAndSet(false, true)) {
             return;
@@ -119,7 +126,10 @@
         handler.onResponse(response);
     }
 
-    /** Completes with a failure and closes the connection, so that the server can stop its work. */
+    /**
+     * Ends the exchange with a failure, which the handler receives, and closes the connection, so
+     * that the server can stop its work. Ignored after an earlier outcome.
+     */
     void fail(HttpClient.Failure failure, String detail) {
         if (!completed.compareAndSet(false, true)) {
             return;
--- a/src/main/java/rosespread/http/HttpMessage.java
+++ b/src/main/java/rosespread/http/HttpMessage.java
@@ -12,7 +12,7 @@
     /** The body; empty, not null, if there is none. */
     byte[] body();
 
-    /** Whether the connection may carry another message after this one. */
+    /** Whether the connection may be used for another message after this one. */
     default boolean keepsAlive() {
         return !headers().containsToken("connection", "close");
     }
--- a/src/main/java/rosespread/http/IdleConnections.java
+++ b/src/main/java/rosespread/http/IdleConnections.java
@@ -45,7 +45,10 @@
         return null;
     }
 
-    /** Keeps a connection for reuse, or closes it if its address has the maximum number. */
+    /**
+     * Keeps an open connection for reuse; closes it if {@value #MAX_PER_ADDRESS} idle connections
+     * to its address are kept already.
+     */
     void put(InetSocketAddress address, IoSession session) {
         session.setAttribute(ADDRESS, address);
         AtomicBoolean added = new AtomicBoolean();
--- a/src/main/java/rosespread/settings/FleetSettings.java
+++ b/src/main/java/rosespread/settings/FleetSettings.java
@@ -25,8 +25,9 @@
  * @param reportPeriodNanos the interval of the reports of proxies and nodes, in nanoseconds
  * @param drainTimeoutNanos the time within which traffic must have left a draining node, in
  *     nanoseconds
- * @param minCapacityRatioWhileDraining the ratio of its listed capacity that a method must keep
- *     while operators drain nodes
+ * @param minCapacityRatioWhileDraining the fraction of the capacity of a method's listed nodes that
+ *     must remain on ready nodes; an operator's drain that would leave less is rejected unless it
+ *     is forced
  * @param peers the control API addresses of all controllers of the fleet, from which drains are
  *     fetched
  * @param warmUp the warm-up of nodes
@@ -96,8 +97,8 @@
      * @param entriesPerSecond the rate of the channel in weight entries per second
      * @param messageOverheadEntries the cost of a message without its entries, in entries
      * @param queueLimitEntries the maximum number of queued entries
-     * @param channelCost the cost of the channel at its usual rate, as a fraction of the whole
-     *     service
+     * @param channelCost the cost of sending at {@code entriesPerSecond}, as a fraction of the
+     *     whole service of the fleet; the policy uses an expensive channel less
      * @param messageLimit the maximum number of messages to a proxy within {@code
      *     messageWindowNanos}; 0 for no limit
      * @param messageWindowNanos the window of the message limit, in nanoseconds
--- a/src/main/java/rosespread/testbed/ControllerConnector.java
+++ b/src/main/java/rosespread/testbed/ControllerConnector.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Starts to connect to a controller, preferably of the zone if it has one, else to any. Each
-     * attempt draws a controller anew.
+     * Starts to connect to a randomly drawn controller. Two in three attempts draw only among the
+     * controllers of the proxy's zone, if it has any. Each attempt draws a controller anew.
      *
      * @param generation passed to the stream with each event of the session
      * @return the controller's name
--- a/src/main/java/rosespread/testbed/ControllerStream.java
+++ b/src/main/java/rosespread/testbed/ControllerStream.java
@@ -18,7 +18,8 @@
     /** Callbacks of the stream to its proxy. */
     interface Owner {
         /**
-         * Called when a stream was opened; tables of the previous stream do not belong to this one.
+         * Called when a stream was opened; tables received on the previous stream no longer count
+         * as received on the current one.
          */
         void streamOpened();
 
--- a/src/main/java/rosespread/testbed/FakeNode.java
+++ b/src/main/java/rosespread/testbed/FakeNode.java
@@ -13,8 +13,8 @@
 
 /**
  * A node that simulates its work with timers: it has cores, a queue, a speed and a warm-up. A node
- * that is sent far more work than its capacity while it warms up is overloaded and accepts no RPC
- * until it is restarted. Confined to the loop's thread.
+ * that is sent more work during its warm-up than {@link WarmUpLoad} allows is overloaded and
+ * accepts no RPC until it is restarted. Confined to the loop's thread.
  */
 final class FakeNode {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -75,7 +75,7 @@
     /**
      * Creates a node that is not started yet.
      *
-     * @param zoneTokens shared by all nodes of the zone
+     * @param zoneTokens idempotency tokens shared by all nodes of the zone
      */
     FakeNode(
             Identity identity,
@@ -214,7 +214,10 @@
         return Long.parseLong(call.headers().first("x-work-nanos").orElse("0")) / NANOS_PER_SECOND;
     }
 
-    /** Adds an RPC to the load of the warming node; too much load overloads it until a restart. */
+    /**
+     * Adds an RPC to the load of the warming node; the node is overloaded until its restart once
+     * the load exceeds {@link WarmUpLoad#isOverload the limit}.
+     */
     private void addWarmUpLoad(HttpMessage.Request call, SiteDefinition.Method method) {
         long now = loop.now();
         if (!receivedRpcWhileWarming) {
--- a/src/main/java/rosespread/testbed/FakeNodes.java
+++ b/src/main/java/rosespread/testbed/FakeNodes.java
@@ -122,7 +122,7 @@
     /**
      * Starts a node's process cold, if it does not run, and lists the node.
      *
-     * @throws UncheckedIOException if the node's port has been taken meanwhile
+     * @throws UncheckedIOException if the node's port is in use by now
      */
     public void restart(String name) {
         FakeNode node = byName.get(name);
--- a/src/main/java/rosespread/testbed/FakeProxies.java
+++ b/src/main/java/rosespread/testbed/FakeProxies.java
@@ -139,7 +139,7 @@
         controllers.forEach(controller -> links.setSlowdown(controller.name(), factor));
     }
 
-    /** Sets the extra delay of load reports from now on. */
+    /** Sets the delay of load reports from now on, in addition to the site's report delay. */
     public void setReportDelay(long nanos) {
         faults.setReportDelay(nanos);
     }
--- a/src/main/java/rosespread/testbed/NodeAvoidance.java
+++ b/src/main/java/rosespread/testbed/NodeAvoidance.java
@@ -8,8 +8,9 @@
 import rosespread.api.NodeId;
 
 /**
- * A proxy's own record of nodes with several consecutive failures. The proxy avoids these nodes for
- * some seconds as long as others are available. Confined to the loop's thread.
+ * A proxy's own record of nodes with {@code maxFailures} consecutive failures. The proxy avoids
+ * such a node for a random time of 2 to 6 s as long as other nodes are available. Confined to the
+ * loop's thread.
  */
 final class NodeAvoidance {
     private static final long MIN_AVOIDANCE_NANOS = 2_000_000_000L;
--- a/src/main/java/rosespread/testbed/OpenLoopClients.java
+++ b/src/main/java/rosespread/testbed/OpenLoopClients.java
@@ -5,8 +5,8 @@
 
 /**
  * Open-loop clients: each RPC is sent at the time drawn for it, regardless of the outcome of
- * earlier RPCs, and its latency counts from its due time. A client retries an RPC where that is
- * safe. Confined to the loop's thread.
+ * earlier RPCs, and its latency counts from its due time. A client retries an RPC if the failed
+ * attempt certainly had no effect or the method is idempotent. Confined to the loop's thread.
  */
 public final class OpenLoopClients {
     /** One in this many RPCs for a dead proxy is still sent to it. */
@@ -15,12 +15,13 @@
     /**
      * One RPC, drawn in advance.
      *
-     * @param dueNanos time from the start of the day; negative in the warm-up
+     * @param dueNanos time from the start of the measured period; negative in the warm-up
      * @param proxyPosition position among the zone's proxies, from 0 to 1; spreads RPCs over them
      * @param hotProxy proxy that receives the RPC regardless of zone; null if there is none
      * @param workNanos work of the RPC at speed 1
      * @param retries maximum number of retries by the client
-     * @param deadlineRatio ratio of the deadline for which the client waits for an attempt
+     * @param deadlineRatio fraction of the method's deadline for which the client waits for the
+     *     result of an attempt
      */
     public record Arrival(
             long number,
@@ -65,10 +66,10 @@
     }
 
     /**
-     * Sends the RPCs of a day; RPCs due before the start of the day are the warm-up.
+     * Sends the RPCs of a run; RPCs due before the start of the measured period are the warm-up.
      *
      * @param dayArrivals RPCs in order of due time
-     * @param startNanos start of the day on the loop's clock
+     * @param startNanos start of the measured period on the loop's clock
      */
     public void play(List<Arrival> dayArrivals, long startNanos) {
         arrivals = dayArrivals;
--- a/src/main/java/rosespread/testbed/ProxyFaults.java
+++ b/src/main/java/rosespread/testbed/ProxyFaults.java
@@ -7,7 +7,7 @@
     private long reportDelayNanos;
     private double deltaLossRatio;
 
-    /** Sets the extra delay of load reports. */
+    /** Sets the delay of load reports, in addition to the site's report delay. */
     void setReportDelay(long nanos) {
         reportDelayNanos = nanos;
     }
--- a/src/main/java/rosespread/testbed/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -62,7 +62,10 @@
         addresses.put(node, address);
     }
 
-    /** Result of applying a message: the number of its entries, and the frames to answer. */
+    /**
+     * Result of applying a message: the number of weight entries in its applied tables and deltas,
+     * and the requests for full tables with which the proxy answers.
+     */
     record Applied(int entries, List<Frame.Missed> missed) {}
 
     /** Applies all frames of a message. */
@@ -105,8 +108,8 @@
         WeightedTable table = streamTables.get(delta.table());
         boolean startsFromHeldVersion = table.version() == delta.from();
         for (Frame.Line entry : delta.lines()) {
-            // Removals are applied even if the delta starts from another version: a removal can
-            // only keep a drain in effect.
+            // Removals are applied even if the delta starts from another version: a removal
+            // only stops traffic to a node, and so keeps a drain in effect.
             if (entry.weight() == 0) {
                 table.remove(entry.node());
             } else if (startsFromHeldVersion) {
--- a/src/main/java/rosespread/testbed/RpcForwarder.java
+++ b/src/main/java/rosespread/testbed/RpcForwarder.java
@@ -22,7 +22,7 @@
 final class RpcForwarder {
     private static final long MIN_ATTEMPT_TIMEOUT_NANOS = 1_000_000L;
 
-    /** A retry is not worthwhile with less time left than this. */
+    /** An RPC is retried only if more than this time is left until the client stops waiting. */
     private static final long MIN_TIME_FOR_RETRY_NANOS = 20_000_000L;
 
     private static final int FIRST_ERROR_STATUS = 400;
@@ -70,7 +70,10 @@
         cancellations.clear();
     }
 
-    /** Holds up RPCs for the time that applying a message takes. */
+    /**
+     * Delays all RPCs for the time that applying a message takes, in addition to a delay that has
+     * not ended yet.
+     */
     void stall(long nanos) {
         stalledUntilNanos = Math.max(loop.now(), stalledUntilNanos) + nanos;
     }
--- a/src/main/java/rosespread/testbed/SiteDefinition.java
+++ b/src/main/java/rosespread/testbed/SiteDefinition.java
@@ -33,7 +33,7 @@
     /**
      * A machine type.
      *
-     * @param speed work that a core does per second, in seconds at speed 1
+     * @param speed work that a core does per second, in seconds of work at speed 1
      * @param nodes number of nodes of the type
      */
     public record MachineType(int cores, double speed, int nodes) {}
@@ -60,7 +60,8 @@
      * @param priorityWeight weight of an RPC
      * @param lateValueRatio fraction of the weight with which an answer between objective and
      *     deadline counts
-     * @param tokenWindowNanos how long a repeated token has no effect at the nodes of a zone
+     * @param tokenWindowNanos how long an RPC with a repeated idempotency token has no further
+     *     effect at the nodes of a zone
      * @param machineTypes machine types that serve the method; empty for all
      */
     public record Method(
@@ -119,10 +120,11 @@
      * Warm-up of a node and the load that overloads a warming node.
      *
      * @param durationNanos duration of the warm-up
-     * @param initialRatio ratio of its capacity that a node starts with
+     * @param initialRatio fraction of its full capacity that a node has at its start
      * @param windowNanos length of the sliding window over which the work sent to the node is
      *     summed
-     * @param overloadFactor multiple of a window's capacity beyond which the node is overloaded
+     * @param overloadFactor the node is overloaded by more than this multiple of the work that it
+     *     can do in a window at its current capacity
      */
     public record WarmUp(
             long durationNanos, double initialRatio, long windowNanos, double overloadFactor) {}
--- a/src/main/java/rosespread/testbed/TrafficRecorder.java
+++ b/src/main/java/rosespread/testbed/TrafficRecorder.java
@@ -37,7 +37,8 @@
     default void proxyLeft(long nanos, String proxy) {}
 
     /**
-     * A message from a controller arrived, before the delay of its link.
+     * A message from a controller arrived at the proxy's socket, before the simulated delay of its
+     * link.
      *
      * @param entriesOnLink entries in transit over a slow link, including those of the message
      */
--- a/src/main/java/rosespread/testbed/WarmUpLoad.java
+++ b/src/main/java/rosespread/testbed/WarmUpLoad.java
@@ -12,7 +12,10 @@
 final class WarmUpLoad {
     private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Allowance in a window's budget for random variation, in RPCs of mean work. */
+    /**
+     * Number of RPCs of mean work that a window may contain above the overload limit, to allow for
+     * random variation.
+     */
     private static final int SLACK_RPCS = 4;
 
     /** An RPC's work, in seconds at speed 1. */
@@ -40,7 +43,8 @@
     }
 
     /**
-     * Returns whether the window's work exceeds its budget.
+     * Returns whether the work sent in the window exceeds the overload factor times the work that
+     * the node can do in a window, plus {@value #SLACK_RPCS} RPCs of mean work.
      *
      * @param capacity work that the node can do at present, in seconds of work per second
      * @param meanWorkNanos mean work of the latest RPC's method
