--- a/src/main/java/rosespread/cli/TestbedSiteCommand.java
+++ b/src/main/java/rosespread/cli/TestbedSiteCommand.java
@@ -16,8 +16,8 @@
         name = "site",
         mixinStandardHelpOptions = true,
         description =
-                "Runs nodes and endpoint list; with controllers, also proxies and clients, for the"
-                        + " scenario's duration.",
+                "Runs nodes and endpoint list until stopped. With controller addresses, also runs"
+                        + " proxies and clients, and ends after the scenario's duration.",
         footer = {"", "Example: rosespread testbed site quiet-day --conductor 127.0.0.1:7400"})
 final class TestbedSiteCommand extends TestbedSubcommand {
     @Option(
--- a/src/main/java/rosespread/controller/PinnedTableCommitter.java
+++ b/src/main/java/rosespread/controller/PinnedTableCommitter.java
@@ -72,7 +72,7 @@
             modes.report(
                     "table "
                             + table.id().value()
-                            + " follows the module at version "
+                            + " follows the routing policy again from version "
                             + current.number());
         }
         return registry.commit(table, delta, TableVersion.Cause.ROLLBACK, time.wallMillis());
--- a/src/main/java/rosespread/controller/TableOperations.java
+++ b/src/main/java/rosespread/controller/TableOperations.java
@@ -58,7 +58,7 @@
         modes.report(
                 "table "
                         + table.id().value()
-                        + " goes back to version "
+                        + " is rolled back to version "
                         + target.number()
                         + ": "
                         + table.pending().size()
@@ -76,7 +76,7 @@
         }
         registry.setPin(table.get(), PinState.PINNED, 0, Map.of());
         modes.report(
-                "table " + id.value() + " is held at version " + table.get().current().number());
+                "table " + id.value() + " is pinned at version " + table.get().current().number());
         return TableActResult.DONE;
     }
 
@@ -88,7 +88,10 @@
                     TableActResult.Reason.NOT_PINNED, "table " + id.value() + " is not held");
         }
         registry.setPin(table.get(), PinState.RELEASING, 0, Map.of());
-        modes.report("table " + id.value() + " follows the module again, step by step");
+        modes.report(
+                "table "
+                        + id.value()
+                        + " is being released: its weights move to the routing policy's, step by step");
         return TableActResult.DONE;
     }
 
--- a/src/main/java/rosespread/controller/TableValidation.java
+++ b/src/main/java/rosespread/controller/TableValidation.java
@@ -100,7 +100,7 @@
         for (TableChangeValidator.Refusal refusal : refusals) {
             table.countRefusal(refusal.reason());
             modes.report(
-                    "table "
+                    "changes of table "
                             + table.id().value()
                             + " after version "
                             + table.current().number()
@@ -112,7 +112,7 @@
                             + names(refusal.nodes()));
         }
         if (refusals.isEmpty()) {
-            modes.report("table " + table.id().value() + " passes its checks again");
+            modes.report("changes of table " + table.id().value() + " pass validation again");
         }
     }
 
--- a/src/main/java/rosespread/scenario/OperatorActions.java
+++ b/src/main/java/rosespread/scenario/OperatorActions.java
@@ -45,7 +45,7 @@
                 () -> rollbackAndRelease(fault, controller, draw),
                 e ->
                         environment.eventLater(
-                                "rollback of a table of "
+                                "rollback of a table at "
                                         + controller.name()
                                         + " failed: "
                                         + e.getMessage()));
@@ -75,13 +75,13 @@
         environment.eventLater(
                 "rollback of table "
                         + id
-                        + " of "
+                        + " at "
                         + controller.name()
                         + " from version "
                         + table.path("version")
-                        + " to "
+                        + " to version "
                         + version
-                        + ": status "
+                        + ": HTTP status "
                         + status);
         Map<String, Double> weights = new TreeMap<>();
         read(controller, path)
@@ -166,7 +166,7 @@
                             "rehearsal");
             loop.run(
                     () -> {
-                        environment.event(description + "status " + response.status());
+                        environment.event(description + "HTTP status " + response.status());
                         if (response.status() == HTTP_OK) {
                             onAccepted.run();
                         }
--- a/src/main/java/rosespread/testbed/Ports.java
+++ b/src/main/java/rosespread/testbed/Ports.java
@@ -40,7 +40,7 @@
                         + PORT_LIMIT
                         + ") after "
                         + MAX_TRIES
-                        + " tries",
+                        + " attempts",
                 lastFailure);
     }
 }
