--- a/src/main/java/rosespread/api/EventHandler.java
+++ b/src/main/java/rosespread/api/EventHandler.java
@@ -19,11 +19,11 @@
 
     /** State of a node according to the node list. */
     enum NodeState {
-        /** Accepts requests. */
+        /** The node accepts requests. */
         READY,
-        /** Finishes its current requests; no table may name it after the drain timeout. */
+        /** The node finishes its current requests; no table may name it after the drain timeout. */
         DRAINING,
-        /** No longer exists. */
+        /** The node no longer exists. */
         GONE
     }
 
--- a/src/main/java/rosespread/policy/ReportWindows.java
+++ b/src/main/java/rosespread/policy/ReportWindows.java
@@ -23,8 +23,8 @@
     private static final double DEMAND_REPORTS = 2.5;
 
     /**
-     * Decay time constant of the mean interval between load reports; long enough that the mean
-     * covers a few reports, however long the interval is.
+     * Decay time constant of the two sums, covered time and report count, from which the mean
+     * interval between load reports is calculated; it does not depend on that interval.
      */
     private static final long INTERVAL_WINDOW_NANOS = 5 * TimeUnits.SECOND;
 
--- a/src/main/java/rosespread/testbed/ControllerStream.java
+++ b/src/main/java/rosespread/testbed/ControllerStream.java
@@ -23,7 +23,10 @@
          */
         void streamOpened();
 
-        /** Returns the highest version of each table that the proxy was sent. */
+        /**
+         * Returns the highest version of each table that the proxy received and applied since its
+         * process started.
+         */
         List<Frame.Holding> heldVersions();
 
         /**
--- a/src/main/java/rosespread/testbed/ProxyTables.java
+++ b/src/main/java/rosespread/testbed/ProxyTables.java
@@ -28,7 +28,10 @@
     /** Tables received on the current stream. */
     private final Map<TableId, WeightedTable> streamTables = new HashMap<>();
 
-    /** Highest version of each table received on any stream. */
+    /**
+     * Highest version of each table received and applied on any stream since the proxy's process
+     * started.
+     */
     private final TreeMap<TableId, Long> highestVersions = new TreeMap<>();
 
     private final Set<NodeId> excluded = new TreeSet<>();
@@ -138,7 +141,10 @@
         return streamTables.containsKey(table);
     }
 
-    /** Returns the highest versions received on any stream, in order of table id. */
+    /**
+     * Returns the highest version of each table received and applied on any stream since the
+     * proxy's process started, in order of table id.
+     */
     List<Frame.Holding> highestVersions() {
         return highestVersions.entrySet().stream()
                 .map(entry -> new Frame.Holding(entry.getKey(), entry.getValue()))
