--- a/src/main/java/rosespread/policy/state/ShardTable.java
+++ b/src/main/java/rosespread/policy/state/ShardTable.java
@@ -56,8 +56,7 @@
      * @param shard the shard whose proxies share the table
      * @param index the table's index in the shard
      * @param restrictions a method whose allowed nodes are those of the table
-     * @param localZone the only zone of the table's nodes and proxies, null if all zones are
-     *     allowed
+     * @param localZone the only zone of the table's nodes and proxies, null for all zones
      */
     ShardTable(
             TableId id,
@@ -255,9 +254,7 @@
         return changed;
     }
 
-    /**
-     * Number of parts into which the entries are split over shards; 1 unless the table is partial.
-     */
+    /** Number of parts into which shards split the entries; 1 unless the table is partial. */
     public long parts() {
         return parts;
     }
@@ -380,9 +377,7 @@
         return pendingRemovals;
     }
 
-    /**
-     * Number of pending entries that must not wait for the delivery in flight, including removals.
-     */
+    /** Number of pending entries, with removals, that must not wait for a delivery in flight. */
     public int urgentEntries() {
         return urgentEntries;
     }
--- a/src/main/java/rosespread/testbed/TrafficRecorder.java
+++ b/src/main/java/rosespread/testbed/TrafficRecorder.java
@@ -29,7 +29,7 @@
     /** The node list answered a controller's query with these nodes, by name. */
     default void nodeListServed(long nanos, String controller, Map<String, NodeListing> nodes) {}
 
-    /** A proxy asked to join and reported the highest version of each table that it was sent. */
+    /** A proxy asked to join and reported the highest version of each table that it holds. */
     default void proxyJoined(
             long nanos, String proxy, String controller, Map<Integer, Long> heldVersions) {}
 
